--- a/internal/balance/affinity.go
+++ b/internal/balance/affinity.go
@@ -3,56 +3,55 @@
 import "github.com/hickorybank/hickorybank/internal/config"
 
 const (
-	// affinityBound is how far above the pool's mean load the upstream of a
-	// prefix may be.
-	affinityBound = 1.25
-	// fullBound is the same for an upstream that has more than it batches: a
-	// request that waits there loses more than a cached prefix saves.
-	fullBound = 1.05
+	// affinityLoadFactor bounds the load of the upstream that a prefix hashes to, as a
+	// multiple of the pool's mean load.
+	affinityLoadFactor = 1.25
+	// fullLoadFactor is the bound for an upstream that has more requests than it batches.
+	// There, queueing costs more than a cached prefix saves.
+	fullLoadFactor = 1.05
 )
 
-// affinity keeps a prefix on the upstream whose cache holds it, by rendezvous
-// hashing that is the same on every node, as long as that upstream's load
-// stays within a bound of the mean and of its batch; beyond it the next of the
-// order takes over. Work without a prefix takes two choices, and immediate work
-// the freest upstream.
+// affinity sends requests with the same prefix to the same upstream, whose cache holds
+// that prefix. It uses rendezvous hashing, so all nodes choose alike. An upstream whose
+// load exceeds the bound is skipped in favour of the next one by hash. Requests without a
+// prefix use twoChoices, and immediate requests use leastScore.
 type affinity struct{}
 
-func (*affinity) choose(v *view) *host {
-	if v.kind == config.Immediate {
-		return freest{}.choose(v)
+func (*affinity) choose(s *selection) *host {
+	if s.kind == config.Immediate {
+		return leastScore{}.choose(s)
 	}
-	if v.prefix == 0 {
-		return twoChoices{}.choose(v)
+	if s.prefixHash == 0 {
+		return twoChoices{}.choose(s)
 	}
-	mean := v.measure()
-	bound := min(mean*affinityBound, max(1, mean*fullBound))
+	mean := s.measureLoads()
+	bound := min(mean*affinityLoadFactor, max(1, mean*fullLoadFactor))
 	var best *host
-	var highest uint64
-	for i, h := range v.hosts {
-		if v.loads[i] > bound {
+	var highestRank uint64
+	for i, h := range s.hosts {
+		if s.loads[i] > bound {
 			continue
 		}
-		if rank := mix(v.prefix, h.hash); best == nil || rank > highest {
-			best, highest = h, rank
+		if hashRank := mix(s.prefixHash, h.hash); best == nil || hashRank > highestRank {
+			best, highestRank = h, hashRank
 		}
 	}
 	if best == nil {
-		return twoChoices{}.choose(v)
+		return twoChoices{}.choose(s)
 	}
 	return best
 }
 
-// measure fills in the loads and returns their mean. It is at least that of
-// one request for each upstream.
-func (v *view) measure() float64 {
-	v.loads = v.loads[:0]
-	var sum, least float64
-	for _, h := range v.hosts {
-		load := v.b.load(v.pool, h, v.now)
-		v.loads = append(v.loads, load)
+// measureLoads fills in the loads of the hosts and returns their mean. The mean is at
+// least that of one request on each upstream.
+func (s *selection) measureLoads() float64 {
+	s.loads = s.loads[:0]
+	var sum, minSum float64
+	for _, h := range s.hosts {
+		load := s.b.load(s.pool, h, s.now)
+		s.loads = append(s.loads, load)
 		sum += load
-		least += 1 / v.b.capacity(v.pool, h, v.now)
+		minSum += 1 / s.b.hostCapacity(s.pool, h, s.now)
 	}
-	return max(sum, least) / float64(len(v.hosts))
+	return max(sum, minSum) / float64(len(s.hosts))
 }
--- a/internal/balance/balancer.go
+++ b/internal/balance/balancer.go
@@ -7,107 +7,109 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// Balancer chooses upstreams. See the package for who may call it.
+// Balancer chooses upstreams. It is not safe for concurrent use; see the package comment.
 type Balancer struct {
 	settings Settings
 	policy   policy
-	// base is the time that durations inside count from.
+	// base is the origin of all internal times.
 	base    time.Time
 	started bool
 
-	hosts    map[string]*host
-	order    []*host
-	rest     []member // beyond the subset, in the order of looking at them
-	versions map[string]*pool
-	services map[string]*pool
-	shared   map[string]*sharedPool // by version
-	// unsure are the engines whose versions are not known yet.
-	unsure pool
-	// engines are those whose versions are known.
-	engines pool
-	domains domains
-	// senders are the nodes among which the rates of upstreams are shared.
+	hosts       map[string]*host
+	order       []*host
+	unselected  []member // outside the subset, in search order
+	versions    map[string]*pool
+	services    map[string]*pool
+	sharedPools map[string]*sharedPool // by version
+	// unknownEngines are the engines that have not reported their versions yet.
+	unknownEngines pool
+	// knownEngines are the engines that have reported their versions.
+	knownEngines pool
+	domains      domains
+	// senders are the nodes among which the rate limits of upstreams are divided.
 	senders pacing.Senders
 
-	slots slots
-	view  view
-	// sawFirst says that the caller tells of first tokens.
-	sawFirst  bool
-	refreshed time.Duration
-	polls     polls
-	wanted    map[string]time.Duration
-	changes   []Change
+	attempts  attemptTable
+	selection selection
+	// firstTokensReported is set once the caller has called FirstToken.
+	firstTokensReported bool
+	refreshedAt         time.Duration
+	polls               polls
+	wanted              map[string]time.Duration
+	changes             []Change
 }
 
-// New returns a balancer that knows no upstream yet.
+// New returns a balancer without upstreams. Zero fields of s take their defaults.
 func New(s Settings) *Balancer {
 	s = s.withDefaults()
 	return &Balancer{
-		settings: s,
-		policy:   newPolicy(s.Policy),
-		hosts:    map[string]*host{},
-		versions: map[string]*pool{},
-		services: map[string]*pool{},
-		shared:   map[string]*sharedPool{},
-		domains:  domains{},
-		wanted:   map[string]time.Duration{},
+		settings:    s,
+		policy:      newPolicy(s.Policy),
+		hosts:       map[string]*host{},
+		versions:    map[string]*pool{},
+		services:    map[string]*pool{},
+		sharedPools: map[string]*sharedPool{},
+		domains:     domains{},
+		wanted:      map[string]time.Duration{},
 	}
 }
 
-// since turns a time into the balancer's own.
-func (b *Balancer) since(now time.Time) time.Duration {
+// sinceBase converts a time to an offset from the balancer's base.
+func (b *Balancer) sinceBase(now time.Time) time.Duration {
 	if b.base.IsZero() {
-		// Some time before the first call, so that 0 is always past.
+		// The base lies before the first call, so that an offset of 0 is always in the
+		// past.
 		b.base = now.Add(-time.Hour)
 	}
 	return now.Sub(b.base)
 }
 
-// Report takes the load that an upstream gave, asked for by NeedPoll or
-// otherwise.
+// Report records a load report of an upstream, whether NeedPoll asked for it or not. A
+// report that is older than the one held is ignored.
 func (b *Balancer) Report(vmID string, r upstream.LoadReport, now time.Time) {
-	t := b.since(now)
+	t := b.sinceBase(now)
 	at := t - time.Duration(r.AgeMillis)*time.Millisecond
 	h := b.hosts[vmID]
 	if h == nil {
-		h = b.adopt(vmID, r, t)
+		h = b.addExtra(vmID, r, t)
 	}
 	if h == nil {
 		return
 	}
 	h.poll.answered(t)
-	h.breaker.alive(t)
-	if h.report.have && at < h.report.at {
+	h.breaker.pollSucceeded(t)
+	if h.report.received && at < h.report.at {
 		return
 	}
-	h.report.take(r, h.inFlight, at)
+	h.report.update(r, h.inFlight, at)
 	if r.Leaving {
-		h.leaves(t)
-		b.refresh(t)
+		h.markLeaving(t)
+		b.refreshPools(t)
 	} else {
-		h.stays(at)
+		h.clearLeaving(at)
 	}
-	if h.learn(r.Versions, at) {
-		b.rebuild(t)
+	if h.setVersions(r.Versions, at) {
+		b.rebuildPools(t)
 	}
 }
 
-// PollFailed tells that an upstream did not answer when asked for its load.
+// PollFailed records that an upstream did not answer a poll for its load. It counts as a
+// failure of the breaker.
 func (b *Balancer) PollFailed(vmID string, now time.Time) {
-	t := b.since(now)
+	t := b.sinceBase(now)
 	h := b.hosts[vmID]
 	if h == nil {
 		return
 	}
 	h.poll.answered(t)
-	b.failed(h, unreachable, t)
+	b.recordFailure(h, unreachable, t)
 }
 
-// Leaving tells that an upstream takes no new work, by its own word. It holds
-// until a later report of the upstream says otherwise.
+// Leaving records that an upstream has announced that it takes no new work. It gets none
+// until one of its later reports says otherwise.
 func (b *Balancer) Leaving(vmID string, now time.Time) {
 	if h := b.hosts[vmID]; h != nil {
-		h.leaves(b.since(now))
-		b.refresh(b.since(now))
+		h.markLeaving(b.sinceBase(now))
+		b.refreshPools(b.sinceBase(now))
 	}
 }
--- a/internal/balance/breaker.go
+++ b/internal/balance/breaker.go
@@ -2,107 +2,108 @@
 
 import "time"
 
-// breaker keeps requests from an upstream that fails.
+// breaker is a circuit breaker that withholds requests from a failing upstream.
 //
-// It guards against an upstream that has crashed, is unreachable or breaks
-// its answers off while the VM list still calls it live: each request sent
-// there would be lost or late. It shows as failures in a row. After a pause
-// one request at a time probes whether it is back, so that at most one
-// request a pause is spent on a dead upstream.
+// It covers upstreams that have crashed, are unreachable or break off their answers while
+// the VM list still shows them as live. Each request sent there would be lost or late.
+// Consecutive failures open the breaker. After a pause one request at a time probes the
+// upstream, so at most one request per pause is spent on an upstream that is down.
 type breaker struct {
-	failures int
-	// until is when an open breaker lets a probe through; 0 is closed.
-	until   time.Duration
-	pause   time.Duration
+	consecutiveFailures int
+	// probeAt is when an open breaker allows a probe; 0 means closed.
+	probeAt time.Duration
+	openFor time.Duration
 	probing bool
-	// heard says that the upstream has answered a poll since it opened or a
-	// probe failed.
-	heard bool
-	// last is how the last request or poll failed.
-	last failure
+	// pollAnswered is set when the upstream has answered a poll since the breaker opened
+	// or the last probe failed.
+	pollAnswered bool
+	// lastFailure is how the last request or poll failed.
+	lastFailure failureKind
 }
 
-// failure is a way in which a request or poll fails.
-type failure int
+// failureKind is how a request or poll failed.
+type failureKind int
 
 const (
-	// unreachable: nothing was heard of the upstream.
-	unreachable failure = iota
-	// brokenOff: the upstream was reached, and its answer broke off.
-	brokenOff
+	// unreachable: nothing was received from the upstream.
+	unreachable failureKind = iota
+	// interrupted: the upstream was reached, but its answer broke off.
+	interrupted
 )
 
-func (b *breaker) open() bool { return b.until != 0 }
+func (b *breaker) open() bool { return b.probeAt != 0 }
 
-// allows says whether a request may go through, perhaps as the probe.
-func (b *breaker) allows(now time.Duration) bool {
-	if b.until == 0 {
+// allowsRequest reports whether a request may be sent, be it as the probe.
+func (b *breaker) allowsRequest(now time.Duration) bool {
+	if b.probeAt == 0 {
 		return true
 	}
-	return now >= b.until && !b.probing
+	return now >= b.probeAt && !b.probing
 }
 
-// taken tells that a request went through.
-func (b *breaker) taken() {
-	if b.until != 0 {
+// requestSent marks the request as the probe when the breaker is open.
+func (b *breaker) requestSent() {
+	if b.probeAt != 0 {
 		b.probing = true
 	}
 }
 
-// succeeded returns whether it closed an open breaker.
+// succeeded closes the breaker and reports whether it was open.
 func (b *breaker) succeeded() bool {
 	closed := b.open()
 	*b = breaker{}
 	return closed
 }
 
-// failed returns whether it opened a closed breaker.
-func (b *breaker) failed(s BreakerSettings, f failure, now time.Duration, jitter float64) bool {
-	b.failures++
-	b.last = f
+// failed records a failure and reports whether it opened a closed breaker.
+func (b *breaker) failed(s BreakerSettings, kind failureKind, now time.Duration, jitter float64) bool {
+	b.consecutiveFailures++
+	b.lastFailure = kind
 	if b.open() {
 		b.reopen(s, now, jitter)
 		return false
 	}
-	if b.failures < s.Failures {
+	if b.consecutiveFailures < s.Failures {
 		return false
 	}
-	b.pause = s.OpenFor
-	b.heard = false
-	b.until = now + spread(b.pause, jitter)
+	b.openFor = s.OpenFor
+	b.pollAnswered = false
+	b.probeAt = now + addJitter(b.openFor, jitter)
 	return true
 }
 
-// reopen doubles the pause after a failed probe. Failures of requests that
-// were in flight before it opened change nothing.
+// reopen doubles the pause after a failed probe. Failures of requests that were in flight
+// before the breaker opened have no effect.
 func (b *breaker) reopen(s BreakerSettings, now time.Duration, jitter float64) {
 	if !b.probing {
 		return
 	}
 	b.probing = false
-	b.heard = false
-	b.pause = min(2*b.pause, s.MaxOpenFor)
-	b.until = now + spread(b.pause, jitter)
+	b.pollAnswered = false
+	b.openFor = min(2*b.openFor, s.MaxOpenFor)
+	b.probeAt = now + addJitter(b.openFor, jitter)
 }
 
-// abandoned tells that a request ended without saying anything of the upstream.
-func (b *breaker) abandoned() { b.probing = false }
+// probeAbandoned allows another probe after a request ended without showing anything
+// about the upstream.
+func (b *breaker) probeAbandoned() { b.probing = false }
 
-// alive takes in that the upstream has answered a poll. If it could not be
-// reached before, it is back, and the next probe may go at once. If it was
-// reached and broke its answers off, its polls were good all the time: they
-// say nothing, and without the pause each of them would cost a request.
-func (b *breaker) alive(now time.Duration) {
+// pollSucceeded records an answered poll. An upstream that was unreachable is back, so
+// the next probe is allowed at once. An upstream that breaks off its answers keeps
+// answering polls: these prove nothing, and without the pause each of them would cost a
+// request.
+func (b *breaker) pollSucceeded(now time.Duration) {
 	if !b.open() {
 		return
 	}
-	b.heard = true
-	if b.last == unreachable {
-		b.until = min(b.until, now)
+	b.pollAnswered = true
+	if b.lastFailure == unreachable {
+		b.probeAt = min(b.probeAt, now)
 	}
 }
 
-// spread keeps many nodes from probing at one moment: jitter is in [0,1).
-func spread(d time.Duration, jitter float64) time.Duration {
+// addJitter lengthens d by up to half, so that many nodes do not probe at the same
+// moment. jitter is in [0,1).
+func addJitter(d time.Duration, jitter float64) time.Duration {
 	return d + time.Duration(float64(d)*jitter/2)
 }
--- a/internal/balance/change.go
+++ b/internal/balance/change.go
@@ -2,42 +2,43 @@
 
 import "github.com/hickorybank/hickorybank/internal/platform"
 
-// Change is something that an operator may want to know of an upstream.
+// Change is a state change of an upstream that operators may want to see.
 type Change struct {
 	VM   platform.VM
 	Kind ChangeKind
 }
 
-// ChangeKind is what has changed.
+// ChangeKind is the kind of a [Change].
 type ChangeKind int
 
 // The kinds of changes.
 const (
-	// Opened: the upstream's breaker keeps work away.
+	// Opened: the upstream's breaker opened; it gets no work.
 	Opened ChangeKind = iota
-	// Closed: its breaker lets work through again.
+	// Closed: the upstream's breaker closed; it gets work again.
 	Closed
-	// Ejected: it is slow but alive, and gets little work.
+	// Ejected: the upstream is slow or fails some of its requests, and gets little work.
 	Ejected
-	// LimitBegan and LimitEnded: the upstream names a rate limit, or no longer does.
+	// LimitBegan and LimitEnded: the upstream started or stopped announcing a rate limit.
 	LimitBegan
 	LimitEnded
-	// RestBegan: the upstream wants nothing from this node for a while.
+	// RestBegan: the upstream asked this node to send nothing for some time.
 	RestBegan
 )
 
-// changesKept bounds the changes that nobody has taken.
-const changesKept = 256
+// maxPendingChanges bounds the changes held for the next call of Changes; later ones are
+// dropped.
+const maxPendingChanges = 256
 
-// Changes returns what has changed since the last call.
+// Changes returns the changes since the last call, at most 256 of them.
 func (b *Balancer) Changes() []Change {
-	out := b.changes
+	changes := b.changes
 	b.changes = nil
-	return out
+	return changes
 }
 
-func (b *Balancer) changed(h *host, kind ChangeKind) {
-	if len(b.changes) < changesKept {
+func (b *Balancer) recordChange(h *host, kind ChangeKind) {
+	if len(b.changes) < maxPendingChanges {
 		b.changes = append(b.changes, Change{VM: h.vm, Kind: kind})
 	}
 }
--- a/internal/balance/choose.go
+++ b/internal/balance/choose.go
@@ -5,61 +5,61 @@
 	"time"
 )
 
-// Pick chooses an upstream and counts the attempt as in flight there until
-// Done. When it returns false, Pick.Shortage says why.
+// Pick chooses an upstream and counts the attempt as in flight there until Done. If it
+// returns false, Pick.Shortage gives the reason.
 func (b *Balancer) Pick(r Request) (Pick, bool) {
-	now := b.since(r.Now)
+	now := b.sinceBase(r.Now)
 	b.maintain(now)
 	p := b.poolFor(&r, now)
-	h := b.choose(p, &r, now)
+	h := b.chooseHost(p, &r, now)
 	if h == nil {
 		return Pick{Shortage: b.shortage(p, now)}, false
 	}
 	h.inFlight++
 	p.inFlight++
-	h.breaker.taken()
-	b.spend(h, now)
+	h.breaker.requestSent()
+	b.takeRateToken(h, now)
 	if r.Alone {
-		h.isolated++
+		h.isolatedInFlight++
 	}
-	token := b.slots.take(slot{host: h, pool: p, version: r.Version, started: now, alone: r.Alone})
+	token := b.attempts.add(attempt{host: h, pool: p, version: r.Version, started: now, isolated: r.Alone})
 	return Pick{VM: h.vm, Token: token}, true
 }
 
-// poolFor returns the upstreams to choose from. Engines whose versions are not
-// known yet are tried only when none is known to have the version.
+// poolFor returns the pool to choose from. Engines that have not reported their versions
+// are used only when no engine is known to have the version.
 func (b *Balancer) poolFor(r *Request, now time.Duration) *pool {
 	if r.Service != "" {
 		return b.services[r.Service]
 	}
 	p := b.versions[r.Version]
-	if len(b.rest) > 0 && len(p.known()) < b.settings.MinPerVersion {
+	if len(b.unselected) > 0 && len(p.members()) < b.settings.MinPerVersion {
 		b.want(r.Version, now)
 	}
-	if len(p.known()) == 0 {
-		return &b.unsure
+	if len(p.members()) == 0 {
+		return &b.unknownEngines
 	}
 	return p
 }
 
-func (b *Balancer) choose(p *pool, r *Request, now time.Duration) *host {
-	v := &b.view
-	v.b, v.pool, v.now = b, p, now
-	v.prefix, v.random, v.kind = r.PrefixHash, r.Random, r.Kind
-	for t := tierGood; t < tiers; t++ {
-		v.hosts = v.hosts[:0]
-		for _, h := range p.known() {
-			if h.usable(now, t) && b.admits(h, now) && !slices.Contains(r.Exclude, h.vm.ID) {
-				v.hosts = append(v.hosts, h)
+func (b *Balancer) chooseHost(p *pool, r *Request, now time.Duration) *host {
+	s := &b.selection
+	s.b, s.pool, s.now = b, p, now
+	s.prefixHash, s.random, s.kind = r.PrefixHash, r.Random, r.Kind
+	for t := tierPreferred; t < tierCount; t++ {
+		s.hosts = s.hosts[:0]
+		for _, h := range p.members() {
+			if h.usable(now, t) && b.maySend(h, now) && !slices.Contains(r.Exclude, h.vm.ID) {
+				s.hosts = append(s.hosts, h)
 			}
 		}
-		if len(v.hosts) == 0 {
+		if len(s.hosts) == 0 {
 			continue
 		}
 		if r.Alone {
-			return quietest{}.choose(v)
+			return fewestInFlight{}.choose(s)
 		}
-		return b.policy.choose(v)
+		return b.policy.choose(s)
 	}
 	return nil
 }
--- a/internal/balance/datadriven_test.go
+++ b/internal/balance/datadriven_test.go
@@ -12,18 +12,18 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// script drives one balancer through a scripted scenario.
-type script struct {
-	b      *Balancer
-	now    time.Duration
-	random uint64
-	tokens map[string]Pick
-	begun  []Token
+// scenario drives one balancer through a script in testdata.
+type scenario struct {
+	b       *Balancer
+	now     time.Duration
+	random  uint64
+	picks   map[string]Pick
+	started []Token
 }
 
 func TestScenarios(t *testing.T) {
 	datadriven.Walk(t, "testdata/scenarios", func(t *testing.T, path string) {
-		s := &script{tokens: map[string]Pick{}}
+		s := &scenario{picks: map[string]Pick{}}
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			if d.Cmd == "balancer" {
 				s.b = New(Settings{SelfID: "self", SelfDomain: "here", Policy: PolicyTwoChoices})
@@ -40,9 +40,9 @@
 	})
 }
 
-func (s *script) time() time.Time { return epoch.Add(s.now) }
+func (s *scenario) time() time.Time { return epoch.Add(s.now) }
 
-func (s *script) run(t *testing.T, d *datadriven.TestData, f []string) string {
+func (s *scenario) run(t *testing.T, d *datadriven.TestData, f []string) string {
 	switch d.Cmd {
 	case "pass":
 		v, err := time.ParseDuration(f[0])
@@ -50,37 +50,37 @@
 			d.Fatalf(t, "%v", err)
 		}
 		s.now += v
-	case "members": // id domain [leaving]; one line each, all at once below
+	case "members": // id domain [leaving]; one line for each upstream
 		return s.members(d)
 	case "report": // id version...
 		s.b.Report(f[0], upstream.LoadReport{Limit: 8, Versions: f[1:]}, s.time())
-	case "stays": // id: a report that it is not leaving
+	case "stays": // id: a report without the leaving flag
 		s.b.Report(f[0], upstream.LoadReport{Limit: 8, Versions: []string{"v"}}, s.time())
 	case "leaving":
 		s.b.Leaving(f[0], s.time())
 	case "pick": // name [n] [not id...]
 		return s.pick(f[0], f[1:])
-	case "many": // n: where n requests go, each done at once
+	case "many": // n: the number of requests that each upstream gets, each done at once
 		return s.many(f[0])
 	case "done": // name outcome
 		s.done(f[0], f[1])
-	case "fail": // id n: n requests sent there that break
+	case "fail": // id n: n requests to the upstream that do not reach it
 		for range number(f[1]) {
 			if p, ok := s.pickAt(f[0]); ok {
 				s.b.Done(p.Token, Result{Outcome: Unreached}, s.time())
 			}
 		}
-	case "mixed": // k n id...: n requests to each, every k-th of which breaks off
+	case "mixed": // k n id...: n requests to each; every k-th one breaks off
 		for _, id := range f[2:] {
 			s.mixed(id, number(f[0]), number(f[1]))
 		}
-	case "slow": // id ms n: n requests there of that many milliseconds a token
+	case "slow": // id ms n: n requests to the upstream, with ms milliseconds per token
 		s.slow(f[0], number(f[1]), number(f[2]))
 	case "changes":
 		return s.changes()
 	case "load": // id running version...
 		s.b.Report(f[0], upstream.LoadReport{Running: number(f[1]), Limit: 8, Versions: f[2:]}, s.time())
-	case "unreached": // id n: n polls that the upstream did not answer
+	case "unreached": // id n: n polls that the upstream does not answer
 		for range number(f[1]) {
 			s.b.PollFailed(f[0], s.time())
 		}
@@ -90,10 +90,10 @@
 		for range number(f[1]) {
 			s.random++
 			if p, ok := s.b.Pick(Request{Version: f[0], Now: s.time(), Random: mix(7, s.random)}); ok {
-				s.begun = append(s.begun, p.Token)
+				s.started = append(s.started, p.Token)
 			}
 		}
-	case "end": // outcome: all that were begun
+	case "end": // outcome: ends all attempts that "begin" started
 		s.end(f[0])
 	case "polls":
 		return s.polls(number(f[0]))
@@ -107,7 +107,7 @@
 	return n
 }
 
-func (s *script) members(d *datadriven.TestData) string {
+func (s *scenario) members(d *datadriven.TestData) string {
 	var vms []platform.VM
 	for _, line := range strings.Split(d.Input, "\n") {
 		f := strings.Fields(line)
@@ -121,22 +121,22 @@
 	return ""
 }
 
-func (s *script) request(exclude ...string) Request {
+func (s *scenario) request(exclude ...string) Request {
 	s.random++
 	return Request{Version: "v", Exclude: exclude, Now: s.time(), Random: mix(5, s.random)}
 }
 
-func (s *script) pick(name string, exclude []string) string {
+func (s *scenario) pick(name string, exclude []string) string {
 	p, ok := s.b.Pick(s.request(exclude...))
 	if !ok {
 		return fmt.Sprintf("%s: none, %s, retry after %v\n", name, p.Shortage.Reason, p.Shortage.RetryAfter.Round(100*time.Millisecond))
 	}
-	s.tokens[name] = p
+	s.picks[name] = p
 	return fmt.Sprintf("%s: %s\n", name, p.VM.ID)
 }
 
-// pickAt picks until it gets the upstream.
-func (s *script) pickAt(id string) (Pick, bool) {
+// pickAt picks the given upstream by excluding all others.
+func (s *scenario) pickAt(id string) (Pick, bool) {
 	var others []string
 	for h := range s.b.hosts {
 		if h != id {
@@ -146,7 +146,7 @@
 	return s.b.Pick(s.request(others...))
 }
 
-func (s *script) many(n string) string {
+func (s *scenario) many(n string) string {
 	counts := map[string]int{}
 	for range number(n) {
 		p, ok := s.b.Pick(s.request())
@@ -167,41 +167,41 @@
 
 var outcomes = map[string]Outcome{"ok": Succeeded, "unreached": Unreached, "declined": Declined, "missing": MissingVersion, "broken": Broken}
 
-func (s *script) end(outcome string) {
-	for _, t := range s.begun {
+func (s *scenario) end(outcome string) {
+	for _, t := range s.started {
 		s.b.Done(t, Result{Outcome: outcomes[outcome]}, s.time())
 	}
-	s.begun = nil
+	s.started = nil
 }
 
-func (s *script) done(name, outcome string) {
-	s.b.Done(s.tokens[name].Token, Result{Outcome: outcomes[outcome], FirstToken: 100 * time.Millisecond, Latency: time.Second, Tokens: 20}, s.time())
+func (s *scenario) done(name, outcome string) {
+	s.b.Done(s.picks[name].Token, Result{Outcome: outcomes[outcome], FirstToken: 100 * time.Millisecond, Latency: time.Second, Tokens: 20}, s.time())
 }
 
-func (s *script) mixed(id string, k, n int) {
+func (s *scenario) mixed(id string, every, n int) {
 	for i := range n {
 		p, ok := s.pickAt(id)
 		if !ok {
 			continue
 		}
 		r := Result{FirstToken: 100 * time.Millisecond, Latency: time.Second, Tokens: 20}
-		if i%k == k-1 {
+		if i%every == every-1 {
 			r = Result{Outcome: Broken, Latency: 10 * time.Millisecond}
 		}
 		s.b.Done(p.Token, r, s.time())
 	}
 }
 
-func (s *script) slow(id string, ms, n int) {
-	gap := time.Duration(ms) * time.Millisecond
+func (s *scenario) slow(id string, ms, n int) {
+	tokenGap := time.Duration(ms) * time.Millisecond
 	for range n {
 		if p, ok := s.pickAt(id); ok {
-			s.b.Done(p.Token, Result{FirstToken: gap, Latency: 11 * gap, Tokens: 11}, s.time())
+			s.b.Done(p.Token, Result{FirstToken: tokenGap, Latency: 11 * tokenGap, Tokens: 11}, s.time())
 		}
 	}
 }
 
-func (s *script) room(versions []string) string {
+func (s *scenario) room(versions []string) string {
 	var out strings.Builder
 	for _, v := range versions {
 		r := s.b.Room(v, s.time())
@@ -210,16 +210,16 @@
 	return out.String()
 }
 
-func (s *script) changes() string {
-	words := map[ChangeKind]string{Opened: "opened", Closed: "closed", Ejected: "ejected"}
+func (s *scenario) changes() string {
+	names := map[ChangeKind]string{Opened: "opened", Closed: "closed", Ejected: "ejected"}
 	var out strings.Builder
 	for _, c := range s.b.Changes() {
-		fmt.Fprintf(&out, "%s %s\n", c.VM.ID, words[c.Kind])
+		fmt.Fprintf(&out, "%s %s\n", c.VM.ID, names[c.Kind])
 	}
 	return out.String()
 }
 
-func (s *script) polls(n int) string {
+func (s *scenario) polls(n int) string {
 	var out []string
 	for range n {
 		for _, vm := range s.b.NeedPoll(s.time()) {
--- a/internal/balance/defaults.go
+++ b/internal/balance/defaults.go
@@ -11,11 +11,11 @@
 )
 
 func (s Settings) withDefaults() Settings {
-	orInt(&s.SubsetSize, defaultSubsetSize)
-	orInt(&s.MinPerVersion, defaultMinPerVersion)
-	orFloat(&s.PollsPerSecond, defaultPollsPerSecond)
-	orDuration(&s.MaxReportAge, defaultMaxReportAge)
-	orDuration(&s.SlowStart, defaultSlowStart)
+	defaultInt(&s.SubsetSize, defaultSubsetSize)
+	defaultInt(&s.MinPerVersion, defaultMinPerVersion)
+	defaultFloat(&s.PollsPerSecond, defaultPollsPerSecond)
+	defaultDuration(&s.MaxReportAge, defaultMaxReportAge)
+	defaultDuration(&s.SlowStart, defaultSlowStart)
 	if s.Policy == "" {
 		s.Policy = PolicyAffinity
 	}
@@ -25,35 +25,35 @@
 }
 
 func (s BreakerSettings) withDefaults() BreakerSettings {
-	orInt(&s.Failures, 3)
-	orDuration(&s.OpenFor, time.Second)
-	orDuration(&s.MaxOpenFor, 30*time.Second)
+	defaultInt(&s.Failures, 3)
+	defaultDuration(&s.OpenFor, time.Second)
+	defaultDuration(&s.MaxOpenFor, 30*time.Second)
 	return s
 }
 
 func (s OutlierSettings) withDefaults() OutlierSettings {
-	orFloat(&s.Ratio, 3)
-	orInt(&s.MinSamples, 8)
-	orFloat(&s.MaxShare, 0.3)
-	orDuration(&s.EjectFor, 10*time.Second)
-	orDuration(&s.MaxEjectFor, 2*time.Minute)
+	defaultFloat(&s.Ratio, 3)
+	defaultInt(&s.MinSamples, 8)
+	defaultFloat(&s.MaxShare, 0.3)
+	defaultDuration(&s.EjectFor, 10*time.Second)
+	defaultDuration(&s.MaxEjectFor, 2*time.Minute)
 	return s
 }
 
-func orInt(v *int, otherwise int) {
+func defaultInt(v *int, fallback int) {
 	if *v == 0 {
-		*v = otherwise
+		*v = fallback
 	}
 }
 
-func orFloat(v *float64, otherwise float64) {
+func defaultFloat(v *float64, fallback float64) {
 	if *v == 0 {
-		*v = otherwise
+		*v = fallback
 	}
 }
 
-func orDuration(v *time.Duration, otherwise time.Duration) {
+func defaultDuration(v *time.Duration, fallback time.Duration) {
 	if *v == 0 {
-		*v = otherwise
+		*v = fallback
 	}
 }
--- a/internal/balance/domains.go
+++ b/internal/balance/domains.go
@@ -2,118 +2,116 @@
 
 import "time"
 
-// doubtFor is how long a failure domain stays doubtful after its last breaker
-// opened.
-const doubtFor = 5 * time.Second
+// domainDegradedFor is how long a failure domain stays degraded after the last of its
+// breakers opened.
+const domainDegradedFor = 5 * time.Second
 
-// domain is a failure domain's part of the subset. It notices that the whole
-// of it seems to be lost.
+// domain is the part of the subset in one failure domain. It detects the loss of the
+// whole domain.
 //
-// It guards against finding a lost domain's upstreams one by one: each would
-// cost several requests before its breaker opens. It shows as breakers of the
-// same domain opening together; then its others are used last, though still
-// used when nothing else is left.
+// Without it, the upstreams of a lost domain would be found one by one, each at the cost
+// of several requests before its breaker opens. When breakers of the same domain open
+// together, the domain's other upstreams are used last, but still used when no others are
+// left.
 type domain struct {
-	hosts int
-	open  int
-	last  time.Duration
-	// hit are the upstreams with lately failed requests.
-	hit     int
-	outlier outlier
+	hostCount    int
+	openBreakers int
+	lastOpened   time.Duration
+	// failingHosts counts the upstreams with recently failed requests.
+	failingHosts int
+	outlier      outlier
 }
 
-func (d *domain) opened(now time.Duration) {
-	d.open++
-	d.last = now
+func (d *domain) breakerOpened(now time.Duration) {
+	d.openBreakers++
+	d.lastOpened = now
 }
 
-func (d *domain) closed() {
-	d.open = max(0, d.open-1)
-	d.last = 0
+func (d *domain) breakerClosed() {
+	d.openBreakers = max(0, d.openBreakers-1)
+	d.lastOpened = 0
 }
 
-// doubtful says whether half of the domain's upstreams, and two at least,
-// have open breakers.
-func (d *domain) doubtful(now time.Duration) bool {
+// degraded reports whether the domain is ejected or has lately lost half of its
+// upstreams, and at least two, to open breakers.
+func (d *domain) degraded(now time.Duration) bool {
 	if d.outlier.ejected(now) {
 		return true
 	}
-	return d.half(d.open) && now < d.last+doubtFor
+	return d.isHalf(d.openBreakers) && now < d.lastOpened+domainDegradedFor
 }
 
-// half says whether so many are half of the domain's upstreams, and two at
-// least.
-func (d *domain) half(n int) bool { return n >= 2 && 2*n >= d.hosts }
+// isHalf reports whether n is at least half of the domain's upstreams, and at least two.
+func (d *domain) isHalf(n int) bool { return n >= 2 && 2*n >= d.hostCount }
 
-// failing says whether requests fail all over the domain, and far more often
-// than in the others. One upstream alone is found by itself.
-func (d *domain) failing(usual float64) bool {
-	f := &d.outlier.failing
-	return d.half(d.hit) && f.evidence >= failingAlarm && f.rate >= failingRatio*usual
+// failing reports whether requests fail across the domain, and far more often than in
+// other domains. A single failing upstream is detected by itself.
+func (d *domain) failing(medianRate float64) bool {
+	f := &d.outlier.failures
+	return d.isHalf(d.failingHosts) && f.evidence >= evidenceThreshold && f.rate >= failureRateRatio*medianRate
 }
 
-// domains finds the failure domains by name.
+// domains holds the failure domains by name.
 type domains map[string]*domain
 
-// restart keeps what is known of the domains, without their upstreams, and
-// forgets those that had none.
-func (ds domains) restart() {
+// reset removes the upstreams from the domains and keeps their statistics. Domains that
+// had no upstreams are deleted.
+func (ds domains) reset() {
 	for name, d := range ds {
-		if d.hosts == 0 {
+		if d.hostCount == 0 {
 			delete(ds, name)
 		}
-		d.hosts, d.open = 0, 0
+		d.hostCount, d.openBreakers = 0, 0
 	}
 }
 
-// ejectFailing keeps new work away from a domain in which upstreams fail a part
-// of their requests.
+// ejectFailing ejects the domains whose upstreams fail some of their requests.
 //
-// It guards against a fault that many upstreams of a domain have in common,
-// such as a bad switch: a node sends each of them too little to find them one
-// by one, and what fails early draws more work. It shows as failures at half
-// of the domain's upstreams.
+// It covers a fault that many upstreams of a domain have in common, such as a bad switch.
+// A node sends each upstream too few requests to detect it alone, and requests that fail
+// early attract more work. Such a domain shows failures at half of its upstreams.
 func (ds domains) ejectFailing(hosts []*host, s OutlierSettings, now time.Duration) {
 	for _, d := range ds {
-		d.hit = 0
+		d.failingHosts = 0
 	}
 	for _, h := range hosts {
-		if h.breaker.open() || h.outlier.failing.evidence >= failureEvidence/2 {
-			h.domain.hit++
+		if h.breaker.open() || h.outlier.failures.evidence >= failureEvidence/2 {
+			h.domain.failingHosts++
 		}
 	}
-	usual := ds.medianFailures()
+	medianRate := ds.medianFailureRate()
 	for _, d := range ds {
 		if d.outlier.ejected(now) {
 			continue
 		}
-		d.outlier.recovered(now)
-		if d.failing(usual) {
+		d.outlier.resetIfRecovered(now)
+		if d.failing(medianRate) {
 			d.outlier.eject(s, now)
 		}
 	}
 }
 
-func (ds domains) medianFailures() float64 {
+// medianFailureRate returns the failure rate of the median domain.
+func (ds domains) medianFailureRate() float64 {
 	rates := make([]float64, 0, len(ds))
 	for _, d := range ds {
-		if d.hosts > 0 {
-			rates = append(rates, d.outlier.failing.rate)
+		if d.hostCount > 0 {
+			rates = append(rates, d.outlier.failures.rate)
 		}
 	}
 	return median(rates)
 }
 
-// join counts the host in its domain.
-func (ds domains) join(h *host) {
+// add counts the host in its domain.
+func (ds domains) add(h *host) {
 	d := ds[h.vm.FailureDomain]
 	if d == nil {
 		d = &domain{}
 		ds[h.vm.FailureDomain] = d
 	}
-	d.hosts++
+	d.hostCount++
 	if h.breaker.open() {
-		d.open++
+		d.openBreakers++
 	}
 	h.domain = d
 }
--- a/internal/balance/done.go
+++ b/internal/balance/done.go
@@ -2,90 +2,91 @@
 
 import "time"
 
-// fullFor is how long an upstream that declined a request counts as full.
-const fullFor = 250 * time.Millisecond
+// declinedFor is how long an upstream that declined a request counts as full.
+const declinedFor = 250 * time.Millisecond
 
-// FirstToken tells that the attempt's first piece came, after the given time.
-// It is optional, and lets a slow upstream be seen before long answers end.
+// FirstToken records that the first piece of the attempt's answer came after the given
+// time. Calling it is optional; it lets a slow upstream be detected before long answers
+// end.
 func (b *Balancer) FirstToken(t Token, after time.Duration, now time.Time) {
-	s := b.slots.get(t)
-	if s == nil || s.answered {
+	a := b.attempts.get(t)
+	if a == nil || a.firstTokenSeen {
 		return
 	}
-	b.sawFirst = true
-	s.answered = true
-	s.pool.typical.judge(&s.host.outlier, after, 0)
+	b.firstTokensReported = true
+	a.firstTokenSeen = true
+	a.pool.typical.record(&a.host.outlier, after, 0)
 }
 
-// Done tells how an attempt ended.
+// Done records how an attempt ended. A token that was already done is ignored.
 func (b *Balancer) Done(t Token, r Result, now time.Time) {
-	s := b.slots.get(t)
-	if s == nil {
+	a := b.attempts.get(t)
+	if a == nil {
 		return
 	}
-	at := b.since(now)
-	h := s.host
+	at := b.sinceBase(now)
+	h := a.host
 	h.inFlight--
-	s.pool.inFlight--
-	if s.alone {
-		h.isolated--
+	a.pool.inFlight--
+	if a.isolated {
+		h.isolatedInFlight--
 	}
-	b.settle(s, r, at)
-	b.slots.release(t)
+	b.applyResult(a, r, at)
+	b.attempts.release(t)
 }
 
-// settle draws the conclusions from an attempt's end.
-func (b *Balancer) settle(s *slot, r Result, now time.Duration) {
-	h := s.host
+// applyResult updates the upstream's state from an attempt's result.
+func (b *Balancer) applyResult(a *attempt, r Result, now time.Duration) {
+	h := a.host
 	switch r.Outcome {
 	case Succeeded:
 		if h.breaker.succeeded() && h.domain != nil {
-			h.domain.closed()
-			b.changed(h, Closed)
-			b.refresh(now)
+			h.domain.breakerClosed()
+			b.recordChange(h, Closed)
+			b.refreshPools(now)
 		}
-		h.ended(false)
-		h.hold.add(now - s.started)
-		b.measure(s, r)
+		h.recordOutcome(false)
+		h.durations.add(now - a.started)
+		b.recordTimes(a, r)
 	case Unreached:
-		h.ended(true)
-		b.failed(h, unreachable, now)
+		h.recordOutcome(true)
+		b.recordFailure(h, unreachable, now)
 	case Broken:
-		h.ended(true)
-		b.failed(h, brokenOff, now)
+		h.recordOutcome(true)
+		b.recordFailure(h, interrupted, now)
 	case Declined:
-		h.fullUntil = now + fullFor
-		h.breaker.abandoned()
+		h.declinedUntil = now + declinedFor
+		h.breaker.probeAbandoned()
 	case MissingVersion:
-		h.breaker.abandoned()
-		h.lacks(s.version, now)
-		b.rebuild(now)
+		h.breaker.probeAbandoned()
+		h.removeVersion(a.version, now)
+		b.rebuildPools(now)
 	case Abandoned:
-		h.breaker.abandoned()
+		h.breaker.probeAbandoned()
 	}
 }
 
-func (b *Balancer) failed(h *host, f failure, now time.Duration) {
+func (b *Balancer) recordFailure(h *host, kind failureKind, now time.Duration) {
 	jitter := float64(mix(b.settings.Seed, h.hash^uint64(now))>>11) / (1 << 53)
-	if h.breaker.failed(b.settings.Breaker, f, now, jitter) && h.domain != nil {
-		h.domain.opened(now)
-		b.changed(h, Opened)
-		b.refresh(now)
+	if h.breaker.failed(b.settings.Breaker, kind, now, jitter) && h.domain != nil {
+		h.domain.breakerOpened(now)
+		b.recordChange(h, Opened)
+		b.refreshPools(now)
 	}
 }
 
-// measure compares the attempt's times with those of its pool.
-func (b *Balancer) measure(s *slot, r Result) {
-	first := r.FirstToken
+// recordTimes compares the attempt's times with those of its pool.
+func (b *Balancer) recordTimes(a *attempt, r Result) {
+	firstToken := r.FirstToken
 	if r.Tokens == 0 {
-		first = r.Latency // a plain service: its answer comes at once
+		firstToken = r.Latency // a plain service has no first token
 	}
-	if s.answered {
-		first = 0 // has been counted
+	if a.firstTokenSeen {
+		firstToken = 0 // FirstToken has recorded it
 	}
-	var gap time.Duration
+	var tokenGap time.Duration
 	if r.Tokens > 1 {
-		gap = (r.Latency - r.FirstToken) / time.Duration(r.Tokens-1)
+		tokenGap = (r.Latency - r.FirstToken) / time.Duration(r.Tokens-1)
 	}
-	s.pool.typical.judge(&s.host.outlier, first, gap)
+	a.pool.typical.record(&a.host.outlier, firstToken, tokenGap)
 }
--- a/internal/balance/failing.go
+++ b/internal/balance/failing.go
@@ -6,54 +6,54 @@
 )
 
 const (
-	// usualFailures and badFailures are the shares of requests that break at
-	// an upstream that is well and at one that is not.
-	usualFailures = 0.02
-	badFailures   = 0.2
-	// failingAlarm is the evidence, in nats, from which an upstream counts as
-	// failing: four failures close together, or some twenty requests of which
-	// a fifth fails.
-	failingAlarm = 6
-	// failingRatio is how many times as often as at the pool's median
-	// upstream requests must fail.
-	failingRatio = 3
-	// rateWeight is the part of each new request in an upstream's share of
-	// failures; some twenty count.
-	rateWeight = 0.05
+	// healthyFailureRate and faultyFailureRate are the expected shares of failed requests
+	// at a healthy and at a faulty upstream.
+	healthyFailureRate = 0.02
+	faultyFailureRate  = 0.2
+	// evidenceThreshold, in nats, is the evidence from which an upstream counts as
+	// failing. Four failures close together reach it, or about twenty requests of which a
+	// fifth fail.
+	evidenceThreshold = 6
+	// failureRateRatio is how many times the median upstream's failure rate a failing
+	// upstream must have.
+	failureRateRatio = 3
+	// failureRateWeight is the weight of a new request in the moving failure rate; about
+	// twenty requests count.
+	failureRateWeight = 0.05
 )
 
 var (
-	failureEvidence = math.Log(badFailures / usualFailures)
-	successEvidence = math.Log((1 - badFailures) / (1 - usualFailures))
+	failureEvidence = math.Log(faultyFailureRate / healthyFailureRate)
+	successEvidence = math.Log((1 - faultyFailureRate) / (1 - healthyFailureRate))
 )
 
-// failing finds an upstream that fails a part of its requests.
+// failureDetector detects an upstream that fails some of its requests.
 //
-// It guards against an upstream whose health and load reports are good and
-// that answers well in between: a breaker never sees enough failures in a row,
-// and since what fails ends early, the upstream seems idle and draws more work
-// than the others. It shows as a share of failures above that of the pool. The
-// evidence is a sum of log likelihood ratios that never falls below 0, so it
-// forgets what is long past, and a rare failure is cleared by ten answers.
-// Comparing with the pool's median keeps a fault of all from ejecting anyone.
-type failing struct {
+// Such an upstream has good health checks and load reports and answers well in between,
+// so its breaker never sees enough consecutive failures. Failed requests end early, so it
+// seems idle and attracts more work than the others. The evidence is a cumulative sum of
+// log likelihood ratios with a floor of 0. It therefore forgets the distant past, and ten
+// answers clear one rare failure. The comparison with the pool's median prevents
+// ejections when all upstreams fail alike.
+type failureDetector struct {
 	evidence float64
-	// rate is the moving share of failures, over n requests.
-	rate float64
-	n    int
+	// rate is the moving share of failed requests, of which there were requests so far.
+	rate     float64
+	requests int
 }
 
-// ended takes in how a request at the host ended.
-func (h *host) ended(failed bool) {
-	h.outlier.failing.add(failed)
+// recordOutcome counts a request at the host, and in its failure domain, as failed or
+// not.
+func (h *host) recordOutcome(failed bool) {
+	h.outlier.failures.add(failed)
 	if h.domain != nil {
-		h.domain.outlier.failing.add(failed)
+		h.domain.outlier.failures.add(failed)
 	}
 }
 
-func (f *failing) add(failed bool) {
-	f.n++
-	weight := max(rateWeight, 1/float64(f.n))
+func (f *failureDetector) add(failed bool) {
+	f.requests++
+	weight := max(failureRateWeight, 1/float64(f.requests))
 	if failed {
 		f.evidence += failureEvidence
 		f.rate += weight * (1 - f.rate)
@@ -63,27 +63,28 @@
 	f.rate -= weight * f.rate
 }
 
-// failing says whether requests fail at the host far more often than at the
-// pool's other upstreams.
+// failing reports whether requests fail at the host far more often than at the pool's
+// median upstream.
 func (p *pool) failing(h *host) bool {
-	f := &h.outlier.failing
-	return f.evidence >= failingAlarm && f.rate >= failingRatio*p.medianFailures()
+	f := &h.outlier.failures
+	return f.evidence >= evidenceThreshold && f.rate >= failureRateRatio*p.medianFailureRate()
 }
 
-// medianFailures is the share of failures at the pool's median upstream.
-func (p *pool) medianFailures() float64 {
+// medianFailureRate returns the failure rate of the pool's median upstream.
+func (p *pool) medianFailureRate() float64 {
 	rates := make([]float64, 0, len(p.hosts))
 	for _, h := range p.hosts {
-		rates = append(rates, h.outlier.failing.rate)
+		rates = append(rates, h.outlier.failures.rate)
 	}
 	return median(rates)
 }
 
-// median returns the lower one of two; it sorts the list.
-func median(list []float64) float64 {
-	if len(list) == 0 {
+// median returns the median of the values, the lower one of two, or 0 for none. It sorts
+// them.
+func median(values []float64) float64 {
+	if len(values) == 0 {
 		return 0
 	}
-	slices.Sort(list)
-	return list[(len(list)-1)/2]
+	slices.Sort(values)
+	return values[(len(values)-1)/2]
 }
--- a/internal/balance/freest.go
+++ b/internal/balance/freest.go
@@ -1,19 +1,18 @@
 package balance
 
-// freest takes the upstream with the best score of all, for immediate work: it
-// finds one of the few free places that admission keeps for it, where two
-// choices would mostly draw upstreams that are full. It begins anywhere, so
-// that equal scores are shared out.
-type freest struct{}
+// leastScore chooses the upstream with the lowest score, for immediate requests.
+// Admission keeps a few slots free for these, and two random choices would mostly draw
+// full upstreams. The scan starts at a random host, so equal scores share the work.
+type leastScore struct{}
 
-func (freest) choose(v *view) *host {
-	start := int(v.random % uint64(len(v.hosts)))
+func (leastScore) choose(s *selection) *host {
+	start := int(s.random % uint64(len(s.hosts)))
 	var best *host
-	var least float64
-	for i := range v.hosts {
-		h := v.hosts[(start+i)%len(v.hosts)]
-		if score := v.score(h); best == nil || score < least {
-			best, least = h, score
+	var lowest float64
+	for i := range s.hosts {
+		h := s.hosts[(start+i)%len(s.hosts)]
+		if score := s.score(h); best == nil || score < lowest {
+			best, lowest = h, score
 		}
 	}
 	return best
--- a/internal/balance/hold.go
+++ b/internal/balance/hold.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// holdKeeps is the part of the sums that is left after another sample; some
+// durationDecay is the factor by which each new sample reduces the earlier sums; about
 // twenty samples count.
-const holdKeeps = 0.95
+const durationDecay = 0.95
 
-// hold is how long requests stay at an upstream, as this node's own do. Each
-// counts by its length: of the requests that a load report counts, long ones
-// are so much the more.
-type hold struct {
+// durationMean is a moving mean of how long this node's requests run at an upstream. Each
+// request is weighted by its duration, because the requests that a load report counts at
+// one moment are weighted so too.
+type durationMean struct {
 	sum     float64 // seconds
-	squares float64
+	squares float64 // seconds squared
 }
 
-func (h *hold) add(took time.Duration) {
-	s := took.Seconds()
-	h.sum = holdKeeps*h.sum + s
-	h.squares = holdKeeps*h.squares + s*s
+func (h *durationMean) add(d time.Duration) {
+	seconds := d.Seconds()
+	h.sum = durationDecay*h.sum + seconds
+	h.squares = durationDecay*h.squares + seconds*seconds
 }
 
-// mean is 0 when nothing is known.
-func (h *hold) mean() time.Duration {
+// weightedMean returns 0 when there are no samples.
+func (h *durationMean) weightedMean() time.Duration {
 	if h.sum <= 0 {
 		return 0
 	}
--- a/internal/balance/host.go
+++ b/internal/balance/host.go
@@ -8,112 +8,112 @@
 	"github.com/hickorybank/hickorybank/internal/platform"
 )
 
-// host is what the balancer holds of one upstream. Times are since the
-// balancer's base.
+// host is the state of one upstream. Times are offsets from the balancer's base.
 type host struct {
 	vm    platform.VM
 	hash  uint64
 	local bool // in this node's failure domain
-	// adopted says that it is beyond the subset, taken in for its versions.
-	adopted bool
-	// listed says that it is still among the node's upstreams.
+	// extra is set for an upstream outside the subset that was added for its versions.
+	extra bool
+	// listed is set while the upstream is in the subset or an extra.
 	listed bool
 
-	versions []string
-	known    bool // versions are known from a report
-	// lackedAt is when the engine last said that it lacks a version.
-	lackedAt time.Duration
-
-	domain    *domain
-	inFlight  int
-	isolated  int // requests that want to be alone here
-	joined    time.Duration
-	fullUntil time.Duration
-
-	// limit is the rate limit that its latest answer named, read at limitAt; share is this
-	// node's part of it.
-	limit   notice.Limit
-	limitAt time.Duration
-	share   pacing.Share
-
-	// restUntil is until when the upstream wants nothing from this node.
-	restUntil time.Duration
-
-	leavingByList bool
-	leavingByWord bool
-	leavingSince  time.Duration
-
-	report  report
-	hold    hold
-	poll    pollState
-	breaker breaker
-	outlier outlier
+	versions      []string
+	versionsKnown bool // versions come from a report
+	// versionMissingAt is when the engine last answered that it lacks a version.
+	versionMissingAt time.Duration
+
+	domain           *domain
+	inFlight         int
+	isolatedInFlight int // isolated requests in flight here
+	joinedAt         time.Duration
+	declinedUntil    time.Duration
+
+	// rateLimit is the rate limit that the latest answer announced, read at rateLimitAt.
+	// rateShare is this node's share of it.
+	rateLimit   notice.Limit
+	rateLimitAt time.Duration
+	rateShare   pacing.Share
+
+	// backoffUntil is the end of the time for which the upstream asked this node to send
+	// nothing.
+	backoffUntil time.Duration
+
+	leavingByPlatform bool
+	leavingByReport   bool
+	leavingReportedAt time.Duration
+
+	report    report
+	durations durationMean
+	poll      pollState
+	breaker   breaker
+	outlier   outlier
 }
 
 func newHost(vm platform.VM, hash uint64, domain string) *host {
 	return &host{vm: vm, hash: hash, local: vm.FailureDomain == domain}
 }
 
-func (h *host) leaving() bool { return h.leavingByList || h.leavingByWord }
+func (h *host) leaving() bool { return h.leavingByPlatform || h.leavingByReport }
 
-// others is the load there that did not come from this node.
-func (h *host) others(now time.Duration) float64 {
-	return h.report.others.load(now, h.hold.mean())
+// otherLoad estimates the load on the host that did not come from this node.
+func (h *host) otherLoad(now time.Duration) float64 {
+	return h.report.otherLoad.estimate(now, h.durations.weightedMean())
 }
 
-// tier orders the upstreams that a request may be sent to; a later tier is
-// used only when all earlier ones are empty.
+// tier ranks upstreams by how suitable they are. A later tier is used only when all
+// earlier ones are empty.
 type tier int
 
 const (
-	// tierGood: nothing speaks against it.
-	tierGood tier = iota
-	// tierSlow: slow but alive, full a moment ago, or in a failure domain
-	// that seems to be lost.
-	tierSlow
-	// tierIsolated: a request runs there that wants to be alone.
+	// tierPreferred: no known problem.
+	tierPreferred tier = iota
+	// tierDegraded: ejected, recently full, or in a degraded failure domain.
+	tierDegraded
+	// tierIsolated: an isolated request is in flight there.
 	tierIsolated
-	tiers
+	tierCount
 )
 
-// usable says whether new work of the tier may go there.
+// usable reports whether the host may get new work of the tier.
 func (h *host) usable(now time.Duration, t tier) bool {
-	if !h.listed || h.leaving() || !h.breaker.allows(now) {
+	if !h.listed || h.leaving() || !h.breaker.allowsRequest(now) {
 		return false
 	}
-	if t < tierIsolated && h.isolated > 0 {
+	if t < tierIsolated && h.isolatedInFlight > 0 {
 		return false
 	}
-	if t >= tierSlow {
+	if t >= tierDegraded {
 		return true
 	}
-	return now >= h.fullUntil && !h.outlier.ejected(now) && !h.domain.doubtful(now)
+	return now >= h.declinedUntil && !h.outlier.ejected(now) && !h.domain.degraded(now)
 }
 
-// leaves notes the upstream's own word that it takes no new work.
-func (h *host) leaves(now time.Duration) {
-	h.leavingByWord = true
-	h.leavingSince = now
+// markLeaving records the upstream's announcement that it takes no new work.
+func (h *host) markLeaving(now time.Duration) {
+	h.leavingByReport = true
+	h.leavingReportedAt = now
 }
 
-// stays takes back that word. A report from before the word says nothing.
-func (h *host) stays(at time.Duration) {
-	if h.leavingByWord && at > h.leavingSince {
-		h.leavingByWord = false
+// clearLeaving revokes the announcement, unless the report is older than it.
+func (h *host) clearLeaving(at time.Duration) {
+	if h.leavingByReport && at > h.leavingReportedAt {
+		h.leavingByReport = false
 	}
 }
 
-// leastStartWeight is the weight of an upstream that has just joined.
-const leastStartWeight = 0.1
+// minSlowStartWeight is the weight of an upstream that has just joined.
+const minSlowStartWeight = 0.1
 
-// startWeight grows to 1 over the slow start of a new upstream.
+// slowStartWeight returns the weight of the host's capacity, which grows to 1 during slow
+// start.
 //
-// It guards against a new upstream's being flooded: it has the least load of
-// all, its caches are cold, and every node would send it its next request.
-func (h *host) startWeight(now, slowStart time.Duration) float64 {
-	age := now - h.joined
+// Slow start prevents a new upstream from being flooded. It has the least load and cold
+// caches, and otherwise every node would send it its next request.
+func (h *host) slowStartWeight(now, slowStart time.Duration) float64 {
+	age := now - h.joinedAt
 	if age >= slowStart {
 		return 1
 	}
-	return max(leastStartWeight, float64(age)/float64(slowStart))
+	return max(minSlowStartWeight, float64(age)/float64(slowStart))
 }
--- a/internal/balance/least_loaded.go
+++ b/internal/balance/least_loaded.go
@@ -1,18 +1,18 @@
 package balance
 
-// leastLoaded takes the upstream whose last report was the lowest. All nodes
-// that hold the same lagging reports choose the same one.
+// leastLoaded chooses the upstream with the lowest load in its last report. All nodes
+// that hold the same delayed reports choose the same one.
 type leastLoaded struct{}
 
-func (leastLoaded) choose(v *view) *host {
-	start := int(v.random % uint64(len(v.hosts)))
+func (leastLoaded) choose(s *selection) *host {
+	start := int(s.random % uint64(len(s.hosts)))
 	var best *host
-	var least float64
-	for i := range v.hosts {
-		h := v.hosts[(start+i)%len(v.hosts)]
-		load := h.report.fullness()
-		if best == nil || load < least {
-			best, least = h, load
+	var lowest float64
+	for i := range s.hosts {
+		h := s.hosts[(start+i)%len(s.hosts)]
+		load := h.report.utilisation()
+		if best == nil || load < lowest {
+			best, lowest = h, load
 		}
 	}
 	return best
--- a/internal/balance/load.go
+++ b/internal/balance/load.go
@@ -3,23 +3,24 @@
 import "time"
 
 const (
-	// remotePenalty is how much fuller an upstream of another failure domain
-	// counts, so that work spills there only under load.
+	// remotePenalty multiplies the score of upstreams in other failure domains, so that
+	// work spills over to them only under load.
 	remotePenalty = 1.3
-	// fallbackLimit stands for the batch of a pool that has not reported.
+	// fallbackLimit is the assumed batch size of an upstream in a pool without reports.
 	fallbackLimit = 8
 )
 
-// load is how full an upstream is, from what this node has in flight there
-// and what others have by its reports; with their age they count for less and
-// the pool's mean for more.
+// load returns the relative load of an upstream: this node's requests in flight plus the
+// reported load from elsewhere, over its capacity. The weight of a report falls with its
+// age, and the pool's mean fills in for the rest.
 func (b *Balancer) load(p *pool, h *host, now time.Duration) float64 {
-	w := h.report.weight(now, b.settings.MaxReportAge)
-	others := w*h.others(now) + (1-w)*p.meanOthers
-	return (float64(h.inFlight) + others + 1) / b.capacity(p, h, now)
+	weight := h.report.weight(now, b.settings.MaxReportAge)
+	otherLoad := weight*h.otherLoad(now) + (1-weight)*p.meanOtherLoad
+	return (float64(h.inFlight) + otherLoad + 1) / b.hostCapacity(p, h, now)
 }
 
-func (b *Balancer) capacity(p *pool, h *host, now time.Duration) float64 {
+// hostCapacity returns how many requests the host batches, reduced during slow start.
+func (b *Balancer) hostCapacity(p *pool, h *host, now time.Duration) float64 {
 	limit := h.report.limit
 	if limit <= 0 {
 		limit = p.meanLimit
@@ -27,10 +28,10 @@
 	if limit <= 0 {
 		limit = fallbackLimit
 	}
-	return limit * h.startWeight(now, b.settings.SlowStart)
+	return limit * h.slowStartWeight(now, b.settings.SlowStart)
 }
 
-// score orders upstreams; the lowest is best.
+// score returns the value by which upstreams are compared; the lowest is best.
 func (b *Balancer) score(p *pool, h *host, now time.Duration) float64 {
 	s := b.load(p, h, now)
 	if !h.local {
--- a/internal/balance/maintain.go
+++ b/internal/balance/maintain.go
@@ -6,64 +6,66 @@
 )
 
 const (
-	// maintainGap is how often means are recomputed and slow upstreams looked for.
-	maintainGap = 500 * time.Millisecond
-	// lateAtLeast is the least wait for a first piece that counts as late.
-	lateAtLeast = 2 * time.Second
-	// lateRequests at one time, all of an upstream's, eject it.
-	lateRequests = 2
+	// maintainInterval is the interval at which means are recomputed and slow upstreams
+	// ejected.
+	maintainInterval = 500 * time.Millisecond
+	// minLateAfter is the shortest wait for a first piece that counts as late.
+	minLateAfter = 2 * time.Second
+	// lateRequestsToEject is the number of simultaneous late requests that ejects an
+	// upstream.
+	lateRequestsToEject = 2
 )
 
-// maintain does what falls due with time.
+// maintain runs the periodic work once it is due.
 func (b *Balancer) maintain(now time.Duration) {
-	if now < b.refreshed+maintainGap {
+	if now < b.refreshedAt+maintainInterval {
 		return
 	}
-	b.refresh(now)
+	b.refreshPools(now)
 	b.countLate(now)
 	b.ejectSlow(now)
 	b.domains.ejectFailing(b.order, b.settings.Outlier, now)
 }
 
-func (b *Balancer) refresh(now time.Duration) {
-	b.refreshed = now
+func (b *Balancer) refreshPools(now time.Duration) {
+	b.refreshedAt = now
 	for _, p := range b.versions {
 		b.refreshEngines(p, now)
 	}
 	for _, p := range b.services {
-		p.refresh(now, b.settings.MaxReportAge)
+		p.refreshMeans(now, b.settings.MaxReportAge)
 	}
-	b.refreshEngines(&b.unsure, now)
-	b.refreshEngines(&b.engines, now)
+	b.refreshEngines(&b.unknownEngines, now)
+	b.refreshEngines(&b.knownEngines, now)
 }
 
 func (b *Balancer) refreshEngines(p *pool, now time.Duration) {
-	p.refresh(now, b.settings.MaxReportAge)
-	b.survey(p, now)
+	p.refreshMeans(now, b.settings.MaxReportAge)
+	b.measureCapacity(p, now)
 }
 
-// countLate counts each upstream's requests that wait far too long for their
-// first piece: an upstream that takes requests and says nothing gives no
-// sample that the means could show.
+// countLate counts, for each upstream, the requests that have waited far too long for
+// their first piece. An upstream that accepts requests and never answers yields no
+// samples for the means.
 func (b *Balancer) countLate(now time.Duration) {
 	for _, h := range b.order {
-		h.outlier.late = 0
+		h.outlier.lateRequests = 0
 	}
-	if !b.sawFirst {
+	if !b.firstTokensReported {
 		return
 	}
-	for i := range b.slots.list {
-		s := &b.slots.list[i]
-		if s.host != nil && !s.answered && now-s.started > b.lateAfter(s.pool) {
-			s.host.outlier.late++
+	for i := range b.attempts.entries {
+		a := &b.attempts.entries[i]
+		if a.host != nil && !a.firstTokenSeen && now-a.started > b.lateAfter(a.pool) {
+			a.host.outlier.lateRequests++
 		}
 	}
 }
 
 func (b *Balancer) lateAfter(p *pool) time.Duration {
-	usual := time.Duration(math.Exp(p.typical.first.value))
-	bound := time.Duration(float64(usual) * b.settings.Outlier.Ratio * firstTokenSlack)
-	return max(bound, lateAtLeast)
+	typicalFirstToken := time.Duration(math.Exp(p.typical.firstToken.value))
+	bound := time.Duration(float64(typicalFirstToken) * b.settings.Outlier.Ratio * firstTokenFactor)
+	return max(bound, minLateAfter)
 }
 
 func (b *Balancer) ejectSlow(now time.Duration) {
@@ -76,18 +78,18 @@
 }
 
 func (b *Balancer) ejectFrom(p *pool, now time.Duration) {
-	room := int(b.settings.Outlier.MaxShare*float64(len(p.hosts))) - p.ejected(now)
+	quota := int(b.settings.Outlier.MaxShare*float64(len(p.hosts))) - p.ejectedCount(now)
 	for _, h := range p.hosts {
 		if h.outlier.ejected(now) {
 			continue
 		}
-		h.outlier.recovered(now)
-		if room > 0 && (h.outlier.slow(b.settings.Outlier) || h.outlier.late >= lateRequests || p.failing(h)) {
+		h.outlier.resetIfRecovered(now)
+		if quota > 0 && (h.outlier.slow(b.settings.Outlier) || h.outlier.lateRequests >= lateRequestsToEject || p.failing(h)) {
 			h.outlier.eject(b.settings.Outlier, now)
-			b.changed(h, Ejected)
-			// It comes back slowly.
-			h.joined = h.outlier.until
-			room--
+			b.recordChange(h, Ejected)
+			// A slow start follows the ejection.
+			h.joinedAt = h.outlier.ejectedUntil
+			quota--
 		}
 	}
 }
--- a/internal/balance/members.go
+++ b/internal/balance/members.go
@@ -6,133 +6,133 @@
 	"github.com/hickorybank/hickorybank/internal/platform"
 )
 
-// serviceShare is the part of SubsetSize that each plain service may take
-// beside the engines: 1 of 4.
-const serviceShare = 4
+// serviceSubsetDivisor gives each plain service a subset of 1/4 of SubsetSize, in
+// addition to the engines.
+const serviceSubsetDivisor = 4
 
-// SetMembers takes the list of VMs as the platform gives it (entry VMs in it
-// are passed over) and this node's place, and chooses the node's subset. The
-// list must not be changed afterwards.
+// SetMembers sets the platform's list of VMs, in which entry VMs are ignored, and this
+// node's place, and selects the node's subset. The caller must not change the list
+// afterwards.
 func (b *Balancer) SetMembers(vms []platform.VM, place Place, now time.Time) {
-	t := b.since(now)
-	old := b.hosts
+	t := b.sinceBase(now)
+	previous := b.hosts
 	b.hosts = make(map[string]*host, b.settings.SubsetSize)
 	b.order = b.order[:0]
 	first := !b.started
 	b.started = true
 
-	engines, services := group(vms)
-	chosen := chooseSubset(engines, b.settings.SelfDomain, place, b.settings.SubsetSize)
-	b.rest = chosen.rest
-	for _, m := range chosen.chosen {
-		b.keep(m, old, t, first)
+	engines, services := groupByRole(vms)
+	engineSubset := chooseSubset(engines, b.settings.SelfDomain, place, b.settings.SubsetSize)
+	b.unselected = engineSubset.unselected
+	for _, m := range engineSubset.selected {
+		b.addHost(m, previous, t, first)
 	}
 	for _, name := range services.names {
-		part := chooseSubset(services.of[name], b.settings.SelfDomain, place, max(1, b.settings.SubsetSize/serviceShare))
-		for _, m := range part.chosen {
-			b.keep(m, old, t, first)
+		serviceSubset := chooseSubset(services.members[name], b.settings.SelfDomain, place, max(1, b.settings.SubsetSize/serviceSubsetDivisor))
+		for _, m := range serviceSubset.selected {
+			b.addHost(m, previous, t, first)
 		}
 	}
-	b.keepAdopted(old, t)
-	for id, h := range old {
+	b.addListedExtras(previous, t)
+	for id, h := range previous {
 		h.listed = b.hosts[id] == h
 	}
-	b.rebuild(t)
+	b.rebuildPools(t)
 }
 
-// keep takes a member into the subset, with what is known of it.
-func (b *Balancer) keep(m member, old map[string]*host, now time.Duration, first bool) *host {
-	h := old[m.vm.ID]
+// addHost adds a member to the hosts and keeps the state of a previous host with the same
+// ID and address.
+func (b *Balancer) addHost(m member, previous map[string]*host, now time.Duration, first bool) *host {
+	h := previous[m.vm.ID]
 	if h == nil || h.vm.Addr != m.vm.Addr {
 		h = newHost(*m.vm, m.hash, b.settings.SelfDomain)
-		h.joined = now
+		h.joinedAt = now
 		if first {
-			// A node that has just started knows no one yet; that does
-			// not make the upstreams new.
-			h.joined = now - b.settings.SlowStart
+			// The upstreams in the first list after the node's start are not new, so they
+			// need no slow start.
+			h.joinedAt = now - b.settings.SlowStart
 		}
 	}
 	h.vm = *m.vm
 	h.listed = true
-	h.leavingByList = m.vm.State == platform.Leaving
+	h.leavingByPlatform = m.vm.State == platform.Leaving
 	b.hosts[m.vm.ID] = h
 	b.order = append(b.order, h)
 	return h
 }
 
-// keepAdopted keeps those beyond the subset that were taken in for their
-// versions and are still listed.
-func (b *Balancer) keepAdopted(old map[string]*host, now time.Duration) {
-	for _, m := range b.rest {
-		h := old[m.vm.ID]
-		if h == nil || !h.adopted || b.hosts[m.vm.ID] != nil {
+// addListedExtras keeps the extra upstreams that are still in the list.
+func (b *Balancer) addListedExtras(previous map[string]*host, now time.Duration) {
+	for _, m := range b.unselected {
+		h := previous[m.vm.ID]
+		if h == nil || !h.extra || b.hosts[m.vm.ID] != nil {
 			continue
 		}
-		b.keep(m, old, now, false)
+		b.addHost(m, previous, now, false)
 	}
 }
 
-// serviceGroups are the VMs of each plain service, in the order of the list.
+// serviceGroups holds the VMs of each plain service, with names in list order.
 type serviceGroups struct {
-	names []string
-	of    map[string][]member
+	names   []string
+	members map[string][]member
 }
 
-func group(vms []platform.VM) (engines []member, services serviceGroups) {
-	services.of = map[string][]member{}
+func groupByRole(vms []platform.VM) (engines []member, services serviceGroups) {
+	services.members = map[string][]member{}
 	for i := range vms {
 		v := &vms[i]
-		m := member{vm: v, hash: hashOf(v.ID)}
+		m := member{vm: v, hash: hashID(v.ID)}
 		switch v.Role {
 		case platform.RoleEngine:
 			engines = append(engines, m)
 		case platform.RoleService:
-			if services.of[v.Service] == nil {
+			if services.members[v.Service] == nil {
 				services.names = append(services.names, v.Service)
 			}
-			services.of[v.Service] = append(services.of[v.Service], m)
+			services.members[v.Service] = append(services.members[v.Service], m)
 		}
 	}
 	return engines, services
 }
 
-// rebuild sorts the upstreams into pools.
-func (b *Balancer) rebuild(now time.Duration) {
+// rebuildPools assigns the upstreams to pools and failure domains.
+func (b *Balancer) rebuildPools(now time.Duration) {
 	for _, p := range b.versions {
 		p.hosts = p.hosts[:0]
 	}
 	for _, p := range b.services {
 		p.hosts = p.hosts[:0]
 	}
-	b.unsure.hosts = b.unsure.hosts[:0]
-	b.engines.hosts = b.engines.hosts[:0]
-	b.domains.restart()
+	b.unknownEngines.hosts = b.unknownEngines.hosts[:0]
+	b.knownEngines.hosts = b.knownEngines.hosts[:0]
+	b.domains.reset()
 	for _, h := range b.order {
-		b.domains.join(h)
-		b.sort(h)
+		b.domains.add(h)
+		b.addToPools(h)
 	}
-	b.share()
-	b.refresh(now)
+	b.buildSharedPools()
+	b.refreshPools(now)
 }
 
-func (b *Balancer) sort(h *host) {
+func (b *Balancer) addToPools(h *host) {
 	if h.vm.Role == platform.RoleService {
-		p := poolOf(b.services, h.vm.Service)
+		p := ensurePool(b.services, h.vm.Service)
 		p.hosts = append(p.hosts, h)
 		return
 	}
-	if !h.known {
-		b.unsure.hosts = append(b.unsure.hosts, h)
+	if !h.versionsKnown {
+		b.unknownEngines.hosts = append(b.unknownEngines.hosts, h)
 		return
 	}
-	b.engines.hosts = append(b.engines.hosts, h)
+	b.knownEngines.hosts = append(b.knownEngines.hosts, h)
 	for _, v := range h.versions {
-		p := poolOf(b.versions, v)
+		p := ensurePool(b.versions, v)
 		p.hosts = append(p.hosts, h)
 	}
 }
 
-func poolOf(pools map[string]*pool, name string) *pool {
+func ensurePool(pools map[string]*pool, name string) *pool {
 	p := pools[name]
 	if p == nil {
 		p = &pool{}
--- a/internal/balance/noticed.go
+++ b/internal/balance/noticed.go
@@ -9,11 +9,12 @@
 	"github.com/hickorybank/hickorybank/internal/pacing"
 )
 
-// SetSenders names this node and all entry nodes, among which the rates of upstreams that
-// name a limit are shared.
+// SetSenders sets this node's ID and the IDs of all entry nodes, among which the rate
+// limits that upstreams announce are divided.
 func (b *Balancer) SetSenders(self string, all []string) { b.senders.Set(self, all) }
 
-// Noticed takes what an upstream said of itself in an answer that was read at a time.
+// Noticed records what an upstream stated about itself in an answer that was read at the
+// given time.
 func (b *Balancer) Noticed(vmID string, a notice.Answer, at time.Time) {
 	h := b.hosts[vmID]
 	if h == nil {
@@ -22,88 +23,90 @@
 	if a.Leaving {
 		b.Leaving(vmID, at)
 	}
-	b.rests(h, a.Rest, b.since(at))
-	if !a.LimitUnsound && b.since(at) >= h.limitAt { // what was said before says nothing
-		b.limits(h, a.Limit, b.since(at))
+	b.backOff(h, a.Rest, b.sinceBase(at))
+	if !a.LimitUnsound && b.sinceBase(at) >= h.rateLimitAt { // an answer read earlier does not override a later one
+		b.setRateLimit(h, a.Limit, b.sinceBase(at))
 	}
 }
 
-// Restarted tells that another process answers at an upstream: what the one before said of
-// itself does not hold for it.
+// Restarted records that a new process answers at an upstream. The rate limit and the
+// backoff that the previous process asked for no longer apply.
 func (b *Balancer) Restarted(vmID string) {
 	if h := b.hosts[vmID]; h != nil {
-		h.restUntil, h.limit = 0, notice.Limit{}
+		h.backoffUntil, h.rateLimit = 0, notice.Limit{}
 	}
 }
 
-// rests notes that an upstream wants nothing from this node for a time.
-func (b *Balancer) rests(h *host, d, at time.Duration) {
+// backOff stops sending to an upstream that asked this node to send nothing for a time.
+func (b *Balancer) backOff(h *host, d, at time.Duration) {
 	if d <= 0 {
 		return
 	}
-	if at >= h.restUntil {
-		b.changed(h, RestBegan)
+	if at >= h.backoffUntil {
+		b.recordChange(h, RestBegan)
 	}
-	spread := float64(mix(b.settings.Seed, h.hash)>>11) / (1 << 53)
-	h.restUntil = max(h.restUntil, at+d+time.Duration(restSpread*spread*float64(d)))
+	jitter := float64(mix(b.settings.Seed, h.hash)>>11) / (1 << 53)
+	h.backoffUntil = max(h.backoffUntil, at+d+time.Duration(backoffJitter*jitter*float64(d)))
 }
 
-// restSpread is the part of a rest by which nodes lengthen it at most, each by its own: those
-// that were turned away together must not return together.
-const restSpread = 0.2
+// backoffJitter is the largest fraction by which a node lengthens a backoff. Each node
+// adds its own part, so that nodes that were turned away together do not return together.
+const backoffJitter = 0.2
 
-// limits takes the rate limit that an upstream names, or that it names none.
-func (b *Balancer) limits(h *host, l notice.Limit, at time.Duration) {
-	before := h.limit.Named
-	h.limit, h.limitAt = l, at
+// setRateLimit records the rate limit that an upstream announces, or that it announces
+// none.
+func (b *Balancer) setRateLimit(h *host, l notice.Limit, at time.Duration) {
+	wasNamed := h.rateLimit.Named
+	h.rateLimit, h.rateLimitAt = l, at
 	switch {
-	case l.Named && !before:
-		b.changed(h, LimitBegan)
-	case before && !l.Named:
-		b.changed(h, LimitEnded)
+	case l.Named && !wasNamed:
+		b.recordChange(h, LimitBegan)
+	case wasNamed && !l.Named:
+		b.recordChange(h, LimitEnded)
 	}
 }
 
-// limiter returns this node's part of the upstream's rate limit; nil where others send.
-func (b *Balancer) limiter(h *host, now time.Duration) *rate.Limiter {
-	return h.share.Limiter(h.vm.ID, pacing.Named(h.limit.PerSecond), &b.senders, b.base.Add(now))
+// rateLimiter returns the limiter for this node's share of the upstream's rate limit, or
+// nil when other nodes send in its place.
+func (b *Balancer) rateLimiter(h *host, now time.Duration) *rate.Limiter {
+	return h.rateShare.Limiter(h.vm.ID, pacing.Named(h.rateLimit.PerSecond), &b.senders, b.base.Add(now))
 }
 
-// admits tells whether this node may send the upstream a request now.
-func (b *Balancer) admits(h *host, now time.Duration) bool {
-	if now < h.restUntil {
+// maySend reports whether backoff and rate limit allow a request to the upstream now.
+func (b *Balancer) maySend(h *host, now time.Duration) bool {
+	if now < h.backoffUntil {
 		return false
 	}
-	if !h.limit.Named {
+	if !h.rateLimit.Named {
 		return true
 	}
-	l := b.limiter(h, now)
+	l := b.rateLimiter(h, now)
 	return l != nil && l.TokensAt(b.base.Add(now)) >= 1
 }
 
-// spend takes a request from this node's part of the upstream's rate limit.
-func (b *Balancer) spend(h *host, now time.Duration) {
-	if !h.limit.Named {
+// takeRateToken takes a request from this node's share of the upstream's rate limit.
+func (b *Balancer) takeRateToken(h *host, now time.Duration) {
+	if !h.rateLimit.Named {
 		return
 	}
-	if l := b.limiter(h, now); l != nil {
+	if l := b.rateLimiter(h, now); l != nil {
 		l.AllowN(b.base.Add(now), 1)
 	}
 }
 
-// pacedUntil is when this node, or one that sends in its place, may send the upstream a
-// request.
-func (b *Balancer) pacedUntil(h *host, now time.Duration) time.Duration {
-	return max(h.restUntil, b.nextToken(h, now))
+// nextSendAt returns when this node, or one that sends in its place, may next send to the
+// upstream.
+func (b *Balancer) nextSendAt(h *host, now time.Duration) time.Duration {
+	return max(h.backoffUntil, b.nextRateTokenAt(h, now))
 }
 
-func (b *Balancer) nextToken(h *host, now time.Duration) time.Duration {
-	if !h.limit.Named {
+func (b *Balancer) nextRateTokenAt(h *host, now time.Duration) time.Duration {
+	if !h.rateLimit.Named {
 		return now
 	}
-	l := b.limiter(h, now)
+	l := b.rateLimiter(h, now)
 	if l == nil {
-		return now + min(time.Duration(float64(time.Second)/h.share.Rate()), pacing.MostPause)
+		return now + min(time.Duration(float64(time.Second)/h.rateShare.Rate()), pacing.MostPause)
 	}
-	return b.since(pacing.NextToken(l, b.base.Add(now)))
+	return b.sinceBase(pacing.NextToken(l, b.base.Add(now)))
 }
--- a/internal/balance/noticed_test.go
+++ b/internal/balance/noticed_test.go
@@ -11,8 +11,9 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// limitedNodes are nodes that all know one engine, which has named a rate limit to them.
-func limitedNodes(count int, perSecond float64) []*Balancer {
+// rateLimitedNodes returns nodes that know one engine, which has announced a rate limit
+// to them.
+func rateLimitedNodes(count int, perSecond float64) []*Balancer {
 	var ids []string
 	for i := range count {
 		ids = append(ids, fmt.Sprintf("node-%d", i))
@@ -30,13 +31,13 @@
 	return nodes
 }
 
-// TestLimitNamedAtTheOwnDoorHoldsOverAllNodes guards against an upstream in need that gets
-// its usual load from entry nodes, though each of them has read the limit that it names.
-func TestLimitNamedAtTheOwnDoorHoldsOverAllNodes(t *testing.T) {
-	const perSecond, length = 2.2, 20
-	nodes := limitedNodes(8, perSecond)
+// TestRateLimitHoldsAcrossNodes guards against an overloaded upstream that still gets its
+// usual load because each node uses the announced limit as its own.
+func TestRateLimitHoldsAcrossNodes(t *testing.T) {
+	const perSecond, seconds = 2.2, 20
+	nodes := rateLimitedNodes(8, perSecond)
 	sent := 0
-	for step := range length * 100 {
+	for step := range seconds * 100 {
 		now := epoch.Add(time.Duration(step) * 10 * time.Millisecond)
 		for _, b := range nodes {
 			if pick, ok := b.Pick(Request{Version: "v@1", Now: now, Random: uint64(step)}); ok {
@@ -45,16 +46,16 @@
 			}
 		}
 	}
-	if most := 1.5*perSecond*length + 5; float64(sent) > most || float64(sent) < 0.8*perSecond*length {
-		t.Errorf("%d requests in %d s at %.1f a second, %.0f may", sent, length, perSecond, most)
+	if maxSent := 1.5*perSecond*seconds + 5; float64(sent) > maxSent || float64(sent) < 0.8*perSecond*seconds {
+		t.Errorf("%d requests in %d s at a limit of %.1f per second, want at most %.0f", sent, seconds, perSecond, maxSent)
 	}
 }
 
-// TestLimitEndsWithALaterAnswer guards against a limit that stays for good, or comes back
-// with an answer that was read before the one that ended it.
-func TestLimitEndsWithALaterAnswer(t *testing.T) {
+// TestRateLimitEndsWithLaterAnswer guards against a limit that never ends, or that
+// returns with an answer read before the one that ended it.
+func TestRateLimitEndsWithLaterAnswer(t *testing.T) {
 	is := is.New(t)
-	b := limitedNodes(1, 0.5)[0]
+	b := rateLimitedNodes(1, 0.5)[0]
 	at := func(s int) time.Time { return epoch.Add(time.Duration(s) * time.Second) }
 	picked := func(s int) bool {
 		pick, ok := b.Pick(Request{Version: "v@1", Now: at(s)})
@@ -73,9 +74,9 @@
 	is.True(picked(4))
 }
 
-// TestUpstreamThatRestsGetsNothing guards against requests for an upstream that has asked
-// this node for rest, since a later answer asked for less, or for none.
-func TestUpstreamThatRestsGetsNothing(t *testing.T) {
+// TestLaterAnswerDoesNotShortenBackoff guards against requests to an upstream that asked
+// this node for a pause, after a later answer asked for a shorter one or for none.
+func TestLaterAnswerDoesNotShortenBackoff(t *testing.T) {
 	is := is.New(t)
 	at := func(s int) time.Time { return epoch.Add(time.Duration(s) * time.Second) }
 	b := New(Settings{})
@@ -93,9 +94,9 @@
 	is.True(ok)
 }
 
-// TestUpstreamThatSaysInAnAnswerThatItLeaves guards against requests for an upstream whose
-// load report, which lags, does not say yet that it leaves.
-func TestUpstreamThatSaysInAnAnswerThatItLeaves(t *testing.T) {
+// TestLeavingAnswerOutlastsOlderReport guards against requests to an upstream whose
+// answer announced that it leaves, while its delayed load report does not show that yet.
+func TestLeavingAnswerOutlastsOlderReport(t *testing.T) {
 	is := is.New(t)
 	b := New(Settings{})
 	vms := engines(1)
@@ -109,11 +110,11 @@
 	is.Equal(pick.Shortage.Reason, AllLeaving)
 }
 
-// TestRestEndsWithItsProcess guards against an upstream that has started again and gets
-// nothing for as long as its former process had asked.
-func TestRestEndsWithItsProcess(t *testing.T) {
+// TestRestartEndsBackoff guards against an upstream that has restarted and gets nothing
+// for the rest of the pause that its previous process asked for.
+func TestRestartEndsBackoff(t *testing.T) {
 	is := is.New(t)
-	b := limitedNodes(1, 0)[0]
+	b := rateLimitedNodes(1, 0)[0]
 	b.Noticed("eng-0", notice.Answer{Rest: 10 * time.Minute}, epoch)
 	b.Restarted("eng-0")
 	_, ok := b.Pick(Request{Version: "v@1", Now: epoch.Add(time.Second)})
--- a/internal/balance/others.go
+++ b/internal/balance/others.go
@@ -5,43 +5,41 @@
 	"time"
 )
 
-// othersReach is how far back the mean of the others' load reaches.
-const othersReach = 5 * time.Second
+// otherLoadWindow is the time constant of the moving mean of the other load.
+const otherLoadWindow = 5 * time.Second
 
-// others is the load of an upstream that did not come from this node, by its
-// reports.
+// otherLoad estimates, from load reports, the load of an upstream that did not come from
+// this node.
 //
-// It guards against taking a sample for a state. Of the requests that a report
-// counted, those that are shorter than its age have ended, and what it says
-// beyond the mean of the reports was chance: a node that believes it until the
-// next one floods one upstream and leaves another idle. It shows as free places
-// beside a queue. So the difference between the newest report and the mean
-// counts as long as requests last: with long ones the newest report says all,
-// with short ones the mean does.
-type others struct {
-	newest float64
-	mean   float64
-	at     time.Duration // of the newest report
-	have   bool
+// A report is a sample. Requests shorter than the report's age have ended since, and the
+// report's deviation from the mean was chance. A node that trusts one report until the
+// next floods one upstream and leaves another idle: slots are free beside a queue.
+// Therefore the deviation of the newest report decays over the typical request duration.
+// With long requests the newest report decides, with short ones the mean does.
+type otherLoad struct {
+	newest      float64
+	mean        float64
+	at          time.Duration // of the newest report
+	initialised bool
 }
 
-func (o *others) take(load float64, at time.Duration) {
-	w := 1.0
-	if o.have {
-		w = 1 - math.Exp(-float64(at-o.at)/float64(othersReach))
+func (o *otherLoad) add(load float64, at time.Duration) {
+	weight := 1.0
+	if o.initialised {
+		weight = 1 - math.Exp(-float64(at-o.at)/float64(otherLoadWindow))
 	}
 	o.newest = load
-	o.mean += w * (load - o.mean)
+	o.mean += weight * (load - o.mean)
 	o.at = at
-	o.have = true
+	o.initialised = true
 }
 
-// load is what is there now, when requests last for hold; a hold of 0 is not
-// known, and the newest report says all.
-func (o *others) load(now, hold time.Duration) float64 {
-	if hold <= 0 {
+// estimate returns the load now for requests of the given duration. Without a known
+// duration (0) it returns the newest report.
+func (o *otherLoad) estimate(now, requestDuration time.Duration) float64 {
+	if requestDuration <= 0 {
 		return o.newest
 	}
-	lasting := 1 - float64(now-o.at)/float64(hold)
-	return o.mean + max(0, min(1, lasting))*(o.newest-o.mean)
+	remaining := 1 - float64(now-o.at)/float64(requestDuration)
+	return o.mean + max(0, min(1, remaining))*(o.newest-o.mean)
 }
--- a/internal/balance/outlier.go
+++ b/internal/balance/outlier.go
@@ -6,18 +6,18 @@
 )
 
 const (
-	// outlierWeight is the part of each new sample in an upstream's mean;
-	// some ten samples count.
-	outlierWeight = 0.1
-	// typicalWeight is the part of each new sample in a pool's mean.
-	typicalWeight = 0.01
-	// firstTokenSlack widens the ratio for first tokens, which differ from
-	// one prompt to the next as caches hit or miss.
-	firstTokenSlack = 2
+	// sampleWeight is the weight of a new sample in an upstream's mean; about ten samples
+	// count.
+	sampleWeight = 0.1
+	// poolSampleWeight is the weight of a new sample in a pool's mean.
+	poolSampleWeight = 0.01
+	// firstTokenFactor widens the ratio for first tokens, which vary between prompts with
+	// cache hits and misses.
+	firstTokenFactor = 2
 )
 
-// logMean is a moving mean of logarithms, so that one long prompt does not
-// outweigh many short ones.
+// logMean is a moving mean of logarithms, so that one long prompt does not outweigh many
+// short ones.
 type logMean struct {
 	value float64
 	n     int
@@ -29,74 +29,76 @@
 	m.value += max(weight, 1/float64(m.n)) * (x - m.value)
 }
 
-// outlier finds an upstream that is slow but alive.
+// outlier detects an upstream that is slow but alive.
 //
-// It guards against an upstream whose disk, network or accelerator fails
-// without its process dying: connections and load reports stay good, yet each
-// request that it gets is late. It shows as times several times longer than
-// those of the pool's other upstreams for the same version. Comparing with
-// the pool keeps an overload of all from ejecting anyone, and at most a share
-// of a pool is ejected.
+// Its disk, network or accelerator fails while its process keeps running: connections and
+// load reports stay good, but every request is late. Its times are several times longer
+// than those of the pool's other upstreams for the same version. The comparison with the
+// pool prevents ejections when all are overloaded, and at most a share of a pool is
+// ejected.
 type outlier struct {
-	// first and gap are relative to the pool's typical times.
-	first logMean
-	gap   logMean
-	// late counts requests at one time without a first piece for too long.
-	late int
-	// failing is how often requests break there.
-	failing failing
-	until   time.Duration
-	pause   time.Duration
+	// firstToken and tokenGap are relative to the pool's typical times.
+	firstToken logMean
+	tokenGap   logMean
+	// lateRequests counts the requests in flight whose first piece is overdue.
+	lateRequests int
+	// failures tracks how often requests fail there.
+	failures     failureDetector
+	ejectedUntil time.Duration
+	ejectedFor   time.Duration
 }
 
-func (o *outlier) ejected(now time.Duration) bool { return now < o.until }
+func (o *outlier) ejected(now time.Duration) bool { return now < o.ejectedUntil }
 
-// slow says whether the samples show an outlier.
+// slow reports whether the samples show an outlier.
 func (o *outlier) slow(s OutlierSettings) bool {
 	bound := math.Log(s.Ratio)
-	if o.gap.n >= s.MinSamples && o.gap.value > bound {
+	if o.tokenGap.n >= s.MinSamples && o.tokenGap.value > bound {
 		return true
 	}
-	return o.first.n >= s.MinSamples && o.first.value > bound+math.Log(firstTokenSlack)
+	return o.firstToken.n >= s.MinSamples && o.firstToken.value > bound+math.Log(firstTokenFactor)
 }
 
-// eject keeps new work away for a pause that doubles each time.
+// eject withholds new work for a pause that doubles with each ejection, and drops the
+// samples that led to it.
 func (o *outlier) eject(s OutlierSettings, now time.Duration) {
-	o.pause = min(max(2*o.pause, s.EjectFor), s.MaxEjectFor)
-	o.until = now + o.pause
-	o.first = logMean{}
-	o.gap = logMean{}
-	o.failing = failing{}
+	o.ejectedFor = min(max(2*o.ejectedFor, s.EjectFor), s.MaxEjectFor)
+	o.ejectedUntil = now + o.ejectedFor
+	o.firstToken = logMean{}
+	o.tokenGap = logMean{}
+	o.failures = failureDetector{}
 }
 
-// recovered forgets earlier ejections once an upstream has been good for as
-// long as it was last ejected.
-func (o *outlier) recovered(now time.Duration) {
-	if o.pause > 0 && now > o.until+o.pause {
-		o.pause = 0
+// resetIfRecovered resets the pause once the upstream has been good for as long as it was
+// last ejected.
+func (o *outlier) resetIfRecovered(now time.Duration) {
+	if o.ejectedFor > 0 && now > o.ejectedUntil+o.ejectedFor {
+		o.ejectedFor = 0
 	}
 }
 
-// typical is the usual times of a pool's requests.
-type typical struct {
-	first logMean
-	gap   logMean
+// typicalTimes holds the mean times of a pool's requests.
+type typicalTimes struct {
+	firstToken logMean
+	tokenGap   logMean
 }
 
-// judge adds a request's times to the pool's and the upstream's means.
-func (t *typical) judge(o *outlier, first, gap time.Duration) {
-	if first > 0 {
-		t.first.add(first, typicalWeight)
-		o.first.addRelative(first, t.first)
+// record adds a request's times to the means of the pool and of the upstream. Times of 0
+// are ignored.
+func (t *typicalTimes) record(o *outlier, firstToken, tokenGap time.Duration) {
+	if firstToken > 0 {
+		t.firstToken.add(firstToken, poolSampleWeight)
+		o.firstToken.addRelative(firstToken, t.firstToken)
 	}
-	if gap > 0 {
-		t.gap.add(gap, typicalWeight)
-		o.gap.addRelative(gap, t.gap)
+	if tokenGap > 0 {
+		t.tokenGap.add(tokenGap, poolSampleWeight)
+		o.tokenGap.addRelative(tokenGap, t.tokenGap)
 	}
 }
 
-func (m *logMean) addRelative(sample time.Duration, to logMean) {
-	x := math.Log(float64(max(sample, 1))) - to.value
+// addRelative adds a sample as a ratio to the reference mean.
+func (m *logMean) addRelative(sample time.Duration, reference logMean) {
+	x := math.Log(float64(max(sample, 1))) - reference.value
 	m.n++
-	m.value += max(outlierWeight, 1/float64(m.n)) * (x - m.value)
+	m.value += max(sampleWeight, 1/float64(m.n)) * (x - m.value)
 }
--- a/internal/balance/pick.go
+++ b/internal/balance/pick.go
@@ -6,25 +6,24 @@
 	"github.com/hickorybank/hickorybank/internal/platform"
 )
 
-// Pick is the answer to a [Request]. When no upstream was found only Shortage
-// is set.
+// Pick is the answer to a [Request]. Without an upstream only Shortage is set.
 type Pick struct {
 	VM       platform.VM
 	Token    Token
 	Shortage Shortage
 }
 
-// Token stands for one attempt in flight. Each token is given to
-// [Balancer.Done] once; a second time does nothing.
+// Token identifies an attempt in flight. Each token is passed to [Balancer.Done] once;
+// further calls have no effect.
 type Token struct {
-	slot       uint32
+	index      uint32
 	generation uint32
 }
 
-// Shortage says why there is no upstream for a request.
+// Shortage describes why a request got no upstream.
 type Shortage struct {
 	Reason ShortageReason
-	// RetryAfter is when an upstream may be there again.
+	// RetryAfter is the time after which an upstream may be available again.
 	RetryAfter time.Duration
 }
 
@@ -33,14 +32,15 @@
 
 // The reasons of a shortage.
 const (
-	// NoneKnown: no upstream known here has the version or offers the service.
+	// NoneKnown: no known upstream has the version or provides the service.
 	NoneKnown ShortageReason = "none known"
-	// AllLeaving: those that have it take no new work.
+	// AllLeaving: all upstreams that have it are leaving and take no new work.
 	AllLeaving ShortageReason = "all leaving"
-	// AllFailing: the breakers of all that have it are open.
+	// AllFailing: the breakers of all upstreams that have it are open.
 	AllFailing ShortageReason = "all failing"
-	// AllPaced: those that have it take no more requests for now, by their own word.
+	// AllPaced: the upstreams that have it asked for a pause or have reached the rate
+	// limit that they announced.
 	AllPaced ShortageReason = "all paced"
-	// AllTried: all that have it were excluded.
+	// AllTried: all usable upstreams that have it were excluded by the request.
 	AllTried ShortageReason = "all tried"
 )
--- a/internal/balance/place.go
+++ b/internal/balance/place.go
@@ -4,16 +4,16 @@
 	"github.com/hickorybank/hickorybank/internal/platform"
 )
 
-// Place is a node's rank among the entry nodes of its failure domain. It
-// spreads the subsets evenly: with it each upstream is known by about equally
-// many nodes.
+// Place is a node's rank among the entry nodes of its failure domain: Index of Count,
+// from 0. Ranks spread the subsets evenly, so that each upstream is selected by about
+// equally many nodes.
 type Place struct {
 	Index int
 	Count int
 }
 
-// PlaceOf finds the place of the node self in a list of VMs. A node that is
-// not listed yet takes the place that its ID would have.
+// PlaceOf returns the place of the node self in a list of VMs. A node that is not listed
+// yet gets the place that its ID would have.
 func PlaceOf(vms []platform.VM, self, domain string) Place {
 	p := Place{Count: 1}
 	for i := range vms {
--- a/internal/balance/places.go
+++ b/internal/balance/places.go
@@ -2,49 +2,50 @@
 
 import "time"
 
-// places is what a set of upstreams has room for, as far as this node knows.
-type places struct {
-	// engines are the usable upstreams.
-	engines int
+// poolCapacity sums up the slots and the load of a set of upstreams, as far as this node
+// knows. A slot is one request of an upstream's batch.
+type poolCapacity struct {
+	// hosts counts the usable upstreams.
+	hosts int
 	// limit is how many requests they batch together.
 	limit float64
-	// work is what they have by their reports and this node's own count.
-	work float64
-	// own is the part of work that is this node's.
-	own float64
+	// load is their load, by their reports and this node's own count.
+	load float64
+	// ownLoad is the part of load that came from this node.
+	ownLoad float64
 }
 
-func (p places) fullness() float64 { return p.work / p.limit }
+func (p poolCapacity) utilisation() float64 { return p.load / p.limit }
 
-// survey counts the pool's places. The last report of an upstream counts
-// whatever its age: one that gives none any more soon has an open breaker. It is
-// taken at its word, not as a mean: a version is to give way, and to come back,
-// with the next report, and the chance in the reports of a pool adds up to less.
-func (b *Balancer) survey(p *pool, now time.Duration) {
-	p.places = places{}
-	p.surveyed = p.inFlight
+// measureCapacity recomputes the pool's capacity. The last report of an upstream counts
+// whatever its age, since an upstream that stops reporting soon has an open breaker. The
+// report is used directly rather than the mean: a version must give way, and come back,
+// with the next report. Over a whole pool the random deviations of reports largely cancel
+// out.
+func (b *Balancer) measureCapacity(p *pool, now time.Duration) {
+	p.capacity = poolCapacity{}
+	p.inFlightAtMeasure = p.inFlight
 	for _, h := range p.hosts {
 		if !h.listed || h.leaving() {
 			continue
 		}
 		if h.breaker.open() {
-			p.places.probe(h, now)
+			p.capacity.addProbe(h, now)
 			continue
 		}
-		p.places.engines++
-		p.places.limit += b.capacity(p, h, now)
-		p.places.work += float64(h.inFlight) + h.report.others.newest
-		p.places.own += float64(h.inFlight)
+		p.capacity.hosts++
+		p.capacity.limit += b.hostCapacity(p, h, now)
+		p.capacity.load += float64(h.inFlight) + h.report.otherLoad.newest
+		p.capacity.ownLoad += float64(h.inFlight)
 	}
 }
 
-// probe counts an upstream whose breaker is open. It has one place, for the
-// request that may find it back, once it has answered when asked for its load:
-// when all of a version's upstreams are lost, no request should have to find
-// that out while other versions could run it.
-func (p *places) probe(h *host, now time.Duration) {
-	if h.breaker.heard && h.breaker.allows(now) {
-		p.engines++
+// addProbe counts an upstream whose breaker is open. It has one slot, for the probe, once
+// it has answered a poll. When all upstreams of a version are lost, no request should
+// have to discover that while other versions could run it.
+func (p *poolCapacity) addProbe(h *host, now time.Duration) {
+	if h.breaker.pollAnswered && h.breaker.allowsRequest(now) {
+		p.hosts++
 		p.limit++
 	}
 }
--- a/internal/balance/policy.go
+++ b/internal/balance/policy.go
@@ -8,22 +8,23 @@
 
 // policy chooses one of the usable upstreams, of which there is at least one.
 type policy interface {
-	choose(v *view) *host
+	choose(s *selection) *host
 }
 
-// view is what a policy sees.
-type view struct {
-	b      *Balancer
-	pool   *pool
-	hosts  []*host
-	prefix uint64
-	random uint64
-	kind   config.Kind
-	now    time.Duration
-	loads  []float64
+// selection is the input of a policy: the usable upstreams and the request's attributes.
+// It is reused between picks to save allocations.
+type selection struct {
+	b          *Balancer
+	pool       *pool
+	hosts      []*host
+	prefixHash uint64
+	random     uint64
+	kind       config.Kind
+	now        time.Duration
+	loads      []float64
 }
 
-func (v *view) score(h *host) float64 { return v.b.score(v.pool, h, v.now) }
+func (s *selection) score(h *host) float64 { return s.b.score(s.pool, h, s.now) }
 
 func newPolicy(name PolicyName) policy {
 	switch name {
--- a/internal/balance/poll.go
+++ b/internal/balance/poll.go
@@ -7,43 +7,42 @@
 )
 
 const (
-	// pollTimeout is how long an answer is waited for before asking again.
+	// pollTimeout is how long to wait for an answer before polling again.
 	pollTimeout = 2 * time.Second
-	// pollBurst bounds the polls asked for at one time.
+	// pollBurst bounds the polls returned by one call.
 	pollBurst = 4
-	// searchShare is the part of the polls that may look for versions beyond
-	// the subset: 1 of 4.
-	searchShare = 4
+	// searchPollInterval lets one poll of 4 search for versions outside the subset.
+	searchPollInterval = 4
 )
 
-// pollState is when an upstream was last asked for its load.
+// pollState records when an upstream was last polled for its load.
 type pollState struct {
-	asked   time.Duration
-	waiting bool
+	askedAt  time.Duration
+	awaiting bool
 }
 
-func (p *pollState) answered(time.Duration) { p.waiting = false }
+func (p *pollState) answered(time.Duration) { p.awaiting = false }
 
-// polls bounds the load reports that are asked for.
+// polls is a token bucket that limits the polls for load reports.
 type polls struct {
-	credit float64
-	filled time.Duration
-	count  uint64
-	next   int // in the search beyond the subset
+	credit      float64
+	refilledAt  time.Duration
+	sent        uint64
+	searchIndex int // position in the search outside the subset
 }
 
-// fill adds what time has earned.
-func (p *polls) fill(now time.Duration, perSecond float64) {
-	p.credit = min(pollBurst, p.credit+perSecond*(now-p.filled).Seconds())
-	p.filled = now
+// refill adds the polls allowed since the last call.
+func (p *polls) refill(now time.Duration, perSecond float64) {
+	p.credit = min(pollBurst, p.credit+perSecond*(now-p.refilledAt).Seconds())
+	p.refilledAt = now
 }
 
-// NeedPoll returns the upstreams whose load is to be asked for now. Call it
-// several times a second; it keeps to Settings.PollsPerSecond.
+// NeedPoll returns the upstreams to poll for their load now. Call it several times a
+// second; Settings.PollsPerSecond bounds the result.
 func (b *Balancer) NeedPoll(now time.Time) []platform.VM {
-	t := b.since(now)
+	t := b.sinceBase(now)
 	b.maintain(t)
-	b.polls.fill(t, b.settings.PollsPerSecond)
+	b.polls.refill(t, b.settings.PollsPerSecond)
 	var due []platform.VM
 	for b.polls.credit >= 1 {
 		vm, ok := b.nextPoll(t)
@@ -51,43 +50,43 @@
 			return due
 		}
 		b.polls.credit--
-		b.polls.count++
+		b.polls.sent++
 		due = append(due, vm)
 	}
 	return due
 }
 
 func (b *Balancer) nextPoll(now time.Duration) (platform.VM, bool) {
-	if b.polls.count%searchShare == 0 && len(b.rest) > 0 && b.searching(now) {
-		b.polls.next++
-		return *b.rest[b.polls.next%len(b.rest)].vm, true
+	if b.polls.sent%searchPollInterval == 0 && len(b.unselected) > 0 && b.needsSearch(now) {
+		b.polls.searchIndex++
+		return *b.unselected[b.polls.searchIndex%len(b.unselected)].vm, true
 	}
 	h := b.stalest(now)
 	if h == nil {
 		return platform.VM{}, false
 	}
-	h.poll.asked = now
-	h.poll.waiting = true
+	h.poll.askedAt = now
+	h.poll.awaiting = true
 	return h.vm, true
 }
 
-// stalest returns the upstream that has gone unasked for longest, or nil when
-// all were asked a moment ago.
+// stalest returns the upstream that was polled longest ago, or nil when all were polled
+// within minPollInterval.
 func (b *Balancer) stalest(now time.Duration) *host {
 	var best *host
 	for _, h := range b.order {
-		if h.poll.waiting && now < h.poll.asked+pollTimeout {
+		if h.poll.awaiting && now < h.poll.askedAt+pollTimeout {
 			continue
 		}
-		if best == nil || h.poll.asked < best.poll.asked {
+		if best == nil || h.poll.askedAt < best.poll.askedAt {
 			best = h
 		}
 	}
-	if best != nil && now < best.poll.asked+pollLeastGap {
+	if best != nil && now < best.poll.askedAt+minPollInterval {
 		return nil
 	}
 	return best
 }
 
-// pollLeastGap is the shortest time between two polls of one upstream.
-const pollLeastGap = time.Second
+// minPollInterval is the shortest time between two polls of one upstream.
+const minPollInterval = time.Second
--- a/internal/balance/pool.go
+++ b/internal/balance/pool.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// pool is the upstreams of one version or one service.
+// pool holds the upstreams of one version or one service.
 type pool struct {
-	hosts []*host
-	turn  uint64
-	// meanOthers and meanLimit are over the hosts' reports.
-	meanOthers float64
-	meanLimit  float64
-	// inFlight are this node's attempts that were picked from the pool;
-	// surveyed were so when places was counted.
-	inFlight int
-	surveyed int
-	places   places
-	typical  typical
+	hosts           []*host
+	roundRobinCount uint64
+	// meanOtherLoad and meanLimit are means over the hosts' reports.
+	meanOtherLoad float64
+	meanLimit     float64
+	// inFlight counts this node's attempts that were picked from the pool;
+	// inFlightAtMeasure is that count when capacity was measured.
+	inFlight          int
+	inFlightAtMeasure int
+	capacity          poolCapacity
+	typical           typicalTimes
 }
 
-// refresh recomputes the means over the pool's reports.
-func (p *pool) refresh(now, maxAge time.Duration) {
-	var others, limit float64
+// refreshMeans recomputes the means over the hosts' reports.
+func (p *pool) refreshMeans(now, maxAge time.Duration) {
+	var otherLoad, limit float64
 	var n, limits int
 	for _, h := range p.hosts {
 		if h.report.weight(now, maxAge) > 0 {
-			others += h.others(now)
+			otherLoad += h.otherLoad(now)
 			n++
 		}
 		if h.report.limit > 0 {
@@ -31,12 +31,12 @@
 			limits++
 		}
 	}
-	p.meanOthers = ratio(others, n)
+	p.meanOtherLoad = ratio(otherLoad, n)
 	p.meanLimit = ratio(limit, limits)
 }
 
-// ejected counts the hosts that are kept from new work as slow.
-func (p *pool) ejected(now time.Duration) int {
+// ejectedCount counts the hosts that are ejected as outliers.
+func (p *pool) ejectedCount(now time.Duration) int {
 	n := 0
 	for _, h := range p.hosts {
 		if h.outlier.ejected(now) {
--- a/internal/balance/pool_load.go
+++ b/internal/balance/pool_load.go
@@ -2,70 +2,71 @@
 
 import "time"
 
-// PoolLoad is what the upstreams of one pool reported together.
+// PoolLoad is the total load that the upstreams of a pool reported, in requests.
 type PoolLoad struct {
 	Running int
 	Queued  int
-	// Limit is how many requests they batch at a time. It is 0 when too little
-	// is known.
+	// Limit is how many requests they batch at a time. It is 0 when too few upstreams
+	// have reported recently.
 	Limit int
-	// Own is what of Running and Queued came from this node.
+	// Own is the part of Running and Queued that came from this node.
 	Own int
 }
 
-// knownShare of a pool's upstreams must have reported lately: 1 of 4.
-const knownShare = 4
+// minFreshDivisor requires that 1/4 of a pool's upstreams have reported recently.
+const minFreshDivisor = 4
 
 // PoolLoad sums up the reports of the shared pool of a version, or of a service's
-// upstreams. Those whose report is too old count as the mean of the
-// others: with many upstreams and few polls there are always some, and without
-// them the pool would seem smaller than it is.
+// upstreams. Upstreams whose report is too old count as the mean of the others. With many
+// upstreams and few polls there are always some, and without them the pool would seem
+// smaller than it is. It returns the zero value when too few upstreams have reported.
 func (b *Balancer) PoolLoad(version, service string, now time.Time) PoolLoad {
-	t := b.since(now)
+	t := b.sinceBase(now)
 	var l PoolLoad
-	var all, fresh int
+	var usable, fresh int
 	for _, h := range b.poolHosts(version, service) {
 		if h.leaving() || h.breaker.open() {
 			continue
 		}
-		all++
-		if !h.report.have || t-h.report.at > b.pollCycles() {
+		usable++
+		if !h.report.received || t-h.report.at > b.maxPoolLoadAge() {
 			continue
 		}
 		fresh++
 		l.Running += h.report.running
 		l.Queued += h.report.queued
 		l.Limit += int(h.report.limit)
-		l.Own += h.report.own
+		l.Own += h.report.ownInFlight
 	}
-	if fresh == 0 || fresh*knownShare < all {
+	if fresh == 0 || fresh*minFreshDivisor < usable {
 		return PoolLoad{}
 	}
-	return l.scaled(all, fresh)
+	return l.scaled(usable, fresh)
 }
 
 func (b *Balancer) poolHosts(version, service string) []*host {
 	if service != "" {
-		return b.services[service].known()
+		return b.services[service].members()
 	}
-	if p := b.shared[version]; p != nil {
+	if p := b.sharedPools[version]; p != nil {
 		return p.hosts
 	}
 	return nil
 }
 
-// pollCycles is how old a report may be: two rounds of polls, and MaxReportAge
-// at the least.
-func (b *Balancer) pollCycles() time.Duration {
-	round := time.Duration(float64(len(b.order)) / b.settings.PollsPerSecond * float64(time.Second))
-	return max(b.settings.MaxReportAge, 2*round)
+// maxPoolLoadAge returns how old a report may be: two rounds of polls, but at least
+// MaxReportAge.
+func (b *Balancer) maxPoolLoadAge() time.Duration {
+	pollRound := time.Duration(float64(len(b.order)) / b.settings.PollsPerSecond * float64(time.Second))
+	return max(b.settings.MaxReportAge, 2*pollRound)
 }
 
-func (l PoolLoad) scaled(all, fresh int) PoolLoad {
+// scaled extrapolates the load from the fresh upstreams to all usable ones.
+func (l PoolLoad) scaled(usable, fresh int) PoolLoad {
 	return PoolLoad{
-		Running: l.Running * all / fresh,
-		Queued:  l.Queued * all / fresh,
-		Limit:   l.Limit * all / fresh,
-		Own:     l.Own * all / fresh,
+		Running: l.Running * usable / fresh,
+		Queued:  l.Queued * usable / fresh,
+		Limit:   l.Limit * usable / fresh,
+		Own:     l.Own * usable / fresh,
 	}
 }
--- a/internal/balance/quietest.go
+++ b/internal/balance/quietest.go
@@ -1,13 +1,13 @@
 package balance
 
-// quietest takes the upstream with the least work of all, this node's work
-// counting first, for a request that wants to be alone.
-type quietest struct{}
+// fewestInFlight chooses the upstream with the fewest requests of this node in flight,
+// and the lowest score among equals. It serves isolated requests.
+type fewestInFlight struct{}
 
-func (quietest) choose(v *view) *host {
-	best := v.hosts[0]
-	for _, h := range v.hosts[1:] {
-		if h.inFlight < best.inFlight || (h.inFlight == best.inFlight && v.score(h) < v.score(best)) {
+func (fewestInFlight) choose(s *selection) *host {
+	best := s.hosts[0]
+	for _, h := range s.hosts[1:] {
+		if h.inFlight < best.inFlight || (h.inFlight == best.inFlight && s.score(h) < s.score(best)) {
 			best = h
 		}
 	}
--- a/internal/balance/random.go
+++ b/internal/balance/random.go
@@ -1,6 +1,6 @@
 package balance
 
-// random takes any upstream, whatever its load.
+// random chooses any upstream, whatever its load.
 type random struct{}
 
-func (random) choose(v *view) *host { return v.hosts[v.random%uint64(len(v.hosts))] }
+func (random) choose(s *selection) *host { return s.hosts[s.random%uint64(len(s.hosts))] }
--- a/internal/balance/report_test.go
+++ b/internal/balance/report_test.go
@@ -14,188 +14,190 @@
 )
 
 const (
-	batchNodes   = 3
-	batchEngines = 4
-	batchPlaces  = 8 // of an engine
-	// batchAdmitted are the requests that admission lets in, a little more
-	// than there are places.
-	batchAdmitted = 34
-	batchLag      = 500 * time.Millisecond // by which reports are late
-	batchStep     = 5 * time.Millisecond
+	simNodes   = 3
+	simEngines = 4
+	simSlots   = 8 // of an engine
+	// simAdmitted is the number of requests that admission lets in, slightly more than
+	// there are slots.
+	simAdmitted  = 34
+	simReportLag = 500 * time.Millisecond // delay of the reports
+	simStep      = 5 * time.Millisecond
 )
 
-// batchFleet is nodes that share engines with places and queues. For each
-// request that ends, its node begins another.
-type batchFleet struct {
-	rng     *rand.Rand
-	now     time.Duration
-	hold    time.Duration // that a request takes in a place
-	nodes   []*Balancer
-	engines []*batchEngine
-	// idle and busy are places over time, from restart on; idle counts only
-	// while a request waits for a place of another engine.
+// simFleet simulates nodes that share engines with slots and queues. For each request
+// that ends, its node starts another.
+type simFleet struct {
+	rng         *rand.Rand
+	now         time.Duration
+	serviceTime time.Duration // mean time of a request in a slot
+	nodes       []*Balancer
+	engines     []*simEngine
+	// idle and busy count slots over the steps since resetCounts. Idle
+	// slots count only while a request waits at some engine.
 	idle, busy int
 }
 
-type batchEngine struct {
-	id      string
-	running []*batchJob
-	queue   []*batchJob
-	foreign int                   // places that others than the nodes hold
-	past    []upstream.LoadReport // one a step
+type simEngine struct {
+	id        string
+	running   []*simJob
+	queue     []*simJob
+	otherLoad int                   // slots taken by others than the nodes
+	history   []upstream.LoadReport // one per step
 }
 
-type batchJob struct {
-	node  *Balancer
-	token Token
-	begun time.Duration
-	ends  time.Duration
+type simJob struct {
+	node      *Balancer
+	token     Token
+	startedAt time.Duration
+	endsAt    time.Duration
 }
 
-func newBatchFleet(seed uint64, hold time.Duration, admitted int) *batchFleet {
-	f := &batchFleet{rng: rand.New(rand.NewPCG(seed, 9)), hold: hold}
+func newSimFleet(seed uint64, serviceTime time.Duration, admitted int) *simFleet {
+	f := &simFleet{rng: rand.New(rand.NewPCG(seed, 9)), serviceTime: serviceTime}
 	var vms []platform.VM
-	for i := range batchEngines {
+	for i := range simEngines {
 		id := fmt.Sprintf("engine%d", i)
-		f.engines = append(f.engines, &batchEngine{id: id})
+		f.engines = append(f.engines, &simEngine{id: id})
 		vms = append(vms, platform.VM{ID: id, Role: platform.RoleEngine, Addr: id, FailureDomain: "d", State: platform.Live})
 	}
-	for i := range batchNodes {
+	for i := range simNodes {
 		b := New(Settings{Seed: uint64(i), SelfID: fmt.Sprint(i), SelfDomain: "d"})
-		b.SetMembers(vms, Place{Index: i, Count: batchNodes}, epoch)
+		b.SetMembers(vms, Place{Index: i, Count: simNodes}, epoch)
 		for _, vm := range vms {
-			b.Report(vm.ID, loadOf(batchPlaces, "v"), epoch)
+			b.Report(vm.ID, loadOf(simSlots, "v"), epoch)
 		}
 		f.nodes = append(f.nodes, b)
 	}
 	for i := range admitted {
-		f.begin(f.nodes[i%batchNodes])
+		f.startRequest(f.nodes[i%simNodes])
 	}
 	return f
 }
 
-func (f *batchFleet) time() time.Time { return epoch.Add(f.now) }
+func (f *simFleet) time() time.Time { return epoch.Add(f.now) }
 
-func (f *batchFleet) restart() { f.idle, f.busy = 0, 0 }
+func (f *simFleet) resetCounts() { f.idle, f.busy = 0, 0 }
 
-// idleShare is the part of all places that was idle beside a queue.
-func (f *batchFleet) idleShare() float64 { return float64(f.idle) / float64(f.idle+f.busy) }
+// idleShare returns the fraction of all slots that were idle beside a queue.
+func (f *simFleet) idleShare() float64 { return float64(f.idle) / float64(f.idle+f.busy) }
 
-func (f *batchFleet) pass(span time.Duration) {
-	for end := f.now + span; f.now < end; f.now += batchStep {
+func (f *simFleet) advance(span time.Duration) {
+	for end := f.now + span; f.now < end; f.now += simStep {
 		for _, e := range f.engines {
-			f.finish(e)
+			f.finishDue(e)
 		}
 		for _, e := range f.engines {
-			f.start(e)
+			f.fillSlots(e)
 		}
-		f.count()
+		f.recordStep()
 		f.poll()
 	}
 }
 
-func (f *batchFleet) finish(e *batchEngine) {
-	var done []*batchJob
-	e.running = slices.DeleteFunc(e.running, func(j *batchJob) bool {
-		if j.ends <= f.now {
+func (f *simFleet) finishDue(e *simEngine) {
+	var done []*simJob
+	e.running = slices.DeleteFunc(e.running, func(j *simJob) bool {
+		if j.endsAt <= f.now {
 			done = append(done, j)
 		}
-		return j.ends <= f.now
+		return j.endsAt <= f.now
 	})
 	for _, j := range done {
-		took := f.now - j.begun
-		j.node.Done(j.token, Result{FirstToken: took / 10, Latency: took, Tokens: 20}, f.time())
-		f.begin(j.node)
+		elapsed := f.now - j.startedAt
+		j.node.Done(j.token, Result{FirstToken: elapsed / 10, Latency: elapsed, Tokens: 20}, f.time())
+		f.startRequest(j.node)
 	}
 }
 
-func (f *batchFleet) begin(b *Balancer) {
+func (f *simFleet) startRequest(b *Balancer) {
 	p, ok := b.Pick(Request{Version: "v", Now: f.time(), Random: f.rng.Uint64()})
 	if !ok {
-		panic("a healthy engine must be found")
+		panic("Pick found no upstream although all engines are healthy")
 	}
-	i := slices.IndexFunc(f.engines, func(e *batchEngine) bool { return e.id == p.VM.ID })
-	f.engines[i].queue = append(f.engines[i].queue, &batchJob{node: b, token: p.Token, begun: f.now})
+	i := slices.IndexFunc(f.engines, func(e *simEngine) bool { return e.id == p.VM.ID })
+	f.engines[i].queue = append(f.engines[i].queue, &simJob{node: b, token: p.Token, startedAt: f.now})
 }
 
-// start gives free places to what waits; a request takes 0.7 to 1.3 of hold.
-func (f *batchFleet) start(e *batchEngine) {
-	for len(e.queue) > 0 && len(e.running)+e.foreign < batchPlaces {
+// fillSlots moves waiting requests into free slots; each takes 0.7 to 1.3 of serviceTime.
+func (f *simFleet) fillSlots(e *simEngine) {
+	for len(e.queue) > 0 && len(e.running)+e.otherLoad < simSlots {
 		j := e.queue[0]
 		e.queue = e.queue[1:]
-		j.ends = f.now + time.Duration((0.7+0.6*f.rng.Float64())*float64(f.hold))
+		j.endsAt = f.now + time.Duration((0.7+0.6*f.rng.Float64())*float64(f.serviceTime))
 		e.running = append(e.running, j)
 	}
 }
 
-func (f *batchFleet) count() {
-	waits, free := 0, 0
+func (f *simFleet) recordStep() {
+	waiting, free := 0, 0
 	for _, e := range f.engines {
-		waits += len(e.queue)
-		free += max(0, batchPlaces-len(e.running)-e.foreign)
-		e.past = append(e.past, upstream.LoadReport{
-			Running: len(e.running) + e.foreign, Queued: len(e.queue), Limit: batchPlaces,
-			Versions: []string{"v"}, AgeMillis: batchLag.Milliseconds(),
+		waiting += len(e.queue)
+		free += max(0, simSlots-len(e.running)-e.otherLoad)
+		e.history = append(e.history, upstream.LoadReport{
+			Running: len(e.running) + e.otherLoad, Queued: len(e.queue), Limit: simSlots,
+			Versions: []string{"v"}, AgeMillis: simReportLag.Milliseconds(),
 		})
 	}
-	f.busy += batchEngines*batchPlaces - free
-	if waits > 0 {
+	f.busy += simEngines*simSlots - free
+	if waiting > 0 {
 		f.idle += free
 	}
 }
 
-func (f *batchFleet) poll() {
-	late := int(f.now/batchStep) - int(batchLag/batchStep)
-	if late < 0 {
+func (f *simFleet) poll() {
+	reported := int(f.now/simStep) - int(simReportLag/simStep)
+	if reported < 0 {
 		return
 	}
 	for _, b := range f.nodes {
 		for _, vm := range b.NeedPoll(f.time()) {
-			i := slices.IndexFunc(f.engines, func(e *batchEngine) bool { return e.id == vm.ID })
-			b.Report(vm.ID, f.engines[i].past[late], f.time())
+			i := slices.IndexFunc(f.engines, func(e *simEngine) bool { return e.id == vm.ID })
+			b.Report(vm.ID, f.engines[i].history[reported], f.time())
 		}
 	}
 }
 
-// Requests of 95 ms come faster than four engines can take them. Callers wait
-// at three engines while the fourth has free places, for a second at a time:
-// each node takes one late report for the engine's load until the next one
-// comes, though many requests have begun and ended since.
-func TestShortRequestsLeaveFewPlacesIdle(t *testing.T) {
+// TestShortRequestsLeaveFewSlotsIdle guards against requests that wait at three engines
+// while the fourth has free slots, for a second at a time. Requests of 95 ms arrive
+// faster than four engines can run them. The fault occurs when a node takes one delayed
+// report as the engine's load until the next, although many requests have started and
+// ended since.
+func TestShortRequestsLeaveFewSlotsIdle(t *testing.T) {
 	is := is.New(t)
 	var sum, worst float64
 	const runs = 4
 	for seed := range uint64(runs) {
-		f := newBatchFleet(seed, 95*time.Millisecond, batchAdmitted)
-		f.pass(10 * time.Second)
-		f.restart()
-		f.pass(20 * time.Second)
+		f := newSimFleet(seed, 95*time.Millisecond, simAdmitted)
+		f.advance(10 * time.Second)
+		f.resetCounts()
+		f.advance(20 * time.Second)
 		sum += f.idleShare()
 		worst = max(worst, f.idleShare())
 	}
-	t.Logf("idle beside a queue: %.3f of the places on the mean, %.3f in the worst run", sum/runs, worst)
+	t.Logf("slots idle beside a queue: mean %.3f, worst run %.3f", sum/runs, worst)
 	is.True(sum/runs < 0.06)
 	is.True(worst < 0.08)
 }
 
-// Requests of 10 s, and others than the nodes fill an engine: now this one, now
-// the next. Callers wait there while places are free elsewhere when a node goes
-// by what it heard before: with long requests the newest report says all.
+// TestLongRequestsFollowTheNewestReport guards against requests that wait at one engine
+// while other engines have free slots, because the node relies on older reports. Requests
+// take 10 s, and load from elsewhere fills one engine after the other. With long requests
+// the newest report decides.
 func TestLongRequestsFollowTheNewestReport(t *testing.T) {
 	is := is.New(t)
 	var sum float64
 	const runs = 4
 	for seed := range uint64(runs) {
-		f := newBatchFleet(seed, 10*time.Second, batchAdmitted-batchPlaces)
-		f.pass(30 * time.Second)
-		f.restart()
-		for i := range 3 * batchEngines {
-			f.engines[i%batchEngines].foreign = batchPlaces
-			f.pass(20 * time.Second)
-			f.engines[i%batchEngines].foreign = 0
+		f := newSimFleet(seed, 10*time.Second, simAdmitted-simSlots)
+		f.advance(30 * time.Second)
+		f.resetCounts()
+		for i := range 3 * simEngines {
+			f.engines[i%simEngines].otherLoad = simSlots
+			f.advance(20 * time.Second)
+			f.engines[i%simEngines].otherLoad = 0
 		}
 		sum += f.idleShare()
 	}
-	t.Logf("idle beside a queue: %.3f of the places on the mean", sum/runs)
+	t.Logf("slots idle beside a queue: mean %.3f", sum/runs)
 	is.True(sum/runs < 0.085)
 }
--- a/internal/balance/room.go
+++ b/internal/balance/room.go
@@ -2,69 +2,66 @@
 
 import "time"
 
-// Room is what this node's upstreams can do for a version, among those that a
-// request may run on.
+// Room is the capacity that this node's upstreams have for a version now.
 type Room struct {
-	// Engines are the usable engines that are known to have it.
+	// Engines counts the usable engines that are known to have the version.
 	Engines int
-	// Unsure says that none is known to have it, but that there are usable
-	// engines whose versions are not known yet.
+	// Unsure is set when no engine is known to have the version, but usable engines have
+	// not reported their versions yet.
 	Unsure bool
-	// Share is the part, from 0 to 1, of the requests that would take the
-	// version which it has room for now. The others are better off with
-	// another version.
+	// Share is the fraction, from 0 to 1, of the requests preferring the version that
+	// should run on it now. The others are better off with another version.
 	Share float64
 }
 
-// Room says what the version's upstreams can do now. When too few have the
-// version it also has others looked for beyond the subset: a version that is
-// never picked for want of upstreams must not stay unknown for that.
+// Room returns the version's capacity now. When too few upstreams have the version, it
+// also starts a search outside the subset, because a version that is never picked for
+// lack of upstreams would otherwise stay unknown.
 //
-// It guards against two faults. A version that serves by the configuration but
-// that no engine has loaded would take all requests for which it is the
-// cheapest, and each would be refused while other versions stand idle. And a
-// version on one engine of many would get the work of all of them. They show
-// as refusals, and as a queue, beside idle engines.
+// It prevents two faults. A version that the configuration serves but no engine has
+// loaded would attract all requests for which it is cheapest, and they would be refused
+// while engines with other versions are idle. A version that only one engine of many has
+// would get the work of all of them, and queue beside idle engines.
 func (b *Balancer) Room(version string, now time.Time) Room {
-	t := b.since(now)
+	t := b.sinceBase(now)
 	b.maintain(t)
 	p := b.versions[version]
-	if len(b.rest) > 0 && len(p.known()) < b.settings.MinPerVersion {
+	if len(b.unselected) > 0 && len(p.members()) < b.settings.MinPerVersion {
 		b.want(version, t)
 	}
-	if len(p.known()) == 0 {
-		return Room{Unsure: b.unsure.places.engines > 0}
+	if len(p.members()) == 0 {
+		return Room{Unsure: b.unknownEngines.capacity.hosts > 0}
 	}
-	if p.places.engines == 0 {
+	if p.capacity.hosts == 0 {
 		return Room{}
 	}
-	return Room{Engines: p.places.engines, Share: b.roomShare(p)}
+	return Room{Engines: p.capacity.hosts, Share: b.versionShare(p)}
 }
 
-// roomShare is the share of a pool that has usable engines.
+// versionShare returns the share for a pool that has usable engines.
 //
-// A version gives way only when its engines are full, and fuller than those
-// that lack it: versions on the same engines never give way to each other. But
-// reports lag, and many nodes with the same reports would send too much at
-// once. So when there is more work than the version has places, a node also
-// keeps its own work on it to its own part of all work: that part lags too,
-// but it does not change with the choice, so nothing swings.
-func (b *Balancer) roomShare(p *pool) float64 {
-	begun := float64(p.inFlight - p.surveyed)
-	mine, all := p.places, b.engines.places
-	mine.work += begun
-	all.work += begun
-	rest := places{limit: all.limit - mine.limit, work: all.work - mine.work}
-	if rest.limit < 1 {
+// A version gives way only when its engines are full, and fuller than those that lack it.
+// Versions on the same engines therefore never give way to each other. Reports are
+// delayed, and many nodes with the same reports would send too much at once. So when
+// there is more work than the version has slots, a node also limits its work on the
+// version to its own share of all work. That share is delayed too, but it does not depend
+// on the choice of version, so the load does not oscillate.
+func (b *Balancer) versionShare(p *pool) float64 {
+	started := float64(p.inFlight - p.inFlightAtMeasure)
+	own, total := p.capacity, b.knownEngines.capacity
+	own.load += started
+	total.load += started
+	others := poolCapacity{limit: total.limit - own.limit, load: total.load - own.load}
+	if others.limit < 1 {
 		return 1
 	}
-	if mine.work >= mine.limit*max(1, rest.fullness()) {
+	if own.load >= own.limit*max(1, others.utilisation()) {
 		return 0
 	}
-	if all.work < mine.limit {
+	if total.load < own.limit {
 		return 1 // there would be room even for all work that there is
 	}
-	part := min(1, max(1, all.own)/all.work)
-	quota := part * mine.limit * max(1, all.fullness())
+	ownPart := min(1, max(1, total.ownLoad)/total.load)
+	quota := ownPart * own.limit * max(1, total.utilisation())
 	return min(1, max(0, quota-float64(p.inFlight)))
 }
--- a/internal/balance/room_test.go
+++ b/internal/balance/room_test.go
@@ -14,41 +14,41 @@
 )
 
 const (
-	roomNodes   = 12
-	roomEngines = 18
-	roomLimit   = 16
-	roomHold    = 10 * time.Second // that a request takes
-	roomLag     = time.Second      // by which reports are late
+	roomNodes       = 12
+	roomEngines     = 18
+	roomLimit       = 16
+	roomServiceTime = 10 * time.Second // duration of a request
+	roomReportLag   = time.Second      // delay of the reports
 )
 
-// roomFleet is nodes that share engines, of which only the first has the
-// version "new"; all have "old".
+// roomFleet simulates nodes that share engines. All engines have the version "old", and
+// only the first has "new".
 type roomFleet struct {
 	rng     *rand.Rand
 	now     time.Duration
 	nodes   []*Balancer
-	work    map[string]int
-	reports map[string]upstream.LoadReport // as they were a lag ago
-	running running
-	most    int // at the first engine
-	spent   int // on it, summed over the samples
+	load    map[string]int
+	reports map[string]upstream.LoadReport // delayed by the lag
+	running requestHeap
+	maxLoad int // of the first engine
+	loadSum int // of the first engine, summed over the samples
 	samples int
 }
 
-type run struct {
-	ends  time.Duration
-	node  *Balancer
-	vm    string
-	token Token
+type runningRequest struct {
+	endsAt time.Duration
+	node   *Balancer
+	vm     string
+	token  Token
 }
 
-type running []run
+type requestHeap []runningRequest
 
-func (r running) Len() int           { return len(r) }
-func (r running) Less(i, j int) bool { return r[i].ends < r[j].ends }
-func (r running) Swap(i, j int)      { r[i], r[j] = r[j], r[i] }
-func (r *running) Push(x any)        { *r = append(*r, x.(run)) }
-func (r *running) Pop() any {
+func (r requestHeap) Len() int           { return len(r) }
+func (r requestHeap) Less(i, j int) bool { return r[i].endsAt < r[j].endsAt }
+func (r requestHeap) Swap(i, j int)      { r[i], r[j] = r[j], r[i] }
+func (r *requestHeap) Push(x any)        { *r = append(*r, x.(runningRequest)) }
+func (r *requestHeap) Pop() any {
 	old := *r
 	last := old[len(old)-1]
 	*r = old[:len(old)-1]
@@ -56,7 +56,7 @@
 }
 
 func newRoomFleet() *roomFleet {
-	f := &roomFleet{rng: rand.New(rand.NewPCG(3, 4)), work: map[string]int{}, reports: map[string]upstream.LoadReport{}}
+	f := &roomFleet{rng: rand.New(rand.NewPCG(3, 4)), load: map[string]int{}, reports: map[string]upstream.LoadReport{}}
 	var vms []platform.VM
 	for i := range roomEngines {
 		id := fmt.Sprintf("engine%d", i)
@@ -70,45 +70,45 @@
 	return f
 }
 
-// pass lets requests come so often that so many run at a time, and says what
-// part of them found the new version's engine.
-func (f *roomFleet) pass(span time.Duration, atATime float64) float64 {
+// advance starts requests at the rate that keeps the given number in flight, and returns
+// the fraction of them that ran on the new version's engine.
+func (f *roomFleet) advance(span time.Duration, concurrency float64) float64 {
 	const step = 50 * time.Millisecond
-	f.most, f.spent, f.samples = 0, 0, 0
-	var all, new int
+	f.maxLoad, f.loadSum, f.samples = 0, 0, 0
+	var total, onNew int
 	for end := f.now + span; f.now < end; f.now += step {
-		f.finish()
-		if f.now%roomLag == 0 {
-			f.report()
+		f.finishDue()
+		if f.now%roomReportLag == 0 {
+			f.updateReports()
 		}
 		f.poll()
-		for due := atATime * float64(step) / float64(roomHold); due > f.rng.Float64(); due-- {
-			all++
-			if f.begin(f.nodes[f.rng.IntN(roomNodes)]) {
-				new++
+		for due := concurrency * float64(step) / float64(roomServiceTime); due > f.rng.Float64(); due-- {
+			total++
+			if f.startRequest(f.nodes[f.rng.IntN(roomNodes)]) {
+				onNew++
 			}
 		}
-		f.most = max(f.most, f.work["engine0"])
-		f.spent += f.work["engine0"]
+		f.maxLoad = max(f.maxLoad, f.load["engine0"])
+		f.loadSum += f.load["engine0"]
 		f.samples++
 	}
-	return float64(new) / float64(all)
+	return float64(onNew) / float64(total)
 }
 
 func (f *roomFleet) time() time.Time { return epoch.Add(f.now) }
 
-func (f *roomFleet) finish() {
-	for len(f.running) > 0 && f.running[0].ends <= f.now {
-		r := heap.Pop(&f.running).(run)
-		f.work[r.vm]--
-		r.node.Done(r.token, Result{FirstToken: time.Second, Latency: roomHold, Tokens: 100}, f.time())
+func (f *roomFleet) finishDue() {
+	for len(f.running) > 0 && f.running[0].endsAt <= f.now {
+		r := heap.Pop(&f.running).(runningRequest)
+		f.load[r.vm]--
+		r.node.Done(r.token, Result{FirstToken: time.Second, Latency: roomServiceTime, Tokens: 100}, f.time())
 	}
 }
 
-func (f *roomFleet) report() {
+func (f *roomFleet) updateReports() {
 	for i := range roomEngines {
 		id := fmt.Sprintf("engine%d", i)
-		r := upstream.LoadReport{Running: min(f.work[id], roomLimit), Queued: max(0, f.work[id]-roomLimit), Limit: roomLimit, Versions: []string{"old"}}
+		r := upstream.LoadReport{Running: min(f.load[id], roomLimit), Queued: max(0, f.load[id]-roomLimit), Limit: roomLimit, Versions: []string{"old"}}
 		if i == 0 {
 			r.Versions = []string{"new", "old"}
 		}
@@ -124,8 +124,8 @@
 	}
 }
 
-// begin runs a request, on the new version if there is room.
-func (f *roomFleet) begin(b *Balancer) bool {
+// startRequest starts a request, on the new version if there is room.
+func (f *roomFleet) startRequest(b *Balancer) bool {
 	version := "old"
 	if f.rng.Float64() < b.Room("new", f.time()).Share {
 		version = "new"
@@ -134,29 +134,30 @@
 	if !ok {
 		return false
 	}
-	f.work[p.VM.ID]++
-	heap.Push(&f.running, run{ends: f.now + roomHold, node: b, vm: p.VM.ID, token: p.Token})
+	f.load[p.VM.ID]++
+	heap.Push(&f.running, runningRequest{endsAt: f.now + roomServiceTime, node: b, vm: p.VM.ID, token: p.Token})
 	return version == "new"
 }
 
-// A new version is on one engine of eighteen, and the cheapest. Its callers
-// wait behind each other while seventeen engines have free places: all nodes
-// send it all their work, and all hear late that it is full.
-func TestVersionOnOneEngineGetsWhatItHasRoomFor(t *testing.T) {
+// TestVersionOnOneEngineIsNotOverloaded guards against requests that queue at one engine
+// while seventeen others have free slots. A new version is on one engine of eighteen and
+// is the cheapest. All nodes send it all their work, and delayed reports show too late
+// that it is full.
+func TestVersionOnOneEngineIsNotOverloaded(t *testing.T) {
 	is := is.New(t)
 	f := newRoomFleet()
-	f.pass(30*time.Second, 8)
-	share := f.pass(time.Minute, 8)
-	t.Logf("8 at a time: share %.3f", share)
-	is.True(share > 0.95) // all that there is fits into the engine
-	f.pass(30*time.Second, 170)
-	share = f.pass(5*time.Minute, 170)
-	mean := float64(f.spent) / float64(f.samples)
-	t.Logf("170 at a time: share %.3f, at the engine %.1f, at most %d", share, mean, f.most)
-	is.True(f.most <= 2*roomLimit)
-	is.True(mean > roomLimit/2) // and it is used
-	share = f.pass(5*time.Minute, 400)
-	mean = float64(f.spent) / float64(f.samples)
-	t.Logf("400 at a time: share %.3f, at the engine %.1f, at most %d", share, mean, f.most)
-	is.True(f.most <= 400/roomEngines*2)
+	f.advance(30*time.Second, 8)
+	share := f.advance(time.Minute, 8)
+	t.Logf("8 in flight: share %.3f", share)
+	is.True(share > 0.95) // all requests fit on the engine
+	f.advance(30*time.Second, 170)
+	share = f.advance(5*time.Minute, 170)
+	mean := float64(f.loadSum) / float64(f.samples)
+	t.Logf("170 in flight: share %.3f, load of the engine: mean %.1f, max %d", share, mean, f.maxLoad)
+	is.True(f.maxLoad <= 2*roomLimit)
+	is.True(mean > roomLimit/2) // and the engine is used
+	share = f.advance(5*time.Minute, 400)
+	mean = float64(f.loadSum) / float64(f.samples)
+	t.Logf("400 in flight: share %.3f, load of the engine: mean %.1f, max %d", share, mean, f.maxLoad)
+	is.True(f.maxLoad <= 400/roomEngines*2)
 }
--- a/internal/balance/round_robin.go
+++ b/internal/balance/round_robin.go
@@ -1,9 +1,9 @@
 package balance
 
-// roundRobin takes each upstream in turn, whatever its load.
+// roundRobin chooses each upstream in turn, whatever its load.
 type roundRobin struct{}
 
-func (roundRobin) choose(v *view) *host {
-	v.pool.turn++
-	return v.hosts[v.pool.turn%uint64(len(v.hosts))]
+func (roundRobin) choose(s *selection) *host {
+	s.pool.roundRobinCount++
+	return s.hosts[s.pool.roundRobinCount%uint64(len(s.hosts))]
 }
--- a/internal/balance/shared.go
+++ b/internal/balance/shared.go
@@ -2,17 +2,16 @@
 
 import "slices"
 
-// sharedPool is the upstreams of all versions that share upstreams with each
-// other, directly or by others between them: a place that one of the versions
-// takes is a place that the others lack.
+// sharedPool holds the upstreams of a set of versions that share upstreams, directly or
+// through other versions: a slot that one version takes is not available to the others.
 type sharedPool struct {
 	name  string
 	hosts []*host
 }
 
-// share joins the versions into shared pools.
-func (b *Balancer) share() {
-	clear(b.shared)
+// buildSharedPools groups the versions into shared pools.
+func (b *Balancer) buildSharedPools() {
+	clear(b.sharedPools)
 	names := make([]string, 0, len(b.versions))
 	for name, p := range b.versions {
 		if len(p.hosts) > 0 {
@@ -21,33 +20,34 @@
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		if b.shared[name] == nil {
-			b.spread(&sharedPool{name: name}, name)
+		if b.sharedPools[name] == nil {
+			b.addToSharedPool(&sharedPool{name: name}, name)
 		}
 	}
 }
 
-// spread takes a version into a shared pool, with all that it leads to.
-func (b *Balancer) spread(p *sharedPool, version string) {
-	b.shared[version] = p
+// addToSharedPool adds a version to a shared pool, and all versions connected to it by
+// common upstreams.
+func (b *Balancer) addToSharedPool(p *sharedPool, version string) {
+	b.sharedPools[version] = p
 	for _, h := range b.versions[version].hosts {
 		if slices.Contains(p.hosts, h) {
 			continue
 		}
 		p.hosts = append(p.hosts, h)
 		for _, other := range h.versions {
-			if b.shared[other] == nil {
-				b.spread(p, other)
+			if b.sharedPools[other] == nil {
+				b.addToSharedPool(p, other)
 			}
 		}
 	}
 }
 
-// PoolName names the shared pool of a version's upstreams: versions that share
-// upstreams have one name, and one queue is to admit to all of them. A version
-// that no upstream is known to have is a pool by itself.
+// PoolName returns the name of the shared pool of a version's upstreams. Versions that
+// share upstreams have the same name, and one admission queue serves them all. A version
+// without known upstreams is a pool by itself.
 func (b *Balancer) PoolName(version string) string {
-	if p := b.shared[version]; p != nil {
+	if p := b.sharedPools[version]; p != nil {
 		return p.name
 	}
 	return version
--- a/internal/balance/shortage.go
+++ b/internal/balance/shortage.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// The hints of when an upstream may be there again.
+// The delays after which an upstream may be available again.
 const (
-	retryNoneKnown = 5 * time.Second
-	retryLeaving   = 2 * time.Second
-	retryTried     = time.Second
-	retryLeast     = time.Second
+	retryAfterNoneKnown  = 5 * time.Second
+	retryAfterAllLeaving = 2 * time.Second
+	retryAfterAllTried   = time.Second
+	minRetryAfter        = time.Second
 )
 
-// shortage says why no upstream of the pool can be used.
+// shortage returns why no upstream of the pool can be used.
 func (b *Balancer) shortage(p *pool, now time.Duration) Shortage {
-	var listed, staying, failing, paced int
-	soonest := time.Duration(-1)
-	for _, h := range p.known() {
+	var listed, available, failing, paced int
+	minWait := time.Duration(-1)
+	for _, h := range p.members() {
 		if !h.listed {
 			continue
 		}
@@ -22,31 +22,31 @@
 		if h.leaving() {
 			continue
 		}
-		staying++
+		available++
 		var wait time.Duration
 		switch {
-		case !h.breaker.allows(now):
+		case !h.breaker.allowsRequest(now):
 			failing++
-			wait = h.breaker.until - now
-		case !b.admits(h, now):
+			wait = h.breaker.probeAt - now
+		case !b.maySend(h, now):
 			paced++
-			wait = b.pacedUntil(h, now) - now
+			wait = b.nextSendAt(h, now) - now
 		default:
 			continue
 		}
-		if soonest < 0 || wait < soonest {
-			soonest = wait
+		if minWait < 0 || wait < minWait {
+			minWait = wait
 		}
 	}
 	switch {
 	case listed == 0:
-		return Shortage{Reason: NoneKnown, RetryAfter: retryNoneKnown}
-	case staying == 0:
-		return Shortage{Reason: AllLeaving, RetryAfter: retryLeaving}
-	case failing == staying:
-		return Shortage{Reason: AllFailing, RetryAfter: max(soonest, retryLeast)}
-	case failing+paced == staying:
-		return Shortage{Reason: AllPaced, RetryAfter: max(soonest, retryLeast)}
+		return Shortage{Reason: NoneKnown, RetryAfter: retryAfterNoneKnown}
+	case available == 0:
+		return Shortage{Reason: AllLeaving, RetryAfter: retryAfterAllLeaving}
+	case failing == available:
+		return Shortage{Reason: AllFailing, RetryAfter: max(minWait, minRetryAfter)}
+	case failing+paced == available:
+		return Shortage{Reason: AllPaced, RetryAfter: max(minWait, minRetryAfter)}
 	}
-	return Shortage{Reason: AllTried, RetryAfter: retryTried}
+	return Shortage{Reason: AllTried, RetryAfter: retryAfterAllTried}
 }
--- a/internal/balance/slots.go
+++ b/internal/balance/slots.go
@@ -2,57 +2,57 @@
 
 import "time"
 
-// slot is one attempt in flight.
-type slot struct {
+// attempt is one attempt in flight.
+type attempt struct {
 	host       *host
 	pool       *pool
 	version    string
 	generation uint32
 	started    time.Duration
-	// answered is set once the first piece has come.
-	answered bool
-	alone    bool
-	next     uint32 // free list; 0 ends it
+	// firstTokenSeen is set once the first piece of the answer has come.
+	firstTokenSeen bool
+	isolated       bool
+	nextFree       uint32 // free list; 0 ends it
 }
 
-// slots holds the attempts in flight without an allocation for each.
-type slots struct {
-	list []slot // entry 0 is never used
-	free uint32
+// attemptTable holds the attempts in flight without an allocation for each.
+type attemptTable struct {
+	entries  []attempt // entry 0 is never used
+	freeHead uint32
 }
 
-func (s *slots) take(attempt slot) Token {
-	if len(s.list) == 0 {
-		s.list = append(s.list, slot{})
+func (table *attemptTable) add(a attempt) Token {
+	if len(table.entries) == 0 {
+		table.entries = append(table.entries, attempt{})
 	}
-	if s.free == 0 {
-		s.list = append(s.list, slot{})
-		s.free = uint32(len(s.list) - 1)
+	if table.freeHead == 0 {
+		table.entries = append(table.entries, attempt{})
+		table.freeHead = uint32(len(table.entries) - 1)
 	}
-	index := s.free
-	e := &s.list[index]
-	s.free = e.next
-	attempt.generation = e.generation + 1
-	*e = attempt
-	return Token{slot: index, generation: e.generation}
+	index := table.freeHead
+	e := &table.entries[index]
+	table.freeHead = e.nextFree
+	a.generation = e.generation + 1
+	*e = a
+	return Token{index: index, generation: e.generation}
 }
 
-// get returns the attempt, or nil when it has been done: a token told twice
-// must not count an upstream's requests below what they are.
-func (s *slots) get(t Token) *slot {
-	if int(t.slot) >= len(s.list) {
+// get returns the attempt, or nil when it is already done. Counting a token twice would
+// take an upstream's requests in flight below their true number.
+func (table *attemptTable) get(t Token) *attempt {
+	if int(t.index) >= len(table.entries) {
 		return nil
 	}
-	e := &s.list[t.slot]
+	e := &table.entries[t.index]
 	if e.host == nil || e.generation != t.generation {
 		return nil
 	}
 	return e
 }
 
-func (s *slots) release(t Token) {
-	e := &s.list[t.slot]
+func (table *attemptTable) release(t Token) {
+	e := &table.entries[t.index]
 	e.host = nil
-	e.next = s.free
-	s.free = t.slot
+	e.nextFree = table.freeHead
+	table.freeHead = t.index
 }
--- a/internal/balance/status.go
+++ b/internal/balance/status.go
@@ -6,26 +6,26 @@
 	"github.com/hickorybank/hickorybank/internal/platform"
 )
 
-// HostStatus is what the balancer holds of one upstream.
+// HostStatus is the balancer's state of one upstream.
 type HostStatus struct {
 	VM       platform.VM
 	InFlight int
 	Versions []string
 	Leaving  bool
-	// Open is set while the breaker keeps requests away.
+	// Open is set while the breaker withholds requests.
 	Open bool
-	// Ejected is set while the upstream counts as slow but alive.
+	// Ejected is set while the upstream is ejected as slow or failing.
 	Ejected bool
-	// Resting is set while it wants nothing from this node, Limited while it names a rate
-	// limit.
+	// Resting is set while the upstream asks this node to send nothing, Limited while it
+	// announces a rate limit.
 	Resting, Limited bool
-	// ReportAge is the age of its last load report; negative: there is none.
+	// ReportAge is the age of the last load report; it is negative when there is none.
 	ReportAge time.Duration
 }
 
-// Status describes the upstreams of the subset, for operators and metrics.
+// Status returns the state of this node's upstreams, for operators and metrics.
 func (b *Balancer) Status(now time.Time) []HostStatus {
-	t := b.since(now)
+	t := b.sinceBase(now)
 	list := make([]HostStatus, 0, len(b.order))
 	for _, h := range b.order {
 		list = append(list, h.status(t))
@@ -41,11 +41,11 @@
 		Leaving:   h.leaving(),
 		Open:      h.breaker.open(),
 		Ejected:   h.outlier.ejected(now),
-		Resting:   now < h.restUntil,
-		Limited:   h.limit.Named,
+		Resting:   now < h.backoffUntil,
+		Limited:   h.rateLimit.Named,
 		ReportAge: -1,
 	}
-	if h.report.have {
+	if h.report.received {
 		s.ReportAge = now - h.report.at
 	}
 	return s
--- a/internal/balance/subset.go
+++ b/internal/balance/subset.go
@@ -7,65 +7,64 @@
 	"github.com/hickorybank/hickorybank/internal/platform"
 )
 
-// ownShare is the part of a subset that is in the node's own failure domain,
-// as far as there are so many: 3 of 4.
+// ownDomainNumerator of ownDomainDenominator upstreams in a subset, 3 of 4, are in the
+// node's own failure domain if it has that many.
 const (
-	ownShareOf   = 4
-	ownShareTake = 3
+	ownDomainDenominator = 4
+	ownDomainNumerator   = 3
 )
 
-// member is one upstream of the list with its hash.
+// member is a listed upstream with its hash.
 type member struct {
 	vm   *platform.VM
 	hash uint64
 }
 
-// subset is which upstreams of a group a node deals with, and in which order
-// it looks at the rest.
+// subset is a node's selection from a group of upstreams, with the unselected ones in
+// search order.
 type subset struct {
-	chosen []member
-	rest   []member
+	selected   []member
+	unselected []member
 }
 
-// chooseSubset gives the node at place its part of the group.
+// chooseSubset selects size upstreams of the group for the node at place.
 //
-// All nodes order the group by the same hash, and each takes the window that
-// begins at its rank's share of that order. So every upstream falls into the
-// windows of about equally many nodes; a random choice would leave some
-// upstreams with twice the nodes of others. A member that comes or goes moves
-// the order by one, and so a window by one at its ends.
+// All nodes sort the group by the same hash, and each takes the window that starts at its
+// rank's share of that order. So about equally many nodes select each upstream; with
+// random selection some upstreams would have twice the nodes of others. A member that
+// joins or leaves shifts the order by one, and so changes a window by one at its ends.
 func chooseSubset(group []member, domain string, place Place, size int) subset {
-	own, others, rank := split(group, domain)
-	fromOwn := min(len(own), max(size*ownShareTake/ownShareOf, size-len(others)))
-	fromOthers := min(len(others), size-fromOwn)
-	ownAt := place.offset(0, 1, len(own))
-	othersAt := place.offset(rank.index, rank.of, len(others))
+	local, remote, rank := splitByDomain(group, domain)
+	localCount := min(len(local), max(size*ownDomainNumerator/ownDomainDenominator, size-len(remote)))
+	remoteCount := min(len(remote), size-localCount)
+	localOffset := place.offset(0, 1, len(local))
+	remoteOffset := place.offset(rank.index, rank.count, len(remote))
 	var s subset
-	s.chosen = append(window(own, ownAt, fromOwn), window(others, othersAt, fromOthers)...)
-	s.rest = append(window(own, ownAt+fromOwn, len(own)-fromOwn), window(others, othersAt+fromOthers, len(others)-fromOthers)...)
+	s.selected = append(window(local, localOffset, localCount), window(remote, remoteOffset, remoteCount)...)
+	s.unselected = append(window(local, localOffset+localCount, len(local)-localCount), window(remote, remoteOffset+remoteCount, len(remote)-remoteCount)...)
 	return s
 }
 
-// domainRank is a failure domain's rank among all.
+// domainRank is a failure domain's position among all failure domains, sorted by name.
 type domainRank struct {
 	index int
-	of    int
+	count int
 }
 
-func split(group []member, domain string) (own, others []member, rank domainRank) {
+func splitByDomain(group []member, domain string) (local, remote []member, rank domainRank) {
 	slices.SortFunc(group, byHash)
 	names := []string{domain}
 	for _, m := range group {
 		if m.vm.FailureDomain == domain {
-			own = append(own, m)
+			local = append(local, m)
 			continue
 		}
-		others = append(others, m)
+		remote = append(remote, m)
 		names = append(names, m.vm.FailureDomain)
 	}
 	slices.Sort(names)
 	names = slices.Compact(names)
-	return own, others, domainRank{index: slices.Index(names, domain), of: len(names)}
+	return local, remote, domainRank{index: slices.Index(names, domain), count: len(names)}
 }
 
 func byHash(a, b member) int {
@@ -75,9 +74,8 @@
 	return cmp.Compare(a.vm.ID, b.vm.ID)
 }
 
-// offset is where the node's window begins in a ring of n. The nodes of each
-// failure domain are spread over the whole ring, those of different domains
-// between each other.
+// offset returns where the node's window starts in a ring of n. The nodes of each failure
+// domain are spread over the whole ring; those of different domains are interleaved.
 func (p Place) offset(index, parts, n int) int {
 	if n == 0 {
 		return 0
@@ -86,11 +84,11 @@
 	return (p.Index*parts + index) * n / (parts * count) % n
 }
 
-// window returns count members of the ring from at on.
-func window(ring []member, at, count int) []member {
-	out := make([]member, 0, count)
-	for i := range count {
-		out = append(out, ring[(at+i)%len(ring)])
+// window returns n members of the ring from start on.
+func window(ring []member, start, n int) []member {
+	out := make([]member, 0, n)
+	for i := range n {
+		out = append(out, ring[(start+i)%len(ring)])
 	}
 	return out
 }
--- a/internal/balance/two_choices.go
+++ b/internal/balance/two_choices.go
@@ -1,18 +1,18 @@
 package balance
 
-// twoChoices takes the better one of two upstreams drawn at random. The draw
-// keeps nodes that hold the same lagging reports from choosing alike.
+// twoChoices chooses the better one of two random upstreams. The random draw keeps nodes
+// with the same delayed reports from choosing alike.
 type twoChoices struct{}
 
-func (twoChoices) choose(v *view) *host {
-	n := uint64(len(v.hosts))
-	first := v.hosts[v.random%n]
+func (twoChoices) choose(s *selection) *host {
+	n := uint64(len(s.hosts))
+	first := s.hosts[s.random%n]
 	if n == 1 {
 		return first
 	}
-	rest := v.random / n
-	second := v.hosts[(v.random%n+1+rest%(n-1))%n]
-	if v.score(second) < v.score(first) {
+	remaining := s.random / n
+	second := s.hosts[(s.random%n+1+remaining%(n-1))%n]
+	if s.score(second) < s.score(first) {
 		return second
 	}
 	return first
