--- a/internal/admission/bench_test.go
+++ b/internal/admission/bench_test.go
@@ -10,7 +10,7 @@
 	"github.com/hickorybank/hickorybank/internal/config"
 )
 
-// BenchmarkOffer is one request's Offer, Finish and Next, with others waiting.
+// BenchmarkOffer measures one request's Offer, Finish and Next while others wait.
 func BenchmarkOffer(b *testing.B) {
 	for _, waiting := range []int{0, 32, 128, 512} {
 		b.Run(strconv.Itoa(waiting), func(b *testing.B) { benchOffer(b, waiting) })
@@ -48,7 +48,7 @@
 	}
 }
 
-// BenchmarkRateAllow is one check of an organisation's limit.
+// BenchmarkRateAllow measures one check of an organisation's limit.
 func BenchmarkRateAllow(b *testing.B) {
 	l := NewRateLimiter(RateSettings{Self: "a"})
 	l.SetLimits([]Limit{{Org: "org", PerSecond: 1e6}}, epoch)
@@ -61,8 +61,8 @@
 	}
 }
 
-// BenchmarkSummary is one period of a node: its summary to a holder, the
-// holder's work and the grant, with their bytes.
+// BenchmarkSummary measures one period of a node: its summary to a holder, the holder's
+// work and the grant, with their size in bytes.
 func BenchmarkSummary(b *testing.B) {
 	for _, orgs := range []int{1, 10, 100} {
 		b.Run(strconv.Itoa(orgs), func(b *testing.B) { benchSummary(b, orgs) })
@@ -101,7 +101,7 @@
 	b.ReportMetric(float64(out.n)/float64(b.N), "payload-B/op")
 }
 
-// countingWriter counts what is written to it.
+// countingWriter counts the bytes written to it.
 type countingWriter struct{ n int }
 
 func (w *countingWriter) Write(p []byte) (int, error) {
--- a/internal/admission/book.go
+++ b/internal/admission/book.go
@@ -3,73 +3,76 @@
 import "time"
 
 const (
-	// leastDemand keeps a little for a node whose demand has just ended, in
-	// requests a second.
-	leastDemand = 0.01
-	// forgetAfter is when a node that says nothing more of an organisation is
-	// taken to have no demand.
-	forgetAfter = 15 * time.Second
+	// minDemand, in requests per second, is added to every demand, so that a node whose
+	// demand has just ended keeps a small share.
+	minDemand = 0.01
+	// nodeShareTTL is the time after a node's last report of an organisation until its
+	// demand is dropped.
+	nodeShareTTL = 15 * time.Second
 )
 
-// book is one organisation's limit and who has which part of it.
-type book struct {
-	// since is when the holder first heard of the organisation.
-	since time.Duration
-	lines map[string]*line // by node
+// allocation divides one organisation's limit, or one failure domain's share of it, among
+// nodes.
+type allocation struct {
+	// createdAt is when the organisation was first reported here.
+	createdAt time.Duration
+	nodes     map[string]*nodeShare // by node
 }
 
-// term is when a grant is given and for how long.
-type term struct {
+// lease is the start and the duration of a grant.
+type lease struct {
 	now      time.Duration
 	grantFor time.Duration
 }
 
-func (t term) ends() time.Duration { return t.now + t.grantFor }
+func (l lease) expiresAt() time.Duration { return l.now + l.grantFor }
 
-// renew takes a node's demand and returns its share. A summary that was
-// overtaken by a later one gets none; one that came twice gets its share again.
-func (b *book) renew(s Summary, d Demand, whole float64, t term) (float64, bool) {
-	l := b.lines[s.From]
-	if l == nil {
-		l = &line{}
-		b.lines[s.From] = l
+// renew updates a node's demand and returns its share of total, in requests per second. A
+// summary that is older than the last one gets no share; a repeated one gets the same
+// share again.
+func (a *allocation) renew(summary Summary, demand Demand, total float64, l lease) (float64, bool) {
+	n := a.nodes[summary.From]
+	if n == nil {
+		n = &nodeShare{}
+		a.nodes[summary.From] = n
 	}
-	if s.Seq < l.seq {
+	if summary.Seq < n.seq {
 		return 0, false
 	}
-	if s.Seq == l.seq {
-		return l.granted, true
+	if summary.Seq == n.seq {
+		return n.granted, true
 	}
-	l.report(d, t)
-	b.forget(t.now)
-	share := b.share(l, whole, t)
-	l.grant(share, s.Seq, t)
+	n.applyDemand(demand, l)
+	a.dropExpired(l.now)
+	share := a.share(n, total, l)
+	n.setGrant(share, summary.Seq, l)
 	return share, true
 }
 
-// share is the node's part of the whole by demand, as far as the others'
-// grants that still count leave room.
-func (b *book) share(l *line, whole float64, t term) float64 {
+// share returns the node's part of total in proportion to demand, bounded by what the
+// valid grants of the other nodes leave.
+func (a *allocation) share(n *nodeShare, total float64, l lease) float64 {
 	var demands, others float64
-	for _, o := range b.lines {
-		demands += o.demand + leastDemand
-		if o != l {
-			others += o.holds(t.now)
+	for _, other := range a.nodes {
+		demands += other.demand + minDemand
+		if other != n {
+			others += other.held(l.now)
 		}
 	}
-	share := whole * (l.demand + leastDemand) / demands
-	if t.now < b.since+t.grantFor {
-		// Grants of an earlier holder may still count that this one has
-		// not heard of: no node may get more than it holds.
-		share = min(share, l.holds(t.now))
+	share := total * (n.demand + minDemand) / demands
+	if l.now < a.createdAt+l.grantFor {
+		// Grants of a previous holder that have not been reported here may still be
+		// valid, so no node may get more than it already holds.
+		share = min(share, n.held(l.now))
 	}
-	return max(0, min(share, whole-others))
+	return max(0, min(share, total-others))
 }
 
-func (b *book) forget(now time.Duration) {
-	for id, l := range b.lines {
-		if l.holds(now) == 0 && now > l.heard+forgetAfter {
-			delete(b.lines, id)
+// dropExpired removes the nodes without a valid grant or a recent report.
+func (a *allocation) dropExpired(now time.Duration) {
+	for id, n := range a.nodes {
+		if n.held(now) == 0 && now > n.reportedAt+nodeShareTTL {
+			delete(a.nodes, id)
 		}
 	}
 }
--- a/internal/admission/collected.go
+++ b/internal/admission/collected.go
@@ -5,126 +5,128 @@
 	"time"
 )
 
-// A change of a sum is told before the share has to be renewed when it is at
-// least this part of the sum, and of the limit: smaller ones are chance.
+// An organisation's demand or use is reported before its share must be renewed when it
+// has changed by at least significantChange of its value and by significantLimitPart of
+// the limit. Smaller changes are random variation.
 const (
-	changedBy  = 0.25
-	changedFor = 0.02
+	significantChange    = 0.25
+	significantLimitPart = 0.02
 )
 
-// neverNew is when a collector's books began: unlike a holder it has nothing
-// to wait for, as it gives away only what a grant to itself allows.
-const neverNew = time.Duration(math.MinInt64 / 2)
+// longAgo is the creation time of a collector's allocations. Unlike a holder, a collector
+// need not wait for older grants to expire, because it divides only what was granted to
+// itself.
+const longAgo = time.Duration(math.MinInt64 / 2)
 
-// collected is a failure domain's part of one organisation's limit.
-type collected struct {
-	org        string
-	holder     string // empty when the nodes have changed since
-	book       book
-	most       float64 // that all domains together may get
-	granted    float64
-	seq        uint64 // of the grant
-	until      time.Duration
-	told       float64
-	toldAt     time.Duration
-	toldAny    bool
-	toldHeld   float64
-	asked      uint64 // the Seq of the last sum
-	hurryUntil time.Duration
+// domainShare is a failure domain's share of one organisation's limit.
+type domainShare struct {
+	org            string
+	holder         string // empty when the nodes have changed since
+	allocation     allocation
+	maxTotal       float64 // bound for the shares of all domains together
+	granted        float64
+	seq            uint64 // of the grant
+	expiresAt      time.Duration
+	reportedDemand float64
+	reportedAt     time.Duration
+	hasReported    bool
+	reportedHeld   float64
+	reportedSeq    uint64 // the Seq of the last report
+	fastUntil      time.Duration
 }
 
-// divide takes a node's demand and returns its part. One that came twice gets
-// none: the share may have been renewed between, and the node would count it
-// for longer than its line does.
-func (o *collected) divide(s Summary, d Demand, most float64, t term) (Share, bool) {
-	if l := o.book.lines[s.From]; l != nil && s.Seq <= l.seq {
+// grantNode updates a node's demand and returns its part of the domain's share. A
+// repeated summary gets none: the share may have been renewed in between, and the node
+// would then use it for longer than its nodeShare records.
+func (d *domainShare) grantNode(summary Summary, demand Demand, maxTotal float64, l lease) (Share, bool) {
+	if n := d.allocation.nodes[summary.From]; n != nil && summary.Seq <= n.seq {
 		return Share{}, false
 	}
-	// What the node holds of another collector counts in that one's share.
-	d.Held = 0
-	o.most = most
-	whole := min(o.share(t.now), most)
-	left := o.until - t.now
+	// What the node still holds from another collector counts in that collector's share.
+	demand.Held = 0
+	d.maxTotal = maxTotal
+	total := min(d.share(l.now), maxTotal)
+	remaining := d.expiresAt - l.now
 	valid := time.Duration(0)
-	if whole > 0 && left < t.grantFor {
-		t.grantFor = left
-		valid = left
+	if total > 0 && remaining < l.grantFor {
+		l.grantFor = remaining
+		valid = remaining
 	}
-	share, ok := o.book.renew(s, d, whole, t)
-	return Share{Org: o.org, PerSecond: share, Valid: valid}, ok
+	share, ok := d.allocation.renew(summary, demand, total, l)
+	return Share{Org: d.org, PerSecond: share, Valid: valid}, ok
 }
 
-// share is the domain's share while it counts.
-func (o *collected) share(now time.Duration) float64 {
-	if now >= o.until {
+// share returns the domain's share, or 0 after it has expired.
+func (d *domainShare) share(now time.Duration) float64 {
+	if now >= d.expiresAt {
 		return 0
 	}
-	return o.granted
+	return d.granted
 }
 
-// demand is the sum over the nodes that were heard of lately.
-func (o *collected) demand(now time.Duration) float64 {
+// demand returns the sum of the demands that nodes have reported recently.
+func (d *domainShare) demand(now time.Duration) float64 {
 	var sum float64
-	for _, l := range o.book.lines {
-		if now <= l.heard+heardFor {
-			sum += l.demand
+	for _, n := range d.allocation.nodes {
+		if now <= n.reportedAt+demandTTL {
+			sum += n.demand
 		}
 	}
 	return sum
 }
 
-// held is what the nodes may use.
-func (o *collected) held(now time.Duration) float64 {
+// held returns the sum of what the nodes may use.
+func (d *domainShare) held(now time.Duration) float64 {
 	var sum float64
-	for _, l := range o.book.lines {
-		sum += l.holds(now)
+	for _, n := range d.allocation.nodes {
+		sum += n.held(now)
 	}
 	return sum
 }
 
-// due says that the holder must hear of the organisation.
-func (o *collected) due(now time.Duration, s RateSettings) bool {
-	if !o.toldAny {
+// reportDue reports whether the organisation must be reported to its holder.
+func (d *domainShare) reportDue(now time.Duration, settings RateSettings) bool {
+	if !d.hasReported {
 		return true
 	}
-	demand := o.demand(now)
-	if muchChanged(o.told, demand) {
-		o.hurryUntil = now + hurryFor
+	demand := d.demand(now)
+	if changedSharply(d.reportedDemand, demand) {
+		d.fastUntil = now + fastReportFor
 	}
-	gap := now - o.toldAt
+	sinceReport := now - d.reportedAt
 	switch {
-	case now < o.hurryUntil, o.toldHeld-o.uses(now) > max(changedBy*o.toldHeld, changedFor*o.most):
-		return gap >= hurryPeriod
-	case o.seq < o.asked, math.Abs(demand-o.told) > max(changedBy*o.told, changedFor*o.most):
-		return gap >= s.Period
+	case now < d.fastUntil, d.reportedHeld-d.maxUse(now) > max(significantChange*d.reportedHeld, significantLimitPart*d.maxTotal):
+		return sinceReport >= fastReportPeriod
+	case d.seq < d.reportedSeq, math.Abs(demand-d.reportedDemand) > max(significantChange*d.reportedDemand, significantLimitPart*d.maxTotal):
+		return sinceReport >= settings.Period
 	}
-	return gap >= s.SumPeriod
+	return sinceReport >= settings.SumPeriod
 }
 
-// grant takes the holder's grant.
-func (o *collected) grant(share float64, seq uint64, until time.Duration) {
-	o.granted = share
-	o.seq = seq
-	o.until = until
+// setGrant records the holder's grant.
+func (d *domainShare) setGrant(share float64, seq uint64, expiresAt time.Duration) {
+	d.granted = share
+	d.seq = seq
+	d.expiresAt = expiresAt
 }
 
-func (o *collected) holderOf(nodes []string) string {
-	if o.holder == "" {
-		o.holder = HolderOf(o.org, nodes)
+func (d *domainShare) holderOf(nodes []string) string {
+	if d.holder == "" {
+		d.holder = HolderOf(d.org, nodes)
 	}
-	return o.holder
+	return d.holder
 }
 
-// uses is the most that the nodes may use until the next grant: the share, which
-// the collector may still divide, or what they hold of a larger one before it.
-func (o *collected) uses(now time.Duration) float64 { return max(o.share(now), o.held(now)) }
+// maxUse returns the most that the nodes may use until the next grant. That is the share,
+// which the collector may still divide, or what they hold of a larger one before it.
+func (d *domainShare) maxUse(now time.Duration) float64 { return max(d.share(now), d.held(now)) }
 
-// report is the sum for the holder.
-func (o *collected) report(seq uint64, now time.Duration) Demand {
-	o.told = o.demand(now)
-	o.toldAt = now
-	o.toldAny = true
-	o.toldHeld = o.uses(now)
-	o.asked = seq
-	return Demand{Org: o.org, PerSecond: o.told, Held: o.toldHeld, HeldSeq: o.seq}
+// report returns the summed demand for the holder and records it as reported.
+func (d *domainShare) report(seq uint64, now time.Duration) Demand {
+	d.reportedDemand = d.demand(now)
+	d.reportedAt = now
+	d.hasReported = true
+	d.reportedHeld = d.maxUse(now)
+	d.reportedSeq = seq
+	return Demand{Org: d.org, PerSecond: d.reportedDemand, Held: d.reportedHeld, HeldSeq: d.seq}
 }
--- a/internal/admission/decision.go
+++ b/internal/admission/decision.go
@@ -6,16 +6,16 @@
 	"github.com/hickorybank/hickorybank/internal/request"
 )
 
-// Verdict is what becomes of a request.
+// Verdict is the outcome of admission for a request.
 type Verdict int
 
 // The verdicts.
 const (
-	// Run: start it now; it counts as running until Finish.
+	// Run: start the request now. It counts as running until Finish or Cancel.
 	Run Verdict = iota
-	// Queued: wait for a Decision of Next.
+	// Queued: the request waits for a Decision from Next.
 	Queued
-	// Refused: it was not run and will not be.
+	// Refused: the request has not run and will not run.
 	Refused
 )
 
@@ -23,7 +23,8 @@
 type Decision struct {
 	ID      string
 	Verdict Verdict
-	// Code and RetryAfter are set when Refused.
+	// Code and RetryAfter are set when Verdict is Refused. RetryAfter is 0 for a
+	// duplicate ID.
 	Code       request.Code
 	RetryAfter time.Duration
 }
--- a/internal/admission/defaults.go
+++ b/internal/admission/defaults.go
@@ -18,40 +18,40 @@
 )
 
 func (s Settings) withDefaults() Settings {
-	orInt(&s.MaxQueued, defaultMaxQueued)
-	orInt(&s.MaxQueuedPerOrganisation, defaultMaxQueuedPerOrg)
-	orFloat(&s.ImmediateFloor, defaultImmediateFloor)
-	orFloat(&s.DeferrableShare, defaultDeferrableShare)
-	orDuration(&s.MaxWait.Immediate, defaultImmediateWait)
-	orDuration(&s.MaxWait.Heavy, defaultHeavyWait)
-	orDuration(&s.MaxWait.Deferrable, defaultDeferrableWait)
+	defaultInt(&s.MaxQueued, defaultMaxQueued)
+	defaultInt(&s.MaxQueuedPerOrganisation, defaultMaxQueuedPerOrg)
+	defaultFloat(&s.ImmediateFloor, defaultImmediateFloor)
+	defaultFloat(&s.DeferrableShare, defaultDeferrableShare)
+	defaultDuration(&s.MaxWait.Immediate, defaultImmediateWait)
+	defaultDuration(&s.MaxWait.Heavy, defaultHeavyWait)
+	defaultDuration(&s.MaxWait.Deferrable, defaultDeferrableWait)
 	s.Limit = s.Limit.withDefaults()
 	return s
 }
 
 func (s LimitSettings) withDefaults() LimitSettings {
-	orInt(&s.Initial, defaultInitialLimit)
-	orInt(&s.Min, defaultMinLimit)
-	orInt(&s.Max, defaultMaxLimit)
-	orFloat(&s.Tolerance, defaultTolerance)
-	orDuration(&s.Window, defaultWindow)
+	defaultInt(&s.Initial, defaultInitialLimit)
+	defaultInt(&s.Min, defaultMinLimit)
+	defaultInt(&s.Max, defaultMaxLimit)
+	defaultFloat(&s.Tolerance, defaultTolerance)
+	defaultDuration(&s.Window, defaultWindow)
 	return s
 }
 
-func orInt(v *int, otherwise int) {
+func defaultInt(v *int, fallback int) {
 	if *v == 0 {
-		*v = otherwise
+		*v = fallback
 	}
 }
 
-func orFloat(v *float64, otherwise float64) {
+func defaultFloat(v *float64, fallback float64) {
 	if *v == 0 {
-		*v = otherwise
+		*v = fallback
 	}
 }
 
-func orDuration(v *time.Duration, otherwise time.Duration) {
+func defaultDuration(v *time.Duration, fallback time.Duration) {
 	if *v == 0 {
-		*v = otherwise
+		*v = fallback
 	}
 }
--- a/internal/admission/demand_rate.go
+++ b/internal/admission/demand_rate.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// demandHalfLife smooths the rate of requests offered.
+// demandHalfLife is the half-life of the smoothed request rate.
 const demandHalfLife = time.Second
 
 // demandRate is an exponentially smoothed rate of events.
 type demandRate struct {
 	perSecond float64
-	last      time.Duration
+	updatedAt time.Duration
 }
 
 func (d *demandRate) decay(now time.Duration) {
-	if now <= d.last {
+	if now <= d.updatedAt {
 		return
 	}
-	d.perSecond *= math.Exp2(-float64(now-d.last) / float64(demandHalfLife))
-	d.last = now
+	d.perSecond *= math.Exp2(-float64(now-d.updatedAt) / float64(demandHalfLife))
+	d.updatedAt = now
 }
 
 // add counts one event.
--- a/internal/admission/doc.go
+++ b/internal/admission/doc.go
@@ -1,8 +1,8 @@
 // Package admission decides which requests run, wait or are refused.
 //
-// Its types are cores without I/O: they take events with their time and return
-// decisions. They have no goroutine, clock or lock; one goroutine owns each, or
-// its caller locks around each method. A node holds one [Queue] for all its
-// pools, one [RetryBudget], and one [RateLimiter] for organisations' limits
-// that hold over all nodes; a [RateHolder] re-divides these limits.
+// Its types do no I/O and have no goroutine, clock or lock: callers pass in events with
+// their time and receive decisions. Their methods are not safe for concurrent use. A node
+// has one [Queue] for all its pools and one [RetryBudget]. One [RateLimiter] enforces the
+// organisations' limits that apply across all nodes, and a [RateHolder] divides such
+// limits among the nodes, directly or through the [RateCollector] of each failure domain.
 package admission
--- a/internal/admission/flow.go
+++ b/internal/admission/flow.go
@@ -2,17 +2,17 @@
 
 import "container/heap"
 
-// flow is one organisation's waiting requests in one lane.
+// flow holds one organisation's waiting requests in one lane.
 type flow struct {
 	org    string
 	weight float64
-	// finish is the virtual time at which what the organisation has had so far
-	// is paid for.
+	// finish is the virtual time at which the organisation has paid for the work served
+	// so far.
 	finish float64
 	queues [ranks]byDeadline
 	costs  [ranks]float64
 	queued int
-	// served counts what heavy and deferrable work have had, by their shares.
+	// served is the cost of heavy and deferrable work served, each divided by its share.
 	served [ranks]float64
 }
 
@@ -31,23 +31,22 @@
 	}
 }
 
-// cost is that of all that waits.
+// cost returns the cost of all waiting requests.
 func (f *flow) cost() float64 {
 	return f.costs[rankImmediate] + f.costs[rankHeavy] + f.costs[rankDeferrable]
 }
 
-// next is the ticket that the organisation is served next; the flow is not
-// empty.
+// next returns the organisation's next ticket; the flow must not be empty.
 func (f *flow) next(deferrable float64) *ticket {
 	if len(f.queues[rankImmediate]) > 0 {
 		return f.queues[rankImmediate][0]
 	}
-	return f.queues[f.turn(deferrable)][0]
+	return f.queues[f.nextRank(deferrable)][0]
 }
 
-// turn says whether heavy or deferrable work is next: deferrable work has its
+// nextRank returns whether heavy or deferrable work is next. Deferrable work gets its
 // share while both wait.
-func (f *flow) turn(deferrable float64) rank {
+func (f *flow) nextRank(deferrable float64) rank {
 	if len(f.queues[rankHeavy]) == 0 {
 		return rankDeferrable
 	}
@@ -60,8 +59,8 @@
 	return rankHeavy
 }
 
-// charge counts what was served against the rank's share. A rank that was
-// idle cannot save up its share.
+// charge counts a served ticket against its rank's share. A rank does not accumulate
+// credit while it is idle.
 func (f *flow) charge(t *ticket, deferrable float64) {
 	switch t.rank {
 	case rankHeavy:
@@ -72,35 +71,35 @@
 		return
 	}
 	if len(f.queues[rankHeavy]) == 0 || len(f.queues[rankDeferrable]) == 0 {
-		most := max(f.served[rankHeavy], f.served[rankDeferrable])
-		f.served[rankHeavy], f.served[rankDeferrable] = most, most
+		highest := max(f.served[rankHeavy], f.served[rankDeferrable])
+		f.served[rankHeavy], f.served[rankDeferrable] = highest, highest
 	}
 }
 
-// aheadOf is the cost of the organisation's own requests that go before a new
-// one of the rank.
-func (f *flow) aheadOf(r rank) float64 {
+// costAhead returns the cost of the organisation's own requests that go before a new one
+// of the rank.
+func (f *flow) costAhead(r rank) float64 {
 	if r == rankHeavy {
 		return f.costs[rankHeavy]
 	}
 	return f.cost()
 }
 
-// before is the cost of those waiting requests that start before a virtual
-// time, when the first one starts at first.
-func (f *flow) before(first, until float64) float64 {
+// costBefore returns the cost of the waiting requests that start before the virtual time
+// until, if the first one starts at first.
+func (f *flow) costBefore(first, until float64) float64 {
 	if first > until {
 		return 0
 	}
 	return min(f.cost(), (until-first)*f.weight+f.cost()/float64(f.queued))
 }
 
-// last is the waiting request that can best be spared: deferrable before
-// heavy, and of those the one with the latest deadline.
-func (f *flow) last() *ticket {
+// leastUrgent returns the waiting ticket to drop first: deferrable before heavy work,
+// then the latest deadline.
+func (f *flow) leastUrgent() *ticket {
 	for r := ranks - 1; r >= 0; r-- {
 		if len(f.queues[r]) > 0 {
-			return f.queues[r].last()
+			return f.queues[r].latest()
 		}
 	}
 	return nil
--- a/internal/admission/lane.go
+++ b/internal/admission/lane.go
@@ -1,22 +1,22 @@
 package admission
 
-// lane is waiting requests of one pool: one lane has the immediate ones, one
-// the others. It serves the organisations by start-time fair queueing: each
-// request starts at the virtual time at which its organisation's earlier ones
-// are paid for, the lowest start is served first, and costs count by the
-// organisation's weight. Within an organisation heavy work goes before
-// deferrable work, but for a share, and within these the earliest deadline
-// goes first.
+// lane holds waiting requests of one pool: one lane for immediate requests, one for all
+// others. It serves the organisations by start-time fair queueing. A request starts at
+// the virtual time at which its organisation's earlier requests are paid for, and the
+// lowest start is served first. Costs are divided by the organisation's weight. Within an
+// organisation, heavy work goes before deferrable work except for a share, and the
+// earliest deadline goes first.
 type lane struct {
-	// deferrable is the share of an organisation's places that its deferrable
-	// work has while its heavy work waits too.
+	// deferrable is the share of an organisation's served work that its deferrable
+	// requests get while its heavy requests also wait.
 	deferrable float64
 	flows      map[string]*flow
 	active     []*flow
-	// virtual is the start of the request served last.
+	// virtual is the virtual start of the request served last.
 	virtual float64
 	queued  int
-	// removals since flows were last dropped keep that cheap.
+	// removals counts removed tickets since idle flows were last dropped, so that
+	// dropping them stays cheap.
 	removals int
 }
 
@@ -43,7 +43,7 @@
 	l.queued++
 }
 
-// remove takes a waiting ticket out.
+// remove takes a waiting ticket out of the lane.
 func (l *lane) remove(t *ticket) {
 	f := l.flows[t.org]
 	f.remove(t)
@@ -58,14 +58,14 @@
 			break
 		}
 	}
-	l.forget()
+	l.dropIdleFlows()
 }
 
-// next is the ticket to serve next, or nil.
+// next returns the ticket to serve next, or nil.
 func (l *lane) next() *ticket {
 	var best *flow
 	for _, f := range l.active {
-		if best == nil || l.startOf(f) < l.startOf(best) {
+		if best == nil || l.virtualStart(f) < l.virtualStart(best) {
 			best = f
 		}
 	}
@@ -75,27 +75,27 @@
 	return best.next(l.deferrable)
 }
 
-// startOf is the virtual start of the flow's next request. A flow that was
-// idle starts now: it cannot save up what it did not use.
-func (l *lane) startOf(f *flow) float64 { return max(f.finish, l.virtual) }
+// virtualStart returns the virtual start of the flow's next request. A flow that was idle
+// starts now: it does not accumulate credit for unused time.
+func (l *lane) virtualStart(f *flow) float64 { return max(f.finish, l.virtual) }
 
-// serve takes a ticket out and charges its organisation.
+// serve takes a ticket out of the lane and charges its organisation.
 func (l *lane) serve(t *ticket) {
 	f := l.flows[t.org]
-	start := l.startOf(f)
+	start := l.virtualStart(f)
 	f.finish = start + t.cost/f.weight
 	l.virtual = start
 	l.remove(t)
 	f.charge(t, l.deferrable)
 }
 
-// idleFlows is how many flows without work are kept.
-const idleFlows = 64
+// maxIdleFlows is how many idle flows may exist before they are dropped.
+const maxIdleFlows = 64
 
-// forget drops flows that owe nothing, so that the lane does not grow with
-// every organisation it has ever seen.
-func (l *lane) forget() {
-	if len(l.flows) <= 2*len(l.active)+idleFlows || l.removals < len(l.flows) {
+// dropIdleFlows drops flows that owe nothing, so that the lane does not grow with every
+// organisation ever seen.
+func (l *lane) dropIdleFlows() {
+	if len(l.flows) <= 2*len(l.active)+maxIdleFlows || l.removals < len(l.flows) {
 		return
 	}
 	l.removals = 0
@@ -112,20 +112,20 @@
 func (l *lane) ahead(t *ticket) float64 {
 	start, own := l.virtual, 0.0
 	if f := l.flows[t.org]; f != nil {
-		own = f.aheadOf(t.rank)
-		start = l.startOf(f) + own/t.weight
+		own = f.costAhead(t.rank)
+		start = l.virtualStart(f) + own/t.weight
 	}
 	sum := own
 	for _, f := range l.active {
 		if f.org != t.org {
-			sum += f.before(l.startOf(f), start)
+			sum += f.costBefore(l.virtualStart(f), start)
 		}
 	}
 	return sum
 }
 
-// worst is the flow that has most waiting for its weight.
-func (l *lane) worst() *flow {
+// mostBacklogged returns the flow with the highest waiting cost for its weight.
+func (l *lane) mostBacklogged() *flow {
 	var worst *flow
 	for _, f := range l.active {
 		if worst == nil || f.cost()/f.weight > worst.cost()/worst.weight {
@@ -135,8 +135,8 @@
 	return worst
 }
 
-// heavy says whether heavy work waits.
-func (l *lane) heavy() bool {
+// hasHeavy reports whether heavy work waits.
+func (l *lane) hasHeavy() bool {
 	for _, f := range l.active {
 		if len(f.queues[rankHeavy]) > 0 {
 			return true
--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -6,73 +6,73 @@
 )
 
 const (
-	// windowLeast and windowSamples end a window of samples: both are needed.
-	windowLeast   = time.Second
-	windowSamples = 20
-	// decrease is what a window of high latency leaves of the limit.
-	decrease = 0.9
-	// increase and startIncrease are how the limit grows in a window of good
-	// latency, startIncrease until the first decrease.
-	increase      = 1.05
-	startIncrease = 1.5
-	// fullUse of the limit lets it grow; halfUse lets latency shrink it.
-	fullUse = 0.8
-	halfUse = 0.5
+	// minWindow and minWindowSamples both must be reached before a sample window ends.
+	minWindow        = time.Second
+	minWindowSamples = 20
+	// decreaseFactor multiplies the limit after a window of high latency.
+	decreaseFactor = 0.9
+	// increaseFactor multiplies the limit after a window of good latency;
+	// initialIncreaseFactor does so until the first decrease.
+	increaseFactor        = 1.05
+	initialIncreaseFactor = 1.5
+	// growUtilisation is the least utilisation of the limit at which it grows,
+	// shrinkUtilisation that at which high latency reduces it.
+	growUtilisation   = 0.8
+	shrinkUtilisation = 0.5
 )
 
-// limiter is a concurrency limit that adapts to latency: additive growth
-// while the limit is in use and latency is near its moving minimum, and a
-// multiplicative decrease when latency is a multiple of it.
+// limiter is a concurrency limit that adapts to latency. It grows while it is in use and
+// latency is near its moving minimum. It shrinks by a factor when latency is a multiple
+// of that minimum.
 //
-// It guards against a queue inside the upstreams that nobody bounds: it shows
-// as first tokens that come late while the upstreams work at their full rate.
-// Latency tells of it whichever node sends the load, so that nodes share the
-// upstreams without a message. A latency that rises while the limit is not in
-// use has another cause and changes nothing. Where upstreams report their load,
-// Queue.Observe sets the limit instead: latency differs from prompt to prompt,
-// and tells of a queue only when it is there.
+// It prevents an unbounded queue inside the upstreams, where first tokens come late while
+// the upstreams work at their full rate. Latency shows this whichever node sends the
+// load, so nodes share the upstreams without messages. Latency that rises while the limit
+// is not in use has another cause and is ignored. Where upstreams report their load,
+// Queue.Observe sets the limit instead: latency varies between prompts, and it shows a
+// queue only once the queue exists.
 type limiter struct {
-	settings LimitSettings
-	limit    float64
-	settled  bool // the first decrease has been
+	settings     LimitSettings
+	limit        float64
+	hasDecreased bool // the limit has been reduced at least once
 
-	began   time.Duration
-	sum     float64
-	n       int
-	peak    int
-	dropped bool
+	windowStart time.Duration
+	latencySum  float64
+	samples     int
+	peakRunning int
+	dropped     bool
 
 	minimum movingMinimum
 	probe   probe
-	// total is how long requests take as a whole, rest from their first piece.
-	total serviceTime
-	rest  serviceTime
+	// total is the time of whole requests, afterFirst the time from their first piece on.
+	total      serviceTime
+	afterFirst serviceTime
 }
 
 func newLimiter(s LimitSettings) limiter {
 	return limiter{settings: s, limit: float64(s.Initial), minimum: movingMinimum{span: s.Window / 2}}
 }
 
-// used notes how many requests run.
-func (l *limiter) used(running int) { l.peak = max(l.peak, running) }
+// recordRunning records how many requests run.
+func (l *limiter) recordRunning(running int) { l.peakRunning = max(l.peakRunning, running) }
 
-// observe takes a finished request's sample.
+// observe records a finished request's sample.
 func (l *limiter) observe(s Sample, now time.Duration) {
 	if s.Total > 0 {
 		l.total.add(s.Total, 1)
-		l.rest.add(max(0, s.Total-s.Start), 1)
+		l.afterFirst.add(max(0, s.Total-s.Start), 1)
 	}
-	if l.probe.active && now < l.probe.counts {
-		return // sent before the probe
+	if l.probe.active && now < l.probe.samplesFrom {
+		return // the request started before the probe
 	}
 	if s.Dropped {
 		l.dropped = true
 	}
 	if s.Start > 0 {
-		l.sum += s.Start.Seconds()
-		l.n++
+		l.latencySum += s.Start.Seconds()
+		l.samples++
 	}
-	if now-l.began < windowLeast || (l.n < windowSamples && !l.dropped) {
+	if now-l.windowStart < minWindow || (l.samples < minWindowSamples && !l.dropped) {
 		return
 	}
 	l.endWindow(now)
@@ -80,63 +80,63 @@
 
 func (l *limiter) endWindow(now time.Duration) {
 	mean := 0.0
-	if l.n >= windowSamples {
-		mean = l.sum / float64(l.n)
+	if l.samples >= minWindowSamples {
+		mean = l.latencySum / float64(l.samples)
 		l.minimum.add(mean, now)
 	}
-	l.judge(mean, now)
-	l.began, l.sum, l.n, l.peak, l.dropped = now, 0, 0, 0, false
+	l.adjust(mean, now)
+	l.windowStart, l.latencySum, l.samples, l.peakRunning, l.dropped = now, 0, 0, 0, false
 }
 
-// judge changes the limit by a window's mean latency; 0 is unknown.
-func (l *limiter) judge(mean float64, now time.Duration) {
-	full := float64(l.peak) >= fullUse*l.limit
+// adjust changes the limit by a window's mean latency in seconds; 0 means unknown.
+func (l *limiter) adjust(mean float64, now time.Duration) {
+	inUse := float64(l.peakRunning) >= growUtilisation*l.limit
 	switch {
 	case l.probe.active && mean > 0:
 		l.probe.end(l, mean, now)
 	case l.probe.active:
-	case mean > 0 && full && l.probe.due(l, now):
+	case mean > 0 && inUse && l.probe.due(l, now):
 		l.probe.begin(l, mean, now)
 	default:
-		l.adapt(l.dropped || mean > l.settings.Tolerance*l.minimum.get())
+		l.adapt(l.dropped || mean > l.settings.Tolerance*l.minimum.value())
 	}
 }
 
-func (l *limiter) adapt(high bool) {
-	use := float64(l.peak) / l.limit
+func (l *limiter) adapt(overloaded bool) {
+	utilisation := float64(l.peakRunning) / l.limit
 	switch {
-	case high && use >= halfUse:
-		l.settled = true
-		l.limit *= decrease
-	case !high && use >= fullUse && l.settled:
-		l.limit = max(l.limit*increase, l.limit+1)
-	case !high && use >= fullUse:
-		l.limit *= startIncrease
+	case overloaded && utilisation >= shrinkUtilisation:
+		l.hasDecreased = true
+		l.limit *= decreaseFactor
+	case !overloaded && utilisation >= growUtilisation && l.hasDecreased:
+		l.limit = max(l.limit*increaseFactor, l.limit+1)
+	case !overloaded && utilisation >= growUtilisation:
+		l.limit *= initialIncreaseFactor
 	}
 	l.limit = math.Min(math.Max(l.limit, float64(l.settings.Min)), float64(l.settings.Max))
 }
 
-// movingMinimum is the least value of the last one to two spans.
+// movingMinimum is the minimum over the current and the previous span.
 type movingMinimum struct {
-	span     time.Duration
-	began    time.Duration
-	now      float64
-	previous float64
+	span      time.Duration
+	spanStart time.Duration
+	current   float64
+	previous  float64
 }
 
 func (m *movingMinimum) add(v float64, at time.Duration) {
-	if m.now == 0 || at-m.began >= m.span {
-		m.previous = m.now
-		m.now = v
-		m.began = at
+	if m.current == 0 || at-m.spanStart >= m.span {
+		m.previous = m.current
+		m.current = v
+		m.spanStart = at
 		return
 	}
-	m.now = math.Min(m.now, v)
+	m.current = math.Min(m.current, v)
 }
 
-func (m *movingMinimum) get() float64 {
+func (m *movingMinimum) value() float64 {
 	if m.previous == 0 {
-		return m.now
+		return m.current
 	}
-	return math.Min(m.now, m.previous)
+	return math.Min(m.current, m.previous)
 }
--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -11,44 +11,45 @@
 	"github.com/hickorybank/hickorybank/internal/config"
 )
 
-// TestLimitFollowsLatency: upstreams that report nothing can work on so many
-// requests at a time; more only wait there. The limit settles near that many,
-// from far below as from far above.
+// TestLimitFollowsLatency guards against a limit that stays far from the capacity of
+// upstreams without load reports. The upstreams have a fixed number of slots, and further
+// requests only wait there. The limit settles near that number, from far below and from
+// far above.
 func TestLimitFollowsLatency(t *testing.T) {
-	for _, places := range []int{12, 60, 300} {
+	for _, slots := range []int{12, 60, 300} {
 		for _, initial := range []int{4, 32, 600} {
-			t.Run(fmt.Sprintf("%d places from %d", places, initial), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%d places from %d", slots, initial), func(t *testing.T) {
 				is := is.New(t)
 				l := newLimiter(LimitSettings{Initial: initial}.withDefaults())
-				random := rand.New(rand.NewPCG(1, uint64(places)))
+				random := rand.New(rand.NewPCG(1, uint64(slots)))
 				now := time.Duration(0)
 				var sum float64
 				const steps, tail = 40_000, 10_000
 				for i := range steps {
-					running := int(l.limit) // there is always more to do
-					l.used(running)
+					running := int(l.limit) // there is always more work
+					l.recordRunning(running)
 					start := 100 * time.Millisecond
-					if running > places {
-						start += time.Duration(running-places) * time.Second / time.Duration(places)
+					if running > slots {
+						start += time.Duration(running-slots) * time.Second / time.Duration(slots)
 					}
 					start = time.Duration(float64(start) * (0.5 + random.Float64()))
-					now += time.Second / time.Duration(places)
+					now += time.Second / time.Duration(slots)
 					l.observe(Sample{Start: start, Total: start}, now)
 					if i >= steps-tail {
 						sum += l.limit
 					}
 				}
 				mean := sum / tail
-				is.True(mean > 0.8*float64(places))
-				is.True(mean < 1.5*float64(places))
+				is.True(mean > 0.8*float64(slots))
+				is.True(mean < 1.5*float64(slots))
 			})
 		}
 	}
 }
 
-// TestLatencyOfAQuietPoolChangesNothing: first tokens are late while little
-// runs, since a network is slow. The limit stays.
-func TestLatencyOfAQuietPoolChangesNothing(t *testing.T) {
+// TestLatencyAtLowLoadKeepsLimit guards against a limit that shrinks although little
+// runs, because a slow network delays first tokens.
+func TestLatencyAtLowLoadKeepsLimit(t *testing.T) {
 	is := is.New(t)
 	l := newLimiter(LimitSettings{}.withDefaults())
 	now := time.Duration(0)
@@ -58,15 +59,15 @@
 		if i > 1000 {
 			start = time.Second
 		}
-		l.used(3)
+		l.recordRunning(3)
 		l.observe(Sample{Start: start}, now)
 	}
 	is.Equal(l.limit, float64(defaultInitialLimit))
 }
 
-// TestLimitFollowsReports: a node takes the part of the upstreams' places that
-// its own requests have of all, so that nodes shrink together and keep their
-// proportions.
+// TestLimitFollowsReports guards against nodes that shrink unevenly. A node takes the
+// part of the upstreams' slots that its own requests have in all requests, so that nodes
+// shrink together and keep their proportions.
 func TestLimitFollowsReports(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -89,8 +90,8 @@
 	}
 }
 
-// TestQueueRunsMoreWhenReportsAllow: requests wait since the upstreams were
-// full; the next reports show free places, and the waiting ones run.
+// TestQueueRunsMoreWhenReportsAllow guards against requests that keep waiting after new
+// reports show free slots.
 func TestQueueRunsMoreWhenReportsAllow(t *testing.T) {
 	is := is.New(t)
 	q := New(Settings{})
--- a/internal/admission/line.go
+++ b/internal/admission/line.go
@@ -2,66 +2,67 @@
 
 import "time"
 
-// line is one node's part of one organisation's limit.
-type line struct {
-	demand  float64
-	heard   time.Duration
-	granted float64
-	until   time.Duration
-	seq     uint64
-	// A grant that is lower than the one before may be lost on its way, and
-	// the node then keeps to the earlier one until that runs out: earlier
-	// counts until earlierUntil, or until the node says that it holds the
-	// grant loweredSeq or a later one. A collector then still names what its
-	// nodes hold of earlier ones, which falls from message to message.
-	earlier      float64
-	earlierUntil time.Duration
-	loweredSeq   uint64
+// nodeShare is one node's share of one organisation's limit, in requests per second.
+type nodeShare struct {
+	demand     float64
+	reportedAt time.Duration
+	granted    float64
+	expiresAt  time.Duration
+	seq        uint64
+	// The message with a lowered grant may be lost, and then the node uses the previous
+	// grant until that expires. So previous counts until previousUntil, or until the node
+	// reports that it holds the grant loweredSeq or a later one. A collector then still
+	// reports what its nodes hold of previous grants, which falls with each message.
+	previous      float64
+	previousUntil time.Duration
+	loweredSeq    uint64
 }
 
-// holds is the most that the node may use now.
-func (l *line) holds(now time.Duration) float64 {
-	var most float64
-	if now < l.until {
-		most = l.granted
+// held returns the most that the node may use now.
+func (n *nodeShare) held(now time.Duration) float64 {
+	var held float64
+	if now < n.expiresAt {
+		held = n.granted
 	}
-	if now < l.earlierUntil {
-		most = max(most, l.earlier)
+	if now < n.previousUntil {
+		held = max(held, n.previous)
 	}
-	return most
+	return held
 }
 
-// report takes the node's demand, and what it holds, perhaps from an earlier
+// applyDemand records the node's demand, and what it holds, perhaps from a previous
 // holder.
-func (l *line) report(d Demand, t term) {
-	l.demand = d.PerSecond
-	l.heard = t.now
-	if l.loweredSeq != 0 && d.HeldSeq >= l.loweredSeq {
-		l.lower(d.Held)
+func (n *nodeShare) applyDemand(d Demand, l lease) {
+	n.demand = d.PerSecond
+	n.reportedAt = l.now
+	if n.loweredSeq != 0 && d.HeldSeq >= n.loweredSeq {
+		n.reducePrevious(d.Held)
 	}
-	if d.Held > l.holds(t.now) {
-		l.earlier = d.Held
-		l.earlierUntil = t.ends()
+	if d.Held > n.held(l.now) {
+		n.previous = d.Held
+		n.previousUntil = l.expiresAt()
 	}
 }
 
-// lower takes what is left of earlier grants.
-func (l *line) lower(held float64) {
-	l.earlier = min(l.earlier, held)
-	if l.earlier <= l.granted {
-		l.earlier = 0
-		l.earlierUntil = 0
-		l.loweredSeq = 0
+// reducePrevious lowers the previous grants to what the node reports as still held.
+func (n *nodeShare) reducePrevious(held float64) {
+	n.previous = min(n.previous, held)
+	if n.previous <= n.granted {
+		n.previous = 0
+		n.previousUntil = 0
+		n.loweredSeq = 0
 	}
 }
 
-func (l *line) grant(share float64, seq uint64, t term) {
-	if held := l.holds(t.now); share < held {
-		l.earlier = held
-		l.earlierUntil = max(l.until, l.earlierUntil)
-		l.loweredSeq = seq
+// setGrant records a new grant. When it is lower than what the node holds, the larger
+// value still counts until it expires or the node confirms the new one.
+func (n *nodeShare) setGrant(share float64, seq uint64, l lease) {
+	if held := n.held(l.now); share < held {
+		n.previous = held
+		n.previousUntil = max(n.expiresAt, n.previousUntil)
+		n.loweredSeq = seq
 	}
-	l.granted = share
-	l.until = t.ends()
-	l.seq = seq
+	n.granted = share
+	n.expiresAt = l.expiresAt()
+	n.seq = seq
 }
--- a/internal/admission/next.go
+++ b/internal/admission/next.go
@@ -6,20 +6,20 @@
 	"github.com/hickorybank/hickorybank/internal/request"
 )
 
-// Next returns the waiting requests that run now and those that are refused
-// now because their deadline cannot be met any more.
+// Next returns the waiting requests that run now, and those refused now because they can
+// no longer start in time.
 func (q *Queue) Next(now time.Time) []Decision {
-	t := q.since(now)
+	t := q.sinceBase(now)
 	for _, p := range q.order {
 		q.expire(p, t)
 		q.dispatch(p, t)
 	}
-	out := q.decided
-	q.decided = nil
+	out := q.pending
+	q.pending = nil
 	return out
 }
 
-// dispatch runs what there is room for.
+// dispatch runs waiting requests while the pool's limit allows.
 func (q *Queue) dispatch(p *pool, now time.Duration) {
 	for p.queued > 0 {
 		t := p.next(now)
@@ -31,28 +31,28 @@
 			continue
 		}
 		p.run(t, now)
-		q.decided = append(q.decided, Decision{ID: t.id, Verdict: Run})
+		q.pending = append(q.pending, Decision{ID: t.id, Verdict: Run})
 	}
 }
 
-// expire refuses the waiting requests that can no longer make their deadline,
-// so that their callers hear of it at once.
+// expire refuses the waiting requests that can no longer start in time, so that their
+// callers are informed at once.
 func (q *Queue) expire(p *pool, now time.Duration) {
 	if p.queued == 0 {
-		p.expires = never
+		p.nextExpiry = never
 		return
 	}
-	if now < p.expires {
+	if now < p.nextExpiry {
 		return
 	}
 	var late []*ticket
-	p.expires = never
-	p.each(func(t *ticket) {
+	p.nextExpiry = never
+	p.forEachWaiting(func(t *ticket) {
 		if !q.inTime(t, now) {
 			late = append(late, t)
 			return
 		}
-		p.expires = min(p.expires, p.latestStart(t))
+		p.nextExpiry = min(p.nextExpiry, p.latestStart(t))
 	})
 	for _, t := range late {
 		q.drop(t, request.CodeOverloaded, now)
@@ -63,19 +63,19 @@
 func (q *Queue) drop(t *ticket, code request.Code, now time.Duration) {
 	t.pool.remove(t)
 	delete(q.tickets, t.id)
-	q.decided = append(q.decided, q.refusal(t, code, now))
+	q.pending = append(q.pending, q.refusal(t, code, now))
 }
 
-// Wake returns when Next must be called at the latest, and false when nothing
+// Wake returns the latest time for the next call of Next. It returns false when nothing
 // waits.
 func (q *Queue) Wake() (time.Time, bool) {
-	if len(q.decided) > 0 {
+	if len(q.pending) > 0 {
 		return q.base, true
 	}
 	first := never
 	for _, p := range q.order {
 		if p.queued > 0 {
-			first = min(first, p.expires)
+			first = min(first, p.nextExpiry)
 		}
 	}
 	if first == never {
--- a/internal/admission/pool.go
+++ b/internal/admission/pool.go
@@ -2,41 +2,44 @@
 
 import "time"
 
-// floorFor is how long the floor for immediate work is kept after the last of it.
-const floorFor = time.Minute
+// immediateFloorTTL is how long the floor for immediate work is kept after the last
+// immediate request.
+const immediateFloorTTL = time.Minute
 
-// never is a time that does not come.
+// never is a time that is not reached.
 const never = time.Duration(1<<63 - 1)
 
-// pool is the requests of one version or service. Times are since the queue's
+// pool holds the requests of one version or service. Times are offsets from the queue's
 // base.
 type pool struct {
 	name     string
 	settings *Settings
 	limiter  limiter
-	capacity int // bounds the limit; 0 does not
+	capacity int // upper bound of the limit; 0 means none
 	load     PoolLoad
-	// urgent has the immediate requests that wait, rest the others.
-	urgent   lane
-	rest     lane
-	services [ranks]serviceTime
-	running  [ranks]int
-	// usual is how many immediate requests have run of late.
-	usual         smooth
-	queued        int
-	lastImmediate time.Duration
-	seenImmediate bool
-	// expires is when the first waiting request may be too late.
-	expires time.Duration
+	// immediateLane holds the waiting immediate requests, otherLane the others.
+	immediateLane lane
+	otherLane     lane
+	serviceTimes  [ranks]serviceTime
+	running       [ranks]int
+	// recentImmediate is the smoothed number of running immediate requests.
+	recentImmediate smoothedCount
+	queued          int
+	lastImmediateAt time.Duration
+	seenImmediate   bool
+	// nextExpiry is when the first waiting request may be too late to start.
+	nextExpiry time.Duration
 }
 
 func newPool(name string, s *Settings) *pool {
 	return &pool{
-		name: name, settings: s, limiter: newLimiter(s.Limit), expires: never,
-		urgent: newLane(s.DeferrableShare), rest: newLane(s.DeferrableShare),
+		name: name, settings: s, limiter: newLimiter(s.Limit), nextExpiry: never,
+		immediateLane: newLane(s.DeferrableShare), otherLane: newLane(s.DeferrableShare),
 	}
 }
 
+// limit returns how many requests may run at a time, at least one. Load reports of the
+// upstreams take precedence over the limiter.
 func (p *pool) limit() int {
 	limit := int(p.limiter.limit)
 	if p.load.Limit > 0 {
@@ -48,9 +51,9 @@
 	return max(limit, 1)
 }
 
-// floor is the part of the limit that only immediate work may take.
-func (p *pool) floor(now time.Duration) int {
-	if !p.seenImmediate || now-p.lastImmediate > floorFor {
+// immediateFloor returns the part of the limit that only immediate work may use.
+func (p *pool) immediateFloor(now time.Duration) int {
+	if !p.seenImmediate || now-p.lastImmediateAt > immediateFloorTTL {
 		return 0
 	}
 	limit := p.limit()
@@ -60,42 +63,42 @@
 	return max(1, int(float64(limit)*p.settings.ImmediateFloor))
 }
 
-func (p *pool) busy() int {
+func (p *pool) runningCount() int {
 	return p.running[rankImmediate] + p.running[rankHeavy] + p.running[rankDeferrable]
 }
 
-// room says whether a request of the rank may run now.
-func (p *pool) room(r rank, now time.Duration) bool {
-	if p.busy() >= p.limit() {
+// mayRun reports whether a request of the rank may run now.
+func (p *pool) mayRun(r rank, now time.Duration) bool {
+	if p.runningCount() >= p.limit() {
 		return false
 	}
 	if r == rankImmediate {
 		return true
 	}
-	return p.running[rankHeavy]+p.running[rankDeferrable] < p.limit()-p.floor(now)
+	return p.running[rankHeavy]+p.running[rankDeferrable] < p.limit()-p.immediateFloor(now)
 }
 
-// next is the ticket to run next, or nil when none may.
+// next returns the ticket to run next, or nil when none may run.
 func (p *pool) next(now time.Duration) *ticket {
-	if t := p.urgent.next(); t != nil && p.room(rankImmediate, now) {
+	if t := p.immediateLane.next(); t != nil && p.mayRun(rankImmediate, now) {
 		return t
 	}
-	if !p.room(rankHeavy, now) {
+	if !p.mayRun(rankHeavy, now) {
 		return nil
 	}
-	return p.rest.next()
+	return p.otherLane.next()
 }
 
 func (p *pool) lane(r rank) *lane {
 	if r == rankImmediate {
-		return &p.urgent
+		return &p.immediateLane
 	}
-	return &p.rest
+	return &p.otherLane
 }
 
-// each visits the waiting requests.
-func (p *pool) each(visit func(t *ticket)) {
-	for _, l := range []*lane{&p.urgent, &p.rest} {
+// forEachWaiting calls visit for each waiting request.
+func (p *pool) forEachWaiting(visit func(t *ticket)) {
+	for _, l := range []*lane{&p.immediateLane, &p.otherLane} {
 		for _, f := range l.active {
 			for r := range f.queues {
 				for _, t := range f.queues[r] {
@@ -109,7 +112,7 @@
 func (p *pool) push(t *ticket) {
 	p.lane(t.rank).push(t)
 	p.queued++
-	p.expires = min(p.expires, p.latestStart(t))
+	p.nextExpiry = min(p.nextExpiry, p.latestStart(t))
 }
 
 func (p *pool) remove(t *ticket) {
@@ -117,49 +120,49 @@
 	p.queued--
 }
 
-// run takes a waiting ticket out and counts it as running.
+// run takes a waiting ticket out of its lane and counts it as running.
 func (p *pool) run(t *ticket, now time.Duration) {
 	p.lane(t.rank).serve(t)
 	p.queued--
 	t.running = true
-	p.count(t.rank, 1, now)
-	p.limiter.used(p.busy())
+	p.addRunning(t.rank, 1, now)
+	p.limiter.recordRunning(p.runningCount())
 }
 
-// patience is how many times MaxWait a request may in truth wait.
-const patience = 2
+// maxWaitFactor bounds the actual wait of a queued request, as a multiple of MaxWait.
+const maxWaitFactor = 2
 
-// latestStart is when a request must run at the latest: to make its deadline,
-// and not to wait far longer than was estimated when it was queued.
+// latestStart returns the latest time at which a request must start: to meet its
+// deadline, and not to wait far longer than estimated when it was queued.
 func (p *pool) latestStart(t *ticket) time.Duration {
-	return min(t.deadline-p.services[t.rank].of(t.cost), t.offered+patience*p.maxWait(t.rank))
+	return min(t.deadline-p.serviceTimes[t.rank].estimate(t.cost), t.offered+maxWaitFactor*p.maxWait(t.rank))
 }
 
-// wait estimates how long a new request would wait: for what goes before it
-// and for one more place. It is 0 when there is room or nothing is known yet.
-func (p *pool) wait(t *ticket, now time.Duration) time.Duration {
+// estimateWait estimates how long a new request would wait for the requests ahead of it
+// and for one more slot. It is 0 when there is room or no service time is known yet.
+func (p *pool) estimateWait(t *ticket, now time.Duration) time.Duration {
 	l := p.lane(t.rank)
-	if l.queued == 0 && p.room(t.rank, now) {
+	if l.queued == 0 && p.mayRun(t.rank, now) {
 		return 0
 	}
-	return time.Duration(float64(p.services[t.rank].of(l.ahead(t)+1)) / p.slots(t.rank, now))
+	return time.Duration(float64(p.serviceTimes[t.rank].estimate(l.ahead(t)+1)) / p.availableSlots(t.rank, now))
 }
 
-// slots are the places that requests of the rank's lane may count on: those
-// that immediate work has left the others of late.
-func (p *pool) slots(r rank, now time.Duration) float64 {
+// availableSlots returns the slots that requests of the rank's lane can count on: those
+// that immediate work has recently left free.
+func (p *pool) availableSlots(r rank, now time.Duration) float64 {
 	limit := float64(p.limit())
 	if r == rankImmediate {
 		return limit
 	}
-	left := limit - p.usual.at(now, p.running[rankImmediate])
-	return max(left, limit/2)
+	available := limit - p.recentImmediate.update(now, p.running[rankImmediate])
+	return max(available, limit/2)
 }
 
-// count changes how many of a rank run.
-func (p *pool) count(r rank, by int, now time.Duration) {
+// addRunning changes the number of running requests of a rank.
+func (p *pool) addRunning(r rank, by int, now time.Duration) {
 	if r == rankImmediate {
-		p.usual.at(now, p.running[r])
+		p.recentImmediate.update(now, p.running[r])
 	}
 	p.running[r] += by
 }
--- a/internal/admission/probe.go
+++ b/internal/admission/probe.go
@@ -3,56 +3,57 @@
 import "time"
 
 const (
-	// probeLimit is what is left of the limit during a probe.
-	probeLimit = 0.5
-	// probeGain of latency in a probe shows that requests were waiting.
-	probeGain = 0.75
-	// probeDrain is how many usual requests' times pass before a probe counts.
-	probeDrain = 1.5
-	// probeMost is the longest usual time from the first piece of an answer to
-	// its end with which there are probes: a probe takes longer than a
-	// request, and work is lost while it lasts.
-	probeMost = 2 * time.Second
+	// probeLimitFactor multiplies the limit during a probe.
+	probeLimitFactor = 0.5
+	// probeLatencyFactor is the fraction of the earlier latency below which a probe shows
+	// that requests were queued.
+	probeLatencyFactor = 0.75
+	// probeDrainFactor is the delay, as a multiple of the mean request time, before the
+	// samples of a probe count.
+	probeDrainFactor = 1.5
+	// maxProbedDuration is the longest mean time from the first piece of an answer to its
+	// end at which probes take place. A probe takes longer than a request, and throughput
+	// is lost during it.
+	maxProbedDuration = 2 * time.Second
 )
 
-// probe lowers the limit for a moment, once in a while.
+// probe lowers the limit for a short time, at intervals.
 //
-// It guards against a limit that was too high from the start: the least
-// latency that was ever seen is then one with a queue, and nothing seems
-// wrong. It shows when fewer requests get much faster answers. The limit then
-// stays down, and is probed again at once; otherwise it goes back up.
+// It corrects a limit that was too high from the start. The lowest latency ever seen then
+// includes a queue, and no increase shows. If fewer concurrent requests get much faster
+// answers, the limit stays down and is probed again at once. Otherwise it is restored.
 type probe struct {
 	active bool
-	// before is the limit to go back to, mean the latency at it.
-	before float64
-	mean   float64
-	// counts is when the samples of the probe begin to count.
-	counts time.Duration
-	last   time.Duration
+	// limitBefore is the limit to restore, meanBefore the mean latency at it in seconds.
+	limitBefore float64
+	meanBefore  float64
+	// samplesFrom is when the samples of the probe begin to count.
+	samplesFrom time.Duration
+	endedAt     time.Duration
 }
 
-// due says whether to probe now.
+// due reports whether to probe now.
 func (p *probe) due(l *limiter, now time.Duration) bool {
-	return now >= p.last+l.settings.Window && l.rest.of(1) <= probeMost
+	return now >= p.endedAt+l.settings.Window && l.afterFirst.estimate(1) <= maxProbedDuration
 }
 
 // begin halves the limit.
 func (p *probe) begin(l *limiter, mean float64, now time.Duration) {
 	p.active = true
-	p.before = l.limit
-	p.mean = mean
-	p.counts = now + time.Duration(probeDrain*float64(l.total.of(1))) + windowLeast
-	l.limit = max(probeLimit*l.limit, float64(l.settings.Min))
+	p.limitBefore = l.limit
+	p.meanBefore = mean
+	p.samplesFrom = now + time.Duration(probeDrainFactor*float64(l.total.estimate(1))) + minWindow
+	l.limit = max(probeLimitFactor*l.limit, float64(l.settings.Min))
 }
 
-// end judges the probe by the latency that it had.
+// end evaluates the probe by its mean latency.
 func (p *probe) end(l *limiter, mean float64, now time.Duration) {
-	if mean < probeGain*p.mean && l.limit > float64(l.settings.Min) {
-		l.settled = true
+	if mean < probeLatencyFactor*p.meanBefore && l.limit > float64(l.settings.Min) {
+		l.hasDecreased = true
 		p.begin(l, mean, now)
 		return
 	}
 	p.active = false
-	p.last = now
-	l.limit = p.before
+	p.endedAt = now
+	l.limit = p.limitBefore
 }
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -6,41 +6,41 @@
 	"github.com/hickorybank/hickorybank/internal/request"
 )
 
-// Queue admits requests to the pools of upstreams.
+// Queue admits requests to the pools of upstreams. It is not safe for concurrent use.
 type Queue struct {
 	settings Settings
 	base     time.Time
 	pools    map[string]*pool
-	order    []*pool // as they were first asked for
+	order    []*pool // in order of first use
 	tickets  map[string]*ticket
-	// deferring refuses deferrable work while other work waits.
-	deferring bool
-	arrivals  uint64
-	// decided waits for the next call of Next.
-	decided []Decision
+	// deferDeferrable refuses deferrable work while other work waits.
+	deferDeferrable bool
+	arrivals        uint64
+	// pending holds decisions for the next call of Next.
+	pending []Decision
 }
 
-// New returns an empty queue.
+// New returns an empty queue. Zero fields of s take their defaults.
 func New(s Settings) *Queue {
 	return &Queue{settings: s.withDefaults(), pools: map[string]*pool{}, tickets: map[string]*ticket{}}
 }
 
-func (q *Queue) since(now time.Time) time.Duration {
+func (q *Queue) sinceBase(now time.Time) time.Duration {
 	if q.base.IsZero() {
 		q.base = now
 	}
 	return now.Sub(q.base)
 }
 
-// SetDeferDeferrable refuses deferrable work at once while immediate or heavy
-// work waits; it follows the preset in force.
-func (q *Queue) SetDeferDeferrable(on bool) { q.deferring = on }
+// SetDeferDeferrable sets whether deferrable work is refused at once while immediate or
+// heavy work waits. The preset in force determines it.
+func (q *Queue) SetDeferDeferrable(on bool) { q.deferDeferrable = on }
 
-// SetCapacity bounds a pool's concurrency from above by what its upstreams
-// batch, as far as this node knows; 0 lifts the bound.
-func (q *Queue) SetCapacity(pool string, requests int) { q.poolOf(pool).capacity = requests }
+// SetCapacity bounds a pool's concurrency, in requests, by the known batch size of its
+// upstreams; 0 removes the bound.
+func (q *Queue) SetCapacity(pool string, requests int) { q.ensurePool(pool).capacity = requests }
 
-func (q *Queue) poolOf(name string) *pool {
+func (q *Queue) ensurePool(name string) *pool {
 	p := q.pools[name]
 	if p == nil {
 		p = newPool(name, &q.settings)
@@ -50,19 +50,20 @@
 	return p
 }
 
-// Offer decides at once: run, wait, or refused with Retry-After.
+// Offer decides on a request at once: run, wait, or refused with RetryAfter. A request
+// whose ID already waits or runs is refused as a duplicate.
 func (q *Queue) Offer(r Request) Decision {
-	now := q.since(r.Now)
+	now := q.sinceBase(r.Now)
 	if q.tickets[r.ID] != nil {
 		return Decision{ID: r.ID, Verdict: Refused, Code: request.CodeDuplicate}
 	}
-	t := q.ticketOf(r)
+	t := q.newTicket(r)
 	p := t.pool
 	if t.rank == rankImmediate {
-		p.lastImmediate = now
+		p.lastImmediateAt = now
 		p.seenImmediate = true
 	}
-	if p.lane(t.rank).queued == 0 && p.room(t.rank, now) && q.inTime(t, now) {
+	if p.lane(t.rank).queued == 0 && p.mayRun(t.rank, now) && q.inTime(t, now) {
 		q.tickets[t.id] = t
 		p.push(t)
 		p.run(t, now)
@@ -76,9 +77,9 @@
 	return Decision{ID: t.id, Verdict: Queued}
 }
 
-func (q *Queue) ticketOf(r Request) *ticket {
+func (q *Queue) newTicket(r Request) *ticket {
 	q.arrivals++
-	t := &ticket{id: r.ID, seq: q.arrivals, org: r.Org, weight: r.Weight, rank: rankOf(r.Kind), pool: q.poolOf(r.Pool), cost: r.Cost}
+	t := &ticket{id: r.ID, seq: q.arrivals, org: r.Org, weight: r.Weight, rank: rankOf(r.Kind), pool: q.ensurePool(r.Pool), cost: r.Cost}
 	t.offered = r.Now.Sub(q.base)
 	t.deadline = r.Deadline.Sub(q.base)
 	if t.cost <= 0 {
@@ -90,12 +91,12 @@
 	return t
 }
 
-// inTime says whether a request that runs now can make its deadline.
+// inTime reports whether a request that starts now does so by its latestStart.
 func (q *Queue) inTime(t *ticket, now time.Duration) bool {
 	return now < t.pool.latestStart(t)
 }
 
-// Finish tells that a running request ended. Call Next afterwards.
+// Finish records the end of a running request. Call Next afterwards.
 func (q *Queue) Finish(id string, s Sample, now time.Time) {
 	t := q.tickets[id]
 	if t == nil || !t.running {
@@ -103,20 +104,20 @@
 	}
 	delete(q.tickets, id)
 	p := t.pool
-	p.count(t.rank, -1, q.since(now))
+	p.addRunning(t.rank, -1, q.sinceBase(now))
 	if s.Total > 0 && !s.Dropped {
-		p.services[t.rank].add(s.Total, t.cost)
+		p.serviceTimes[t.rank].add(s.Total, t.cost)
 	}
-	p.limiter.observe(s, q.since(now))
+	p.limiter.observe(s, q.sinceBase(now))
 }
 
-// Observe takes what a pool's upstreams reported of their load; call it once or
-// more a second, and Next afterwards. While l.Limit is not 0 it sets the pool's
-// limit in place of latency.
-func (q *Queue) Observe(pool string, l PoolLoad) { q.poolOf(pool).load = l }
+// Observe records the load that a pool's upstreams reported. Call it at least once per
+// second, and Next afterwards. While l.Limit is not 0, the load determines the pool's
+// limit instead of latency.
+func (q *Queue) Observe(pool string, l PoolLoad) { q.ensurePool(pool).load = l }
 
-// Cancel forgets a waiting or running request whose caller went away. Call
-// Next afterwards.
+// Cancel removes a waiting or running request whose caller has disconnected. Call Next
+// afterwards.
 func (q *Queue) Cancel(id string, now time.Time) {
 	t := q.tickets[id]
 	if t == nil {
@@ -124,7 +125,7 @@
 	}
 	delete(q.tickets, id)
 	if t.running {
-		t.pool.count(t.rank, -1, q.since(now))
+		t.pool.addRunning(t.rank, -1, q.sinceBase(now))
 		return
 	}
 	t.pool.remove(t)
--- a/internal/admission/queue_rapid_test.go
+++ b/internal/admission/queue_rapid_test.go
@@ -10,8 +10,8 @@
 	"github.com/hickorybank/hickorybank/internal/config"
 )
 
-// machine drives a queue by random events and checks it after each.
-type machine struct {
+// queueModel drives a queue with random events and checks it after each.
+type queueModel struct {
 	queue   *Queue
 	now     time.Time
 	next    int
@@ -20,15 +20,15 @@
 }
 
 const (
-	machineMax  = 12
-	machineEach = 5
+	modelMaxQueued = 12
+	modelMaxPerOrg = 5
 )
 
-func newMachine(t *rapid.T) *machine {
+func newQueueModel(t *rapid.T) *queueModel {
 	limit := rapid.IntRange(1, 10).Draw(t, "limit")
-	return &machine{
+	return &queueModel{
 		queue: New(Settings{
-			MaxQueued: machineMax, MaxQueuedPerOrganisation: machineEach,
+			MaxQueued: modelMaxQueued, MaxQueuedPerOrganisation: modelMaxPerOrg,
 			Limit: LimitSettings{Initial: limit, Min: 1},
 		}),
 		now:     epoch,
@@ -37,7 +37,7 @@
 	}
 }
 
-func (m *machine) offer(t *rapid.T) {
+func (m *queueModel) offer(t *rapid.T) {
 	m.next++
 	r := Request{
 		ID:       fmt.Sprint(m.next),
@@ -59,16 +59,16 @@
 }
 
 func checkRefusal(t *rapid.T, d Decision) {
-	if d.Verdict == Refused && (d.RetryAfter < leastRetryAfter || d.Code == "") {
-		t.Fatalf("refused without Retry-After or code: %+v", d)
+	if d.Verdict == Refused && (d.RetryAfter < minRetryAfter || d.Code == "") {
+		t.Fatalf("refused without RetryAfter or Code: %+v", d)
 	}
 }
 
-func (m *machine) drain(t *rapid.T) {
+func (m *queueModel) applyDecisions(t *rapid.T) {
 	for _, d := range m.queue.Next(m.now) {
 		r, ok := m.waiting[d.ID]
 		if !ok {
-			t.Fatalf("a decision on %s, which does not wait", d.ID)
+			t.Fatalf("got a decision on %s, which is not waiting", d.ID)
 		}
 		delete(m.waiting, d.ID)
 		checkRefusal(t, d)
@@ -82,35 +82,35 @@
 	}
 }
 
-func anyOf(t *rapid.T, of map[string]Request) string {
-	ids := make([]string, 0, len(of))
+func drawID(t *rapid.T, requests map[string]Request) string {
+	ids := make([]string, 0, len(requests))
 	for i := range 1 << 20 {
-		if id := fmt.Sprint(i); of[id].ID != "" {
+		if id := fmt.Sprint(i); requests[id].ID != "" {
 			ids = append(ids, id)
 		}
-		if len(ids) == len(of) {
+		if len(ids) == len(requests) {
 			break
 		}
 	}
 	return rapid.SampledFrom(ids).Draw(t, "which")
 }
 
-func (m *machine) check(t *rapid.T) {
-	p := m.queue.poolOf("pool")
+func (m *queueModel) check(t *rapid.T) {
+	p := m.queue.ensurePool("pool")
 	limit := p.limit()
 	if got := m.queue.Status()[0]; got.Running != len(m.running) || got.Queued != len(m.waiting) {
 		t.Fatalf("status %+v, but %d run and %d wait", got, len(m.running), len(m.waiting))
 	}
-	if len(m.waiting) > machineMax {
-		t.Fatalf("%d wait", len(m.waiting))
+	if len(m.waiting) > modelMaxQueued {
+		t.Fatalf("%d requests wait, want at most 12", len(m.waiting))
 	}
-	each := map[string]int{}
+	perLane := map[string]int{}
 	for _, r := range m.waiting {
 		lane := "rest"
 		if r.Kind == config.Immediate {
 			lane = "urgent"
 		}
-		each[r.Org+" "+lane]++
+		perLane[r.Org+" "+lane]++
 		if !m.now.Before(r.Deadline) {
 			t.Fatalf("%s still waits after its deadline", r.ID)
 		}
@@ -118,51 +118,51 @@
 			t.Fatalf("immediate %s waits although %d of %d run", r.ID, len(m.running), limit)
 		}
 	}
-	for who, n := range each {
-		if n > machineEach {
-			t.Fatalf("%d of %s wait", n, who)
+	for who, n := range perLane {
+		if n > modelMaxPerOrg {
+			t.Fatalf("%d requests of %s wait, want at most 5", n, who)
 		}
 	}
-	if len(m.waiting) > 0 && len(m.running) < limit-p.floor(m.queue.since(m.now)) {
+	if len(m.waiting) > 0 && len(m.running) < limit-p.immediateFloor(m.queue.sinceBase(m.now)) {
 		t.Fatalf("%d wait although only %d of %d run", len(m.waiting), len(m.running), limit)
 	}
 }
 
-// TestQueueInvariants: whatever comes in whatever order, the queue stays
-// within its bounds, nothing waits while there is room, immediate work is
-// held up by nothing but the whole limit, each request gets one decision,
-// none runs after its deadline, and every refusal says when to come back.
+// TestQueueInvariants checks the queue under random events in any order. The queue stays
+// within its bounds, nothing waits while there is room, and only the limit itself holds
+// up immediate work. Each request gets one decision, none runs after its deadline, and
+// every refusal has a RetryAfter.
 func TestQueueInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := newMachine(t)
+		m := newQueueModel(t)
 		t.Repeat(map[string]func(*rapid.T){
 			"offer": func(t *rapid.T) {
 				m.offer(t)
-				m.drain(t)
+				m.applyDecisions(t)
 			},
 			"finish": func(t *rapid.T) {
 				if len(m.running) == 0 {
 					t.Skip("nothing runs")
 				}
-				id := anyOf(t, m.running)
+				id := drawID(t, m.running)
 				total := time.Duration(rapid.IntRange(1, 20_000).Draw(t, "total")) * time.Millisecond
 				delete(m.running, id)
 				m.queue.Finish(id, Sample{Start: total / 10, Total: total, Dropped: rapid.Bool().Draw(t, "dropped")}, m.now)
-				m.drain(t)
+				m.applyDecisions(t)
 			},
 			"cancel": func(t *rapid.T) {
 				if len(m.waiting) == 0 {
 					t.Skip("nothing waits")
 				}
-				id := anyOf(t, m.waiting)
+				id := drawID(t, m.waiting)
 				delete(m.waiting, id)
 				m.queue.Cancel(id, m.now)
-				m.drain(t)
+				m.applyDecisions(t)
 			},
 			"time": func(t *rapid.T) {
 				m.now = m.now.Add(time.Duration(rapid.IntRange(1, 5000).Draw(t, "ms")) * time.Millisecond)
 				if at, any := m.queue.Wake(); any && !at.After(m.now) || !any {
-					m.drain(t)
+					m.applyDecisions(t)
 				}
 			},
 			"": func(t *rapid.T) {
@@ -174,18 +174,18 @@
 	})
 }
 
-// TestFairShares: organisations that always have work waiting get shares of
-// the places by their weights, whatever their requests cost: no one is ahead
-// of another by more than one request of each.
+// TestFairShares guards against unfair shares when organisations always have work
+// waiting. They get work in proportion to their weights, whatever their requests cost:
+// none is ahead of another by more than one request of each.
 func TestFairShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := newLane(defaultDeferrableShare)
 		orgs := rapid.IntRange(2, 6).Draw(t, "orgs")
 		weights := make([]float64, orgs)
 		served := make([]float64, orgs)
-		const most = 5.0
+		const maxCost = 5.0
 		push := func(o int) {
-			l.push(&ticket{org: fmt.Sprint(o), rank: rankHeavy + rank(rapid.IntRange(0, 1).Draw(t, "rank")), weight: weights[o], cost: rapid.Float64Range(0.1, most).Draw(t, "cost")})
+			l.push(&ticket{org: fmt.Sprint(o), rank: rankHeavy + rank(rapid.IntRange(0, 1).Draw(t, "rank")), weight: weights[o], cost: rapid.Float64Range(0.1, maxCost).Draw(t, "cost")})
 		}
 		for o := range orgs {
 			weights[o] = rapid.SampledFrom([]float64{1, 2, 8}).Draw(t, "weight")
@@ -202,16 +202,16 @@
 		}
 		for a := range orgs {
 			for b := range orgs {
-				if served[a]-served[b] > most/weights[a]+most/weights[b] {
-					t.Fatalf("organisation %d had %v for its weight, %d had %v", a, served[a], b, served[b])
+				if served[a]-served[b] > maxCost/weights[a]+maxCost/weights[b] {
+					t.Fatalf("organisation %d got %v relative to its weight, organisation %d got %v", a, served[a], b, served[b])
 				}
 			}
 		}
 	})
 }
 
-// TestRetryBudgetHolds: however first attempts, failures and pauses follow
-// each other, retries stay a share of first attempts.
+// TestRetryBudgetHolds checks that retries stay within their share of first attempts, for
+// any sequence of first attempts, failures and pauses.
 func TestRetryBudgetHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewRetryBudget(RetrySettings{})
@@ -226,9 +226,9 @@
 				retries++
 			}
 		}
-		most := defaultRetryBurst + defaultRetryRatio*first + defaultRetryPerSecond*now.Sub(epoch).Seconds()
-		if retries > most+1e-6 {
-			t.Fatalf("%v retries to %v first attempts", retries, first)
+		maxRetries := defaultRetryBurst + defaultRetryRatio*first + defaultRetryPerSecond*now.Sub(epoch).Seconds()
+		if retries > maxRetries+1e-6 {
+			t.Fatalf("%v retries for %v first attempts", retries, first)
 		}
 	})
 }
--- a/internal/admission/rate_collector.go
+++ b/internal/admission/rate_collector.go
@@ -6,38 +6,39 @@
 	"time"
 )
 
-// heardFor is how long a node's demand counts in its domain's sum: two periods
-// and a lost message. A node that went over to another collector counts at both
-// for that long, which costs use of the limit and never exceeds it.
-const heardFor = 6 * time.Second
+// demandTTL is how long a node's demand counts in its domain's sum: two periods and a
+// lost message. A node that moves to another collector counts at both for that long,
+// which lowers the use of the limit but never exceeds it.
+const demandTTL = 6 * time.Second
 
-// RateCollector adds up the demand of a failure domain's nodes, asks the
-// organisations' holders for the domain's shares and divides these.
+// RateCollector sums the demand of a failure domain's nodes, requests the domain's shares
+// from the organisations' holders and divides them among the nodes.
 //
-// It gives away only what a holder granted to it, and no longer than that
-// counts; so two collectors of one domain, or one that is paused, exceed
-// nothing. After a restart it has another name to the holders (From), since it
-// no longer knows what it gave away: what its former self was granted counts
-// until it runs out. When a share was lowered, the holder hears how much
-// the nodes still hold of the earlier one, and gives only the rest to others.
+// It grants only what a holder has granted to it, and no longer than that is valid. So
+// two collectors of one domain, or a paused one, exceed no limit. After a restart it does
+// not know what it has granted, so it uses a new name towards the holders (From), and the
+// grants to the previous process count until they expire. When a share is lowered, the
+// holder is sent how much the nodes still hold of the previous one, and grants only the
+// rest to others.
 type RateCollector struct {
 	settings RateSettings
 	from     string
 	base     time.Time
 	nodes    []string
 	limits   map[string]float64
-	orgs     map[string]*collected
-	order    []*collected
+	orgs     map[string]*domainShare
+	order    []*domainShare
 	seq      uint64
 	inFlight []sentSummary
 }
 
-// NewRateCollector returns a collector that knows no node.
+// NewRateCollector returns a collector without limits and nodes. Zero fields of s take
+// their defaults.
 func NewRateCollector(s RateSettings) *RateCollector {
-	return &RateCollector{settings: s.withDefaults(), limits: map[string]float64{}, orgs: map[string]*collected{}}
+	return &RateCollector{settings: s.withDefaults(), limits: map[string]float64{}, orgs: map[string]*domainShare{}}
 }
 
-func (c *RateCollector) since(now time.Time) time.Duration {
+func (c *RateCollector) sinceBase(now time.Time) time.Duration {
 	if c.base.IsZero() {
 		c.base = now
 		c.seq = uint64(now.UnixNano())
@@ -46,14 +47,14 @@
 	return now.Sub(c.base)
 }
 
-// SetLimits takes the limits in force.
+// SetLimits sets the limits in force. Organisations without a limit are dropped.
 func (c *RateCollector) SetLimits(limits []Limit, now time.Time) {
-	c.since(now)
+	c.sinceBase(now)
 	clear(c.limits)
 	for _, l := range limits {
 		c.limits[l.Org] = l.PerSecond
 	}
-	c.order = slices.DeleteFunc(c.order, func(o *collected) bool {
+	c.order = slices.DeleteFunc(c.order, func(o *domainShare) bool {
 		_, ok := c.limits[o.org]
 		if !ok {
 			delete(c.orgs, o.org)
@@ -62,7 +63,7 @@
 	})
 }
 
-// SetNodes takes the IDs of all live entry nodes, among which are the holders.
+// SetNodes sets the IDs of all live entry nodes, from which the holders are chosen.
 func (c *RateCollector) SetNodes(ids []string) {
 	c.nodes = slices.Clone(ids)
 	for _, o := range c.order {
@@ -70,16 +71,16 @@
 	}
 }
 
-// Collect takes a node's summary and returns its parts of the domain's shares.
+// Collect processes a node's summary and returns its parts of the domain's shares.
 func (c *RateCollector) Collect(s Summary, now time.Time) Grant {
-	t := c.since(now)
+	t := c.sinceBase(now)
 	g := Grant{From: c.settings.Self, Seq: s.Seq, Valid: c.settings.GrantFor}
 	for _, d := range s.Demands {
 		limit, ok := c.limits[d.Org]
 		if !ok {
 			continue
 		}
-		share, ok := c.org(d.Org).divide(s, d, limit*(1-c.settings.Reserve), term{now: t, grantFor: c.settings.GrantFor})
+		share, ok := c.org(d.Org).grantNode(s, d, limit*(1-c.settings.Reserve), lease{now: t, grantFor: c.settings.GrantFor})
 		if ok {
 			g.Shares = append(g.Shares, share)
 		}
@@ -87,24 +88,24 @@
 	return g
 }
 
-func (c *RateCollector) org(name string) *collected {
+func (c *RateCollector) org(name string) *domainShare {
 	o := c.orgs[name]
 	if o == nil {
-		o = &collected{org: name, book: book{since: neverNew, lines: map[string]*line{}}}
+		o = &domainShare{org: name, allocation: allocation{createdAt: longAgo, nodes: map[string]*nodeShare{}}}
 		c.orgs[name] = o
 		c.order = append(c.order, o)
 	}
 	return o
 }
 
-// Summaries returns the messages due now, one for each holder; call it a few
-// times a second. Each is answered by a [Grant].
+// Summaries returns the messages that are due, one for each holder. Call it a few times
+// per second. Each message is answered by a [Grant].
 func (c *RateCollector) Summaries(now time.Time) []Summary {
-	t := c.since(now)
-	c.forget(t)
+	t := c.sinceBase(now)
+	c.dropExpired(t)
 	var out []Summary
 	for _, o := range c.order {
-		if !o.due(t, c.settings) {
+		if !o.reportDue(t, c.settings) {
 			continue
 		}
 		to := o.holderOf(c.nodes)
@@ -117,16 +118,16 @@
 	}
 	if out != nil {
 		c.seq++
-		c.inFlight = append(c.inFlight, sentSummary{seq: c.seq, at: t})
+		c.inFlight = append(c.inFlight, sentSummary{seq: c.seq, sentAt: t})
 	}
 	return out
 }
 
-func (c *RateCollector) forget(now time.Duration) {
-	c.inFlight = slices.DeleteFunc(c.inFlight, func(s sentSummary) bool { return now > s.at+c.settings.GrantFor })
-	c.order = slices.DeleteFunc(c.order, func(o *collected) bool {
-		o.book.forget(now)
-		gone := len(o.book.lines) == 0 && now >= o.until
+func (c *RateCollector) dropExpired(now time.Duration) {
+	c.inFlight = slices.DeleteFunc(c.inFlight, func(s sentSummary) bool { return now > s.sentAt+c.settings.GrantFor })
+	c.order = slices.DeleteFunc(c.order, func(o *domainShare) bool {
+		o.allocation.dropExpired(now)
+		gone := len(o.allocation.nodes) == 0 && now >= o.expiresAt
 		if gone {
 			delete(c.orgs, o.org)
 		}
@@ -134,8 +135,8 @@
 	})
 }
 
-// Granted takes a holder's answer. As at a node, it counts from the sending of
-// its summary, and one older than the one held is passed over.
+// Granted processes a holder's answer. As at a node, a grant is valid from the sending of
+// its summary, and grants older than the one held are ignored.
 func (c *RateCollector) Granted(g Grant) {
 	i := slices.IndexFunc(c.inFlight, func(s sentSummary) bool { return s.seq == g.Seq })
 	if i < 0 {
@@ -143,7 +144,7 @@
 	}
 	for _, share := range g.Shares {
 		if o := c.orgs[share.Org]; o != nil && g.Seq > o.seq {
-			o.grant(share.PerSecond, g.Seq, c.inFlight[i].at+share.validFor(g))
+			o.setGrant(share.PerSecond, g.Seq, c.inFlight[i].sentAt+share.validFor(g))
 		}
 	}
 }
--- a/internal/admission/rate_domain.go
+++ b/internal/admission/rate_domain.go
@@ -9,126 +9,127 @@
 )
 
 const (
-	// hurryFor is how long messages go out each hurryPeriod after a demand
-	// has changed by much: its share comes back in two
-	// steps, and a new holder only renews for as long as a grant counts.
-	hurryFor    = 6 * time.Second
-	hurryPeriod = 500 * time.Millisecond
-	// A demand has changed by much when it has grown or fallen by this factor
-	// and by so many requests a second.
-	muchFactor = 2.0
-	muchMore   = 2.0
-	// mostMissed is how many summaries in turn a collector may leave
-	// without an answer until the next one in rank is asked, for passOver.
-	mostMissed = 2
-	passOver   = 30 * time.Second
-	// collectorRanks is how many collectors are tried in turn.
-	collectorRanks = 3
+	// fastReportFor is how long summaries are sent every fastReportPeriod after a sharp
+	// change of demand. The new share takes two steps to come back, and a new holder only
+	// renews shares for as long as a grant is valid.
+	fastReportFor    = 6 * time.Second
+	fastReportPeriod = 500 * time.Millisecond
+	// A change of demand is sharp when it exceeds both sharpChangeFactor and
+	// sharpChangeMin, the latter in requests per second.
+	sharpChangeFactor = 2.0
+	sharpChangeMin    = 2.0
+	// maxMissedAnswers is how many consecutive summaries a collector may leave
+	// unanswered. Beyond that, the next collector in rank is used for fallbackFor.
+	maxMissedAnswers = 2
+	fallbackFor      = 30 * time.Second
+	// maxCollectors is how many collectors are tried in turn.
+	maxCollectors = 3
 )
 
-// muchChanged says that a demand should be told at once: one that grew waits
-// for its share, and one that fell keeps others from theirs.
-func muchChanged(before, now float64) bool {
+// changedSharply reports whether a demand must be reported at once. An increased demand
+// waits for its share, and a decreased one withholds its share from others.
+func changedSharply(before, now float64) bool {
 	low, high := min(before, now), max(before, now)
-	return high > low*muchFactor && high > low+muchMore
+	return high > low*sharpChangeFactor && high > low+sharpChangeMin
 }
 
-// domainWay is a limiter's way to the collector of its failure domain.
+// collectorRoute selects the collector of the failure domain to which a limiter sends.
 //
-// A collector that is paused and still in the list would leave its whole
-// domain with reserves. Asking the next in rank is harmless: each collector
-// gives away only what a holder has granted to it.
-type domainWay struct {
-	collectors []string // by rank
-	size       int
-	hurryUntil time.Duration
-	asked      uint64 // the last Seq
-	heard      uint64 // the last Seq that was answered
-	missed     int
-	rank       int
-	passed     time.Duration // when rank last grew
+// A collector that is paused but still listed would leave its whole domain with reserves
+// only. Using the next one in rank is safe, since each collector grants only what a
+// holder has granted to it.
+type collectorRoute struct {
+	collectors    []string // by rank
+	domainSize    int
+	fastUntil     time.Duration
+	askedSeq      uint64 // the Seq of the last summary
+	answeredSeq   uint64 // the last Seq that was answered
+	missed        int
+	rank          int
+	rankChangedAt time.Duration // when rank last increased
 }
 
-// SetDomain takes the IDs of the live entry nodes in this node's failure
-// domain, self among them.
+// SetDomain sets the IDs of the live entry nodes in this node's failure domain, this node
+// included.
 func (l *RateLimiter) SetDomain(ids []string) {
-	l.domain.size = len(ids)
+	l.route.domainSize = len(ids)
 	ranked := slices.Clone(ids)
 	slices.SortFunc(ranked, func(a, b string) int {
 		return cmp.Or(cmp.Compare(xxhash.Sum64String(b), xxhash.Sum64String(a)), cmp.Compare(a, b))
 	})
-	l.domain.collectors = ranked[:min(collectorRanks, len(ranked))]
+	l.route.collectors = ranked[:min(maxCollectors, len(ranked))]
 }
 
-// collected says that this node asks through a collector.
-func (l *RateLimiter) collected() bool { return l.domain.size > l.settings.Direct }
+// usesCollector reports whether this node sends its summaries to a collector.
+func (l *RateLimiter) usesCollector() bool { return l.route.domainSize > l.settings.Direct }
 
+// period returns the interval between two summaries.
 func (l *RateLimiter) period(now time.Duration) time.Duration {
-	if !l.collected() {
+	if !l.usesCollector() {
 		return l.settings.Period
 	}
-	if l.burst(now) {
-		l.domain.hurryUntil = now + hurryFor
+	if l.hasSharpChange(now) {
+		l.route.fastUntil = now + fastReportFor
 	}
-	if now < l.domain.hurryUntil {
-		return hurryPeriod
+	if now < l.route.fastUntil {
+		return fastReportPeriod
 	}
-	if l.domain.heard < l.domain.asked {
+	if l.route.answeredSeq < l.route.askedSeq {
 		return l.settings.Period
 	}
 	return l.settings.CollectPeriod
 }
 
-// burst says that an organisation's demand has changed by much since the
-// collector was told.
-func (l *RateLimiter) burst(now time.Duration) bool {
+// hasSharpChange reports whether an organisation's demand has changed sharply since it
+// was last reported to the collector.
+func (l *RateLimiter) hasSharpChange(now time.Duration) bool {
 	for _, s := range l.order {
 		if !l.active(s, now) {
 			continue
 		}
 		s.demand.decay(now)
-		if muchChanged(s.told, s.demand.perSecond) {
+		if changedSharply(s.reportedDemand, s.demand.perSecond) {
 			return true
 		}
 	}
 	return false
 }
 
-// collect is the one message for all organisations.
-func (l *RateLimiter) collect(now time.Duration) []Summary {
-	m := Summary{From: l.settings.Self, To: l.domain.next(l.seq, now), Seq: l.seq, Collect: true}
+// collectorSummary returns one message for all organisations, or none without demand.
+func (l *RateLimiter) collectorSummary(now time.Duration) []Summary {
+	m := Summary{From: l.settings.Self, To: l.route.nextCollector(l.seq, now), Seq: l.seq, Collect: true}
 	for _, s := range l.order {
 		s.demand.decay(now)
-		s.told = s.demand.perSecond
+		s.reportedDemand = s.demand.perSecond
 		if l.active(s, now) {
 			m.Demands = append(m.Demands, s.report(now))
 		}
 	}
 	if len(m.Demands) == 0 {
-		l.domain.answered(l.seq)
+		l.route.answered(l.seq)
 		return nil
 	}
 	return []Summary{m}
 }
 
-// next is the collector to ask.
-func (d *domainWay) next(seq uint64, now time.Duration) string {
-	if d.heard < d.asked {
-		d.missed++
+// nextCollector returns the collector for the summary seq.
+func (r *collectorRoute) nextCollector(seq uint64, now time.Duration) string {
+	if r.answeredSeq < r.askedSeq {
+		r.missed++
 	}
-	if d.missed > mostMissed {
-		d.missed = 0
-		d.rank = (d.rank + 1) % len(d.collectors)
-		d.passed = now
+	if r.missed > maxMissedAnswers {
+		r.missed = 0
+		r.rank = (r.rank + 1) % len(r.collectors)
+		r.rankChangedAt = now
 	}
-	if d.rank != 0 && now > d.passed+passOver {
-		d.rank = 0
+	if r.rank != 0 && now > r.rankChangedAt+fallbackFor {
+		r.rank = 0
 	}
-	d.asked = seq
-	return d.collectors[min(d.rank, len(d.collectors)-1)]
+	r.askedSeq = seq
+	return r.collectors[min(r.rank, len(r.collectors)-1)]
 }
 
-func (d *domainWay) answered(seq uint64) {
-	d.heard = max(d.heard, seq)
-	d.missed = 0
+func (r *collectorRoute) answered(seq uint64) {
+	r.answeredSeq = max(r.answeredSeq, seq)
+	r.missed = 0
 }
--- a/internal/admission/rate_holder.go
+++ b/internal/admission/rate_holder.go
@@ -6,73 +6,72 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// HolderOf is the node that holds an organisation's limit, by rendezvous
-// hashing over the nodes. Nodes that see different lists may name different
-// holders; a new holder only renews what was held until older grants have run
-// out.
+// HolderOf returns the ID of the node that holds an organisation's limit, by rendezvous
+// hashing over the nodes. Nodes with different lists may select different holders. A new
+// holder therefore only renews existing shares until older grants have expired.
 func HolderOf(org string, nodes []string) string {
 	var best string
-	var highest uint64
+	var highestRank uint64
 	for _, id := range nodes {
 		rank := xxhash.Sum64String(org + "\x00" + id)
-		if best == "" || rank > highest || (rank == highest && id < best) {
-			best, highest = id, rank
+		if best == "" || rank > highestRank || (rank == highestRank && id < best) {
+			best, highestRank = id, rank
 		}
 	}
 	return best
 }
 
-// RateHolder divides organisations' limits among the nodes that report to it.
-// The grants that count at any moment sum up to no more than the limit
-// without its reserve.
+// RateHolder divides organisations' limits among the nodes and collectors that report to
+// it. The sum of the valid grants never exceeds the limit less its reserve.
 type RateHolder struct {
-	settings RateSettings
-	base     time.Time
-	limits   map[string]float64
-	books    map[string]*book
+	settings    RateSettings
+	base        time.Time
+	limits      map[string]float64
+	allocations map[string]*allocation
 }
 
-// NewRateHolder returns a holder that knows no node.
+// NewRateHolder returns a holder without limits. Zero fields of s take their defaults.
 func NewRateHolder(s RateSettings) *RateHolder {
-	return &RateHolder{settings: s.withDefaults(), limits: map[string]float64{}, books: map[string]*book{}}
+	return &RateHolder{settings: s.withDefaults(), limits: map[string]float64{}, allocations: map[string]*allocation{}}
 }
 
-// SetLimits takes the limits in force.
+// SetLimits sets the limits in force. Organisations without a limit are dropped.
 func (h *RateHolder) SetLimits(limits []Limit, now time.Time) {
-	h.since(now)
+	h.sinceBase(now)
 	clear(h.limits)
 	for _, l := range limits {
 		h.limits[l.Org] = l.PerSecond
 	}
-	for org := range h.books {
+	for org := range h.allocations {
 		if _, ok := h.limits[org]; !ok {
-			delete(h.books, org)
+			delete(h.allocations, org)
 		}
 	}
 }
 
-func (h *RateHolder) since(now time.Time) time.Duration {
+func (h *RateHolder) sinceBase(now time.Time) time.Duration {
 	if h.base.IsZero() {
 		h.base = now
 	}
 	return now.Sub(h.base)
 }
 
-// Summarise takes a node's or a collector's summary and returns its shares.
+// Summarise processes a summary of a node or collector and returns its shares.
+// Organisations without a limit get none.
 func (h *RateHolder) Summarise(s Summary, now time.Time) Grant {
-	t := h.since(now)
+	t := h.sinceBase(now)
 	g := Grant{From: h.settings.Self, Seq: s.Seq, Valid: h.settings.GrantFor}
 	for _, d := range s.Demands {
 		limit, ok := h.limits[d.Org]
 		if !ok {
 			continue
 		}
-		b := h.books[d.Org]
-		if b == nil {
-			b = &book{since: t, lines: map[string]*line{}}
-			h.books[d.Org] = b
+		a := h.allocations[d.Org]
+		if a == nil {
+			a = &allocation{createdAt: t, nodes: map[string]*nodeShare{}}
+			h.allocations[d.Org] = a
 		}
-		share, ok := b.renew(s, d, limit*(1-h.settings.Reserve), term{now: t, grantFor: h.settings.GrantFor})
+		share, ok := a.renew(s, d, limit*(1-h.settings.Reserve), lease{now: t, grantFor: h.settings.GrantFor})
 		if !ok {
 			continue
 		}
--- a/internal/admission/rate_limiter.go
+++ b/internal/admission/rate_limiter.go
@@ -5,52 +5,52 @@
 	"time"
 )
 
-// RateLimiter holds this node's shares of the organisations' limits.
+// RateLimiter enforces this node's shares of the organisations' limits.
 //
-// A node may use its reserve of a limit, an even part of a small share of it,
-// and what the limit's holder has granted it. Grants run out, so a node that
-// is cut off keeps to its reserve, and the holder gives its grant to others
-// only after it has run out. No request waits for a message.
+// A node may use its reserve of a limit, which is an even part of a small fraction of it,
+// and what the limit's holder has granted to it. Grants expire, so a node that is cut off
+// keeps only its reserve, and the holder grants its share to others only after that. No
+// request waits for a message.
 type RateLimiter struct {
 	settings RateSettings
 	base     time.Time
 	nodes    []string
-	orgs     map[string]*rateShare
-	order    []*rateShare
+	orgs     map[string]*orgShare
+	order    []*orgShare
 	seq      uint64
-	sent     time.Duration
-	sentAny  bool
+	sentAt   time.Duration
+	hasSent  bool
 	inFlight []sentSummary
-	domain   domainWay
+	route    collectorRoute
 }
 
-// rateShare is this node's part of one organisation's limit.
-type rateShare struct {
-	org     string
-	holder  string // empty when the nodes have changed since
-	limit   float64
-	bucket  bucket
-	demand  demandRate
-	asked   time.Duration // last request
-	any     bool
-	granted float64
-	seq     uint64 // of the grant
-	until   time.Duration
-	told    float64 // the demand in the last summary to a collector
+// orgShare is this node's share of one organisation's limit.
+type orgShare struct {
+	org            string
+	holder         string // empty when the nodes have changed since
+	limit          float64
+	bucket         tokenBucket
+	demand         demandRate
+	requestedAt    time.Duration // last request
+	requested      bool
+	granted        float64
+	seq            uint64 // of the grant
+	expiresAt      time.Duration
+	reportedDemand float64 // the demand in the last summary to a collector
 }
 
-// sentSummary is when a summary left, from which its grant counts.
+// sentSummary records when a summary was sent, from which its grant is valid.
 type sentSummary struct {
-	seq uint64
-	at  time.Duration
+	seq    uint64
+	sentAt time.Duration
 }
 
-// NewRateLimiter returns a limiter without limits.
+// NewRateLimiter returns a limiter without limits. Zero fields of s take their defaults.
 func NewRateLimiter(s RateSettings) *RateLimiter {
-	return &RateLimiter{settings: s.withDefaults(), orgs: map[string]*rateShare{}}
+	return &RateLimiter{settings: s.withDefaults(), orgs: map[string]*orgShare{}}
 }
 
-func (l *RateLimiter) since(now time.Time) time.Duration {
+func (l *RateLimiter) sinceBase(now time.Time) time.Duration {
 	if l.base.IsZero() {
 		l.base = now
 		l.seq = uint64(now.UnixNano())
@@ -58,16 +58,16 @@
 	return now.Sub(l.base)
 }
 
-// SetLimits takes the limits in force: only organisations with a limit.
+// SetLimits sets the limits in force. Organisations that are not listed are unlimited.
 func (l *RateLimiter) SetLimits(limits []Limit, now time.Time) {
-	t := l.since(now)
-	old := l.orgs
-	l.orgs = make(map[string]*rateShare, len(limits))
+	t := l.sinceBase(now)
+	previous := l.orgs
+	l.orgs = make(map[string]*orgShare, len(limits))
 	l.order = l.order[:0]
 	for _, limit := range limits {
-		s := old[limit.Org]
+		s := previous[limit.Org]
 		if s == nil {
-			s = &rateShare{org: limit.Org, bucket: bucket{tokens: 1, last: t}}
+			s = &orgShare{org: limit.Org, bucket: tokenBucket{tokens: 1, filledAt: t}}
 		}
 		s.limit = limit.PerSecond
 		l.orgs[limit.Org] = s
@@ -75,33 +75,34 @@
 	}
 }
 
-// SetNodes takes the IDs of the live entry nodes, self among them.
+// SetNodes sets the IDs of the live entry nodes, this node included.
 func (l *RateLimiter) SetNodes(ids []string, now time.Time) {
-	l.since(now)
+	l.sinceBase(now)
 	l.nodes = slices.Clone(ids)
 	for _, s := range l.orgs {
 		s.holder = ""
 	}
 }
 
-// Allow takes one request of the organisation from its bucket, or says when
-// to come back.
+// Allow takes a token for one request of the organisation. Without a token it returns
+// false and the time after which to retry.
 func (l *RateLimiter) Allow(org string, now time.Time) (retryAfter time.Duration, ok bool) {
 	s := l.orgs[org]
 	if s == nil {
 		return 0, true
 	}
-	t := l.since(now)
+	t := l.sinceBase(now)
 	s.demand.add(t)
-	s.asked = t
-	s.any = true
-	rate := l.rate(s, t)
-	s.bucket.fill(t, rate, l.settings.BurstFor)
+	s.requestedAt = t
+	s.requested = true
+	rate := l.allowedRate(s, t)
+	s.bucket.refill(t, rate, l.settings.BurstFor)
 	return s.bucket.take(rate)
 }
 
-// rate is what the node may use of the limit.
-func (l *RateLimiter) rate(s *rateShare, now time.Duration) float64 {
+// allowedRate returns the rate that this node may use of the limit, in requests per
+// second. A node without peers may use all of it.
+func (l *RateLimiter) allowedRate(s *orgShare, now time.Duration) float64 {
 	nodes := max(1, len(l.nodes))
 	if nodes == 1 {
 		return s.limit
@@ -109,34 +110,33 @@
 	return s.limit*l.settings.Reserve/float64(nodes) + s.held(now)
 }
 
-// held is the grant, as long as it counts. A limit that was lowered since
-// bounds it at once.
-func (s *rateShare) held(now time.Duration) float64 {
-	if now >= s.until {
+// held returns the valid grant. A limit that has been lowered since bounds it at once.
+func (s *orgShare) held(now time.Duration) float64 {
+	if now >= s.expiresAt {
 		return 0
 	}
 	return min(s.granted, s.limit)
 }
 
-// Summaries returns the messages due now, one for each holder; call it a few
-// times a second. Each is answered by a [Grant].
+// Summaries returns the messages that are due, one for each holder or one for the
+// collector. Call it a few times per second. Each message is answered by a [Grant].
 func (l *RateLimiter) Summaries(now time.Time) []Summary {
-	t := l.since(now)
-	if len(l.nodes) < 2 || (l.sentAny && t < l.sent+l.period(t)) {
+	t := l.sinceBase(now)
+	if len(l.nodes) < 2 || (l.hasSent && t < l.sentAt+l.period(t)) {
 		return nil
 	}
-	l.sent = t
-	l.sentAny = true
+	l.sentAt = t
+	l.hasSent = true
 	l.seq++
-	l.inFlight = append(l.inFlight, sentSummary{seq: l.seq, at: t})
-	l.inFlight = slices.DeleteFunc(l.inFlight, func(s sentSummary) bool { return t > s.at+l.settings.GrantFor })
-	if l.collected() {
-		return l.collect(t)
+	l.inFlight = append(l.inFlight, sentSummary{seq: l.seq, sentAt: t})
+	l.inFlight = slices.DeleteFunc(l.inFlight, func(s sentSummary) bool { return t > s.sentAt+l.settings.GrantFor })
+	if l.usesCollector() {
+		return l.collectorSummary(t)
 	}
-	return l.summarise(t)
+	return l.holderSummaries(t)
 }
 
-func (l *RateLimiter) summarise(now time.Duration) []Summary {
+func (l *RateLimiter) holderSummaries(now time.Duration) []Summary {
 	var out []Summary
 	for _, s := range l.order {
 		if !l.active(s, now) {
@@ -154,36 +154,36 @@
 	return out
 }
 
-func (s *rateShare) holderOf(nodes []string) string {
+func (s *orgShare) holderOf(nodes []string) string {
 	if s.holder == "" {
 		s.holder = HolderOf(s.org, nodes)
 	}
 	return s.holder
 }
 
-func (l *RateLimiter) active(s *rateShare, now time.Duration) bool {
-	return s.any && now <= s.asked+l.settings.Idle
+func (l *RateLimiter) active(s *orgShare, now time.Duration) bool {
+	return s.requested && now <= s.requestedAt+l.settings.Idle
 }
 
-func (s *rateShare) report(now time.Duration) Demand {
+func (s *orgShare) report(now time.Duration) Demand {
 	return Demand{Org: s.org, PerSecond: s.demand.perSecond, Held: s.held(now), HeldSeq: s.seq}
 }
 
-// Granted takes a holder's answer. A grant counts from the sending of its
-// summary, so that it never outlasts what the holder reckons with. A grant
-// older than the one held is passed over.
+// Granted processes a holder's or collector's answer. A grant is valid from the sending
+// of its summary, so it never outlasts what the sender of the grant assumes. Grants older
+// than the one held are ignored.
 func (l *RateLimiter) Granted(g Grant, now time.Time) {
 	i := slices.IndexFunc(l.inFlight, func(s sentSummary) bool { return s.seq == g.Seq })
 	if i < 0 {
 		return
 	}
-	sent := l.inFlight[i].at
-	l.domain.answered(g.Seq)
+	sentAt := l.inFlight[i].sentAt
+	l.route.answered(g.Seq)
 	for _, share := range g.Shares {
 		if s := l.orgs[share.Org]; s != nil && g.Seq > s.seq {
-			s.bucket.fill(l.since(now), l.rate(s, l.since(now)), l.settings.BurstFor)
+			s.bucket.refill(l.sinceBase(now), l.allowedRate(s, l.sinceBase(now)), l.settings.BurstFor)
 			s.granted = share.PerSecond
-			s.until = sent + share.validFor(g)
+			s.expiresAt = sentAt + share.validFor(g)
 			s.seq = g.Seq
 		}
 	}
--- a/internal/admission/rate_messages.go
+++ b/internal/admission/rate_messages.go
@@ -2,53 +2,54 @@
 
 import "time"
 
-// Limit is an organisation's bound over all nodes.
+// Limit is an organisation's limit across all nodes, in requests per second.
 type Limit struct {
 	Org       string
 	PerSecond float64
 }
 
-// Summary tells a holder what a node was asked for. It may be sent again.
+// Summary reports a node's or collector's demands to a holder or collector. It may arrive
+// more than once.
 type Summary struct {
 	From string
-	// To is the node that holds these organisations' limits.
+	// To is the ID of the holder of these organisations' limits, or of the collector.
 	To string
-	// Seq grows with each summary of From, also over restarts.
+	// Seq increases with each summary of From, also across restarts.
 	Seq     uint64
 	Demands []Demand
-	// Collect says that To is asked as the collector of the sender's failure
+	// Collect is set when To is addressed as the collector of the sender's failure
 	// domain, not as a holder.
 	Collect bool
 }
 
-// Demand is what one organisation asked of one node.
+// Demand is the request rate that one organisation offered at the sender.
 type Demand struct {
 	Org string
-	// PerSecond is the smoothed rate of requests offered, refused ones included.
+	// PerSecond is the smoothed rate of offered requests, refused ones included.
 	PerSecond float64
-	// Held is the share granted to the node that has not run out; of a
-	// collector, also what its nodes hold if that is more.
+	// Held is the sender's valid share, in requests per second. For a collector it also
+	// covers what its nodes still hold, if that is more.
 	Held float64
-	// HeldSeq is the Seq of the grant that Held came with.
+	// HeldSeq is the Seq of the grant from which Held comes.
 	HeldSeq uint64
 }
 
-// Grant answers a summary with the node's shares. It carries the summary's
-// Seq.
+// Grant answers a summary with the sender's shares and repeats its Seq.
 type Grant struct {
 	From   string
 	Seq    uint64
 	Shares []Share
-	// Valid is how long the shares count from the sending of the summary.
+	// Valid is how long the shares are valid from the sending of the summary.
 	Valid time.Duration
 }
 
-// Share is a node's part of an organisation's limit, without its reserve.
+// Share is a share of an organisation's limit in requests per second, without the
+// reserve.
 type Share struct {
 	Org       string
 	PerSecond float64
-	// Valid is how long the share counts if not as long as its grant says; 0
-	// means as long as the grant.
+	// Valid is how long the share is valid if that differs from its grant; 0 means as
+	// long as the grant.
 	Valid time.Duration
 }
 
--- a/internal/admission/rate_test.go
+++ b/internal/admission/rate_test.go
@@ -9,25 +9,25 @@
 	"github.com/matryer/is"
 )
 
-// rateFleet is some nodes with their limiters and holders, and a network that
-// loses, delays and repeats messages.
+// rateFleet simulates nodes with their limiters and holders, and a network that loses,
+// delays and repeats messages.
 type rateFleet struct {
-	random   *rand.Rand
-	now      time.Duration
-	ids      []string
-	limiters []*RateLimiter
-	holders  map[string]*RateHolder
-	loss     float64
-	cut      map[string]bool
-	flying   []rateFlight
+	random    *rand.Rand
+	now       time.Duration
+	ids       []string
+	limiters  []*RateLimiter
+	holders   map[string]*RateHolder
+	lossRate  float64
+	cut       map[string]bool
+	inTransit []rateMessage
 }
 
-// rateFlight is a message on its way.
-type rateFlight struct {
-	at      time.Duration
-	summary *Summary
-	grant   *Grant
-	to      int // the node that the grant is for
+// rateMessage is a message in transit.
+type rateMessage struct {
+	arrivesAt time.Duration
+	summary   *Summary
+	grant     *Grant
+	to        int // the node that gets the grant
 }
 
 func newRateFleet(seed uint64, nodes int, limit float64) *rateFleet {
@@ -50,13 +50,13 @@
 
 func (f *rateFleet) time() time.Time { return epoch.Add(f.now) }
 
-func (f *rateFleet) send(m rateFlight) {
-	if f.random.Float64() < f.loss {
+func (f *rateFleet) send(m rateMessage) {
+	if f.random.Float64() < f.lossRate {
 		return
 	}
 	for range 1 + f.random.IntN(2) {
-		m.at = f.now + time.Duration(f.random.IntN(3000))*time.Millisecond*time.Duration(f.random.IntN(2))
-		f.flying = append(f.flying, m)
+		m.arrivesAt = f.now + time.Duration(f.random.IntN(3000))*time.Millisecond*time.Duration(f.random.IntN(2))
+		f.inTransit = append(f.inTransit, m)
 	}
 }
 
@@ -68,26 +68,26 @@
 		}
 		for _, s := range l.Summaries(f.time()) {
 			if !f.cut[f.ids[i]] {
-				f.send(rateFlight{summary: &s, to: i})
+				f.send(rateMessage{summary: &s, to: i})
 			}
 		}
 	}
-	due := f.flying
-	f.flying = nil
+	due := f.inTransit
+	f.inTransit = nil
 	for _, m := range due {
 		switch {
-		case m.at > f.now:
-			f.flying = append(f.flying, m)
+		case m.arrivesAt > f.now:
+			f.inTransit = append(f.inTransit, m)
 		case m.summary != nil:
 			g := f.holders[m.summary.To].Summarise(*m.summary, f.time())
-			f.send(rateFlight{grant: &g, to: m.to})
+			f.send(rateMessage{grant: &g, to: m.to})
 		case !f.cut[f.ids[m.to]] && !f.limiters[m.to].stopped():
 			f.limiters[m.to].Granted(*m.grant, f.time())
 		}
 	}
 }
 
-// allow offers a request at a node and counts it when it passes.
+// allow offers a request at a node and returns 1 if it passes.
 func (f *rateFleet) allow(node int) int {
 	if f.limiters[node].stopped() {
 		return 0
@@ -98,46 +98,47 @@
 	return 0
 }
 
-// rates is what all nodes together may use at this moment.
-func (f *rateFleet) rates() float64 {
+// totalRate returns the sum of what the nodes may use now.
+func (f *rateFleet) totalRate() float64 {
 	var sum float64
 	for _, l := range f.limiters {
 		if !l.stopped() {
-			sum += l.rate(l.orgs["org"], l.since(f.time()))
+			sum += l.allowedRate(l.orgs["org"], l.sinceBase(f.time()))
 		}
 	}
 	return sum
 }
 
-// stopped says that the node was replaced in a test.
+// stopped reports whether the test has replaced the node.
 func (l *RateLimiter) stopped() bool { return l.nodes == nil }
 
-// replace stops one node and tells the others, so that holders change.
+// replace stops one node and removes it from the others' lists, so that holders change.
 func (f *rateFleet) replace(node int) {
-	var left []string
+	var remaining []string
 	for i, l := range f.limiters {
 		if i != node && !l.stopped() {
-			left = append(left, f.ids[i])
+			remaining = append(remaining, f.ids[i])
 		}
 	}
 	f.limiters[node].nodes = nil
 	f.cut[f.ids[node]] = true
 	for _, l := range f.limiters {
 		if !l.stopped() {
-			l.SetNodes(left, f.time())
+			l.SetNodes(remaining, f.time())
 		}
 	}
 }
 
-// TestRateHoldsOverAllNodes: an organisation sends far more than its limit, to
-// changing nodes, while messages between nodes are lost, late and repeated,
-// nodes are cut off and replaced. At no moment may all nodes together use more
-// than the limit, and what passes stays within it and its bursts.
-func TestRateHoldsOverAllNodes(t *testing.T) {
+// TestOrganisationLimitHoldsAcrossNodes guards against nodes that together use more than
+// an organisation's limit. The organisation sends far more than its limit to changing
+// nodes, while messages are lost, delayed and repeated, and nodes are cut off and
+// replaced. The allowed rates never exceed the limit, and what passes stays within the
+// limit and its bursts.
+func TestOrganisationLimitHoldsAcrossNodes(t *testing.T) {
 	for seed := range uint64(200) {
 		const nodes, limit, seconds = 6, 50.0, 60
 		f := newRateFleet(seed, nodes, limit)
-		f.loss = f.random.Float64() * 0.6
+		f.lossRate = f.random.Float64() * 0.6
 		passed := 0
 		hot := 0
 		for f.now < seconds*time.Second {
@@ -156,21 +157,21 @@
 				passed += f.allow(hot)
 			}
 			passed += f.allow(f.random.IntN(nodes))
-			if sum := f.rates(); sum > limit*1.000001 {
-				t.Fatalf("seed %d at %v: nodes may use %v together, the limit is %v", seed, f.now, sum, limit)
+			if sum := f.totalRate(); sum > limit*1.000001 {
+				t.Fatalf("seed %d at %v: the nodes may use %v in total, want at most %v", seed, f.now, sum, limit)
 			}
 		}
 		most := limit*seconds + limit*defaultBurstFor.Seconds() + nodes
 		if float64(passed) > most {
-			t.Fatalf("seed %d: %d passed, the limit allows %v", seed, passed, most)
+			t.Fatalf("seed %d: %d requests passed, want at most %v", seed, passed, most)
 		}
 	}
 }
 
-// TestRateReachesTheLimit: an organisation that sends to one node alone gets
-// nearly all of its limit there, and one that moves to another node gets it
-// there within seconds.
-func TestRateReachesTheLimit(t *testing.T) {
+// TestSingleNodeReachesLimit guards against an organisation that uses a single node and
+// gets far less than its limit there, or does not get it within seconds after moving to
+// another node.
+func TestSingleNodeReachesLimit(t *testing.T) {
 	is := is.New(t)
 	const limit = 100.0
 	f := newRateFleet(1, 6, limit)
@@ -184,13 +185,13 @@
 		return float64(passed) / float64(seconds)
 	}
 	run(0, 15)
-	is.True(run(0, 10) > 0.88*limit) // the reserve of the other five is 0.083 of it
+	is.True(run(0, 10) > 0.88*limit) // the other five nodes' reserve is 0.083 of the limit
 	run(3, 15)
 	is.True(run(3, 10) > 0.88*limit)
 }
 
-// TestCutOffNodeKeepsItsReserve: a node that hears nothing falls back to its
-// reserve and does not stop its callers altogether.
+// TestCutOffNodeKeepsItsReserve guards against a node without messages that refuses all
+// requests, or that uses more than its reserve.
 func TestCutOffNodeKeepsItsReserve(t *testing.T) {
 	is := is.New(t)
 	const limit = 100.0
--- a/internal/admission/refuse.go
+++ b/internal/admission/refuse.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	leastRetryAfter = time.Second
-	mostRetryAfter  = time.Minute
+	minRetryAfter = time.Second
+	maxRetryAfter = time.Minute
 )
 
-// refuse decides whether a request that cannot run at once is refused. When
-// the pool's queue is full, the organisation that has most waiting for its
-// weight makes room.
+// refuse decides whether a request that cannot run at once is refused. When the pool's
+// queue is full, the organisation with the highest waiting cost for its weight makes
+// room.
 func (q *Queue) refuse(t *ticket, now time.Duration) (Decision, bool) {
 	p := t.pool
 	if !q.inTime(t, now) {
@@ -27,7 +27,7 @@
 	if f := p.lane(t.rank).flows[t.org]; f != nil && f.queued >= q.settings.MaxQueuedPerOrganisation {
 		return q.refusal(t, request.CodeOverloaded, now), true
 	}
-	wait := p.wait(t, now)
+	wait := p.estimateWait(t, now)
 	if wait > p.maxWait(t.rank) || now+wait > p.latestStart(t) {
 		return q.refusal(t, request.CodeOverloaded, now), true
 	}
@@ -42,58 +42,58 @@
 	return Decision{}, false
 }
 
-// defers says whether the preset in force keeps the request out.
+// defers reports whether the preset in force refuses the request.
 func (q *Queue) defers(t *ticket) bool {
-	if !q.deferring || t.rank != rankDeferrable {
+	if !q.deferDeferrable || t.rank != rankDeferrable {
 		return false
 	}
 	for _, p := range q.order {
-		if p.urgent.queued > 0 || p.rest.heavy() {
+		if p.immediateLane.queued > 0 || p.otherLane.hasHeavy() {
 			return true
 		}
 	}
 	return false
 }
 
-// victim is the waiting request that makes room for t: of the organisation
-// that has most waiting for its weight, the one that can best be spared. It is
-// nil when t itself is that. Immediate requests make room only for each other.
+// victim returns the waiting ticket to drop in favour of t: the least urgent one of the
+// organisation with the highest waiting cost for its weight. It returns nil when t itself
+// should be refused. Immediate requests make room only for each other.
 func (p *pool) victim(t *ticket) *ticket {
-	if t.rank == rankImmediate && p.rest.queued > 0 {
-		return p.rest.worst().last()
+	if t.rank == rankImmediate && p.otherLane.queued > 0 {
+		return p.otherLane.mostBacklogged().leastUrgent()
 	}
 	l := p.lane(t.rank)
-	worst := l.worst()
-	if worst == nil {
+	backlogged := l.mostBacklogged()
+	if backlogged == nil {
 		return nil
 	}
-	if worst.org == t.org {
-		if spare := worst.last(); spare.rank > t.rank {
-			return spare
+	if backlogged.org == t.org {
+		if candidate := backlogged.leastUrgent(); candidate.rank > t.rank {
+			return candidate
 		}
 		return nil
 	}
-	if worst.cost()/worst.weight <= l.waitingFor(t)/t.weight {
+	if backlogged.cost()/backlogged.weight <= l.backlogWith(t)/t.weight {
 		return nil
 	}
-	return worst.last()
+	return backlogged.leastUrgent()
 }
 
-// waitingFor is what t's organisation would have waiting with t.
-func (l *lane) waitingFor(t *ticket) float64 {
+// backlogWith returns the waiting cost of t's organisation including t.
+func (l *lane) backlogWith(t *ticket) float64 {
 	if f := l.flows[t.org]; f != nil {
 		return f.cost() + t.cost
 	}
 	return t.cost
 }
 
-// refusal says when to come back: when the queue of the request's
-// organisation will have gone down, spread so that those refused together do
-// not come back together.
+// refusal returns a refusal whose RetryAfter is the estimated wait of the request, within
+// bounds. It is lengthened by up to half, by the request's ID, so that requests refused
+// together do not return together.
 func (q *Queue) refusal(t *ticket, code request.Code, now time.Duration) Decision {
-	after := t.pool.wait(t, now)
-	after = min(max(after, leastRetryAfter), mostRetryAfter)
+	retryAfter := t.pool.estimateWait(t, now)
+	retryAfter = min(max(retryAfter, minRetryAfter), maxRetryAfter)
 	const half = 1 << 63
-	after += time.Duration(float64(after) / 2 * float64(xxhash.Sum64String(t.id)>>1) / half)
-	return Decision{ID: t.id, Verdict: Refused, Code: code, RetryAfter: after}
+	retryAfter += time.Duration(float64(retryAfter) / 2 * float64(xxhash.Sum64String(t.id)>>1) / half)
+	return Decision{ID: t.id, Verdict: Refused, Code: code, RetryAfter: retryAfter}
 }
--- a/internal/admission/request.go
+++ b/internal/admission/request.go
@@ -13,11 +13,11 @@
 	Org    string
 	Weight float64
 	Kind   config.Kind
-	// Pool names what the request will run on: a version or a service.
+	// Pool is the name of the pool that the request will run on: a version or a service.
 	Pool string
-	// Deadline is when the answer is worth nothing any more.
+	// Deadline is the time after which the answer is of no use.
 	Deadline time.Time
-	// Cost estimates the work relative to a usual request of the pool; 0 is 1.
+	// Cost is the estimated work relative to a typical request of the pool; 0 means 1.
 	Cost float64
 	Now  time.Time
 }
--- a/internal/admission/retry_budget.go
+++ b/internal/admission/retry_budget.go
@@ -2,27 +2,25 @@
 
 import "time"
 
-// RetryBudget allows retries as a share of first attempts.
+// RetryBudget limits retries to a fraction of the first attempts.
 //
-// It guards against retries that multiply an overload: each failure then
-// causes a new attempt, which fails too, and the load stays up after its
-// cause has gone. It shows as attempts far above first attempts. With the
-// budget they are at most 1 + Ratio times those.
+// Unlimited retries multiply an overload: each failure causes a new attempt, which fails
+// too, and the load stays high after its cause has gone. With the budget, attempts are at
+// most about 1 + Ratio times the first attempts.
 type RetryBudget struct {
-	settings RetrySettings
-	saved    float64
-	last     time.Time
+	settings   RetrySettings
+	tokens     float64
+	refilledAt time.Time
 }
 
-// RetrySettings configure a [RetryBudget]. Zero values take the defaults named
-// here.
+// RetrySettings configures a [RetryBudget]. Zero values take the defaults named here.
 type RetrySettings struct {
-	// Ratio is how many retries each first attempt earns (0.1).
+	// Ratio is how many retries each first attempt allows (0.1).
 	Ratio float64
-	// Burst bounds the retries saved up (10).
+	// Burst bounds the accumulated retries (10).
 	Burst float64
-	// PerSecond is earned without any first attempt, so that a quiet node may
-	// retry at all (0.1).
+	// PerSecond is how many retries per second are allowed without any first attempt, so
+	// that a node with little traffic can retry at all (0.1).
 	PerSecond float64
 }
 
@@ -34,31 +32,31 @@
 
 // NewRetryBudget returns a full budget.
 func NewRetryBudget(s RetrySettings) *RetryBudget {
-	orFloat(&s.Ratio, defaultRetryRatio)
-	orFloat(&s.Burst, defaultRetryBurst)
-	orFloat(&s.PerSecond, defaultRetryPerSecond)
-	return &RetryBudget{settings: s, saved: s.Burst}
+	defaultFloat(&s.Ratio, defaultRetryRatio)
+	defaultFloat(&s.Burst, defaultRetryBurst)
+	defaultFloat(&s.PerSecond, defaultRetryPerSecond)
+	return &RetryBudget{settings: s, tokens: s.Burst}
 }
 
 // First counts a first attempt.
 func (b *RetryBudget) First(now time.Time) {
-	b.earn(now)
-	b.saved = min(b.saved+b.settings.Ratio, b.settings.Burst)
+	b.refill(now)
+	b.tokens = min(b.tokens+b.settings.Ratio, b.settings.Burst)
 }
 
-// Allow takes one retry from the budget, or says that there is none.
+// Allow takes one retry from the budget and reports whether there was one.
 func (b *RetryBudget) Allow(now time.Time) bool {
-	b.earn(now)
-	if b.saved < 1 {
+	b.refill(now)
+	if b.tokens < 1 {
 		return false
 	}
-	b.saved--
+	b.tokens--
 	return true
 }
 
-func (b *RetryBudget) earn(now time.Time) {
-	if !b.last.IsZero() && now.After(b.last) {
-		b.saved = min(b.saved+b.settings.PerSecond*now.Sub(b.last).Seconds(), b.settings.Burst)
+func (b *RetryBudget) refill(now time.Time) {
+	if !b.refilledAt.IsZero() && now.After(b.refilledAt) {
+		b.tokens = min(b.tokens+b.settings.PerSecond*now.Sub(b.refilledAt).Seconds(), b.settings.Burst)
 	}
-	b.last = now
+	b.refilledAt = now
 }
--- a/internal/admission/sample.go
+++ b/internal/admission/sample.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Sample is what a finished request tells of its pool.
+// Sample holds the measurements of a finished request.
 type Sample struct {
-	// Start is the time to the first piece of the answer, or of the whole
-	// call for a plain service; 0 when nothing came.
+	// Start is the time to the first piece of the answer, or of the whole call for a
+	// plain service; 0 when nothing came.
 	Start time.Duration
-	// Total is the time that the request ran.
+	// Total is the time for which the request ran.
 	Total time.Duration
-	// Dropped is set when the upstream refused or failed it for overload.
+	// Dropped is set when the upstream refused or failed the request because of overload.
 	Dropped bool
 }
--- a/internal/admission/service_time.go
+++ b/internal/admission/service_time.go
@@ -2,22 +2,23 @@
 
 import "time"
 
-// serviceWeight is the part of each new sample; some twenty count.
-const serviceWeight = 0.05
+// serviceSampleWeight is the weight of a new sample; about twenty samples count.
+const serviceSampleWeight = 0.05
 
-// serviceTime estimates how long a request of one kind runs in one pool.
+// serviceTime is a moving mean of how long requests run, per unit of cost.
 type serviceTime struct {
 	seconds float64
-	n       int
+	samples int
 }
 
 func (s *serviceTime) add(d time.Duration, cost float64) {
-	s.n++
-	weight := max(serviceWeight, 1/float64(s.n))
+	s.samples++
+	weight := max(serviceSampleWeight, 1/float64(s.samples))
 	s.seconds += weight * (d.Seconds()/cost - s.seconds)
 }
 
-// of is the estimate for a request of that cost; 0 when nothing is known.
-func (s *serviceTime) of(cost float64) time.Duration {
+// estimate returns the expected time of a request of the given cost; 0 when there are no
+// samples.
+func (s *serviceTime) estimate(cost float64) time.Duration {
 	return time.Duration(s.seconds * cost * float64(time.Second))
 }
--- a/internal/admission/smooth.go
+++ b/internal/admission/smooth.go
@@ -5,22 +5,21 @@
 	"time"
 )
 
-// smoothHalfLife is how fast a smoothed number forgets.
-const smoothHalfLife = 3 * time.Second
+// smoothedHalfLife is the half-life of earlier values in a smoothed count.
+const smoothedHalfLife = 3 * time.Second
 
-// smooth is a number smoothed over time.
-type smooth struct {
-	value float64
-	last  time.Duration
+// smoothedCount is a count smoothed exponentially over time.
+type smoothedCount struct {
+	value     float64
+	updatedAt time.Duration
 }
 
-// at returns the smoothed value at now, the number having been n since the
-// last call.
-func (s *smooth) at(now time.Duration, n int) float64 {
-	if now > s.last {
-		keep := math.Exp2(-float64(now-s.last) / float64(smoothHalfLife))
+// update returns the smoothed count at now, where the count was n since the last call.
+func (s *smoothedCount) update(now time.Duration, n int) float64 {
+	if now > s.updatedAt {
+		keep := math.Exp2(-float64(now-s.updatedAt) / float64(smoothedHalfLife))
 		s.value = float64(n) + keep*(s.value-float64(n))
-		s.last = now
+		s.updatedAt = now
 	}
 	return s.value
 }
--- a/internal/admission/status.go
+++ b/internal/admission/status.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// PoolStatus is what the queue holds of one pool.
+// PoolStatus is the queue's state of one pool, in requests.
 type PoolStatus struct {
 	Pool    string
 	Running int
@@ -13,11 +13,11 @@
 	Limit   int
 }
 
-// Status describes the pools by name, for operators and metrics.
+// Status returns the state of the pools, sorted by name, for operators and metrics.
 func (q *Queue) Status() []PoolStatus {
 	list := make([]PoolStatus, 0, len(q.pools))
 	for _, p := range q.pools {
-		list = append(list, PoolStatus{Pool: p.name, Running: p.busy(), Queued: p.queued, Limit: p.limit()})
+		list = append(list, PoolStatus{Pool: p.name, Running: p.runningCount(), Queued: p.queued, Limit: p.limit()})
 	}
 	slices.SortFunc(list, func(a, b PoolStatus) int { return cmp.Compare(a.Pool, b.Pool) })
 	return list
--- a/internal/admission/ticket.go
+++ b/internal/admission/ticket.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// ticket is one request that waits or runs. Times are since the queue's base.
+// ticket is one request that waits or runs. Times are offsets from the queue's base.
 type ticket struct {
 	id       string
-	seq      uint64 // counts arrivals
+	seq      uint64 // order of arrival
 	org      string
 	weight   float64
 	rank     rank
@@ -17,19 +17,19 @@
 	index    int // in its flow's heap
 }
 
-// before orders by deadline, and by arrival when these are equal.
-func (t *ticket) before(o *ticket) bool {
+// less orders by deadline, then by arrival.
+func (t *ticket) less(o *ticket) bool {
 	if t.deadline != o.deadline {
 		return t.deadline < o.deadline
 	}
 	return t.seq < o.seq
 }
 
-// byDeadline is a heap of waiting tickets, the earliest deadline first.
+// byDeadline is a heap of waiting tickets with the earliest deadline first.
 type byDeadline []*ticket
 
 func (h byDeadline) Len() int           { return len(h) }
-func (h byDeadline) Less(i, j int) bool { return h[i].before(h[j]) }
+func (h byDeadline) Less(i, j int) bool { return h[i].less(h[j]) }
 
 func (h byDeadline) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
@@ -37,14 +37,14 @@
 	h[j].index = j
 }
 
-// Push adds a ticket; it is for container/heap.
+// Push implements heap.Interface.
 func (h *byDeadline) Push(x any) {
 	t := x.(*ticket)
 	t.index = len(*h)
 	*h = append(*h, t)
 }
 
-// Pop removes the last ticket; it is for container/heap.
+// Pop implements heap.Interface.
 func (h *byDeadline) Pop() any {
 	last := len(*h) - 1
 	t := (*h)[last]
@@ -53,11 +53,11 @@
 	return t
 }
 
-// last returns the waiting ticket with the latest deadline.
-func (h byDeadline) last() *ticket {
+// latest returns the waiting ticket with the latest deadline.
+func (h byDeadline) latest() *ticket {
 	worst := h[0]
 	for _, t := range h[1:] {
-		if worst.before(t) {
+		if worst.less(t) {
 			worst = t
 		}
 	}
--- a/internal/admission/window_budget.go
+++ b/internal/admission/window_budget.go
@@ -2,35 +2,35 @@
 
 import "time"
 
-// WindowBudget allows further attempts as a share of the requests of a sliding
-// window, and a number beyond.
+// WindowBudget limits further attempts to a fraction of the requests in a sliding window,
+// plus a fixed number.
 //
-// It guards against attempts that multiply an overload, as [RetryBudget] does,
-// where the bound is given over a window and shared by many nodes. Each node
-// then holds its own part of it, and the parts add up to the whole. A bucket
-// that saves little up would turn away single attempts at a node with few
-// requests, although the window as a whole allows them.
+// Like [RetryBudget] it keeps attempts from multiplying an overload, but the bound
+// applies to a window and is shared by many nodes. Each node has its own part of the
+// bound, and the parts add up to the whole. A token bucket with a small depth would deny
+// single attempts at a node with few requests, although the window as a whole allows
+// them.
 type WindowBudget struct {
-	settings WindowSettings
-	slots    [windowSlots + 1]windowSlot
+	settings  WindowSettings
+	intervals [windowIntervals + 1]windowInterval
 }
 
-// WindowSettings configure a [WindowBudget].
+// WindowSettings configures a [WindowBudget].
 type WindowSettings struct {
 	// Ratio is how many further attempts each request allows.
 	Ratio float64
-	// Slack is how many are allowed beyond.
+	// Slack is how many attempts are allowed in addition.
 	Slack float64
-	// Window is the span over which both are counted.
+	// Window is the duration over which requests and attempts are counted.
 	Window time.Duration
 }
 
-// windowSlots is how finely the window slides. A slot counts until it has left
-// the window whole, for attempts, and only while it is whole in it, for
-// requests: the bound then holds for every span.
-const windowSlots = 20
+// windowIntervals is how many intervals make up the window. Attempts count until their
+// interval has left the window completely, and requests only while theirs is completely
+// inside it. So the bound applies to every span of the window's length.
+const windowIntervals = 20
 
-type windowSlot struct {
+type windowInterval struct {
 	number   int64
 	requests float64
 	attempts float64
@@ -39,47 +39,47 @@
 // NewWindowBudget returns an unused budget.
 func NewWindowBudget(s WindowSettings) *WindowBudget { return &WindowBudget{settings: s} }
 
-// SetSlack takes another part of the shared slack.
+// SetSlack changes this node's part of the shared slack.
 func (b *WindowBudget) SetSlack(slack float64) { b.settings.Slack = slack }
 
 // Request counts a request.
-func (b *WindowBudget) Request(now time.Time) { b.slot(now).requests++ }
+func (b *WindowBudget) Request(now time.Time) { b.interval(now).requests++ }
 
-// Allow takes one further attempt, or says that there is none. reserve is the
-// part of the budget, 0 to 1, that is to stay for others.
+// Allow takes one further attempt and reports whether the budget allows it. reserve is
+// the fraction of the budget, from 0 to 1, that is kept for other attempts.
 func (b *WindowBudget) Allow(now time.Time, reserve float64) bool {
 	requests, attempts := b.sums(now)
 	if attempts+1 > (1-reserve)*(b.settings.Ratio*requests+b.settings.Slack) {
 		return false
 	}
-	b.slot(now).attempts++
+	b.interval(now).attempts++
 	return true
 }
 
 func (b *WindowBudget) sums(now time.Time) (requests, attempts float64) {
-	newest := b.number(now)
-	for _, s := range b.slots {
+	newest := b.intervalNumber(now)
+	for _, s := range b.intervals {
 		age := newest - s.number
-		if s.number == 0 || age > windowSlots {
+		if s.number == 0 || age > windowIntervals {
 			continue
 		}
 		attempts += s.attempts
-		if age < windowSlots {
+		if age < windowIntervals {
 			requests += s.requests
 		}
 	}
 	return requests, attempts
 }
 
-func (b *WindowBudget) slot(now time.Time) *windowSlot {
-	number := b.number(now)
-	s := &b.slots[number%int64(len(b.slots))]
+func (b *WindowBudget) interval(now time.Time) *windowInterval {
+	number := b.intervalNumber(now)
+	s := &b.intervals[number%int64(len(b.intervals))]
 	if s.number != number {
-		*s = windowSlot{number: number}
+		*s = windowInterval{number: number}
 	}
 	return s
 }
 
-func (b *WindowBudget) number(now time.Time) int64 {
-	return now.UnixNano()/max(int64(b.settings.Window)/windowSlots, 1) + 1
+func (b *WindowBudget) intervalNumber(now time.Time) int64 {
+	return now.UnixNano()/max(int64(b.settings.Window)/windowIntervals, 1) + 1
 }
--- a/internal/admission/window_budget_test.go
+++ b/internal/admission/window_budget_test.go
@@ -8,10 +8,10 @@
 	"pgregory.net/rapid"
 )
 
-// An overload makes attempts fail, and each failure asks for another attempt.
-// In every window that ends with a further attempt, those stay within the share
-// of the window's requests and the slack. (A window that ends later has lost
-// requests that earned attempts which it still holds.)
+// TestWindowBudgetHoldsAtEachAttempt guards against attempts that multiply an overload,
+// because each failure causes another attempt. In every window that ends with an attempt,
+// the attempts stay within the share of its requests plus the slack. A window that ends
+// later may have lost requests that allowed attempts it still contains.
 func TestWindowBudgetHoldsAtEachAttempt(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := WindowSettings{
@@ -35,7 +35,7 @@
 			got := within(attempts, now.Add(-s.Window), now)
 			allowed := s.Ratio*within(requests, now.Add(-s.Window), now) + s.Slack
 			if got > allowed+1e-9 {
-				t.Fatalf("%v attempts in a window, %v allowed", got, allowed)
+				t.Fatalf("%v attempts in a window, want at most %v", got, allowed)
 			}
 		}
 	})
@@ -51,9 +51,9 @@
 	return n
 }
 
-// A node with few requests may use what they earned, also all at once: a
-// bucket that saves up only its small part of the slack turned seven of a
-// hundred answers into failures.
+// TestWindowBudgetLetsFewRequestsUseTheirShare guards against denied attempts at a node
+// with few requests. It may use what they allow, even all at once. A token bucket as deep
+// as the node's small part of the slack turned seven of a hundred answers into failures.
 func TestWindowBudgetLetsFewRequestsUseTheirShare(t *testing.T) {
 	is := is.New(t)
 	b := NewWindowBudget(WindowSettings{Ratio: 0.8, Slack: 0.5, Window: 10 * time.Second})
@@ -71,7 +71,8 @@
 	is.True(b.Allow(now, 0))
 }
 
-// A reserve leaves a part of the budget for more important attempts.
+// TestWindowBudgetReserve checks that a reserve keeps part of the budget for other
+// attempts.
 func TestWindowBudgetReserve(t *testing.T) {
 	is := is.New(t)
 	b := NewWindowBudget(WindowSettings{Ratio: 0, Slack: 10, Window: time.Second})
