--- a/internal/admission/next.go
+++ b/internal/admission/next.go
@@ -9,7 +9,7 @@
 // Next returns the waiting requests that run now, and those refused now because they can
 // no longer start in time.
 func (q *Queue) Next(now time.Time) []Decision {
-	t := q.sinceBase(now)
+	t := q.since(now)
 	for _, p := range q.order {
 		q.expire(p, t)
 		q.dispatch(p, t)
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -25,7 +25,7 @@
 	return &Queue{settings: s.withDefaults(), pools: map[string]*pool{}, tickets: map[string]*ticket{}}
 }
 
-func (q *Queue) sinceBase(now time.Time) time.Duration {
+func (q *Queue) since(now time.Time) time.Duration {
 	if q.base.IsZero() {
 		q.base = now
 	}
@@ -53,7 +53,7 @@
 // Offer decides on a request at once: run, wait, or refused with RetryAfter. A request
 // whose ID already waits or runs is refused as a duplicate.
 func (q *Queue) Offer(r Request) Decision {
-	now := q.sinceBase(r.Now)
+	now := q.since(r.Now)
 	if q.tickets[r.ID] != nil {
 		return Decision{ID: r.ID, Verdict: Refused, Code: request.CodeDuplicate}
 	}
@@ -104,11 +104,11 @@
 	}
 	delete(q.tickets, id)
 	p := t.pool
-	p.addRunning(t.rank, -1, q.sinceBase(now))
+	p.addRunning(t.rank, -1, q.since(now))
 	if s.Total > 0 && !s.Dropped {
 		p.serviceTimes[t.rank].add(s.Total, t.cost)
 	}
-	p.limiter.observe(s, q.sinceBase(now))
+	p.limiter.observe(s, q.since(now))
 }
 
 // Observe records the load that a pool's upstreams reported. Call it at least once per
@@ -125,7 +125,7 @@
 	}
 	delete(q.tickets, id)
 	if t.running {
-		t.pool.addRunning(t.rank, -1, q.sinceBase(now))
+		t.pool.addRunning(t.rank, -1, q.since(now))
 		return
 	}
 	t.pool.remove(t)
--- a/internal/admission/queue_rapid_test.go
+++ b/internal/admission/queue_rapid_test.go
@@ -102,7 +102,7 @@
 		t.Fatalf("status %+v, but %d run and %d wait", got, len(m.running), len(m.waiting))
 	}
 	if len(m.waiting) > modelMaxQueued {
-		t.Fatalf("%d requests wait, want at most 12", len(m.waiting))
+		t.Fatalf("%d requests wait, more than modelMaxQueued", len(m.waiting))
 	}
 	perLane := map[string]int{}
 	for _, r := range m.waiting {
@@ -120,10 +120,10 @@
 	}
 	for who, n := range perLane {
 		if n > modelMaxPerOrg {
-			t.Fatalf("%d requests of %s wait, want at most 5", n, who)
+			t.Fatalf("%d requests of %s wait, more than modelMaxPerOrg", n, who)
 		}
 	}
-	if len(m.waiting) > 0 && len(m.running) < limit-p.immediateFloor(m.queue.sinceBase(m.now)) {
+	if len(m.waiting) > 0 && len(m.running) < limit-p.immediateFloor(m.queue.since(m.now)) {
 		t.Fatalf("%d wait although only %d of %d run", len(m.waiting), len(m.running), limit)
 	}
 }
--- a/internal/admission/rate_collector.go
+++ b/internal/admission/rate_collector.go
@@ -38,7 +38,7 @@
 	return &RateCollector{settings: s.withDefaults(), limits: map[string]float64{}, orgs: map[string]*domainShare{}}
 }
 
-func (c *RateCollector) sinceBase(now time.Time) time.Duration {
+func (c *RateCollector) since(now time.Time) time.Duration {
 	if c.base.IsZero() {
 		c.base = now
 		c.seq = uint64(now.UnixNano())
@@ -49,7 +49,7 @@
 
 // SetLimits sets the limits in force. Organisations without a limit are dropped.
 func (c *RateCollector) SetLimits(limits []Limit, now time.Time) {
-	c.sinceBase(now)
+	c.since(now)
 	clear(c.limits)
 	for _, l := range limits {
 		c.limits[l.Org] = l.PerSecond
@@ -73,7 +73,7 @@
 
 // Collect processes a node's summary and returns its parts of the domain's shares.
 func (c *RateCollector) Collect(s Summary, now time.Time) Grant {
-	t := c.sinceBase(now)
+	t := c.since(now)
 	g := Grant{From: c.settings.Self, Seq: s.Seq, Valid: c.settings.GrantFor}
 	for _, d := range s.Demands {
 		limit, ok := c.limits[d.Org]
@@ -101,7 +101,7 @@
 // Summaries returns the messages that are due, one for each holder. Call it a few times
 // per second. Each message is answered by a [Grant].
 func (c *RateCollector) Summaries(now time.Time) []Summary {
-	t := c.sinceBase(now)
+	t := c.since(now)
 	c.dropExpired(t)
 	var out []Summary
 	for _, o := range c.order {
--- a/internal/admission/rate_collector_test.go
+++ b/internal/admission/rate_collector_test.go
@@ -202,7 +202,7 @@
 		if n.lost {
 			continue
 		}
-		sum += n.limiter.allowedRate(n.limiter.orgs[org], n.limiter.sinceBase(f.time()))
+		sum += n.limiter.rate(n.limiter.orgs[org], n.limiter.since(f.time()))
 	}
 	return sum
 }
@@ -350,9 +350,7 @@
 	}
 	cut := f.partitioned
 	f.partitioned = nil
-	rate := func(n *domainNode) float64 {
-		return n.limiter.allowedRate(n.limiter.orgs["org"], n.limiter.sinceBase(f.time()))
-	}
+	rate := func(n *domainNode) float64 { return n.limiter.rate(n.limiter.orgs["org"], n.limiter.since(f.time())) }
 	run := func(d time.Duration, hot ...*domainNode) {
 		for end := f.now + d; f.now < end; {
 			f.step(step)
@@ -393,7 +391,7 @@
 	first.collector.SetLimits(f.orgs, f.time())
 	f.setList(first, f.nodes)
 	run(20*time.Second, own[1])
-	rate := own[1].limiter.allowedRate(own[1].limiter.orgs["org"], own[1].limiter.sinceBase(f.time()))
+	rate := own[1].limiter.rate(own[1].limiter.orgs["org"], own[1].limiter.since(f.time()))
 	is.True(rate > 0.85*limit)
 }
 
@@ -414,7 +412,7 @@
 			f.offerRequests(n, "org", 300, step)
 		}
 	}
-	rate := func() float64 { return n.limiter.allowedRate(n.limiter.orgs["org"], n.limiter.sinceBase(f.time())) }
+	rate := func() float64 { return n.limiter.rate(n.limiter.orgs["org"], n.limiter.since(f.time())) }
 	run(20 * time.Second)
 	held := rate()
 	is.True(held > 0.85*limit)
--- a/internal/admission/rate_holder.go
+++ b/internal/admission/rate_holder.go
@@ -37,7 +37,7 @@
 
 // SetLimits sets the limits in force. Organisations without a limit are dropped.
 func (h *RateHolder) SetLimits(limits []Limit, now time.Time) {
-	h.sinceBase(now)
+	h.since(now)
 	clear(h.limits)
 	for _, l := range limits {
 		h.limits[l.Org] = l.PerSecond
@@ -49,7 +49,7 @@
 	}
 }
 
-func (h *RateHolder) sinceBase(now time.Time) time.Duration {
+func (h *RateHolder) since(now time.Time) time.Duration {
 	if h.base.IsZero() {
 		h.base = now
 	}
@@ -59,7 +59,7 @@
 // Summarise processes a summary of a node or collector and returns its shares.
 // Organisations without a limit get none.
 func (h *RateHolder) Summarise(s Summary, now time.Time) Grant {
-	t := h.sinceBase(now)
+	t := h.since(now)
 	g := Grant{From: h.settings.Self, Seq: s.Seq, Valid: h.settings.GrantFor}
 	for _, d := range s.Demands {
 		limit, ok := h.limits[d.Org]
--- a/internal/admission/rate_limiter.go
+++ b/internal/admission/rate_limiter.go
@@ -50,7 +50,7 @@
 	return &RateLimiter{settings: s.withDefaults(), orgs: map[string]*orgShare{}}
 }
 
-func (l *RateLimiter) sinceBase(now time.Time) time.Duration {
+func (l *RateLimiter) since(now time.Time) time.Duration {
 	if l.base.IsZero() {
 		l.base = now
 		l.seq = uint64(now.UnixNano())
@@ -60,7 +60,7 @@
 
 // SetLimits sets the limits in force. Organisations that are not listed are unlimited.
 func (l *RateLimiter) SetLimits(limits []Limit, now time.Time) {
-	t := l.sinceBase(now)
+	t := l.since(now)
 	previous := l.orgs
 	l.orgs = make(map[string]*orgShare, len(limits))
 	l.order = l.order[:0]
@@ -77,7 +77,7 @@
 
 // SetNodes sets the IDs of the live entry nodes, this node included.
 func (l *RateLimiter) SetNodes(ids []string, now time.Time) {
-	l.sinceBase(now)
+	l.since(now)
 	l.nodes = slices.Clone(ids)
 	for _, s := range l.orgs {
 		s.holder = ""
@@ -91,18 +91,18 @@
 	if s == nil {
 		return 0, true
 	}
-	t := l.sinceBase(now)
+	t := l.since(now)
 	s.demand.add(t)
 	s.requestedAt = t
 	s.requested = true
-	rate := l.allowedRate(s, t)
+	rate := l.rate(s, t)
 	s.bucket.refill(t, rate, l.settings.BurstFor)
 	return s.bucket.take(rate)
 }
 
-// allowedRate returns the rate that this node may use of the limit, in requests per
+// rate returns the rate that this node may use of the limit, in requests per
 // second. A node without peers may use all of it.
-func (l *RateLimiter) allowedRate(s *orgShare, now time.Duration) float64 {
+func (l *RateLimiter) rate(s *orgShare, now time.Duration) float64 {
 	nodes := max(1, len(l.nodes))
 	if nodes == 1 {
 		return s.limit
@@ -121,7 +121,7 @@
 // Summaries returns the messages that are due, one for each holder or one for the
 // collector. Call it a few times per second. Each message is answered by a [Grant].
 func (l *RateLimiter) Summaries(now time.Time) []Summary {
-	t := l.sinceBase(now)
+	t := l.since(now)
 	if len(l.nodes) < 2 || (l.hasSent && t < l.sentAt+l.period(t)) {
 		return nil
 	}
@@ -181,7 +181,7 @@
 	l.route.answered(g.Seq)
 	for _, share := range g.Shares {
 		if s := l.orgs[share.Org]; s != nil && g.Seq > s.seq {
-			s.bucket.refill(l.sinceBase(now), l.allowedRate(s, l.sinceBase(now)), l.settings.BurstFor)
+			s.bucket.refill(l.since(now), l.rate(s, l.since(now)), l.settings.BurstFor)
 			s.granted = share.PerSecond
 			s.expiresAt = sentAt + share.validFor(g)
 			s.seq = g.Seq
--- a/internal/admission/rate_test.go
+++ b/internal/admission/rate_test.go
@@ -103,7 +103,7 @@
 	var sum float64
 	for _, l := range f.limiters {
 		if !l.stopped() {
-			sum += l.allowedRate(l.orgs["org"], l.sinceBase(f.time()))
+			sum += l.rate(l.orgs["org"], l.since(f.time()))
 		}
 	}
 	return sum
--- a/internal/balance/balancer.go
+++ b/internal/balance/balancer.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// sinceBase converts a time to an offset from the balancer's base.
-func (b *Balancer) sinceBase(now time.Time) time.Duration {
+// since converts a time to an offset from the balancer's base.
+func (b *Balancer) since(now time.Time) time.Duration {
 	if b.base.IsZero() {
 		// The base lies before the first call, so that an offset of 0 is always in the
 		// past.
@@ -67,7 +67,7 @@
 // Report records a load report of an upstream, whether NeedPoll asked for it or not. A
 // report that is older than the one held is ignored.
 func (b *Balancer) Report(vmID string, r upstream.LoadReport, now time.Time) {
-	t := b.sinceBase(now)
+	t := b.since(now)
 	at := t - time.Duration(r.AgeMillis)*time.Millisecond
 	h := b.hosts[vmID]
 	if h == nil {
@@ -96,7 +96,7 @@
 // PollFailed records that an upstream did not answer a poll for its load. It counts as a
 // failure of the breaker.
 func (b *Balancer) PollFailed(vmID string, now time.Time) {
-	t := b.sinceBase(now)
+	t := b.since(now)
 	h := b.hosts[vmID]
 	if h == nil {
 		return
@@ -109,7 +109,7 @@
 // until one of its later reports says otherwise.
 func (b *Balancer) Leaving(vmID string, now time.Time) {
 	if h := b.hosts[vmID]; h != nil {
-		h.markLeaving(b.sinceBase(now))
-		b.refreshPools(b.sinceBase(now))
+		h.markLeaving(b.since(now))
+		b.refreshPools(b.since(now))
 	}
 }
--- a/internal/balance/choose.go
+++ b/internal/balance/choose.go
@@ -8,7 +8,7 @@
 // Pick chooses an upstream and counts the attempt as in flight there until Done. If it
 // returns false, Pick.Shortage gives the reason.
 func (b *Balancer) Pick(r Request) (Pick, bool) {
-	now := b.sinceBase(r.Now)
+	now := b.since(r.Now)
 	b.maintain(now)
 	p := b.poolFor(&r, now)
 	h := b.chooseHost(p, &r, now)
--- a/internal/balance/done.go
+++ b/internal/balance/done.go
@@ -24,7 +24,7 @@
 	if a == nil {
 		return
 	}
-	at := b.sinceBase(now)
+	at := b.since(now)
 	h := a.host
 	h.inFlight--
 	a.pool.inFlight--
--- a/internal/balance/members.go
+++ b/internal/balance/members.go
@@ -14,7 +14,7 @@
 // node's place, and selects the node's subset. The caller must not change the list
 // afterwards.
 func (b *Balancer) SetMembers(vms []platform.VM, place Place, now time.Time) {
-	t := b.sinceBase(now)
+	t := b.since(now)
 	previous := b.hosts
 	b.hosts = make(map[string]*host, b.settings.SubsetSize)
 	b.order = b.order[:0]
--- a/internal/balance/noticed.go
+++ b/internal/balance/noticed.go
@@ -23,9 +23,9 @@
 	if a.Leaving {
 		b.Leaving(vmID, at)
 	}
-	b.backOff(h, a.Rest, b.sinceBase(at))
-	if !a.LimitUnsound && b.sinceBase(at) >= h.rateLimitAt { // an answer read earlier does not override a later one
-		b.setRateLimit(h, a.Limit, b.sinceBase(at))
+	b.backOff(h, a.Rest, b.since(at))
+	if !a.LimitUnsound && b.since(at) >= h.rateLimitAt { // an answer read earlier does not override a later one
+		b.setRateLimit(h, a.Limit, b.since(at))
 	}
 }
 
@@ -108,5 +108,5 @@
 	if l == nil {
 		return now + min(time.Duration(float64(time.Second)/h.rateShare.Rate()), pacing.MostPause)
 	}
-	return b.sinceBase(pacing.NextToken(l, b.base.Add(now)))
+	return b.since(pacing.NextToken(l, b.base.Add(now)))
 }
--- a/internal/balance/poll.go
+++ b/internal/balance/poll.go
@@ -40,7 +40,7 @@
 // NeedPoll returns the upstreams to poll for their load now. Call it several times a
 // second; Settings.PollsPerSecond bounds the result.
 func (b *Balancer) NeedPoll(now time.Time) []platform.VM {
-	t := b.sinceBase(now)
+	t := b.since(now)
 	b.maintain(t)
 	b.polls.refill(t, b.settings.PollsPerSecond)
 	var due []platform.VM
--- a/internal/balance/pool_load.go
+++ b/internal/balance/pool_load.go
@@ -21,7 +21,7 @@
 // upstreams and few polls there are always some, and without them the pool would seem
 // smaller than it is. It returns the zero value when too few upstreams have reported.
 func (b *Balancer) PoolLoad(version, service string, now time.Time) PoolLoad {
-	t := b.sinceBase(now)
+	t := b.since(now)
 	var l PoolLoad
 	var usable, fresh int
 	for _, h := range b.poolHosts(version, service) {
--- a/internal/balance/room.go
+++ b/internal/balance/room.go
@@ -23,7 +23,7 @@
 // while engines with other versions are idle. A version that only one engine of many has
 // would get the work of all of them, and queue beside idle engines.
 func (b *Balancer) Room(version string, now time.Time) Room {
-	t := b.sinceBase(now)
+	t := b.since(now)
 	b.maintain(t)
 	p := b.versions[version]
 	if len(b.unselected) > 0 && len(p.members()) < b.settings.MinPerVersion {
--- a/internal/balance/status.go
+++ b/internal/balance/status.go
@@ -25,7 +25,7 @@
 
 // Status returns the state of this node's upstreams, for operators and metrics.
 func (b *Balancer) Status(now time.Time) []HostStatus {
-	t := b.sinceBase(now)
+	t := b.since(now)
 	list := make([]HostStatus, 0, len(b.order))
 	for _, h := range b.order {
 		list = append(list, h.status(t))
