--- a/internal/admission/book.go
+++ b/internal/admission/book.go
@@ -22,10 +22,10 @@
 // lease is the start and the duration of a grant.
 type lease struct {
 	now      time.Duration
-	grantFor time.Duration
+	duration time.Duration
 }
 
-func (l lease) expiresAt() time.Duration { return l.now + l.grantFor }
+func (l lease) expiresAt() time.Duration { return l.now + l.duration }
 
 // renew updates a node's demand and returns its share of total, in requests per second. A
 // summary that is older than the last one gets no share; a repeated one gets the same
@@ -60,7 +60,7 @@
 		}
 	}
 	share := total * (n.demand + minDemand) / demands
-	if l.now < a.createdAt+l.grantFor {
+	if l.now < a.createdAt+l.duration {
 		// Grants of a previous holder that have not been reported here may still be
 		// valid, so no node may get more than it already holds.
 		share = min(share, n.held(l.now))
--- a/internal/admission/collected.go
+++ b/internal/admission/collected.go
@@ -48,8 +48,8 @@
 	total := min(d.share(l.now), maxTotal)
 	remaining := d.expiresAt - l.now
 	valid := time.Duration(0)
-	if total > 0 && remaining < l.grantFor {
-		l.grantFor = remaining
+	if total > 0 && remaining < l.duration {
+		l.duration = remaining
 		valid = remaining
 	}
 	share, ok := d.allocation.renew(summary, demand, total, l)
@@ -100,7 +100,7 @@
 	case d.seq < d.reportedSeq, math.Abs(demand-d.reportedDemand) > max(significantChange*d.reportedDemand, significantLimitPart*d.maxTotal):
 		return sinceReport >= settings.Period
 	}
-	return sinceReport >= settings.SumPeriod
+	return sinceReport >= settings.RenewPeriod
 }
 
 // setGrant records the holder's grant.
--- a/internal/admission/lane.go
+++ b/internal/admission/lane.go
@@ -52,8 +52,8 @@
 	if f.queued > 0 {
 		return
 	}
-	for i, a := range l.active {
-		if a == f {
+	for i, other := range l.active {
+		if other == f {
 			l.active = append(l.active[:i], l.active[i+1:]...)
 			break
 		}
@@ -106,9 +106,9 @@
 	}
 }
 
-// ahead is the cost of what would be served before a new request: of the other
-// organisations all that starts before it in virtual time, and what its own
-// has waiting.
+// ahead returns the cost of the work that would be served before a new request: what
+// starts before it in virtual time from other organisations, and what its own
+// organisation has waiting.
 func (l *lane) ahead(t *ticket) float64 {
 	start, own := l.virtual, 0.0
 	if f := l.flows[t.org]; f != nil {
@@ -126,13 +126,13 @@
 
 // mostBacklogged returns the flow with the highest waiting cost for its weight.
 func (l *lane) mostBacklogged() *flow {
-	var worst *flow
+	var backlogged *flow
 	for _, f := range l.active {
-		if worst == nil || f.cost()/f.weight > worst.cost()/worst.weight {
-			worst = f
+		if backlogged == nil || f.cost()/f.weight > backlogged.cost()/backlogged.weight {
+			backlogged = f
 		}
 	}
-	return worst
+	return backlogged
 }
 
 // hasHeavy reports whether heavy work waits.
--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -11,8 +11,8 @@
 	minWindowSamples = 20
 	// decreaseFactor multiplies the limit after a window of high latency.
 	decreaseFactor = 0.9
-	// increaseFactor multiplies the limit after a window of good latency;
-	// initialIncreaseFactor does so until the first decrease.
+	// increaseFactor multiplies the limit after a window of good latency, which adds at
+	// least 1. Until the first decrease initialIncreaseFactor applies instead.
 	increaseFactor        = 1.05
 	initialIncreaseFactor = 1.5
 	// growUtilisation is the least utilisation of the limit at which it grows,
@@ -29,7 +29,7 @@
 // the upstreams work at their full rate. Latency shows this whichever node sends the
 // load, so nodes share the upstreams without messages. Latency that rises while the limit
 // is not in use has another cause and is ignored. Where upstreams report their load,
-// Queue.Observe sets the limit instead: latency varies between prompts, and it shows a
+// [Queue.Observe] sets the limit instead: latency varies between prompts, and it shows a
 // queue only once the queue exists.
 type limiter struct {
 	settings     LimitSettings
--- a/internal/admission/next.go
+++ b/internal/admission/next.go
@@ -14,9 +14,9 @@
 		q.expire(p, t)
 		q.dispatch(p, t)
 	}
-	out := q.pending
+	decisions := q.pending
 	q.pending = nil
-	return out
+	return decisions
 }
 
 // dispatch runs waiting requests while the pool's limit allows.
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -25,6 +25,7 @@
 	return &Queue{settings: s.withDefaults(), pools: map[string]*pool{}, tickets: map[string]*ticket{}}
 }
 
+// since converts a time to an offset from the base, which is the first time seen.
 func (q *Queue) since(now time.Time) time.Duration {
 	if q.base.IsZero() {
 		q.base = now
--- a/internal/admission/rate_collector.go
+++ b/internal/admission/rate_collector.go
@@ -38,6 +38,8 @@
 	return &RateCollector{settings: s.withDefaults(), limits: map[string]float64{}, orgs: map[string]*domainShare{}}
 }
 
+// since converts a time to an offset from the base. The first call sets the base and
+// starts seq at the current time; seq also makes the name of this process unique.
 func (c *RateCollector) since(now time.Time) time.Duration {
 	if c.base.IsZero() {
 		c.base = now
@@ -54,10 +56,10 @@
 	for _, l := range limits {
 		c.limits[l.Org] = l.PerSecond
 	}
-	c.order = slices.DeleteFunc(c.order, func(o *domainShare) bool {
-		_, ok := c.limits[o.org]
+	c.order = slices.DeleteFunc(c.order, func(d *domainShare) bool {
+		_, ok := c.limits[d.org]
 		if !ok {
-			delete(c.orgs, o.org)
+			delete(c.orgs, d.org)
 		}
 		return !ok
 	})
@@ -66,21 +68,21 @@
 // SetNodes sets the IDs of all live entry nodes, from which the holders are chosen.
 func (c *RateCollector) SetNodes(ids []string) {
 	c.nodes = slices.Clone(ids)
-	for _, o := range c.order {
-		o.holder = ""
+	for _, d := range c.order {
+		d.holder = ""
 	}
 }
 
 // Collect processes a node's summary and returns its parts of the domain's shares.
 func (c *RateCollector) Collect(s Summary, now time.Time) Grant {
 	t := c.since(now)
-	g := Grant{From: c.settings.Self, Seq: s.Seq, Valid: c.settings.GrantFor}
+	g := Grant{From: c.settings.Self, Seq: s.Seq, Valid: c.settings.GrantDuration}
 	for _, d := range s.Demands {
 		limit, ok := c.limits[d.Org]
 		if !ok {
 			continue
 		}
-		share, ok := c.org(d.Org).grantNode(s, d, limit*(1-c.settings.Reserve), lease{now: t, grantFor: c.settings.GrantFor})
+		share, ok := c.org(d.Org).grantNode(s, d, limit*(1-c.settings.Reserve), lease{now: t, duration: c.settings.GrantDuration})
 		if ok {
 			g.Shares = append(g.Shares, share)
 		}
@@ -89,13 +91,13 @@
 }
 
 func (c *RateCollector) org(name string) *domainShare {
-	o := c.orgs[name]
-	if o == nil {
-		o = &domainShare{org: name, allocation: allocation{createdAt: longAgo, nodes: map[string]*nodeShare{}}}
-		c.orgs[name] = o
-		c.order = append(c.order, o)
+	d := c.orgs[name]
+	if d == nil {
+		d = &domainShare{org: name, allocation: allocation{createdAt: longAgo, nodes: map[string]*nodeShare{}}}
+		c.orgs[name] = d
+		c.order = append(c.order, d)
 	}
-	return o
+	return d
 }
 
 // Summaries returns the messages that are due, one for each holder. Call it a few times
@@ -103,33 +105,33 @@
 func (c *RateCollector) Summaries(now time.Time) []Summary {
 	t := c.since(now)
 	c.dropExpired(t)
-	var out []Summary
-	for _, o := range c.order {
-		if !o.reportDue(t, c.settings) {
+	var summaries []Summary
+	for _, d := range c.order {
+		if !d.reportDue(t, c.settings) {
 			continue
 		}
-		to := o.holderOf(c.nodes)
-		i := slices.IndexFunc(out, func(m Summary) bool { return m.To == to })
+		to := d.holderOf(c.nodes)
+		i := slices.IndexFunc(summaries, func(m Summary) bool { return m.To == to })
 		if i < 0 {
-			i = len(out)
-			out = append(out, Summary{From: c.from, To: to, Seq: c.seq + 1})
+			i = len(summaries)
+			summaries = append(summaries, Summary{From: c.from, To: to, Seq: c.seq + 1})
 		}
-		out[i].Demands = append(out[i].Demands, o.report(c.seq+1, t))
+		summaries[i].Demands = append(summaries[i].Demands, d.report(c.seq+1, t))
 	}
-	if out != nil {
+	if summaries != nil {
 		c.seq++
 		c.inFlight = append(c.inFlight, sentSummary{seq: c.seq, sentAt: t})
 	}
-	return out
+	return summaries
 }
 
 func (c *RateCollector) dropExpired(now time.Duration) {
-	c.inFlight = slices.DeleteFunc(c.inFlight, func(s sentSummary) bool { return now > s.sentAt+c.settings.GrantFor })
-	c.order = slices.DeleteFunc(c.order, func(o *domainShare) bool {
-		o.allocation.dropExpired(now)
-		gone := len(o.allocation.nodes) == 0 && now >= o.expiresAt
+	c.inFlight = slices.DeleteFunc(c.inFlight, func(s sentSummary) bool { return now > s.sentAt+c.settings.GrantDuration })
+	c.order = slices.DeleteFunc(c.order, func(d *domainShare) bool {
+		d.allocation.dropExpired(now)
+		gone := len(d.allocation.nodes) == 0 && now >= d.expiresAt
 		if gone {
-			delete(c.orgs, o.org)
+			delete(c.orgs, d.org)
 		}
 		return gone
 	})
@@ -143,8 +145,8 @@
 		return
 	}
 	for _, share := range g.Shares {
-		if o := c.orgs[share.Org]; o != nil && g.Seq > o.seq {
-			o.setGrant(share.PerSecond, g.Seq, c.inFlight[i].sentAt+share.validFor(g))
+		if d := c.orgs[share.Org]; d != nil && g.Seq > d.seq {
+			d.setGrant(share.PerSecond, g.Seq, c.inFlight[i].sentAt+share.validFor(g))
 		}
 	}
 }
--- a/internal/admission/rate_collector_test.go
+++ b/internal/admission/rate_collector_test.go
@@ -60,7 +60,7 @@
 }
 
 func (f *domainFleet) start(n *domainNode, direct int) {
-	s := RateSettings{Self: n.id, Direct: direct}
+	s := RateSettings{Self: n.id, MaxDirectNodes: direct}
 	n.limiter, n.collector, n.holder = NewRateLimiter(s), NewRateCollector(s), NewRateHolder(s)
 	n.limiter.SetLimits(f.orgs, f.time())
 	n.collector.SetLimits(f.orgs, f.time())
@@ -300,12 +300,12 @@
 				f.setList(n, rest)
 			}
 		}
-		first := run(defaultGrantFor - time.Second) // the second holder only renews
+		first := run(defaultGrantDuration - time.Second) // the second holder only renews
 		is.True(first <= limit*1.01)
 		most := run(20 * time.Second)
 		is.True(most <= 2*limit)
 		f.setAllLists(f.nodes)
-		run(2 * defaultGrantFor)
+		run(2 * defaultGrantDuration)
 		is.True(run(20*time.Second) <= limit*1.000001)
 		t.Logf("direct up to %d: %.3f of the limit at first, %.3f while lists differ", direct, first/limit, most/limit)
 	}
@@ -363,9 +363,9 @@
 	run(20*time.Second, near)
 	is.True(rate(near) > 0.85*limit)
 	f.partitioned = cut
-	run(defaultGrantFor+defaultSumPeriod, near, far)
+	run(defaultGrantDuration+defaultRenewPeriod, near, far)
 	is.True(rate(near) < 0.01*limit)
-	run(nodeShareTTL+2*defaultSumPeriod, near, far)
+	run(nodeShareTTL+2*defaultRenewPeriod, near, far)
 	is.True(rate(far) > 0.85*limit)
 }
 
@@ -419,7 +419,7 @@
 	n.cut = true
 	run(2 * time.Second)
 	is.True(rate() <= held)
-	run(defaultGrantFor)
+	run(defaultGrantDuration)
 	const reserve = limit * defaultRateReserve / 27
 	is.True(rate() > 0.999*reserve && rate() < 1.001*reserve)
 }
--- a/internal/admission/rate_domain.go
+++ b/internal/admission/rate_domain.go
@@ -61,7 +61,7 @@
 }
 
 // usesCollector reports whether this node sends its summaries to a collector.
-func (l *RateLimiter) usesCollector() bool { return l.route.domainSize > l.settings.Direct }
+func (l *RateLimiter) usesCollector() bool { return l.route.domainSize > l.settings.MaxDirectNodes }
 
 // period returns the interval between two summaries.
 func (l *RateLimiter) period(now time.Duration) time.Duration {
@@ -77,7 +77,7 @@
 	if l.route.answeredSeq < l.route.askedSeq {
 		return l.settings.Period
 	}
-	return l.settings.CollectPeriod
+	return l.settings.CollectorPeriod
 }
 
 // hasSharpChange reports whether an organisation's demand has changed sharply since it
--- a/internal/admission/rate_figures_test.go
+++ b/internal/admission/rate_figures_test.go
@@ -9,7 +9,8 @@
 )
 
 const (
-	// noCollectors as RateSettings.Direct is more nodes than a failure domain has.
+	// noCollectors, as RateSettings.MaxDirectNodes, is more nodes than a failure domain
+	// has.
 	noCollectors = 1 << 20
 	figureStep   = 250 * time.Millisecond
 	// orgsPerNode is how many limited organisations a node serves.
@@ -120,10 +121,10 @@
 	nodes, domains, direct int
 	name                   string
 }{
-	{8, 4, noCollectors, "8 direct"}, {8, 4, defaultDirect, "8"},
-	{32, 4, noCollectors, "32 direct"}, {32, 4, defaultDirect, "32"},
-	{128, 4, noCollectors, "128 direct"}, {128, 4, defaultDirect, "128"},
-	{1600, 38, noCollectors, "1600 direct"}, {1600, 38, defaultDirect, "1600"},
+	{8, 4, noCollectors, "8 direct"}, {8, 4, defaultMaxDirectNodes, "8"},
+	{32, 4, noCollectors, "32 direct"}, {32, 4, defaultMaxDirectNodes, "32"},
+	{128, 4, noCollectors, "128 direct"}, {128, 4, defaultMaxDirectNodes, "128"},
+	{1600, 38, noCollectors, "1600 direct"}, {1600, 38, defaultMaxDirectNodes, "1600"},
 }
 
 // TestDomainFigures guards against an organisation that bursts on two nodes and waits
--- a/internal/admission/rate_holder.go
+++ b/internal/admission/rate_holder.go
@@ -49,6 +49,7 @@
 	}
 }
 
+// since converts a time to an offset from the base, which is the first time seen.
 func (h *RateHolder) since(now time.Time) time.Duration {
 	if h.base.IsZero() {
 		h.base = now
@@ -60,7 +61,7 @@
 // Organisations without a limit get none.
 func (h *RateHolder) Summarise(s Summary, now time.Time) Grant {
 	t := h.since(now)
-	g := Grant{From: h.settings.Self, Seq: s.Seq, Valid: h.settings.GrantFor}
+	g := Grant{From: h.settings.Self, Seq: s.Seq, Valid: h.settings.GrantDuration}
 	for _, d := range s.Demands {
 		limit, ok := h.limits[d.Org]
 		if !ok {
@@ -71,7 +72,7 @@
 			a = &allocation{createdAt: t, nodes: map[string]*nodeShare{}}
 			h.allocations[d.Org] = a
 		}
-		share, ok := a.renew(s, d, limit*(1-h.settings.Reserve), lease{now: t, grantFor: h.settings.GrantFor})
+		share, ok := a.renew(s, d, limit*(1-h.settings.Reserve), lease{now: t, duration: h.settings.GrantDuration})
 		if !ok {
 			continue
 		}
--- a/internal/admission/rate_limiter.go
+++ b/internal/admission/rate_limiter.go
@@ -50,6 +50,8 @@
 	return &RateLimiter{settings: s.withDefaults(), orgs: map[string]*orgShare{}}
 }
 
+// since converts a time to an offset from the base. The first call sets the base and
+// starts seq at the current time, so that seq also increases across restarts.
 func (l *RateLimiter) since(now time.Time) time.Duration {
 	if l.base.IsZero() {
 		l.base = now
@@ -96,12 +98,12 @@
 	s.requestedAt = t
 	s.requested = true
 	rate := l.rate(s, t)
-	s.bucket.refill(t, rate, l.settings.BurstFor)
+	s.bucket.refill(t, rate, l.settings.BurstDuration)
 	return s.bucket.take(rate)
 }
 
-// rate returns the rate that this node may use of the limit, in requests per
-// second. A node without peers may use all of it.
+// rate returns the rate that this node may use of the limit, in requests per second. A
+// node without peers may use all of it.
 func (l *RateLimiter) rate(s *orgShare, now time.Duration) float64 {
 	nodes := max(1, len(l.nodes))
 	if nodes == 1 {
@@ -129,29 +131,30 @@
 	l.hasSent = true
 	l.seq++
 	l.inFlight = append(l.inFlight, sentSummary{seq: l.seq, sentAt: t})
-	l.inFlight = slices.DeleteFunc(l.inFlight, func(s sentSummary) bool { return t > s.sentAt+l.settings.GrantFor })
+	l.inFlight = slices.DeleteFunc(l.inFlight, func(s sentSummary) bool { return t > s.sentAt+l.settings.GrantDuration })
 	if l.usesCollector() {
 		return l.collectorSummary(t)
 	}
 	return l.holderSummaries(t)
 }
 
+// holderSummaries returns one message for each holder of an active organisation's limit.
 func (l *RateLimiter) holderSummaries(now time.Duration) []Summary {
-	var out []Summary
+	var summaries []Summary
 	for _, s := range l.order {
 		if !l.active(s, now) {
 			continue
 		}
 		s.demand.decay(now)
 		to := s.holderOf(l.nodes)
-		i := slices.IndexFunc(out, func(m Summary) bool { return m.To == to })
+		i := slices.IndexFunc(summaries, func(m Summary) bool { return m.To == to })
 		if i < 0 {
-			i = len(out)
-			out = append(out, Summary{From: l.settings.Self, To: to, Seq: l.seq})
+			i = len(summaries)
+			summaries = append(summaries, Summary{From: l.settings.Self, To: to, Seq: l.seq})
 		}
-		out[i].Demands = append(out[i].Demands, s.report(now))
+		summaries[i].Demands = append(summaries[i].Demands, s.report(now))
 	}
-	return out
+	return summaries
 }
 
 func (s *orgShare) holderOf(nodes []string) string {
@@ -161,8 +164,9 @@
 	return s.holder
 }
 
+// active reports whether the organisation's demand is still reported.
 func (l *RateLimiter) active(s *orgShare, now time.Duration) bool {
-	return s.requested && now <= s.requestedAt+l.settings.Idle
+	return s.requested && now <= s.requestedAt+l.settings.ReportIdle
 }
 
 func (s *orgShare) report(now time.Duration) Demand {
@@ -181,7 +185,7 @@
 	l.route.answered(g.Seq)
 	for _, share := range g.Shares {
 		if s := l.orgs[share.Org]; s != nil && g.Seq > s.seq {
-			s.bucket.refill(l.since(now), l.rate(s, l.since(now)), l.settings.BurstFor)
+			s.bucket.refill(l.since(now), l.rate(s, l.since(now)), l.settings.BurstDuration)
 			s.granted = share.PerSecond
 			s.expiresAt = sentAt + share.validFor(g)
 			s.seq = g.Seq
--- a/internal/admission/rate_settings.go
+++ b/internal/admission/rate_settings.go
@@ -9,51 +9,52 @@
 	Self string
 	// Period is the interval between two summaries to a holder (1 s).
 	Period time.Duration
-	// GrantFor is how long a share is valid without renewal (5 s). After that the node
+	// GrantDuration is how long a share is valid without renewal (5 s). After that the node
 	// may use only its reserve.
-	GrantFor time.Duration
-	// BurstFor is the depth of the token bucket, as time at the allowed rate (1 s). The
+	GrantDuration time.Duration
+	// BurstDuration is the depth of the token bucket, as time at the allowed rate (1 s). The
 	// bucket holds at least one request.
-	BurstFor time.Duration
+	BurstDuration time.Duration
 	// Reserve is the fraction of each limit that is split evenly over all nodes and not
 	// divided by demand: what a node without a grant may use (0.1).
 	Reserve float64
-	// Idle is how long an organisation's demand is reported after its last request (10
-	// s).
-	Idle time.Duration
-	// Direct is the largest failure domain, in entry nodes, whose nodes send to the
-	// holders directly (8). The nodes of larger domains send to a collector.
-	Direct int
-	// CollectPeriod is the interval between two summaries to a collector (2 s).
-	CollectPeriod time.Duration
-	// SumPeriod is the interval at which a collector renews an organisation's share while
-	// its demand hardly changes (3 s). It is below GrantFor by enough time for one lost
-	// message.
-	SumPeriod time.Duration
+	// ReportIdle is how long an organisation's demand is reported after its last request
+	// (10 s).
+	ReportIdle time.Duration
+	// MaxDirectNodes is the largest size of a failure domain, in entry nodes, at which
+	// they send to the holders directly (8). The nodes of larger domains send to a
+	// collector.
+	MaxDirectNodes int
+	// CollectorPeriod is the interval between two summaries to a collector (2 s).
+	CollectorPeriod time.Duration
+	// RenewPeriod is the interval at which a collector renews an organisation's share
+	// while its demand hardly changes (3 s). It is shorter than GrantDuration by enough
+	// time for one lost message.
+	RenewPeriod time.Duration
 }
 
 const (
-	defaultRatePeriod  = time.Second
-	defaultGrantFor    = 5 * time.Second
-	defaultBurstFor    = time.Second
-	defaultRateReserve = 0.1
-	defaultRateIdle    = 10 * time.Second
+	defaultRatePeriod    = time.Second
+	defaultGrantDuration = 5 * time.Second
+	defaultBurstDuration = time.Second
+	defaultRateReserve   = 0.1
+	defaultReportIdle    = 10 * time.Second
 
-	defaultDirect        = 8
-	defaultCollectPeriod = 2 * time.Second
-	defaultSumPeriod     = 3 * time.Second
+	defaultMaxDirectNodes  = 8
+	defaultCollectorPeriod = 2 * time.Second
+	defaultRenewPeriod     = 3 * time.Second
 )
 
 func (s RateSettings) withDefaults() RateSettings {
 	defaultDuration(&s.Period, defaultRatePeriod)
-	defaultDuration(&s.GrantFor, defaultGrantFor)
-	defaultDuration(&s.BurstFor, defaultBurstFor)
+	defaultDuration(&s.GrantDuration, defaultGrantDuration)
+	defaultDuration(&s.BurstDuration, defaultBurstDuration)
 	defaultFloat(&s.Reserve, defaultRateReserve)
-	defaultDuration(&s.Idle, defaultRateIdle)
-	if s.Direct == 0 {
-		s.Direct = defaultDirect
+	defaultDuration(&s.ReportIdle, defaultReportIdle)
+	if s.MaxDirectNodes == 0 {
+		s.MaxDirectNodes = defaultMaxDirectNodes
 	}
-	defaultDuration(&s.CollectPeriod, defaultCollectPeriod)
-	defaultDuration(&s.SumPeriod, defaultSumPeriod)
+	defaultDuration(&s.CollectorPeriod, defaultCollectorPeriod)
+	defaultDuration(&s.RenewPeriod, defaultRenewPeriod)
 	return s
 }
--- a/internal/admission/rate_test.go
+++ b/internal/admission/rate_test.go
@@ -161,7 +161,7 @@
 				t.Fatalf("seed %d at %v: the nodes may use %v in total, want at most %v", seed, f.now, sum, limit)
 			}
 		}
-		most := limit*seconds + limit*defaultBurstFor.Seconds() + nodes
+		most := limit*seconds + limit*defaultBurstDuration.Seconds() + nodes
 		if float64(passed) > most {
 			t.Fatalf("seed %d: %d requests passed, want at most %v", seed, passed, most)
 		}
@@ -204,5 +204,5 @@
 	}
 	reserve := limit * defaultRateReserve / 5 * 50
 	is.True(float64(passed) >= reserve-1)
-	is.True(float64(passed) <= reserve+limit*defaultBurstFor.Seconds()/5+1)
+	is.True(float64(passed) <= reserve+limit*defaultBurstDuration.Seconds()/5+1)
 }
--- a/internal/admission/ticket.go
+++ b/internal/admission/ticket.go
@@ -55,11 +55,11 @@
 
 // latest returns the waiting ticket with the latest deadline.
 func (h byDeadline) latest() *ticket {
-	worst := h[0]
+	latest := h[0]
 	for _, t := range h[1:] {
-		if worst.less(t) {
-			worst = t
+		if latest.less(t) {
+			latest = t
 		}
 	}
-	return worst
+	return latest
 }
--- a/internal/balance/balancer.go
+++ b/internal/balance/balancer.go
@@ -105,9 +105,9 @@
 	b.recordFailure(h, unreachable, t)
 }
 
-// Leaving records that an upstream has announced that it takes no new work. It gets none
+// MarkLeaving records that an upstream has announced that it takes no new work. It gets none
 // until one of its later reports says otherwise.
-func (b *Balancer) Leaving(vmID string, now time.Time) {
+func (b *Balancer) MarkLeaving(vmID string, now time.Time) {
 	if h := b.hosts[vmID]; h != nil {
 		h.markLeaving(b.since(now))
 		b.refreshPools(b.since(now))
--- a/internal/balance/datadriven_test.go
+++ b/internal/balance/datadriven_test.go
@@ -57,7 +57,7 @@
 	case "stays": // id: a report without the leaving flag
 		s.b.Report(f[0], upstream.LoadReport{Limit: 8, Versions: []string{"v"}}, s.time())
 	case "leaving":
-		s.b.Leaving(f[0], s.time())
+		s.b.MarkLeaving(f[0], s.time())
 	case "pick": // name [n] [not id...]
 		return s.pick(f[0], f[1:])
 	case "many": // n: the number of requests that each upstream gets, each done at once
--- a/internal/balance/noticed.go
+++ b/internal/balance/noticed.go
@@ -21,7 +21,7 @@
 		return
 	}
 	if a.Leaving {
-		b.Leaving(vmID, at)
+		b.MarkLeaving(vmID, at)
 	}
 	b.backOff(h, a.Rest, b.since(at))
 	if !a.LimitUnsound && b.since(at) >= h.rateLimitAt { // an answer read earlier does not override a later one
--- a/internal/balance/report_test.go
+++ b/internal/balance/report_test.go
@@ -32,8 +32,8 @@
 	serviceTime time.Duration // mean time of a request in a slot
 	nodes       []*Balancer
 	engines     []*simEngine
-	// idle and busy count slots over the steps since resetCounts. Idle
-	// slots count only while a request waits at some engine.
+	// idle and busy count slots over the steps since resetCounts. Idle slots count only
+	// while a request waits at some engine.
 	idle, busy int
 }
 
--- a/internal/balance/status.go
+++ b/internal/balance/status.go
@@ -16,9 +16,9 @@
 	Open bool
 	// Ejected is set while the upstream is ejected as slow or failing.
 	Ejected bool
-	// Resting is set while the upstream asks this node to send nothing, Limited while it
-	// announces a rate limit.
-	Resting, Limited bool
+	// BackingOff is set while the upstream asks this node to send nothing, RateLimited
+	// while it announces a rate limit.
+	BackingOff, RateLimited bool
 	// ReportAge is the age of the last load report; it is negative when there is none.
 	ReportAge time.Duration
 }
@@ -35,15 +35,15 @@
 
 func (h *host) status(now time.Duration) HostStatus {
 	s := HostStatus{
-		VM:        h.vm,
-		InFlight:  h.inFlight,
-		Versions:  h.versions,
-		Leaving:   h.leaving(),
-		Open:      h.breaker.open(),
-		Ejected:   h.outlier.ejected(now),
-		Resting:   now < h.backoffUntil,
-		Limited:   h.rateLimit.Named,
-		ReportAge: -1,
+		VM:          h.vm,
+		InFlight:    h.inFlight,
+		Versions:    h.versions,
+		Leaving:     h.leaving(),
+		Open:        h.breaker.open(),
+		Ejected:     h.outlier.ejected(now),
+		BackingOff:  now < h.backoffUntil,
+		RateLimited: h.rateLimit.Named,
+		ReportAge:   -1,
 	}
 	if h.report.received {
 		s.ReportAge = now - h.report.at
