--- a/internal/admission/rate_messages.go
+++ b/internal/admission/rate_messages.go
@@ -11,6 +11,7 @@
 // Summary reports a node's or collector's demands to a holder or collector. It may arrive
 // more than once.
 type Summary struct {
+	// From names the sender: a node by its ID, a collector also by its process.
 	From string
 	// To is the ID of the holder of these organisations' limits, or of the collector.
 	To string
