--- a/internal/balance/balancer_rapid_test.go
+++ b/internal/balance/balancer_rapid_test.go
@@ -30,7 +30,7 @@
 	kinds := []config.Kind{config.Immediate, config.Heavy, config.Deferrable}
 	p, ok := m.b.Pick(Request{
 		Version: rapid.SampledFrom([]string{"v", "w"}).Draw(t, "version"), PrefixHash: rapid.Uint64Range(0, 3).Draw(t, "prefix"),
-		Kind: rapid.SampledFrom(kinds).Draw(t, "kind"), Exclude: exclude, Alone: rapid.Bool().Draw(t, "alone"),
+		Kind: rapid.SampledFrom(kinds).Draw(t, "kind"), Exclude: exclude, Isolated: rapid.Bool().Draw(t, "alone"),
 		Now: m.now, Random: rapid.Uint64().Draw(t, "random"),
 	})
 	if !ok {
--- a/internal/balance/choose.go
+++ b/internal/balance/choose.go
@@ -19,10 +19,10 @@
 	p.inFlight++
 	h.breaker.requestSent()
 	b.takeRateToken(h, now)
-	if r.Alone {
+	if r.Isolated {
 		h.isolatedInFlight++
 	}
-	token := b.attempts.add(attempt{host: h, pool: p, version: r.Version, started: now, isolated: r.Alone})
+	token := b.attempts.add(attempt{host: h, pool: p, version: r.Version, started: now, isolated: r.Isolated})
 	return Pick{VM: h.vm, Token: token}, true
 }
 
@@ -56,7 +56,7 @@
 		if len(s.hosts) == 0 {
 			continue
 		}
-		if r.Alone {
+		if r.Isolated {
 			return fewestInFlight{}.choose(s)
 		}
 		return b.policy.choose(s)
--- a/internal/balance/request.go
+++ b/internal/balance/request.go
@@ -16,11 +16,11 @@
 	Kind       config.Kind
 	// Exclude lists the IDs of VMs that must not be chosen, such as those already tried.
 	Exclude []string
-	// Alone isolates a request that is suspected of crashing upstreams. It goes to an
-	// upstream with as little other work as possible, and this node sends no other work
-	// there until Done unless no other upstream is left.
-	Alone bool
-	Now   time.Time
+	// Isolated is set for a request that is suspected of crashing upstreams. It goes to
+	// an upstream with as little other work as possible. Until Done, this node sends
+	// other work there only when no other upstream is left.
+	Isolated bool
+	Now      time.Time
 	// Random is a fresh random number.
 	Random uint64
 }
--- a/internal/node/call_run.go
+++ b/internal/node/call_run.go
@@ -206,7 +206,7 @@
 		return r.machine.Refused(request.CodeNotFresh, freshRetry, "this VM cannot tell whether its configuration is in force")
 	}
 	pick, ok := r.node.upstreams.pick(balance.Request{
-		Service: r.call.Service.Name, Kind: r.class.Kind, Exclude: d.Exclude, Alone: r.node.suspects.suspect(r.fingerprint()),
+		Service: r.call.Service.Name, Kind: r.class.Kind, Exclude: d.Exclude, Isolated: r.node.suspects.suspect(r.fingerprint()),
 	})
 	if !ok {
 		return r.machine.Refused(request.CodeNoUpstream, pick.Shortage.RetryAfter, "no upstream for "+r.call.Service.Name+": "+string(pick.Shortage.Reason))
--- a/internal/node/try.go
+++ b/internal/node/try.go
@@ -54,7 +54,7 @@
 	}
 	pick, ok := r.node.upstreams.pick(balance.Request{
 		Version: d.Version, PrefixHash: r.call.PrefixHash, Kind: r.class.Kind, Exclude: d.Exclude,
-		Alone: r.node.suspects.suspect(r.fingerprint),
+		Isolated: r.node.suspects.suspect(r.fingerprint),
 	})
 	if !ok {
 		return r.machine.Refused(request.CodeNoUpstream, pick.Shortage.RetryAfter, "no upstream for "+d.Version+": "+string(pick.Shortage.Reason))
