--- a/internal/node/heard.go
+++ b/internal/node/heard.go
@@ -38,7 +38,7 @@
 		u.node.metrics.Counter("hickorybank_unsound_answer_fields_total", "field", field).Inc()
 	}
 	u.mu.Lock()
-	u.balancer.Noticed(vm.ID, a, at)
+	u.balancer.ApplyNotice(vm.ID, a, at)
 	u.mu.Unlock()
 	if a.Leaving {
 		u.node.members.Observe(vm.Addr, membership.SaidLeaving) // which tells the other nodes
