--- a/internal/admission/bench_test.go
+++ b/internal/admission/bench_test.go
@@ -38,7 +38,7 @@
 		if d.Verdict == Run {
 			running = append(running, d.ID)
 		}
-		q.Finish(running[0], Sample{Start: time.Millisecond, Total: 2 * time.Millisecond}, now)
+		q.Finish(running[0], Sample{FirstToken: time.Millisecond, Total: 2 * time.Millisecond}, now)
 		running = running[1:]
 		for _, d := range q.Next(now) {
 			if d.Verdict == Run {
--- a/internal/admission/datadriven_test.go
+++ b/internal/admission/datadriven_test.go
@@ -60,7 +60,7 @@
 		}
 		return formatDecision(s.queue.Offer(r)) + s.next()
 	case "finish": // id total
-		s.queue.Finish(f[0], Sample{Start: parseDuration(t, d, f[1]), Total: parseDuration(t, d, f[1])}, now)
+		s.queue.Finish(f[0], Sample{FirstToken: parseDuration(t, d, f[1]), Total: parseDuration(t, d, f[1])}, now)
 		return s.next()
 	case "cancel":
 		s.queue.Cancel(f[0], now)
--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -60,7 +60,7 @@
 func (l *limiter) observe(s Sample, now time.Duration) {
 	if s.Total > 0 {
 		l.total.add(s.Total, 1)
-		l.afterFirst.add(max(0, s.Total-s.Start), 1)
+		l.afterFirst.add(max(0, s.Total-s.FirstToken), 1)
 	}
 	if l.probe.active && now < l.probe.samplesFrom {
 		return // the request started before the probe
@@ -68,8 +68,8 @@
 	if s.Dropped {
 		l.dropped = true
 	}
-	if s.Start > 0 {
-		l.latencySum += s.Start.Seconds()
+	if s.FirstToken > 0 {
+		l.latencySum += s.FirstToken.Seconds()
 		l.samples++
 	}
 	if now-l.windowStart < minWindow || (l.samples < minWindowSamples && !l.dropped) {
--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -34,7 +34,7 @@
 					}
 					start = time.Duration(float64(start) * (0.5 + random.Float64()))
 					now += time.Second / time.Duration(slots)
-					l.observe(Sample{Start: start, Total: start}, now)
+					l.observe(Sample{FirstToken: start, Total: start}, now)
 					if i >= steps-tail {
 						sum += l.limit
 					}
@@ -60,7 +60,7 @@
 			start = time.Second
 		}
 		l.recordRunning(3)
-		l.observe(Sample{Start: start}, now)
+		l.observe(Sample{FirstToken: start}, now)
 	}
 	is.Equal(l.limit, float64(defaultInitialLimit))
 }
--- a/internal/balance/sim/node.go
+++ b/internal/balance/sim/node.go
@@ -190,9 +190,9 @@
 }
 
 func (n *node) sample(j *job) admission.Sample {
-	s := admission.Sample{Start: j.first - j.sent, Total: n.w.now - j.sent}
+	s := admission.Sample{FirstToken: j.first - j.sent, Total: n.w.now - j.sent}
 	if j.class.Service != "" {
-		s.Start = s.Total
+		s.FirstToken = s.Total
 	}
 	return s
 }
--- a/internal/capacity/probe_admission.go
+++ b/internal/capacity/probe_admission.go
@@ -61,7 +61,7 @@
 			if d := offer(); d.Verdict == admission.Run {
 				running = append(running, d.ID)
 			}
-			q.Finish(running[0], admission.Sample{Start: time.Millisecond, Total: 2 * time.Millisecond}, now)
+			q.Finish(running[0], admission.Sample{FirstToken: time.Millisecond, Total: 2 * time.Millisecond}, now)
 			running = running[1:]
 			for _, d := range q.Next(now) {
 				if d.Verdict == admission.Run {
--- a/internal/node/call_run.go
+++ b/internal/node/call_run.go
@@ -183,7 +183,7 @@
 func (r *callRun) end(result callResult) {
 	result.took = r.took
 	r.result <- result // has room for the one result that it ever gets
-	r.node.gate.leave(r.id, admission.Sample{Start: r.took, Total: r.took})
+	r.node.gate.leave(r.id, admission.Sample{FirstToken: r.took, Total: r.took})
 }
 
 // background runs a call whose event must come whatever the caller does.
