--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -65,7 +65,7 @@
 	if l.probe.active && now < l.probe.samplesFrom {
 		return // the request started before the probe
 	}
-	if s.Dropped {
+	if s.Overloaded {
 		l.dropped = true
 	}
 	if s.FirstToken > 0 {
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -106,7 +106,7 @@
 	delete(q.tickets, id)
 	p := t.pool
 	p.addRunning(t.rank, -1, q.since(now))
-	if s.Total > 0 && !s.Dropped {
+	if s.Total > 0 && !s.Overloaded {
 		p.serviceTimes[t.rank].add(s.Total, t.cost)
 	}
 	p.limiter.observe(s, q.since(now))
--- a/internal/admission/queue_rapid_test.go
+++ b/internal/admission/queue_rapid_test.go
@@ -147,7 +147,7 @@
 				id := drawID(t, m.running)
 				total := time.Duration(rapid.IntRange(1, 20_000).Draw(t, "total")) * time.Millisecond
 				delete(m.running, id)
-				m.queue.Finish(id, Sample{FirstToken: total / 10, Total: total, Dropped: rapid.Bool().Draw(t, "dropped")}, m.now)
+				m.queue.Finish(id, Sample{FirstToken: total / 10, Total: total, Overloaded: rapid.Bool().Draw(t, "dropped")}, m.now)
 				m.applyDecisions(t)
 			},
 			"cancel": func(t *rapid.T) {
--- a/internal/admission/sample.go
+++ b/internal/admission/sample.go
@@ -9,6 +9,6 @@
 	FirstToken time.Duration
 	// Total is the time for which the request ran.
 	Total time.Duration
-	// Dropped is set when the upstream refused or failed the request because of overload.
-	Dropped bool
+	// Overloaded is set when the upstream refused or failed the request because of overload.
+	Overloaded bool
 }
--- a/internal/balance/sim/node.go
+++ b/internal/balance/sim/node.go
@@ -204,7 +204,7 @@
 		n.attempt(j)
 		return
 	}
-	n.end(j, admission.Sample{Dropped: a == declined})
+	n.end(j, admission.Sample{Overloaded: a == declined})
 	n.w.failed(j, retryUnknown)
 }
 
--- a/internal/node/try.go
+++ b/internal/node/try.go
@@ -266,5 +266,5 @@
 	if !t.over {
 		r.node.suspects.finished(r.id)
 	}
-	r.last = admission.Sample{FirstToken: t.first, Total: took, Dropped: reachOf(t.err) == upstream.Declined && t.err != nil}
+	r.last = admission.Sample{FirstToken: t.first, Total: took, Overloaded: reachOf(t.err) == upstream.Declined && t.err != nil}
 }
