--- a/internal/admission/queue_rapid_test.go
+++ b/internal/admission/queue_rapid_test.go
@@ -220,7 +220,7 @@
 		for range rapid.IntRange(1, 500).Draw(t, "events") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "ms")) * time.Millisecond)
 			if rapid.Bool().Draw(t, "first") {
-				b.First(now)
+				b.CountFirst(now)
 				first++
 			} else if b.Allow(now) {
 				retries++
--- a/internal/admission/retry_budget.go
+++ b/internal/admission/retry_budget.go
@@ -38,8 +38,8 @@
 	return &RetryBudget{settings: s, tokens: s.Burst}
 }
 
-// First counts a first attempt.
-func (b *RetryBudget) First(now time.Time) {
+// CountFirst counts a first attempt, which adds Ratio retries to the budget.
+func (b *RetryBudget) CountFirst(now time.Time) {
 	b.refill(now)
 	b.tokens = min(b.tokens+b.settings.Ratio, b.settings.Burst)
 }
--- a/internal/balance/sim/node.go
+++ b/internal/balance/sim/node.go
@@ -81,7 +81,7 @@
 // offer takes a caller's request.
 func (n *node) offer(j *job) {
 	now := n.w.time()
-	n.budget.First(now)
+	n.budget.CountFirst(now)
 	if n.w.cfg.NoAdmission {
 		n.run(j)
 		return
--- a/internal/node/gate.go
+++ b/internal/node/gate.go
@@ -85,7 +85,7 @@
 	decided := make(chan admission.Decision, 1)
 	g.mu.Lock()
 	r.Now = time.Now()
-	g.budget.First(r.Now)
+	g.budget.CountFirst(r.Now)
 	d := g.queue.Offer(r)
 	if d.Verdict == admission.Queued {
 		g.waiting[r.ID] = decided
