--- a/internal/balance/balancer_rapid_test.go
+++ b/internal/balance/balancer_rapid_test.go
@@ -85,7 +85,7 @@
 						m.listed[i].State = platform.Leaving
 					}
 				}
-				m.b.SetMembers(m.listed, Place{Count: 1}, m.now)
+				m.b.SetMembers(m.listed, NodeRank{Count: 1}, m.now)
 				m.leaving = map[string]bool{}
 				for _, h := range m.b.order {
 					m.leaving[h.vm.ID] = h.leavingByReport
@@ -148,15 +148,15 @@
 		nodesPerUpstream := map[string]int{}
 		for d := range domains {
 			for i := range nodesPerDomain {
-				place := Place{Index: i, Count: nodesPerDomain}
+				nodeRank := NodeRank{Index: i, Count: nodesPerDomain}
 				domain := fmt.Sprintf("domain-%d", d)
-				s := chooseSubset(slices.Clone(all), domain, place, size)
+				s := chooseSubset(slices.Clone(all), domain, nodeRank, size)
 				checkSubset(t, s, domain, upstreams, min(size, upstreams))
 				for _, m := range s.selected {
 					nodesPerUpstream[m.vm.ID]++
 				}
 				remainingMembers, _ := groupByRole(remaining)
-				after := chooseSubset(remainingMembers, domain, place, size)
+				after := chooseSubset(remainingMembers, domain, nodeRank, size)
 				if moved := membersAdded(after, s); moved > 3 {
 					t.Fatalf("removing one upstream added %d to a subset", moved)
 				}
--- a/internal/balance/balancer_test.go
+++ b/internal/balance/balancer_test.go
@@ -41,7 +41,7 @@
 	is := is.New(t)
 	b := New(Settings{SelfDomain: "domain-0"})
 	vms := engines(4)
-	b.SetMembers(vms, Place{Count: 1}, epoch)
+	b.SetMembers(vms, NodeRank{Count: 1}, epoch)
 	reportAll(b, vms, epoch, "v@1")
 
 	pick, ok := b.Pick(Request{Version: "v@1", Now: epoch, Random: 7})
--- a/internal/balance/bench_test.go
+++ b/internal/balance/bench_test.go
@@ -30,7 +30,7 @@
 func benchPick(b *testing.B, name PolicyName, known, size int) {
 	balancer := New(Settings{SelfDomain: "domain-0", Policy: name, SubsetSize: size})
 	vms := engines(known)
-	balancer.SetMembers(vms, Place{Count: 1}, epoch)
+	balancer.SetMembers(vms, NodeRank{Count: 1}, epoch)
 	for _, s := range balancer.Status(epoch) {
 		balancer.Report(s.VM.ID, loadOf(8, "v@1"), epoch)
 	}
@@ -59,8 +59,8 @@
 	for b.Loop() {
 		fromWindows, fromRandom := map[string]int{}, map[string]int{}
 		for n := range nodes {
-			place := Place{Index: n / domains, Count: nodes / domains}
-			for _, m := range chooseSubset(all, fmt.Sprintf("domain-%d", n%domains), place, size).selected {
+			nodeRank := NodeRank{Index: n / domains, Count: nodes / domains}
+			for _, m := range chooseSubset(all, fmt.Sprintf("domain-%d", n%domains), nodeRank, size).selected {
 				fromWindows[m.vm.ID]++
 			}
 			for i := range uint64(size) {
@@ -105,7 +105,7 @@
 			vms := engines(known)
 			b.ReportAllocs()
 			for b.Loop() {
-				balancer.SetMembers(vms, Place{Count: 1}, epoch)
+				balancer.SetMembers(vms, NodeRank{Count: 1}, epoch)
 			}
 		})
 	}
@@ -125,7 +125,7 @@
 		id := fmt.Sprint(i)
 		vms = append(vms, platform.VM{ID: id, Role: platform.RoleEngine, Addr: id, FailureDomain: "d", State: platform.Live})
 	}
-	balancer.SetMembers(vms, Place{Count: 1}, epoch)
+	balancer.SetMembers(vms, NodeRank{Count: 1}, epoch)
 	for i := range vms {
 		balancer.Report(vms[i].ID, upstream.LoadReport{Limit: 16, Versions: names[:1+i%versions]}, epoch)
 	}
--- a/internal/balance/datadriven_test.go
+++ b/internal/balance/datadriven_test.go
@@ -117,7 +117,7 @@
 		}
 		vms = append(vms, vm)
 	}
-	s.b.SetMembers(vms, Place{Count: 1}, s.time())
+	s.b.SetMembers(vms, NodeRank{Count: 1}, s.time())
 	return ""
 }
 
--- a/internal/balance/members.go
+++ b/internal/balance/members.go
@@ -11,9 +11,9 @@
 const serviceSubsetDivisor = 4
 
 // SetMembers sets the platform's list of VMs, in which entry VMs are ignored, and this
-// node's place, and selects the node's subset. The caller must not change the list
+// node's rank, and selects the node's subset. The caller must not change the list
 // afterwards.
-func (b *Balancer) SetMembers(vms []platform.VM, place Place, now time.Time) {
+func (b *Balancer) SetMembers(vms []platform.VM, nodeRank NodeRank, now time.Time) {
 	t := b.since(now)
 	previous := b.hosts
 	b.hosts = make(map[string]*host, b.settings.SubsetSize)
@@ -22,13 +22,13 @@
 	b.started = true
 
 	engines, services := groupByRole(vms)
-	engineSubset := chooseSubset(engines, b.settings.SelfDomain, place, b.settings.SubsetSize)
+	engineSubset := chooseSubset(engines, b.settings.SelfDomain, nodeRank, b.settings.SubsetSize)
 	b.unselected = engineSubset.unselected
 	for _, m := range engineSubset.selected {
 		b.addHost(m, previous, t, first)
 	}
 	for _, name := range services.names {
-		serviceSubset := chooseSubset(services.members[name], b.settings.SelfDomain, place, max(1, b.settings.SubsetSize/serviceSubsetDivisor))
+		serviceSubset := chooseSubset(services.members[name], b.settings.SelfDomain, nodeRank, max(1, b.settings.SubsetSize/serviceSubsetDivisor))
 		for _, m := range serviceSubset.selected {
 			b.addHost(m, previous, t, first)
 		}
--- a/internal/balance/node_rank.go
+++ b/internal/balance/node_rank.go
@@ -4,18 +4,18 @@
 	"github.com/hickorybank/hickorybank/internal/platform"
 )
 
-// Place is a node's rank among the entry nodes of its failure domain: Index of Count,
+// NodeRank is a node's rank among the entry nodes of its failure domain: Index of Count,
 // from 0. Ranks spread the subsets evenly, so that each upstream is selected by about
 // equally many nodes.
-type Place struct {
+type NodeRank struct {
 	Index int
 	Count int
 }
 
 // PlaceOf returns the place of the node self in a list of VMs. A node that is not listed
 // yet gets the place that its ID would have.
-func PlaceOf(vms []platform.VM, self, domain string) Place {
-	p := Place{Count: 1}
+func PlaceOf(vms []platform.VM, self, domain string) NodeRank {
+	p := NodeRank{Count: 1}
 	for i := range vms {
 		v := &vms[i]
 		if v.Role != platform.RoleEntry || v.FailureDomain != domain || v.ID == self {
--- a/internal/balance/noticed_test.go
+++ b/internal/balance/noticed_test.go
@@ -22,7 +22,7 @@
 	for _, id := range ids {
 		b := New(Settings{})
 		vms := engines(1)
-		b.SetMembers(vms, Place{Count: 1}, epoch)
+		b.SetMembers(vms, NodeRank{Count: 1}, epoch)
 		b.SetSenders(id, ids)
 		reportAll(b, vms, epoch, "v@1")
 		b.ApplyNotice(vms[0].ID, notice.Answer{Limit: notice.Limit{Named: true, PerSecond: perSecond}}, epoch)
@@ -81,7 +81,7 @@
 	at := func(s int) time.Time { return epoch.Add(time.Duration(s) * time.Second) }
 	b := New(Settings{})
 	vms := engines(1)
-	b.SetMembers(vms, Place{Count: 1}, epoch)
+	b.SetMembers(vms, NodeRank{Count: 1}, epoch)
 	reportAll(b, vms, epoch, "v@1")
 	b.ApplyNotice("eng-0", notice.Answer{Rest: 10 * time.Second}, at(0))
 	b.ApplyNotice("eng-0", notice.Answer{Rest: time.Second}, at(1))
@@ -100,7 +100,7 @@
 	is := is.New(t)
 	b := New(Settings{})
 	vms := engines(1)
-	b.SetMembers(vms, Place{Count: 1}, epoch)
+	b.SetMembers(vms, NodeRank{Count: 1}, epoch)
 	reportAll(b, vms, epoch, "v@1")
 	now := epoch.Add(time.Second)
 	b.ApplyNotice("eng-0", notice.Answer{Leaving: true}, now)
--- a/internal/balance/report_test.go
+++ b/internal/balance/report_test.go
@@ -62,7 +62,7 @@
 	}
 	for i := range simNodes {
 		b := New(Settings{Seed: uint64(i), SelfID: fmt.Sprint(i), SelfDomain: "d"})
-		b.SetMembers(vms, Place{Index: i, Count: simNodes}, epoch)
+		b.SetMembers(vms, NodeRank{Index: i, Count: simNodes}, epoch)
 		for _, vm := range vms {
 			b.Report(vm.ID, loadOf(simSlots, "v"), epoch)
 		}
--- a/internal/balance/room_test.go
+++ b/internal/balance/room_test.go
@@ -64,7 +64,7 @@
 	}
 	for i := range roomNodes {
 		b := New(Settings{Seed: uint64(i), SelfID: fmt.Sprint(i), SelfDomain: "d"})
-		b.SetMembers(vms, Place{Index: i, Count: roomNodes}, epoch)
+		b.SetMembers(vms, NodeRank{Index: i, Count: roomNodes}, epoch)
 		f.nodes = append(f.nodes, b)
 	}
 	return f
--- a/internal/balance/shared_pool_test.go
+++ b/internal/balance/shared_pool_test.go
@@ -13,7 +13,7 @@
 	is := is.New(t)
 	b := New(Settings{SelfDomain: "domain-0"})
 	vms := engines(4)
-	b.SetMembers(vms, Place{Count: 1}, epoch)
+	b.SetMembers(vms, NodeRank{Count: 1}, epoch)
 	reportAll(b, vms[:1], epoch, "draft@1")
 	reportAll(b, vms[1:2], epoch, "draft@1", "draft@2")
 	reportAll(b, vms[2:3], epoch, "draft@2", "notes@1")
--- a/internal/balance/subset.go
+++ b/internal/balance/subset.go
@@ -27,18 +27,18 @@
 	unselected []member
 }
 
-// chooseSubset selects size upstreams of the group for the node at place.
+// chooseSubset selects size upstreams of the group for the node of the given rank.
 //
 // All nodes sort the group by the same hash, and each takes the window that starts at its
 // rank's share of that order. So about equally many nodes select each upstream; with
 // random selection some upstreams would have twice the nodes of others. A member that
 // joins or leaves shifts the order by one, and so changes a window by one at its ends.
-func chooseSubset(group []member, domain string, place Place, size int) subset {
+func chooseSubset(group []member, domain string, nodeRank NodeRank, size int) subset {
 	local, remote, rank := splitByDomain(group, domain)
 	localCount := min(len(local), max(size*ownDomainNumerator/ownDomainDenominator, size-len(remote)))
 	remoteCount := min(len(remote), size-localCount)
-	localOffset := place.offset(0, 1, len(local))
-	remoteOffset := place.offset(rank.index, rank.count, len(remote))
+	localOffset := nodeRank.offset(0, 1, len(local))
+	remoteOffset := nodeRank.offset(rank.index, rank.count, len(remote))
 	var s subset
 	s.selected = append(window(local, localOffset, localCount), window(remote, remoteOffset, remoteCount)...)
 	s.unselected = append(window(local, localOffset+localCount, len(local)-localCount), window(remote, remoteOffset+remoteCount, len(remote)-remoteCount)...)
@@ -76,12 +76,12 @@
 
 // offset returns where the node's window starts in a ring of n. The nodes of each failure
 // domain are spread over the whole ring; those of different domains are interleaved.
-func (p Place) offset(index, parts, n int) int {
+func (r NodeRank) offset(index, parts, n int) int {
 	if n == 0 {
 		return 0
 	}
-	count := max(p.Count, 1)
-	return (p.Index*parts + index) * n / (parts * count) % n
+	count := max(r.Count, 1)
+	return (r.Index*parts + index) * n / (parts * count) % n
 }
 
 // window returns n members of the ring from start on.
--- a/internal/capacity/probe_balance.go
+++ b/internal/capacity/probe_balance.go
@@ -36,7 +36,7 @@
 
 func newBalancer(known int) *balance.Balancer {
 	b := balance.New(balance.Settings{Seed: 1, SelfID: "entry-00000", SelfDomain: domainName(0)})
-	b.SetMembers(fleet(1, known, domainsOf(known)), balance.Place{Count: 1}, start)
+	b.SetMembers(fleet(1, known, domainsOf(known)), balance.NodeRank{Count: 1}, start)
 	for _, s := range b.Status(start) {
 		b.Report(s.VM.ID, loadReport(), start)
 	}
@@ -72,7 +72,7 @@
 	vms := fleet(1, known, domainsOf(known))
 	return m.CPU(func(n int) {
 		for range n {
-			b.SetMembers(vms, balance.Place{Count: 1}, start)
+			b.SetMembers(vms, balance.NodeRank{Count: 1}, start)
 		}
 	}), nil
 }
