--- a/internal/balance/node_rank.go
+++ b/internal/balance/node_rank.go
@@ -12,19 +12,19 @@
 	Count int
 }
 
-// PlaceOf returns the place of the node self in a list of VMs. A node that is not listed
-// yet gets the place that its ID would have.
-func PlaceOf(vms []platform.VM, self, domain string) NodeRank {
-	p := NodeRank{Count: 1}
+// NodeRankOf returns the rank of the node self in a list of VMs. A node that is not listed
+// yet gets the rank that its ID would have.
+func NodeRankOf(vms []platform.VM, self, domain string) NodeRank {
+	rank := NodeRank{Count: 1}
 	for i := range vms {
 		v := &vms[i]
 		if v.Role != platform.RoleEntry || v.FailureDomain != domain || v.ID == self {
 			continue
 		}
-		p.Count++
+		rank.Count++
 		if v.ID < self {
-			p.Index++
+			rank.Index++
 		}
 	}
-	return p
+	return rank
 }
--- a/internal/balance/sim/world.go
+++ b/internal/balance/sim/world.go
@@ -93,7 +93,7 @@
 		vms = append(vms, n.vm)
 	}
 	for _, n := range w.nodes {
-		n.balance.SetMembers(vms, balance.PlaceOf(vms, n.vm.ID, n.vm.FailureDomain), w.time())
+		n.balance.SetMembers(vms, balance.NodeRankOf(vms, n.vm.ID, n.vm.FailureDomain), w.time())
 		w.after(time.Duration(w.random.Int64N(int64(pollTick))), n.tick)
 	}
 }
--- a/internal/node/upstreams.go
+++ b/internal/node/upstreams.go
@@ -57,7 +57,7 @@
 			vms = append(vms, listed(m))
 		}
 	}
-	place := balance.PlaceOf(v.EntryVMs(), u.node.settings.ID, u.node.settings.FailureDomain)
+	place := balance.NodeRankOf(v.EntryVMs(), u.node.settings.ID, u.node.settings.FailureDomain)
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.balancer.SetMembers(vms, place, time.Now())
