--- a/internal/cascade/cascade.go
+++ b/internal/cascade/cascade.go
@@ -1,10 +1,9 @@
-// Package cascade decides which of several models answers a request when the
-// router may choose: a small model first, and a larger one in its place when
-// the small one's own confidence is low.
+// Package cascade decides which of several models answers a request when the router may
+// choose: the smallest model first, and the largest one instead when the small one's own
+// confidence is low.
 //
-// It is a core without I/O. What a model's confidence is worth can't be seen
-// from the answers, so the threshold is a setting; docs/design/platform.md
-// gives the figures that it comes from.
+// It does no I/O. The value of a model's confidence cannot be derived from the answers,
+// so the threshold is a setting; docs/design/platform.md gives the figures behind it.
 package cascade
 
 import (
@@ -12,109 +11,110 @@
 	"time"
 )
 
-// Settings of a [Policy].
+// Settings holds the confidence thresholds of a [Policy].
 type Settings struct {
-	// Accept is the confidence, 0 to 100, from which a small model's answer is
-	// taken where upstreams have room for a larger one.
+	// Accept is the confidence, 0 to 100, from which a small model's answer is accepted
+	// while upstreams have capacity for a larger one.
 	Accept int
-	// AcceptBusy is the confidence that is enough where they have not.
+	// AcceptBusy is the confidence that suffices when they have none.
 	AcceptBusy int
 }
 
-// Policy decides on models.
+// Policy decides which model answers a request. It keeps no state between calls.
 type Policy struct{ settings Settings }
 
-// New returns a policy.
+// New returns a policy with the given settings.
 func New(s Settings) *Policy { return &Policy{s} }
 
-// State is where a request stands.
+// State describes a request at the time of a decision.
 type State struct {
-	// Models are those to choose from, smallest first.
+	// Models are the candidates, smallest first.
 	Models []string
-	// Attempts is how many attempts are left, the next one included.
+	// Attempts is the number of attempts left, the next one included.
 	Attempts int
-	// Load is the share of the usable upstreams' slots that is in use; over 1
-	// attempts wait.
+	// Load is the share of the usable upstreams' slots in use; above 1, attempts are
+	// queued.
 	Load float64
-	// Left is the time until an answer is late; Largest is how long the largest model
-	// probably takes until its answer begins, 0 if that is not known.
+	// Left is the time until an answer is late. Largest is the expected time until the
+	// largest model's answer begins, 0 if unknown.
 	Left, Largest time.Duration
-	// Smallest is how long the smallest model probably takes; 0 if it is not known.
+	// Smallest is the expected time the smallest model takes, 0 if unknown.
 	Smallest time.Duration
-	// Resumed is set where the caller goes on with a stream that broke.
+	// Resumed is set when the caller resumes a stream that broke.
 	Resumed bool
 }
 
-// tight tells whether the largest model's answer would be in time only if it is asked
-// first.
-func (s *State) tight() bool {
+// onlyLargestFirstInTime reports whether the largest model's answer is in time only if
+// that model runs first.
+func (s *State) onlyLargestFirstInTime() bool {
 	return s.Largest > 0 && s.Smallest > 0 && s.Largest <= s.Left && s.Smallest+s.Largest > s.Left
 }
 
-// late tells whether the largest model's answer would probably be late.
-func (s *State) late() bool { return s.Largest > 0 && s.Largest > s.Left }
+// largestLate reports whether the largest model's answer would probably be late.
+func (s *State) largestLate() bool { return s.Largest > 0 && s.Largest > s.Left }
 
 const (
-	// calmLoad and busyLoad are the loads between which the demand on a small
-	// model's confidence falls. Slots fill unevenly: at two thirds in use, one
-	// upstream in twenty is full.
-	calmLoad = 0.5
-	busyLoad = 0.75
-	// lateAccept is the confidence that is enough where a larger model's answer would be
-	// late: about where an answer in time is as often good as a late one is worth.
+	// acceptFullLoad and acceptBusyLoad bound the loads over which the required
+	// confidence falls from Accept to AcceptBusy. Slots fill unevenly: with two thirds in
+	// use, one upstream in twenty is full.
+	acceptFullLoad = 0.5
+	acceptBusyLoad = 0.75
+	// lateAccept is the confidence that suffices when a larger model's answer would be
+	// late: the chance that the answer is good then about equals the value of a late one.
 	lateAccept = 25
 )
 
-// Accept is the confidence from which a small model's answer is taken.
+// Accept returns the confidence, 0 to 100, from which a small model's answer is accepted.
 //
-// A larger model's run earns a good answer in place of a poor one, and takes a
-// slot and reading time from others: worth it while there is room.
+// Running a larger model replaces a poor answer by a good one, but takes a slot and
+// prefill time from other requests, which pays only while there is spare capacity.
 //
-// Where that answer would be late, an unsure one in time is worth more, unless it is
-// probably poor.
+// Where the larger model's answer would be late, an uncertain answer in time is worth
+// more, unless it is probably poor.
 func (p *Policy) Accept(s State) int {
-	if s.late() {
+	if s.largestLate() {
 		return min(lateAccept, p.settings.AcceptBusy)
 	}
-	spare := min(max((busyLoad-s.Load)/(busyLoad-calmLoad), 0), 1)
+	spare := min(max((acceptBusyLoad-s.Load)/(acceptBusyLoad-acceptFullLoad), 0), 1)
 	return p.settings.AcceptBusy + int(math.Round(spare*float64(p.settings.Accept-p.settings.AcceptBusy)))
 }
 
 const (
-	// leastReserve is the part of the retry budget that a larger model's answer
-	// leaves to attempts after a failure, where the small one's was least sure.
+	// leastReserve is the share of the retry budget that replacing an answer of
+	// confidence 0 leaves for attempts after a failure.
 	leastReserve = 0.1
-	// sureReserve is what it leaves more for each point of confidence: at a
-	// confidence of 50 four fifths of the budget may be used. At twice as much, a
-	// node that sees few requests kept poor answers on calm days too; at half as
-	// much, nothing is left for failed attempts when upstreams crash.
-	sureReserve = 0.002
+	// reservePerPoint is the additional share reserved per point of confidence: at a
+	// confidence of 50, four fifths of the budget may be used. At twice this value, a
+	// node with few requests also kept poor answers on days without faults. At half of
+	// it, nothing is left for failed attempts when upstreams crash.
+	reservePerPoint = 0.002
 )
 
-// Reserve is the part of the retry budget, 0 to 1, that a larger model's answer
-// in place of one with this confidence leaves to others.
+// Reserve returns the share of the retry budget, 0 to 1, that must stay available to
+// other attempts when a larger model replaces an answer of this confidence.
 //
-// It guards against a budget that is spent in the order of requests when
-// upstreams have crashed: answers that are probably good would be replaced, and
-// those that are probably poor kept.
+// Without it, the budget is spent in the order of requests after upstreams have crashed:
+// answers that are probably good are replaced, and answers that are probably poor are
+// kept.
 func Reserve(confidence int) float64 {
-	return leastReserve + sureReserve*float64(min(max(confidence, 0), 100))
+	return leastReserve + reservePerPoint*float64(min(max(confidence, 0), 100))
 }
 
 // First returns the model of the first attempt.
 //
-// A stream that broke was most probably the largest model's, as its answers take many times
-// as long: another one would have to read the prompt first, and the pause would be late.
+// A broken stream most probably belonged to the largest model, since its answers take
+// many times as long. Another model would have to read the prompt first, and the stream
+// would resume too late.
 func (p *Policy) First(s State) string {
-	if s.Attempts < 2 || s.Resumed || s.tight() {
+	if s.Attempts < 2 || s.Resumed || s.onlyLargestFirstInTime() {
 		return s.Models[len(s.Models)-1]
 	}
 	return s.Models[0]
 }
 
-// Next returns the model that should answer in place of one which answers with
-// this confidence; empty when the answer is taken. Attempts is how many are
-// left after this one.
+// Next returns the model that replaces one which answered with this confidence, or ""
+// when the answer is accepted. s.Attempts is the number of attempts left after that
+// answer.
 func (p *Policy) Next(s State, model string, confidence int) string {
 	largest := s.Models[len(s.Models)-1]
 	if s.Attempts < 1 || model == largest || confidence >= p.Accept(s) {
--- a/internal/cascade/cascade_test.go
+++ b/internal/cascade/cascade_test.go
@@ -10,12 +10,12 @@
 	"github.com/hickorybank/hickorybank/internal/admission"
 )
 
-func TestChoiceOfModels(t *testing.T) {
+func TestFirstAndNextModel(t *testing.T) {
 	is := is.New(t)
 	p := New(Settings{Accept: 45, AcceptBusy: 45})
 	three := []string{"small", "middle", "large"}
 	is.Equal(p.First(State{Models: three, Attempts: 3}), "small")
-	is.Equal(p.First(State{Models: three, Attempts: 1}), "large") // nothing could replace a small one's answer
+	is.Equal(p.First(State{Models: three, Attempts: 1}), "large") // no attempt would be left to replace a small model's answer
 	is.Equal(p.First(State{Models: three, Attempts: 3, Resumed: true}), "large")
 	tests := []struct {
 		model      string
@@ -37,11 +37,11 @@
 	}
 }
 
-// A draft was answered by a small model that was not sure, while upstreams had
-// room for a larger one; or the larger model was asked although they were full,
-// and its answer and those of others came late. How sure is sure enough follows
-// from the share of the slots in use.
-func TestConfidenceAskedFor(t *testing.T) {
+// The confidence required of a small model depends on the share of slots in use. If it is
+// too low while upstreams have capacity, poor answers are kept; if it is too high while
+// they are full, the larger model is run and its answers and those of other requests are
+// late.
+func TestRequiredConfidenceFallsWithLoad(t *testing.T) {
 	p := New(Settings{Accept: 60, AcceptBusy: 45})
 	tests := []struct {
 		name string
@@ -49,10 +49,10 @@
 		want int
 	}{
 		{"idle", 0, 60},
-		{"calm", calmLoad, 60},
-		{"a little busier", calmLoad + 0.2*(busyLoad-calmLoad), 57},
-		{"between", (calmLoad + busyLoad) / 2, 53},
-		{"busy", busyLoad, 45},
+		{"calm", acceptFullLoad, 60},
+		{"a little busier", acceptFullLoad + 0.2*(acceptBusyLoad-acceptFullLoad), 57},
+		{"between", (acceptFullLoad + acceptBusyLoad) / 2, 53},
+		{"busy", acceptBusyLoad, 45},
 		{"full, with a queue", 5, 45},
 	}
 	for _, test := range tests {
@@ -65,12 +65,11 @@
 	}
 }
 
-// Half of the upstreams crash, and repeats take most of the retry budget. For
-// ten seconds users got small models' answers that were as good as guessed,
-// while answers that were probably good were replaced. What is left of the
-// budget goes to the least sure.
-func TestScarceBudgetGoesToTheLeastSure(t *testing.T) {
-	kept := func(reserve func(confidence int) float64) (poor int) {
+// Half of the upstreams crash, and retries use most of the retry budget. Without a
+// reserve that grows with confidence, poor answers are kept while answers that are
+// probably good are replaced.
+func TestReserveSpendsBudgetOnLowestConfidence(t *testing.T) {
+	keptPoor := func(reserve func(confidence int) float64) (poor int) {
 		rnd := rand.New(rand.NewPCG(1, 2))
 		now := time.Unix(1000, 0)
 		b := admission.NewWindowBudget(admission.WindowSettings{Ratio: 0.8, Slack: 3, Window: 10 * time.Second})
@@ -78,25 +77,25 @@
 			now = now.Add(20 * time.Millisecond)
 			b.Request(now)
 			if i%2 == 0 {
-				b.Allow(now, 0) // a repeat after a crash
+				b.Allow(now, 0) // a retry after a crash
 			}
-			confidence := rnd.IntN(130) // a third is sure
+			confidence := rnd.IntN(130) // 60 and above is accepted without a replacement
 			if confidence < 60 && !b.Allow(now, reserve(confidence)) && confidence < 30 {
 				poor++
 			}
 		}
 		return poor
 	}
-	same, graded := kept(func(int) float64 { return 0.15 }), kept(Reserve)
-	t.Logf("poor answers kept: %d by order, %d by confidence", same, graded)
-	if graded > same*7/10 {
-		t.Errorf("%d poor answers kept, %d in the order of requests", graded, same)
+	uniform, graded := keptPoor(func(int) float64 { return 0.15 }), keptPoor(Reserve)
+	t.Logf("poor answers kept: %d by order, %d by confidence", uniform, graded)
+	if graded > uniform*7/10 {
+		t.Errorf("%d poor answers kept, %d in the order of requests", graded, uniform)
 	}
 }
 
-// TestLateAnswerIsWorthLess guards against a larger model that is asked although its answer
-// would be late, where the small one's in time is as likely to be of use.
-func TestLateAnswerIsWorthLess(t *testing.T) {
+// Guards against running a larger model whose answer would be late where the small
+// model's answer in time is as likely to be useful.
+func TestLateLargestModelLowersRequiredConfidence(t *testing.T) {
 	p := New(Settings{Accept: 50, AcceptBusy: 45})
 	late := State{Models: []string{"small", "large"}, Attempts: 2, Left: 2 * time.Second, Largest: 3 * time.Second}
 	inTime := late
@@ -118,9 +117,9 @@
 	}
 }
 
-// TestLargestIsAskedFirstWhereOnlyThatIsInTime guards against the longest prompts, which
-// are read by the small model first and then come late from the large one.
-func TestLargestIsAskedFirstWhereOnlyThatIsInTime(t *testing.T) {
+// Guards against long prompts that the small model reads first, so that the large model's
+// answer comes late.
+func TestLargestGoesFirstWhenBothWouldBeLate(t *testing.T) {
 	p := New(Settings{Accept: 50, AcceptBusy: 45})
 	for _, test := range []struct {
 		name                    string
