--- a/internal/choice/detect/detect_test.go
+++ b/internal/choice/detect/detect_test.go
@@ -25,15 +25,15 @@
 	return shares
 }
 
-// A good version is held at night for nothing. The bound on false alarms holds
-// only if, for scores that are distributed as the reference says, the likelihood
-// ratio has mean 1 at most.
-func TestLikelihoodRatioIsFair(t *testing.T) {
+// The bound on false alarms holds only if the likelihood ratio has a mean of at most 1
+// for scores distributed as the reference. Otherwise versions that have not degraded are
+// held.
+func TestLikelihoodRatioHasMeanOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shares := drawShares(t)
 		weight := rapid.Float64Range(30, 5000).Draw(t, "weight")
 		table := NewTable(shares, weight)
-		good := smooth(shares, min(weight, mostWeight))
+		good := smooth(shares, min(weight, maxReferenceWeight))
 		for alternative := range table {
 			var mean float64
 			for i, share := range good {
@@ -46,7 +46,9 @@
 	})
 }
 
-func TestNoAlarmRestsOnTwoRatings(t *testing.T) {
+// One or two ratings must never suffice for an alarm. Without smoothing, a score in an
+// empty bin would count for unbounded evidence.
+func TestEvidenceOfOneRatingIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := NewTable(drawShares(t), math.Inf(1))
 		for _, alternative := range table {
@@ -59,9 +61,9 @@
 	})
 }
 
-// Evidence of several ratings comes as one number from a peer. That must not
-// alarm earlier than the ratings one by one would have.
-func TestBatchedEvidenceIsNeverHigher(t *testing.T) {
+// A peer sends the evidence of several ratings as one sum. That must not raise an alarm
+// earlier than the single ratings would have.
+func TestBatchedEvidenceNeverExceedsSingle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var single, batched Cusum
 		var sum float64
@@ -80,18 +82,20 @@
 	})
 }
 
-// drift is the mean evidence of a rating by the test that sees most.
-func drift(table *Table, scores map[float64]float64) float64 {
+// maxMeanEvidence returns the mean evidence of a rating in the test where it is highest.
+func maxMeanEvidence(table *Table, scores map[float64]float64) float64 {
 	var sum [Alternatives]float64
 	for score, share := range scores {
 		for i, nats := range table.Evidence(score).Ratings {
 			sum[i] += share * nats
 		}
 	}
-	return max(sum[halved], sum[lowered], sum[spoilt])
+	return max(sum[halved], sum[lowered], sum[halfUseless])
 }
 
-func TestEachKindOfBadTurnIsSeen(t *testing.T) {
+// Each kind of degradation must raise at least one statistic, whatever the shape of the
+// reference distribution, and unchanged scores must lower all of them.
+func TestEachKindOfDegradationIsDetected(t *testing.T) {
 	is := is.New(t)
 	var narrow, wide, coarse [quality.Bins]float64
 	narrow[13], narrow[14] = 0.5, 0.5
@@ -101,27 +105,27 @@
 	coarse[0], coarse[15] = 0.1, 0.9
 	for name, good := range map[string][quality.Bins]float64{"narrow": narrow, "wide": wide, "coarse": coarse} {
 		table := NewTable(good, 400)
-		kept, half, useless := map[float64]float64{}, map[float64]float64{}, map[float64]float64{0.05: 0.5}
+		unchanged, halvedScores, halfUselessScores := map[float64]float64{}, map[float64]float64{}, map[float64]float64{0.05: 0.5}
 		for i, share := range good {
-			kept[quality.Centre(i)] += share
-			half[quality.Centre(i)/2] += share
-			useless[quality.Centre(i)] += share / 2
+			unchanged[quality.Centre(i)] += share
+			halvedScores[quality.Centre(i)/2] += share
+			halfUselessScores[quality.Centre(i)] += share / 2
 		}
-		t.Log(name, drift(table, kept), drift(table, half), drift(table, useless))
-		is.True(drift(table, kept) < -0.1) // good scores speak for the version
-		is.True(drift(table, half) > 1)
-		is.True(drift(table, useless) > 0.3)
+		t.Log(name, maxMeanEvidence(table, unchanged), maxMeanEvidence(table, halvedScores), maxMeanEvidence(table, halfUselessScores))
+		is.True(maxMeanEvidence(table, unchanged) < -0.1) // unchanged scores are evidence for the version
+		is.True(maxMeanEvidence(table, halvedScores) > 1)
+		is.True(maxMeanEvidence(table, halfUselessScores) > 0.3)
 	}
-	is.True(drift(NewTable(coarse, 400), map[float64]float64{0: 0.55, 1: 0.45}) > 0.5) // half of the answers right
+	is.True(maxMeanEvidence(NewTable(coarse, 400), map[float64]float64{0: 0.55, 1: 0.45}) > 0.5) // about half of the answers are wrong
 }
 
-// A version that once had a bad hour is held for a few bad answers a day later.
-// What good ratings have cleared must not count again.
-func TestGoodRatingsClear(t *testing.T) {
+// Evidence that good ratings have cleared must not count again. Otherwise a version that
+// recovered from a bad hour is held for a few bad answers a day later.
+func TestNegativeEvidenceClearsWithoutCredit(t *testing.T) {
 	is := is.New(t)
 	var c Cusum
 	is.Equal(c.Add(10), 10.0)
 	is.Equal(c.Add(-4), 6.0)
-	is.Equal(c.Add(-100), 0.0) // and no credit for later
+	is.Equal(c.Add(-100), 0.0) // no credit accumulates
 	is.Equal(c.Add(3), 3.0)
 }
--- a/internal/choice/detect/errors.go
+++ b/internal/choice/detect/errors.go
@@ -3,14 +3,15 @@
 import "math"
 
 const (
-	// goodErrors is the share of attempts of a good version that may end in
-	// an error of the version; a bad one's is badErrors.
-	goodErrors = 0.05
-	badErrors  = 0.5
+	// goodErrorRate is the highest share of a good version's attempts that end in an
+	// error of the version; badErrorRate is the share for a degraded one.
+	goodErrorRate = 0.05
+	badErrorRate  = 0.5
 )
 
-// What an attempt says of a version, in nats.
+// ErrorEvidence and AnswerEvidence are the evidence, in nats, of a failed and of an
+// answered attempt.
 var (
-	ErrorEvidence  = math.Log(badErrors / goodErrors)
-	AnswerEvidence = math.Log((1 - badErrors) / (1 - goodErrors))
+	ErrorEvidence  = math.Log(badErrorRate / goodErrorRate)
+	AnswerEvidence = math.Log((1 - badErrorRate) / (1 - goodErrorRate))
 )
--- a/internal/choice/detect/evidence.go
+++ b/internal/choice/detect/evidence.go
@@ -1,14 +1,14 @@
 package detect
 
-// Evidence is evidence against a version, in nats. What one run of a node has
-// seen since its start adds up, so that whoever has seen an earlier sum knows
-// from a later one what came in between.
+// Evidence is evidence against a version, in nats. A process accumulates it from its
+// start, so the difference of two sums is the evidence between them.
 type Evidence struct {
 	Ratings [Alternatives]float64
-	Errors  float64
+	// Ratings is indexed by the kind of degradation.
+	Errors float64
 }
 
-// Plus adds later evidence.
+// Plus returns the sum of e and later evidence.
 func (e Evidence) Plus(later Evidence) Evidence {
 	for i := range e.Ratings {
 		e.Ratings[i] += later.Ratings[i]
@@ -17,7 +17,7 @@
 	return e
 }
 
-// Minus returns what came after an earlier sum.
+// Minus returns the evidence that was added after an earlier sum.
 func (e Evidence) Minus(earlier Evidence) Evidence {
 	for i := range e.Ratings {
 		e.Ratings[i] -= earlier.Ratings[i]
--- a/internal/choice/detect/suspicion.go
+++ b/internal/choice/detect/suspicion.go
@@ -1,12 +1,12 @@
 package detect
 
-// Suspicion is the state of all tests of one version.
+// Suspicion holds the statistics of all tests of one version.
 type Suspicion struct {
 	ratings [Alternatives]Cusum
 	errors  Cusum
 }
 
-// Add takes in evidence.
+// Add adds evidence to every test.
 func (s *Suspicion) Add(e Evidence) {
 	for i := range s.ratings {
 		s.ratings[i].Add(e.Ratings[i])
@@ -14,7 +14,7 @@
 	s.errors.Add(e.Errors)
 }
 
-// Ratings is the highest statistic of the ratings, in nats.
+// Ratings returns the highest statistic of the rating tests, in nats.
 func (s *Suspicion) Ratings() float64 {
 	var highest float64
 	for i := range s.ratings {
@@ -23,8 +23,8 @@
 	return highest
 }
 
-// Errors is the statistic of the errors, in nats.
+// Errors returns the statistic of the error test, in nats.
 func (s *Suspicion) Errors() float64 { return s.errors.Value() }
 
-// Reset forgets all evidence.
+// Reset sets all statistics to 0.
 func (s *Suspicion) Reset() { *s = Suspicion{} }
--- a/internal/choice/detect/table.go
+++ b/internal/choice/detect/table.go
@@ -7,41 +7,43 @@
 )
 
 const (
-	// smoothing is how many ratings each bin is given in advance. Without it
-	// one score in a bin that was empty so far would be infinite evidence.
-	smoothing = 0.5
-	// mostWeight bounds how many ratings the reference counts for, so that
-	// a rare score never counts for more than about 5.5 nats and no alarm
-	// rests on one or two ratings.
-	mostWeight = 400
-	// fallen is what is left of the quality of a version that turned bad.
-	fallen = 0.5
-	// garbageBins are the lowest scores, which useless answers get.
-	garbageBins = 5
+	// pseudoCount is the number of ratings added to each bin. Without it, one score in a
+	// bin that was empty so far would be infinite evidence.
+	pseudoCount = 0.5
+	// maxReferenceWeight bounds the number of ratings that the reference counts for, so
+	// that a rare score contributes at most about 5.5 nats and no alarm depends on one or
+	// two ratings.
+	maxReferenceWeight = 400
+	// degradedQuality is the share of its quality that a degraded version keeps.
+	degradedQuality = 0.5
+	// uselessBins is the number of lowest score bins, which useless answers fall into.
+	uselessBins = 5
 )
 
-// Alternatives are the ways in which a version may have turned bad, each with a
-// test of its own: one test against a mixture of them would be slow to see any.
+// The kinds of degradation. Each has its own test, since one test against a mixture of
+// them would be slow to detect any.
 const (
-	// halved: every answer is worth half.
+	// halved: every score is halved.
 	halved = iota
-	// lowered: low scores have become likelier, so that the mean is half.
+	// lowered: low scores are more frequent, so that the mean is half.
 	lowered
-	// spoilt: every other answer is useless.
-	spoilt
+	// halfUseless: every other answer is useless.
+	halfUseless
+	// Alternatives is the number of kinds.
 	Alternatives
 )
 
-// Table holds the evidence that a score of each bin gives, in nats.
+// Table holds, for each kind of degradation, the evidence of a score in each bin, in
+// nats.
 type Table [Alternatives][quality.Bins]float64
 
-// NewTable returns the evidence table of a version that has the given
-// distribution of scores, known from so many ratings.
+// NewTable returns the evidence table of a version with the given distribution of scores,
+// which is estimated from weight ratings.
 func NewTable(scores [quality.Bins]float64, weight float64) *Table {
-	good := smooth(scores, min(weight, mostWeight))
+	good := smooth(scores, min(weight, maxReferenceWeight))
 	var t Table
-	for i, bad := range turned(good) {
-		bad = smooth(bad, mostWeight)
+	for i, bad := range degraded(good) {
+		bad = smooth(bad, maxReferenceWeight)
 		for bin := range bad {
 			t[i][bin] = math.Log(bad[bin] / good[bin])
 		}
@@ -49,7 +51,7 @@
 	return &t
 }
 
-// Evidence returns what a score says.
+// Evidence returns the evidence of one score in [0,1].
 func (t *Table) Evidence(score float64) Evidence {
 	var e Evidence
 	bin := quality.Bin(score)
@@ -61,20 +63,20 @@
 
 func smooth(shares [quality.Bins]float64, weight float64) [quality.Bins]float64 {
 	for i := range shares {
-		shares[i] = (shares[i]*weight + smoothing) / (weight + smoothing*quality.Bins)
+		shares[i] = (shares[i]*weight + pseudoCount) / (weight + pseudoCount*quality.Bins)
 	}
 	return shares
 }
 
-// turned returns how the scores may be distributed after the fall.
-func turned(good [quality.Bins]float64) (bad [Alternatives][quality.Bins]float64) {
-	bad[lowered] = tilt(good, fallen*mean(good))
+// degraded returns the distribution of scores for each kind of degradation.
+func degraded(good [quality.Bins]float64) (bad [Alternatives][quality.Bins]float64) {
+	bad[lowered] = tiltToMean(good, degradedQuality*mean(good))
 	for i, share := range good {
 		bad[halved][i/2] += share
-		bad[spoilt][i] += share / 2
+		bad[halfUseless][i] += share / 2
 	}
-	for i := range garbageBins {
-		bad[spoilt][i] += 0.5 / garbageBins
+	for i := range uselessBins {
+		bad[halfUseless][i] += 0.5 / uselessBins
 	}
 	return bad
 }
@@ -87,22 +89,22 @@
 	return sum
 }
 
-// tilt returns the distribution closest to shares that has the given lower mean.
-func tilt(shares [quality.Bins]float64, target float64) [quality.Bins]float64 {
+// tiltToMean returns the distribution closest to shares that has the given lower mean.
+func tiltToMean(shares [quality.Bins]float64, target float64) [quality.Bins]float64 {
 	const steepest, steps = 200, 24
 	low, high := 0.0, float64(steepest)
 	for range steps {
 		middle := (low + high) / 2
-		if mean(tilted(shares, middle)) > target {
+		if mean(exponentialTilt(shares, middle)) > target {
 			low = middle
 		} else {
 			high = middle
 		}
 	}
-	return tilted(shares, high)
+	return exponentialTilt(shares, high)
 }
 
-func tilted(shares [quality.Bins]float64, slope float64) [quality.Bins]float64 {
+func exponentialTilt(shares [quality.Bins]float64, slope float64) [quality.Bins]float64 {
 	var total float64
 	for i := range shares {
 		shares[i] *= math.Exp(-slope * quality.Centre(i))
