--- a/internal/choice/exposure/account.go
+++ b/internal/choice/exposure/account.go
@@ -2,36 +2,37 @@
 
 import "github.com/hickorybank/hickorybank/internal/platform"
 
-// chunks is into how many parts a cap is cut: a node that hands out grants
-// takes one part at a time, and loses at most one when it crashes.
-const chunks = 20
+// allocationsPerCap is the number of parts that a cap is divided into. A node that hands
+// out grants allocates one part at a time, and loses at most one when it crashes.
+const allocationsPerCap = 20
 
-// Account hands out the grants of one version. It belongs to the node that
-// has the duty; another node's account of the same version is harmless.
+// Account hands out the grants of one version, on the node that is responsible for them.
+// Accounts of the same version on several nodes never exceed the cap together.
 type Account struct {
 	version string
-	// known says that row is what the table held when it was last heard of.
-	known bool
-	row   platform.Row
-	state Row
-	// reserve was taken from the table and not yet handed out.
-	reserve int
-	// next is what the commit under way writes, and taking what it takes.
-	next   Row
-	taking int
+	// known is set while row is the latest state of the row in the table.
+	known   bool
+	row     platform.Row
+	current Row
+	// unspent units are allocated in the table and not yet handed out.
+	unspent int
+	// pending is what the transaction under way writes, pendingUnits what it allocates.
+	pending      Row
+	pendingUnits int
 }
 
-// NewAccount returns the account of a version of which nothing is known.
+// NewAccount returns the account of a version whose row has not been read yet.
 func NewAccount(version string) *Account { return &Account{version: version} }
 
-// Known says whether the row is known; if not, it is to be read and given to Read.
+// Known reports whether the row is known. If not, the caller must read it and pass it to
+// Read.
 func (a *Account) Known() bool { return a.known }
 
-// Open says that the cap binds no more.
-func (a *Account) Open() bool { return a.known && a.state.Open }
+// Open reports whether the cap has been lifted.
+func (a *Account) Open() bool { return a.known && a.current.Open }
 
-// Read takes in the row as the table holds it. An unreadable row is an error,
-// and grants nothing.
+// Read sets the row as read from the table. It returns an error for a row that cannot be
+// decoded; nothing is granted then.
 func (a *Account) Read(row platform.Row) error {
 	state, err := ParseRow(row.Value)
 	if err != nil {
@@ -40,56 +41,56 @@
 	}
 	a.known = true
 	a.row = row
-	a.state = state
+	a.current = state
 	return nil
 }
 
-// Hand hands out up to want units of the reserve.
+// Hand hands out up to want of the unspent units and returns their number.
 func (a *Account) Hand(want int) int {
-	units := min(want, a.reserve)
-	a.reserve -= units
+	units := min(want, a.unspent)
+	a.unspent -= units
 	return units
 }
 
-// Take returns the transaction that takes the next part of the cap, or false
-// when nothing is left. The account must be known.
+// Take returns the transaction that allocates the next part of a cap of limit units, or
+// false when none are left. The row must be known.
 func (a *Account) Take(limit int) (platform.Txn, bool) {
-	next, units := a.state.take(max(limit/chunks, 1), limit)
+	allocated, units := a.current.allocate(max(limit/allocationsPerCap, 1), limit)
 	if units == 0 {
 		return platform.Txn{}, false
 	}
-	a.taking = units
-	return a.write(next), true
+	a.pendingUnits = units
+	return a.commitRow(allocated), true
 }
 
-// OpenUp returns the transaction that lifts the cap. The account must be known.
+// OpenUp returns the transaction that lifts the cap. The row must be known.
 func (a *Account) OpenUp() platform.Txn {
-	next := a.state
-	next.Open = true
-	a.taking = 0
-	return a.write(next)
+	opened := a.current
+	opened.Open = true
+	a.pendingUnits = 0
+	return a.commitRow(opened)
 }
 
-func (a *Account) write(next Row) platform.Txn {
+func (a *Account) commitRow(next Row) platform.Txn {
 	key := RowKey(a.version)
-	a.next = next
+	a.pending = next
 	return platform.Txn{
 		Conditions: []platform.Condition{{Key: key, Version: a.row.Version}},
 		Writes:     []platform.Write{{Key: key, Value: next.Bytes()}},
 	}
 }
 
-// Committed takes in the table's answer to the transaction that was returned
-// last. What a transaction took whose answer was lost is not handed out: it may
-// have been counted as granted or not, and handing it out could exceed the cap.
+// Committed takes the result of the last transaction returned. If the result was lost,
+// its units are not handed out: the table may count them as granted or not, and handing
+// them out could exceed the cap.
 func (a *Account) Committed(result platform.CommitResult, err error) {
-	taken := a.taking
-	a.taking = 0
+	units := a.pendingUnits
+	a.pendingUnits = 0
 	if err != nil || !result.Applied {
 		a.known = false
 		return
 	}
 	a.row.Version = result.Version
-	a.state = a.next
-	a.reserve += taken
+	a.current = a.pending
+	a.unspent += units
 }
--- a/internal/choice/exposure/account_test.go
+++ b/internal/choice/exposure/account_test.go
@@ -11,10 +11,10 @@
 	"github.com/hickorybank/hickorybank/internal/platform"
 )
 
-// table is one row with conditional writes.
-type table struct{ row platform.Row }
+// fakeTable is one row with conditional writes.
+type fakeTable struct{ row platform.Row }
 
-func (t *table) commit(txn platform.Txn) platform.CommitResult {
+func (t *fakeTable) commit(txn platform.Txn) platform.CommitResult {
 	if txn.Conditions[0].Version != t.row.Version {
 		return platform.CommitResult{}
 	}
@@ -24,17 +24,16 @@
 
 var errLost = errors.New("answer was lost")
 
-// A bad new version gives more answers than its cap. Two nodes both believe
-// that they hand out its grants, answers of the table are lost or writes late,
-// and nodes crash with grants in hand. Whatever happens, what all have handed
-// out stays within the cap.
-func TestGrantsNeverExceedTheCap(t *testing.T) {
+// Nodes that each consider themselves responsible hand out grants of one version, while
+// answers of the table are lost, writes are applied late, and nodes crash with units in
+// hand. The units handed out by all nodes must stay within the cap.
+func TestGrantsNeverExceedCapAcrossNodes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := race{t: t, limit: rapid.IntRange(0, 12).Draw(t, "cap"), accounts: []*Account{NewAccount("v"), NewAccount("v"), NewAccount("v")}}
 		for range rapid.IntRange(1, 100).Draw(t, "steps") {
 			r.step()
 		}
-		// In the end all works well, and all that can be had is handed out.
+		// At the end there are no faults, and all remaining units are handed out.
 		for range 2 * r.limit {
 			for _, a := range r.accounts {
 				r.read(a)
@@ -45,14 +44,14 @@
 	})
 }
 
-// race is some accounts of one version that race for its row.
+// race is a set of accounts of one version that write the same row concurrently.
 type race struct {
-	t        *rapid.T
-	limit    int
-	store    table
-	accounts []*Account
-	late     []platform.Txn
-	handed   int
+	t          *rapid.T
+	limit      int
+	store      fakeTable
+	accounts   []*Account
+	lateWrites []platform.Txn
+	handed     int
 }
 
 func (r *race) step() {
@@ -67,10 +66,10 @@
 	case "crash":
 		r.accounts[i] = NewAccount("v")
 	case "late":
-		for _, txn := range r.late {
+		for _, txn := range r.lateWrites {
 			r.store.commit(txn)
 		}
-		r.late = nil
+		r.lateWrites = nil
 	}
 }
 
@@ -80,7 +79,7 @@
 	}
 }
 
-func (r *race) take(a *Account, how string) {
+func (r *race) take(a *Account, outcome string) {
 	if !a.Known() {
 		return
 	}
@@ -88,14 +87,14 @@
 	if !ok {
 		return
 	}
-	switch how {
+	switch outcome {
 	case "well":
 		a.Committed(r.store.commit(txn), nil)
 	case "lost":
 		r.store.commit(txn)
 		a.Committed(platform.CommitResult{}, errLost)
 	case "late":
-		r.late = append(r.late, txn)
+		r.lateWrites = append(r.lateWrites, txn)
 		a.Committed(platform.CommitResult{}, errLost)
 	}
 }
@@ -107,7 +106,7 @@
 	}
 }
 
-func TestUnreadableRowGrantsNothing(t *testing.T) {
+func TestUnreadableRowGrantsNoUnits(t *testing.T) {
 	is := is.New(t)
 	a := NewAccount("v")
 	is.True(a.Read(platform.Row{Version: 3, Value: []byte("{")}) != nil)
@@ -115,9 +114,9 @@
 	is.Equal(a.Hand(1), 0)
 }
 
-func TestOpeningKeepsTheCount(t *testing.T) {
+func TestLiftingTheCapKeepsTheGrantedCount(t *testing.T) {
 	is := is.New(t)
-	store := &table{}
+	store := &fakeTable{}
 	a := NewAccount("v")
 	is.NoErr(a.Read(store.row))
 	txn, ok := a.Take(40)
@@ -130,9 +129,9 @@
 	is.Equal(row, Row{Granted: 2, Open: true})
 }
 
-// The share is a bound: a node that was without grants for long must not make
-// up for it in a rush, and sessions that went beyond it are waited for.
-func TestPurseKeepsTheShare(t *testing.T) {
+// The share is an upper bound: a node that had no grants for a long time must not catch
+// up in a burst, and exposures of sessions beyond the share must delay later ones.
+func TestExposuresStayWithinTheShare(t *testing.T) {
 	is := is.New(t)
 	var p Purse
 	now := time.Unix(0, 0)
@@ -145,7 +144,7 @@
 		p.Spend()
 		spent++
 	}
-	is.Equal(spent, mostCredit)
+	is.Equal(spent, maxCredit)
 	p.Spend() // a session
 	for range 39 {
 		p.Count(0.05)
@@ -156,7 +155,7 @@
 	is.True(p.Due())
 }
 
-func TestPurseAsksLessAndLessOften(t *testing.T) {
+func TestRequestsBackOffWhileNothingIsGranted(t *testing.T) {
 	is := is.New(t)
 	var p Purse
 	now := time.Unix(0, 0)
--- a/internal/choice/exposure/doc.go
+++ b/internal/choice/exposure/doc.go
@@ -1,10 +1,9 @@
-// Package exposure keeps how many answers a staged version gives.
+// Package exposure bounds how many answers a staged version gives.
 //
-// Before its ratings are in, a staged version may give at most so many answers
-// over all nodes together. Its [Row] in the platform's table counts what was
-// granted; the [Account] of the node that hands out grants takes small amounts
-// from it by conditional writes, so that two nodes which both believe that it
-// is their duty never grant more than the cap together. A node spends what it
-// was granted out of its [Purse] and gives no exposure without. What a node
-// that crashes had left is lost, not granted again.
+// Until it has enough ratings, a staged version may give only a capped number of answers
+// over all nodes together. Its [Row] in the platform's table counts the units granted.
+// The [Account] of the responsible node allocates small parts of the cap by conditional
+// writes, so that two nodes that both consider themselves responsible never exceed the
+// cap together. A node spends its grants from a [Purse] and exposes the version only
+// while it has some. Units that a crashed node had left are lost, not granted again.
 package exposure
