--- a/internal/choice/frontier/cascade.go
+++ b/internal/choice/frontier/cascade.go
@@ -6,21 +6,22 @@
 	"github.com/hickorybank/hickorybank/internal/choice/quality"
 )
 
-// accepted is what a threshold on the rating lets pass.
-type accepted struct {
+// acceptance describes the answers that a threshold on the rating accepts.
+type acceptance struct {
 	threshold float64
-	// share of the answers.
+	// share is the share of answers accepted, in [0,1].
 	share float64
-	// linear and square are the share times by how much the accepted scores,
-	// and the squares of their deviations, are above the mean of all.
+	// linear is the share times the accepted scores' mean deviation from the mean of all
+	// scores; square is the share times the excess of their mean squared deviation over
+	// the variance.
 	linear float64
 	square float64
 }
 
-// thresholds returns what passes at each edge between two bins.
-func thresholds(e *quality.Estimate, into []accepted) []accepted {
+// acceptancesByThreshold appends to into the acceptance at each edge between two bins.
+func acceptancesByThreshold(e *quality.Estimate, into []acceptance) []acceptance {
 	mean, variance := moments(&e.Scores)
-	var a accepted
+	var a acceptance
 	for bin := quality.Bins - 1; bin > 0; bin-- {
 		share := e.Scores[bin]
 		deviation := quality.Centre(bin) - mean
@@ -44,23 +45,23 @@
 	return mean, variance - mean*mean
 }
 
-// cascade returns the way that runs first, and then runs next when the rating
-// is not accepted. confidence is in standard deviations.
-func cascade(first, next *Option, then []string, a accepted, confidence float64) Point {
-	short := 1 - a.share
+// cascadePoint returns the cascade that runs first, and then next when the rating is not
+// accepted. confidence is in standard deviations.
+func cascadePoint(first, next *Option, then []string, a acceptance, confidence float64) Point {
+	rejected := 1 - a.share
 	f, n := &first.Estimate, &next.Estimate
-	// The rater's noise lifts the accepted ratings too; the curve knows
-	// which part of the lift is quality.
+	// The rater's noise raises the accepted ratings, too; the curve separates the part of
+	// the lift that is due to quality.
 	lift, liftSD := f.Curve.Lift(a.linear, a.square)
-	// What passes is above the mean by as much as what falls short is below.
-	rescue, rescueSD := n.Rescue.Sum(short, -a.linear)
-	mean := a.share*f.Mean + lift + rescue
-	sd := math.Sqrt(square(a.share*f.SD) + square(liftSD) + square(rescueSD))
+	// The accepted scores exceed the mean by as much as the rejected ones are below it.
+	fallback, fallbackSD := n.Rescue.Sum(rejected, -a.linear)
+	mean := a.share*f.Mean + lift + fallback
+	sd := math.Sqrt(square(a.share*f.SD) + square(liftSD) + square(fallbackSD))
 	return Point{
 		First:     first.Version,
 		Then:      then,
 		Threshold: a.threshold,
-		Cost:      first.Cost + short*next.Cost,
+		Cost:      first.Cost + rejected*next.Cost,
 		Quality:   mean - confidence*sd,
 		Mean:      mean,
 	}
--- a/internal/choice/frontier/doc.go
+++ b/internal/choice/frontier/doc.go
@@ -1,8 +1,9 @@
-// Package frontier finds the cheapest ways to reach each quality: running one
-// version, or a cheap one whose answer is rated and followed by a dear one when
-// it falls short, or a random mix of two such ways.
+// Package frontier finds the cheapest strategies for each level of quality. A strategy is
+// a single version, or a cascade: a cheap version whose answer is rated, followed by a
+// more expensive version when the rating is below a threshold. Strategies may be mixed at
+// random.
 //
-// Cost and quality of a mix are linear in its shares, so the cheapest mixes are
-// the corners and edges of the upper hull over all ways in the plane of cost
+// Cost and quality of a mix are linear in its shares. The cheapest mixes are therefore
+// the corners and edges of the upper convex hull of all strategies in the plane of cost
 // and quality.
 package frontier
--- a/internal/choice/frontier/frontier.go
+++ b/internal/choice/frontier/frontier.go
@@ -5,29 +5,29 @@
 	"slices"
 )
 
-// Frontier holds the corners of the hull, from the cheapest way to the best.
+// Frontier holds the corners of the hull, from the cheapest strategy to the best.
 type Frontier struct {
 	points []Point
-	// explore are the options that are known too little to be left aside.
+	// explore holds the options that have too few ratings to be ruled out.
 	explore []Option
 }
 
-// Empty says that there was no option.
+// Empty reports whether there was no option.
 func (f *Frontier) Empty() bool { return len(f.points) == 0 }
 
-// Points are the corners, cheapest first.
+// Points returns the corners, cheapest first. The caller must not modify them.
 func (f *Frontier) Points() []Point { return f.points }
 
-// Explore returns the options whose quality may be high enough to change the
-// frontier, for all that is known, and that few ratings speak of.
+// Explore returns the options with few ratings whose quality may be high enough to change
+// the frontier.
 func (f *Frontier) Explore() []Option { return f.explore }
 
-// Best is the way with the highest quality.
+// Best returns the strategy with the highest quality. The frontier must not be empty.
 func (f *Frontier) Best() *Point { return &f.points[len(f.points)-1] }
 
-// At returns the way to take at a target: of the cheapest mix of two ways that
-// meets it, the one that random, drawn from [0,1), picks. When nothing meets
-// the target it is the best way.
+// At returns the strategy to use for a target quality. The cheapest mix that meets the
+// target has at most two strategies; random, uniform in [0,1), selects one of them. If
+// nothing meets the target, At returns the best strategy.
 func (f *Frontier) At(target, random float64) *Point {
 	i, _ := slices.BinarySearchFunc(f.points, target, func(p Point, t float64) int {
 		return cmp.Compare(p.Quality, t)
@@ -45,7 +45,7 @@
 	return below
 }
 
-// qualityAt returns the quality that a cost buys, and 0 below the cheapest.
+// qualityAt returns the quality that a cost buys, and 0 below the cheapest strategy.
 func (f *Frontier) qualityAt(cost float64) float64 {
 	i, _ := slices.BinarySearchFunc(f.points, cost, func(p Point, c float64) int {
 		return cmp.Compare(p.Cost, c)
--- a/internal/choice/frontier/frontier_test.go
+++ b/internal/choice/frontier/frontier_test.go
@@ -29,11 +29,11 @@
 	return options
 }
 
-// mix returns the cost and quality of what At gives on average. At gives one way below
-// some draw and another above it, which is looked for by halving: a mean over 2,000
-// draws knows the share of each to a quarter of a thousandth only, which is 0.0037 of
-// cost between ways that cost 1 and 15.9.
-func mix(f *Frontier, target float64) (cost, quality float64) {
+// expectedMix returns the mean cost and quality of what At returns. At returns one
+// strategy below some draw and another above it, and bisection finds that draw. A mean
+// over 2,000 draws would know the shares only to 0.00025, which is a cost error of 0.0037
+// between strategies of cost 1 and 15.9.
+func expectedMix(f *Frontier, target float64) (cost, quality float64) {
 	low, high := f.At(target, 0), f.At(target, math.Nextafter(1, 0))
 	from, to := 0.0, 1.0
 	for range 60 {
@@ -49,43 +49,43 @@
 	return from*low.Cost + (1-from)*high.Cost, from*low.Quality + (1-from)*high.Quality
 }
 
-// onlyTwoWays checks that At gives no other way than those at both ends, and each on its
-// side of one draw.
-func onlyTwoWays(t *rapid.T, f *Frontier, target float64) {
+// checkTwoPoints checks that At returns only the strategies for the lowest and the
+// highest draw, and switches between them once.
+func checkTwoPoints(t *rapid.T, f *Frontier, target float64) {
 	const draws = 2000
 	low, high := f.At(target, 0), f.At(target, math.Nextafter(1, 0))
-	passed := false
+	switched := false
 	for i := range draws {
 		p := f.At(target, (float64(i)+0.5)/draws)
-		passed = passed || p != low
-		if p != low && p != high || passed && p != high {
+		switched = switched || p != low
+		if p != low && p != high || switched && p != high {
 			t.Fatalf("draw %d gives %v, between %v and %v", i, p, low, high)
 		}
 	}
 }
 
-// A mix of a way that costs 1 and one that costs 15.875, with one part in two hundred of
-// the latter: it costs what the two parts cost.
-func TestMixOfTwoWaysFarApart(t *testing.T) {
+// The mean cost of a mix must be exact, also where one part in two hundred of it costs
+// sixteen times as much as the rest.
+func TestMixOfTwoDistantPoints(t *testing.T) {
 	is := is.New(t)
 	f := &Frontier{points: []Point{{First: "b", Cost: 1, Quality: 0.0356}, {First: "a", Cost: 15.875, Quality: 0.6878}}}
 	const share = 0.00528
-	cost, quality := mix(f, 0.0356+share*(0.6878-0.0356))
+	cost, quality := expectedMix(f, 0.0356+share*(0.6878-0.0356))
 	is.True(math.Abs(cost-(1+share*14.875)) < 1e-9)
 	is.True(math.Abs(quality-(0.0356+share*0.6522)) < 1e-9)
 }
 
-// An organisation gets less than its target, or pays more than it must, when
-// the mix is wrong. Whatever the options are, the mix must reach each target
-// that anything reaches, and no mix of two ways may do so for less.
+// If the mix is wrong, an organisation gets less than its target or pays more than it
+// must. The mix must reach every target that any strategy reaches, and no mix of two
+// strategies may do so at a lower cost.
 func TestMixReachesTargetAtLowestCost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		options := drawOptions(t)
 		b := Builder{Confidence: 1}
 		f := b.Build(options, rapid.Bool().Draw(t, "cascades"))
 		target := rapid.Float64Range(0, 1).Draw(t, "target")
-		onlyTwoWays(t, f, target)
-		cost, got := mix(f, target)
+		checkTwoPoints(t, f, target)
+		cost, got := expectedMix(f, target)
 		if got < min(target, f.Best().Quality)-1e-3 {
 			t.Fatalf("reaches %v of %v", got, target)
 		}
@@ -106,23 +106,25 @@
 	})
 }
 
-func TestCornersRiseEverMoreDearly(t *testing.T) {
+// Along the frontier, cost and quality must increase and the gain in quality per cost
+// must fall.
+func TestCornersHaveFallingSlope(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := Builder{Confidence: 1}
 		points := b.Build(drawOptions(t), true).Points()
 		slope := math.Inf(1)
 		for i := 1; i < len(points); i++ {
-			dearer, better := points[i].Cost-points[i-1].Cost, points[i].Quality-points[i-1].Quality
-			if !(dearer > 0 && better > 0) || better/dearer > slope*(1+1e-9) {
+			extraCost, extraQuality := points[i].Cost-points[i-1].Cost, points[i].Quality-points[i-1].Quality
+			if !(extraCost > 0 && extraQuality > 0) || extraQuality/extraCost > slope*(1+1e-9) {
 				t.Fatalf("corner %d: %+v", i, points)
 			}
-			slope = better / dearer
+			slope = extraQuality / extraCost
 		}
 	})
 }
 
-// learnt is a version whose answers spread, as rated by a rater with noise.
-func learnt(name string, cost, mean, noise float64) Option {
+// ratedOption is a version whose answers vary in quality, as rated by a rater with noise.
+func ratedOption(name string, cost, mean, noise float64) Option {
 	var c quality.Cell
 	for i := range 4000 {
 		spread := (float64(i%101)/50 - 1) * 0.2
@@ -135,26 +137,27 @@
 	return Option{Version: name, Cost: cost, Estimate: c.Estimate(mean)}
 }
 
-// A cascade pays when the rater knows good answers from bad ones, and costs two
-// answers for nothing when it guesses.
-func TestCascadePaysOnlyWithAGoodRater(t *testing.T) {
+// A cascade pays when the rater distinguishes good from bad answers. With a rater that
+// guesses it pays for two answers without benefit, so there must be none.
+func TestCascadeRequiresInformativeRater(t *testing.T) {
 	is := is.New(t)
 	b := Builder{Confidence: 1}
-	dear := learnt("dear", 40, 0.78, 0.01)
-	sharp := b.Build([]Option{learnt("cheap", 10, 0.7, 0.02), dear}, true)
-	p := sharp.At(0.76, 0.5)
+	expensive := ratedOption("dear", 40, 0.78, 0.01)
+	informative := b.Build([]Option{ratedOption("cheap", 10, 0.7, 0.02), expensive}, true)
+	p := informative.At(0.76, 0.5)
 	is.Equal(p.First, "cheap")
 	is.Equal(len(p.Then), 1)
 
-	guessing := learnt("cheap", 10, 0.7, 0.02)
+	guessing := ratedOption("cheap", 10, 0.7, 0.02)
 	guessing.Estimate.Curve.Slope = 0
 	guessing.Estimate.Curve.Bend = 0
-	for _, p := range b.Build([]Option{guessing, dear}, true).Points() {
+	for _, p := range b.Build([]Option{guessing, expensive}, true).Points() {
 		is.Equal(len(p.Then), 0)
 	}
 }
 
-func TestNoCascadeBeforePairsAreIn(t *testing.T) {
+// Without answers rated twice, the rater's noise is unknown and no cascade may be used.
+func TestNoCascadeWithoutRepeatedRatings(t *testing.T) {
 	is := is.New(t)
 	var c quality.Cell
 	b := Builder{Confidence: 1}
--- a/internal/choice/frontier/option.go
+++ b/internal/choice/frontier/option.go
@@ -7,6 +7,6 @@
 	Version string
 	// Cost is the expected cost of an answer, in micro-units of currency.
 	Cost float64
-	// Estimate is what is known of its quality.
+	// Estimate is the estimate of the version's quality.
 	Estimate quality.Estimate
 }
