--- a/internal/choice/baseline/baseline_test.go
+++ b/internal/choice/baseline/baseline_test.go
@@ -11,7 +11,7 @@
 	"github.com/hickorybank/hickorybank/internal/example"
 )
 
-func TestBaselines(t *testing.T) {
+func TestBaselinePoliciesPickTheirVersion(t *testing.T) {
 	is := is.New(t)
 	doc, err := example.Load("tarifas")
 	is.NoErr(err)
--- a/internal/choice/baseline/share.go
+++ b/internal/choice/baseline/share.go
@@ -6,10 +6,10 @@
 	"github.com/hickorybank/hickorybank/internal/choice"
 )
 
-// FixedShare runs a fixed share of the requests on the best version and the
-// rest on the cheapest.
+// FixedShare runs a fixed share of the requests on the best version and the others on the
+// cheapest.
 type FixedShare struct {
-	// Best is the share of the best version, in [0,1].
+	// Best is the share of requests on the best version, in [0,1].
 	Best float64
 }
 
