--- a/internal/choice/quality/cell.go
+++ b/internal/choice/quality/cell.go
@@ -5,36 +5,36 @@
 	"time"
 )
 
-// The half-lives of the three memories. A change is followed as soon as a
-// shorter memory contradicts a longer one; see [Cell.Estimate].
+// The half-lives of the three windows. A shorter window replaces a longer one as soon as
+// the two differ significantly; see [Cell.Estimate].
 const (
 	LongHalfLife  = 8 * time.Hour
 	MidHalfLife   = time.Hour
 	ShortHalfLife = 10 * time.Minute
 )
 
-// Cell sums up what was seen of one version for one class. Its weights decay
-// with time; At is the Unix time in nanoseconds that they are valid for.
+// Cell summarises the observations of one version for one class. Its weights decay
+// exponentially; At is the Unix time in nanoseconds that they are valid for.
 type Cell struct {
 	At    int64
 	Long  Moments
 	Mid   Moments
 	Short Moments
-	// Scores counts ratings by [Bin], in the long memory.
+	// Scores counts ratings by [Bin], in the long window.
 	Scores [Bins]float64
-	// Pairs sums up the answers that were rated twice, in the long memory.
+	// Pairs summarises the answers that were rated twice, in the long window.
 	Pairs Pairs
-	// Rescue sums up ratings of answers that were run after another
-	// version's answer had fallen short, in the long memory.
+	// Rescue summarises the ratings of fallback answers, which followed another version's
+	// rejected answer, in the long window.
 	Rescue Rescues
-	// Took holds the answers' durations in seconds, in the mid memory, with
-	// the sums of their tokens.
+	// Took holds the durations of answers in seconds, Input and Output the sums of their
+	// tokens, in the middle window.
 	Took   Moments
 	Input  float64
 	Output float64
 }
 
-// Advance lets the weights decay until a time. An earlier time changes nothing.
+// Advance decays the weights until now. An earlier time changes nothing.
 func (c *Cell) Advance(now int64) {
 	if c.At == 0 {
 		c.At = now
@@ -44,33 +44,33 @@
 	}
 	age := float64(now - c.At)
 	c.At = now
-	long := math.Exp2(-age / float64(LongHalfLife))
-	mid := math.Exp2(-age / float64(MidHalfLife))
-	c.scaleLong(long)
-	c.scaleMid(mid)
+	longFactor := math.Exp2(-age / float64(LongHalfLife))
+	midFactor := math.Exp2(-age / float64(MidHalfLife))
+	c.scaleLong(longFactor)
+	c.scaleMid(midFactor)
 	c.Short.scale(math.Exp2(-age / float64(ShortHalfLife)))
 }
 
-func (c *Cell) scaleLong(f float64) {
-	c.Long.scale(f)
+func (c *Cell) scaleLong(factor float64) {
+	c.Long.scale(factor)
 	for i := range c.Scores {
-		c.Scores[i] *= f
+		c.Scores[i] *= factor
 	}
-	c.Pairs.scale(f)
-	c.Rescue.scale(f)
+	c.Pairs.scale(factor)
+	c.Rescue.scale(factor)
 }
 
-func (c *Cell) scaleMid(f float64) {
-	c.Mid.scale(f)
-	c.Took.scale(f)
-	c.Input *= f
-	c.Output *= f
+func (c *Cell) scaleMid(factor float64) {
+	c.Mid.scale(factor)
+	c.Took.scale(factor)
+	c.Input *= factor
+	c.Output *= factor
 }
 
-// Weight is how many ratings and answers the cell still holds.
+// Weight returns the decayed number of ratings and answers in the cell.
 func (c *Cell) Weight() float64 { return c.Long.Weight + c.Rescue.Weight + c.Took.Weight }
 
-// AddScore counts a rating.
+// AddScore adds a rating in [0,1].
 func (c *Cell) AddScore(score float64, now int64) {
 	c.Advance(now)
 	c.Long.add(score)
@@ -79,21 +79,21 @@
 	c.Scores[Bin(score)]++
 }
 
-// AddPair counts two independent ratings of one answer towards what a rating
-// is worth.
+// AddPair adds two independent ratings of one answer, from which the rater's noise is
+// estimated.
 func (c *Cell) AddPair(first, second float64, now int64) {
 	c.Advance(now)
 	c.Pairs.add(first, second)
 }
 
-// AddRescue counts a rating of an answer that followed one that fell short;
-// short is by how much the rating of that one was above its version's mean.
-func (c *Cell) AddRescue(score, short float64, now int64) {
+// AddRescue adds the rating of a fallback answer. deviation is the rating of the rejected
+// answer minus the mean rating of its version.
+func (c *Cell) AddRescue(score, deviation float64, now int64) {
 	c.Advance(now)
-	c.Rescue.add(score, short)
+	c.Rescue.add(score, deviation)
 }
 
-// AddAnswer counts an answer's duration and tokens.
+// AddAnswer adds the duration and the tokens of an answer.
 func (c *Cell) AddAnswer(took time.Duration, input, output int, now int64) {
 	c.Advance(now)
 	c.Took.add(took.Seconds())
@@ -101,7 +101,7 @@
 	c.Output += float64(output)
 }
 
-// Plus adds another cell, as both are at the later of their times.
+// Plus adds another cell after decaying both to the later of their times.
 func (c *Cell) Plus(o Cell) {
 	c.Advance(o.At)
 	o.Advance(c.At)
--- a/internal/choice/quality/curve.go
+++ b/internal/choice/quality/curve.go
@@ -2,39 +2,38 @@
 
 import "math"
 
-// What is believed of the curve before pairs are in. A rating is not trusted
-// much until then.
+// The prior of the curve before any pairs are known. Until then, a rating is given little
+// weight.
 const (
 	priorSlope   = 0.45
 	priorSlopeSD = 0.25
 	priorBend    = 0.0
 	priorBendSD  = 0.6
-	// pairSpread is the standard deviation of a second rating about the curve.
+	// pairSpread is the standard deviation of a second rating around the curve.
 	pairSpread = 0.12
 )
 
-// Curve tells what an answer is worth given its rating: the version's mean,
-// plus Slope times by how much the rating is above the mean rating, plus Bend
-// times by how much the square of that is above its mean. A rater without noise
-// has slope 1 and no bend; one that only guesses has slope 0.
+// Curve gives the expected quality of an answer from its rating: the version's mean, plus
+// Slope times the rating's deviation from the mean rating, plus Bend times the excess of
+// the squared deviation over its mean. A rater without noise has a slope of 1 and a bend
+// of 0; one that guesses has a slope of 0.
 type Curve struct {
 	Slope float64
 	Bend  float64
-	// The covariances of the belief in both.
+	// SlopeVariance, BendVariance and Covariance are the posterior covariances of both.
 	SlopeVariance float64
 	BendVariance  float64
 	Covariance    float64
 }
 
-// Lift returns the mean and the standard deviation of Slope*linear +
-// Bend*square.
+// Lift returns the mean and the standard deviation of Slope*linear + Bend*square.
 func (c *Curve) Lift(linear, square float64) (mean, sd float64) {
 	variance := linear*linear*c.SlopeVariance + 2*linear*square*c.Covariance + square*square*c.BendVariance
 	return c.Slope*linear + c.Bend*square, math.Sqrt(max(variance, 0))
 }
 
-// curve fits a curve through the pairs of a version whose scores have the given
-// mean and variance, by Bayesian linear regression.
+// curve fits a curve to the pairs by Bayesian linear regression. mean and variance are
+// those of the version's scores.
 func (p *Pairs) curve(mean, variance float64) Curve {
 	f := p.features(mean, variance)
 	const weight = 1 / (pairSpread * pairSpread)
@@ -55,8 +54,8 @@
 	}
 }
 
-// features are the sums over the pairs of the products of the two regressors,
-// and of each with the second score.
+// features holds the sums over the pairs of the products of the two regressors with each
+// other and with the second score.
 type features struct {
 	linearLinear float64
 	linearSquare float64
--- a/internal/choice/quality/key.go
+++ b/internal/choice/quality/key.go
@@ -1,6 +1,6 @@
 package quality
 
-// Key names a cell.
+// Key identifies a cell.
 type Key struct {
 	Version string
 	Class   string
--- a/internal/choice/quality/moments.go
+++ b/internal/choice/quality/moments.go
@@ -1,6 +1,6 @@
 package quality
 
-// Moments are the weighted count, sum and sum of squares of samples.
+// Moments holds the weighted count, sum and sum of squares of samples.
 type Moments struct {
 	Weight  float64
 	Sum     float64
@@ -25,7 +25,7 @@
 	m.Squares *= f
 }
 
-// Mean is 0 when there are no samples.
+// Mean returns the weighted mean, or 0 without samples.
 func (m Moments) Mean() float64 {
 	if m.Weight == 0 {
 		return 0
@@ -33,7 +33,7 @@
 	return m.Sum / m.Weight
 }
 
-// Variance is 0 when there are no samples.
+// Variance returns the weighted population variance, or 0 without samples.
 func (m Moments) Variance() float64 {
 	if m.Weight == 0 {
 		return 0
--- a/internal/choice/quality/pairs.go
+++ b/internal/choice/quality/pairs.go
@@ -1,18 +1,18 @@
 package quality
 
-// pairCentre is the score about which powers of scores are summed, which keeps
-// them small.
+// pairCentre is subtracted from scores before their powers are summed, which keeps the
+// sums small.
 const pairCentre = 0.5
 
-// Pairs sums up answers that were rated twice. The second rating of an answer
-// tells, without bias, what an answer with that first rating is worth.
+// Pairs summarises answers that were rated twice. The second rating is an unbiased
+// estimate of the quality of an answer with that first rating.
 type Pairs struct {
 	Count float64
-	// Powers are the sums of the first four powers of the scores about the
-	// centre, each pair counted in both orders by half.
+	// Powers are the sums of the first four powers of the centred scores. Each pair is
+	// counted in both orders with weight one half.
 	Powers [4]float64
-	// Cross are the sums of the products of one score's first and second
-	// power with the other score.
+	// Cross are the sums of the first and second power of one score times the other
+	// score.
 	Cross [2]float64
 }
 
--- a/internal/choice/quality/rescues.go
+++ b/internal/choice/quality/rescues.go
@@ -2,37 +2,39 @@
 
 import "math"
 
-// What is believed of rescues before any is rated.
+// The prior of fallback answers before any are rated.
 const (
-	// rescueSD is how far a version's quality on the requests that another
-	// fell a little short of may be from its quality on all requests.
-	rescueSD = 0.015
-	// A request that another version did badly on is a hard one, for which
-	// this version is a little worse, too.
+	// fallbackSD is the standard deviation of a version's quality on requests that
+	// another version narrowly missed the threshold on, around its quality on all
+	// requests.
+	fallbackSD = 0.015
+	// priorHardness and priorHardnessSD are the prior of a line's slope. A request that
+	// another version answered badly is hard, so this version is a little worse on it,
+	// too.
 	priorHardness   = 0.1
 	priorHardnessSD = 0.15
 )
 
-// Rescues sums up the ratings of answers that were run after another version's
-// answer had fallen short.
+// Rescues summarises the ratings of fallback answers, which followed another version's
+// rejected answer.
 type Rescues struct {
 	Moments
 	// Scores counts the ratings by [Bin].
 	Scores [Bins]float64
-	// Short and ShortSquares sum by how much the rating that fell short was
-	// above the mean rating of its version (mostly it is below), and the
-	// square of that; Cross sums its product with the rescue's rating.
+	// Short and ShortSquares are the sum and the sum of squares of the rejected ratings'
+	// deviations from the mean rating of their version, mostly negative. Cross is the sum
+	// of the products of these deviations with the fallback's ratings.
 	Short        float64
 	ShortSquares float64
 	Cross        float64
 }
 
-func (r *Rescues) add(score, short float64) {
+func (r *Rescues) add(score, deviation float64) {
 	r.Moments.add(score)
 	r.Scores[Bin(score)]++
-	r.Short += short
-	r.ShortSquares += short * short
-	r.Cross += short * score
+	r.Short += deviation
+	r.ShortSquares += deviation * deviation
+	r.Cross += deviation * score
 }
 
 func (r *Rescues) plus(o Rescues) {
@@ -55,31 +57,33 @@
 	r.Cross *= f
 }
 
-// Shares returns the distribution of the rescues' scores.
+// Shares returns the distribution of the fallback answers' scores.
 func (r *Rescues) Shares() [Bins]float64 { return shares(r.Scores) }
 
-// Line tells what a version's answer is worth when another's fell short: Level,
-// plus Slope times by how much the short rating was above its version's mean.
+// Line gives the expected quality of a version's fallback answer: Level, plus Slope times
+// the deviation of the rejected rating from its version's mean.
 type Line struct {
 	Level float64
 	Slope float64
-	// The covariances of the belief in both.
+	// LevelVariance, SlopeVariance and Covariance are the posterior covariances of both.
 	LevelVariance float64
 	SlopeVariance float64
 	Covariance    float64
 }
 
-// Sum returns the mean and the standard deviation of Level*share + Slope*short.
-func (l *Line) Sum(share, short float64) (mean, sd float64) {
-	variance := share*share*l.LevelVariance + 2*share*short*l.Covariance + short*short*l.SlopeVariance
-	return share*l.Level + short*l.Slope, math.Sqrt(max(variance, 0))
+// Sum returns the mean and the standard deviation of Level*share +
+// Slope*deviation.
+func (l *Line) Sum(share, deviation float64) (mean, sd float64) {
+	variance := share*share*l.LevelVariance + 2*share*deviation*l.Covariance + deviation*deviation*l.SlopeVariance
+	return share*l.Level + deviation*l.Slope, math.Sqrt(max(variance, 0))
 }
 
-// line fits a line through the rescues, by Bayesian linear regression; mean and
-// sd are the belief in the version's quality on all requests.
+// line fits a line to the fallback ratings by Bayesian linear regression. mean and sd are
+// the version's estimated quality on all requests, spread the standard deviation of
+// single scores.
 func (r *Rescues) line(mean, sd, spread float64) Line {
 	weight := 1 / (spread * spread)
-	levelWeight := 1 / (rescueSD*rescueSD + sd*sd)
+	levelWeight := 1 / (fallbackSD*fallbackSD + sd*sd)
 	const slopeWeight = 1 / (priorHardnessSD * priorHardnessSD)
 	a := levelWeight + weight*r.Weight
 	b := weight * r.Short
--- a/internal/choice/quality/round.go
+++ b/internal/choice/quality/round.go
@@ -1,41 +1,41 @@
 package quality
 
-// Rounded returns the cell with its numbers cut to single precision. Codecs
-// that drop zero bytes then send them in half the bytes; the error, a part in
-// ten million, is far below the noise of a rating.
+// Rounded returns the cell with its numbers rounded to single precision. Codecs that omit
+// zero bytes then encode them in half the size. The relative error of about 1e-7 is far
+// below the noise of a rating.
 func (c *Cell) Rounded() Cell {
 	r := *c
 	for _, m := range []*Moments{&r.Long, &r.Mid, &r.Short, &r.Took} {
 		m.round()
 	}
-	cutAll(r.Scores[:])
-	cut(&r.Pairs.Count)
-	cutAll(r.Pairs.Powers[:])
-	cutAll(r.Pairs.Cross[:])
+	roundAll(r.Scores[:])
+	roundToSingle(&r.Pairs.Count)
+	roundAll(r.Pairs.Powers[:])
+	roundAll(r.Pairs.Cross[:])
 	r.Rescue.round()
-	cut(&r.Input)
-	cut(&r.Output)
+	roundToSingle(&r.Input)
+	roundToSingle(&r.Output)
 	return r
 }
 
 func (r *Rescues) round() {
 	r.Moments.round()
-	cutAll(r.Scores[:])
-	cut(&r.Short)
-	cut(&r.ShortSquares)
-	cut(&r.Cross)
+	roundAll(r.Scores[:])
+	roundToSingle(&r.Short)
+	roundToSingle(&r.ShortSquares)
+	roundToSingle(&r.Cross)
 }
 
-func cutAll(list []float64) {
+func roundAll(list []float64) {
 	for i := range list {
-		cut(&list[i])
+		roundToSingle(&list[i])
 	}
 }
 
 func (m *Moments) round() {
-	cut(&m.Weight)
-	cut(&m.Sum)
-	cut(&m.Squares)
+	roundToSingle(&m.Weight)
+	roundToSingle(&m.Sum)
+	roundToSingle(&m.Squares)
 }
 
-func cut(x *float64) { *x = float64(float32(*x)) }
+func roundToSingle(x *float64) { *x = float64(float32(*x)) }
--- a/internal/choice/quality/seen.go
+++ b/internal/choice/quality/run_cells.go
@@ -5,24 +5,24 @@
 	"strings"
 )
 
-// seen is what is known of one run: of each cell the latest state, as no
-// summary needs to hold all.
-type seen struct {
+// runCells holds the latest known state of each cell of one run, since a summary may
+// contain only some cells.
+type runCells struct {
 	run   Run
 	cells []Entry
-	// seqs are the numbers of the summaries that brought the cells.
+	// seqs are the numbers of the summaries that contained the cells.
 	seqs []uint64
-	// complete is, by version, up to which summary no cell is missing.
+	// complete is, by version, the number of the summary up to which no cell is missing.
 	complete map[string]uint64
 }
 
-func (r seen) compare(run Run) int {
+func (r runCells) compare(run Run) int {
 	return cmp.Or(strings.Compare(r.run.Node, run.Node), cmp.Compare(r.run.Epoch, run.Epoch))
 }
 
-// take keeps a cell unless a later one is known; it says whether it did.
-func (r *seen) take(entry Entry, seq uint64) bool {
-	at := r.find(entry.Key)
+// update stores a cell unless a later one is known, and reports whether it did.
+func (r *runCells) update(entry Entry, seq uint64) bool {
+	at := r.index(entry.Key)
 	if at < 0 {
 		r.cells = append(r.cells, entry)
 		r.seqs = append(r.seqs, seq)
@@ -36,7 +36,7 @@
 	return true
 }
 
-func (r *seen) find(key Key) int {
+func (r *runCells) index(key Key) int {
 	for i := range r.cells {
 		if r.cells[i].Key == key {
 			return i
@@ -45,13 +45,13 @@
 	return -1
 }
 
-func (r *seen) add(total *Cell, key Key) {
-	if at := r.find(key); at >= 0 {
+func (r *runCells) add(total *Cell, key Key) {
+	if at := r.index(key); at >= 0 {
 		total.Plus(r.cells[at].Cell)
 	}
 }
 
-func (r *seen) weight(now int64) float64 {
+func (r *runCells) weight(now int64) float64 {
 	var total float64
 	for i := range r.cells {
 		cell := r.cells[i].Cell
@@ -61,7 +61,7 @@
 	return total
 }
 
-func (r *seen) latest() int64 {
+func (r *runCells) latest() int64 {
 	var at int64
 	for i := range r.cells {
 		at = max(at, r.cells[i].Cell.At)
--- a/internal/choice/quality/store.go
+++ b/internal/choice/quality/store.go
@@ -5,37 +5,37 @@
 	"slices"
 )
 
-// MaxRuns bounds how many runs a [Store] keeps. A group has at most some tens
-// of nodes; the rest are runs that have ended and decay.
+// MaxRuns bounds the number of runs in a [Store]. A group has at most some tens of nodes;
+// the others are ended runs whose weights decay.
 const MaxRuns = 256
 
-// forgotten is the weight of ratings below which an ended run is dropped.
-const forgotten = 0.5
+// minRunWeight is the weight below which an ended run is dropped.
+const minRunWeight = 0.5
 
-// Store keeps the latest cells of each run. What a run has seen stays when its
-// node is gone, until it has decayed.
+// Store keeps the latest cells of each run. The cells of a run whose process has ended
+// are kept until they have decayed. It is not safe for concurrent use.
 type Store struct {
-	runs []seen // in the order of their runs, so that sums do not depend on the order of merging
+	runs []runCells // sorted by run, so that sums do not depend on the order of merging
 }
 
 // NewStore returns an empty store.
 func NewStore() *Store { return new(Store) }
 
-// Merge keeps those cells of the summary of which no later ones of the same run
-// are known; it says whether there are any. Neither the order in which
-// summaries come nor how the cells are spread over them matters.
+// Merge stores the cells of the summary that are later than those known of the same run,
+// and reports whether there are any. The result depends neither on the order of summaries
+// nor on how cells are distributed over them.
 func (s *Store) Merge(sum Summary) bool {
 	kept := false
 	s.MergeEach(sum, func(Key) { kept = true })
 	return kept
 }
 
-// MergeEach merges and calls did for each cell that it keeps.
-func (s *Store) MergeEach(sum Summary, did func(Key)) {
-	run := s.of(sum.Run())
+// MergeEach is like Merge and calls updated for each cell that it stores.
+func (s *Store) MergeEach(sum Summary, updated func(Key)) {
+	run := s.run(sum.Run())
 	for _, entry := range sum.Cells {
-		if run.take(entry, sum.Seq) {
-			did(entry.Key)
+		if run.update(entry, sum.Seq) {
+			updated(entry.Key)
 		}
 	}
 	if len(s.runs) > MaxRuns {
@@ -43,12 +43,12 @@
 	}
 }
 
-// Complete notes that with the summary of the given number every cell of the
-// version that had changed since the base has come, and returns up to which
-// summary of the run nothing is missing. When that is less than the base, the
-// store has lost or never had what was sent before.
+// Complete records that the summary seq contains every cell of the version that changed
+// since the summary base. It returns the number of the summary up to which no cell of the
+// run is missing. If that is less than base, the store lacks cells that were sent
+// earlier.
 func (s *Store) Complete(run Run, version string, base, seq uint64) uint64 {
-	r := s.of(run)
+	r := s.run(run)
 	have := r.complete[version]
 	if base <= have && seq > have {
 		r.complete[version] = seq
@@ -56,19 +56,19 @@
 	return r.complete[version]
 }
 
-// of returns the run, which it adds when it is not known.
-func (s *Store) of(run Run) *seen {
-	at, known := slices.BinarySearchFunc(s.runs, run, seen.compare)
+// run returns the cells of a run, and adds the run if it is not known.
+func (s *Store) run(run Run) *runCells {
+	at, known := slices.BinarySearchFunc(s.runs, run, runCells.compare)
 	if !known {
-		s.runs = slices.Insert(s.runs, at, seen{run: run, complete: map[string]uint64{}})
+		s.runs = slices.Insert(s.runs, at, runCells{run: run, complete: map[string]uint64{}})
 	}
 	return &s.runs[at]
 }
 
-// Len is how many runs are known.
+// Len returns the number of known runs.
 func (s *Store) Len() int { return len(s.runs) }
 
-// Add adds what the runs to be included have seen of a cell to total.
+// Add adds to total the cells with the key of the runs that include selects.
 func (s *Store) Add(total *Cell, key Key, include func(Run) bool) {
 	for i := range s.runs {
 		if include(s.runs[i].run) {
@@ -77,9 +77,9 @@
 	}
 }
 
-// Forget drops the runs whose ratings have decayed to nothing.
+// Forget drops the runs whose weights have decayed to almost nothing.
 func (s *Store) Forget(now int64) {
-	s.runs = slices.DeleteFunc(s.runs, func(r seen) bool { return r.weight(now) < forgotten })
+	s.runs = slices.DeleteFunc(s.runs, func(r runCells) bool { return r.weight(now) < minRunWeight })
 }
 
 func (s *Store) dropLightest() {
--- a/internal/choice/quality/summary.go
+++ b/internal/choice/quality/summary.go
@@ -1,13 +1,13 @@
 package quality
 
-// Summary is what one run of one node has seen, for its peers: all its cells or
-// some. Each is cumulative: one of a later summary replaces one of an earlier,
-// so that merging it again, or an older one after it, changes nothing.
+// Summary holds cells that one run has observed, for its peers: all cells or some of
+// them. Cells are cumulative: one in a later summary replaces one in an earlier summary,
+// so merging a summary again, or an older one after it, changes nothing.
 type Summary struct {
-	// Node and Epoch name the run; a later run has a higher epoch.
+	// Node and Epoch identify the run; a later run of a node has a higher epoch.
 	Node  string
 	Epoch uint64
-	// Seq grows with each summary of the run.
+	// Seq increases with each summary of the run.
 	Seq   uint64
 	Cells []Entry
 }
@@ -18,11 +18,11 @@
 	Cell Cell
 }
 
-// Run names one run of one node.
+// Run identifies one process of a node. A later run has a higher epoch.
 type Run struct {
 	Node  string
 	Epoch uint64
 }
 
-// Run returns whose summary it is.
+// Run returns the run that made the summary.
 func (s Summary) Run() Run { return Run{Node: s.Node, Epoch: s.Epoch} }
