--- a/internal/choice/share/archive.go
+++ b/internal/choice/share/archive.go
@@ -15,36 +15,39 @@
 	"github.com/hickorybank/hickorybank/internal/platform"
 )
 
+// qualityPrefix is the prefix of the keys of archived cells.
 const qualityPrefix = "quality/"
 
-// archive writes what the group has seen of the versions that this node
-// collects to the table, and reads what other groups wrote, and what this one
-// wrote before its nodes were replaced.
+// archive writes the group's cells of the versions that this node collects to the table.
+// It reads those that other groups wrote, and those that this group wrote before its
+// nodes were replaced.
 type archive struct {
 	deps Deps
 
-	mu       sync.Mutex
-	versions map[string]*shelf
+	mu      sync.Mutex
+	tracked map[string]*archivedVersion
 }
 
-// shelf is the archive's part for one version.
-type shelf struct {
-	restored bool
-	row      uint64 // version of the group's own row
+// archivedVersion is the archive's state of one version.
+type archivedVersion struct {
+	restored   bool
+	rowVersion uint64 // version of the group's own row in the table
 }
 
-func newArchive(d Deps) *archive { return &archive{deps: d, versions: map[string]*shelf{}} }
+func newArchive(d Deps) *archive { return &archive{deps: d, tracked: map[string]*archivedVersion{}} }
 
-// want begins to keep a version that this node now collects.
-func (a *archive) want(version string) {
+// track begins to archive a version that this node now collects.
+func (a *archive) track(version string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.versions[version] = new(shelf)
+	a.tracked[version] = new(archivedVersion)
 }
 
+// exchange reads and writes the rows of all tracked versions. Table errors are ignored:
+// the next call retries.
 func (a *archive) exchange(ctx context.Context, now time.Time) {
 	g := newGroup(a.deps.Self, a.deps.Members())
-	for version, s := range a.collected(g) {
+	for version, s := range a.ownVersions(g) {
 		ctx, cancel := context.WithTimeout(ctx, callTimeout)
 		if a.read(ctx, g, version, s) == nil {
 			a.write(ctx, g, version, s, now)
@@ -53,33 +56,33 @@
 	}
 }
 
-// collected returns the shelves of the versions that are still this node's.
-func (a *archive) collected(g group) map[string]*shelf {
+// ownVersions returns the versions that this node still collects, and drops the others.
+func (a *archive) ownVersions(g group) map[string]*archivedVersion {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	mine := map[string]*shelf{}
-	for version, s := range a.versions {
+	own := map[string]*archivedVersion{}
+	for version, s := range a.tracked {
 		if g.collector(version).ID == a.deps.Self.ID {
-			mine[version] = s
+			own[version] = s
 		} else {
-			delete(a.versions, version)
+			delete(a.tracked, version)
 		}
 	}
-	return mine
+	return own
 }
 
-// read takes in the rows of all groups. The group's own is only wanted once,
-// after this node took over: later it holds nothing but what this node wrote.
-func (a *archive) read(ctx context.Context, g group, version string, s *shelf) error {
+// read merges the rows of all groups. The group's own row is restored only once, after
+// this node became the collector: later it contains only what this node wrote.
+func (a *archive) read(ctx context.Context, g group, version string, s *archivedVersion) error {
 	prefix := qualityPrefix + version + "/"
-	rows, err := a.deps.Table.Scan(ctx, prefix, "", scanLimit)
+	rows, err := a.deps.Table.Scan(ctx, prefix, "", maxScanRows)
 	if err != nil {
 		return err
 	}
 	for _, row := range rows {
 		cells, err := decodeCells(row.Value)
 		if err != nil {
-			continue // it will be written anew
+			continue // skipped: the collector of its group is to overwrite it
 		}
 		name := strings.TrimPrefix(row.Key, prefix)
 		if name != g.name {
@@ -87,7 +90,7 @@
 			a.deps.Chooser.Merge(choice.Summary{Summary: sum}, time.Now())
 			continue
 		}
-		s.row = row.Version
+		s.rowVersion = row.Version
 		if !s.restored {
 			a.deps.Chooser.Restore(version, cells)
 		}
@@ -96,16 +99,16 @@
 	return nil
 }
 
-// write replaces the group's row. Another node that believes it collects, too,
-// may have written it; then the next reading learns of it.
-func (a *archive) write(ctx context.Context, g group, version string, s *shelf, now time.Time) {
+// write replaces the group's row. If another node that considers itself the collector has
+// written it since, the commit fails, and the next read updates the row version.
+func (a *archive) write(ctx context.Context, g group, version string, s *archivedVersion, now time.Time) {
 	cells := a.deps.Chooser.Archive(version, now)
 	if len(cells) == 0 {
 		return
 	}
 	key := qualityPrefix + version + "/" + g.name
 	_, _ = a.deps.Table.Commit(ctx, platform.Txn{
-		Conditions: []platform.Condition{{Key: key, Version: s.row}},
+		Conditions: []platform.Condition{{Key: key, Version: s.rowVersion}},
 		Writes:     []platform.Write{{Key: key, Value: encodeCells(cells)}},
 	})
 }
@@ -113,7 +116,7 @@
 func encodeCells(cells []quality.Entry) []byte {
 	var b bytes.Buffer
 	if err := gob.NewEncoder(&b).Encode(cells); err != nil {
-		panic(err) // plain values can be encoded
+		panic(err) // plain values always encode
 	}
 	return b.Bytes()
 }
@@ -121,5 +124,5 @@
 func decodeCells(value []byte) ([]quality.Entry, error) {
 	var cells []quality.Entry
 	err := gob.NewDecoder(bytes.NewReader(value)).Decode(&cells)
-	return cells, eris.Wrap(err, "quality row")
+	return cells, eris.Wrap(err, "decode quality row")
 }
--- a/internal/choice/share/bench_test.go
+++ b/internal/choice/share/bench_test.go
@@ -12,9 +12,9 @@
 	"github.com/hickorybank/hickorybank/internal/choice"
 )
 
-// sender is a node that has seen 200 ratings and answers of one version in
-// each of some classes.
-func sender(name string, classes int) *choice.Chooser {
+// ratedChooser returns a chooser with 200 ratings and answers of one version in each
+// class.
+func ratedChooser(name string, classes int) *choice.Chooser {
 	c := choice.New(choice.Settings{Node: name, Epoch: 1})
 	rng := rand.New(rand.NewPCG(1, 2))
 	now := time.Unix(1_800_000_000, 0)
@@ -31,9 +31,9 @@
 	return c
 }
 
-// steadyBytes is the size of a message on a connection that has carried such
-// messages before.
-func steadyBytes(b *testing.B, message any) float64 {
+// encodedBytes is the size of a message on a connection that has already carried the
+// type's description.
+func encodedBytes(b *testing.B, message any) float64 {
 	var buf bytes.Buffer
 	e := gob.NewEncoder(&buf)
 	for range 2 {
@@ -45,8 +45,8 @@
 	return float64(buf.Len())
 }
 
-// BenchmarkReport is the collecting of one version from many nodes: the time
-// that one report takes the collector, the bytes of report and pool, and the
+// BenchmarkReport measures how one node collects the reports on a version from many
+// nodes: the collector's time for one report, the sizes of report and pool, and the
 // collector's memory.
 func BenchmarkReport(b *testing.B) {
 	for _, classes := range []int{1, 3} {
@@ -59,17 +59,17 @@
 func benchReport(b *testing.B, classes, nodes int) {
 	now := time.Unix(1_800_000_100, 0)
 	versions := []string{"drafter@3"}
-	before := heap()
+	before := heapBytes()
 	collector := choice.New(choice.Settings{Node: "collector", Epoch: 1})
 	var reports []choice.Report
 	for i := range nodes {
-		s := sender(fmt.Sprintf("entry-%05d", i), classes)
+		s := ratedChooser(fmt.Sprintf("entry-%05d", i), classes)
 		collector.Merge(s.Summary(versions...), now)
 		reports = append(reports, s.Report(versions))
 	}
-	used := heap() - before
+	used := heapBytes() - before
 	pool := collector.Answer(reports[0], now)
-	reportBytes, poolBytes := steadyBytes(b, &reports[0]), steadyBytes(b, &pool)
+	reportBytes, poolBytes := encodedBytes(b, &reports[0]), encodedBytes(b, &pool)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		r := &reports[i%nodes]
@@ -82,7 +82,7 @@
 	runtime.KeepAlive(collector)
 }
 
-func heap() int64 {
+func heapBytes() int64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
--- a/internal/choice/share/cluster_test.go
+++ b/internal/choice/share/cluster_test.go
@@ -21,7 +21,7 @@
 	"github.com/hickorybank/hickorybank/internal/standin/platform/memory"
 )
 
-// cluster is some nodes' shares over one platform, within one time bubble.
+// cluster is a set of nodes that share one platform, within one synctest bubble.
 type cluster struct {
 	t        *testing.T
 	platform *memory.Platform
@@ -51,7 +51,7 @@
 	return c
 }
 
-// start starts a node that sees the given members.
+// start starts a node whose membership list is members.
 func (c *cluster) start(self platform.VM, members []platform.VM) *node {
 	c.epoch++
 	chooser := choice.New(choice.Settings{Node: self.ID, Epoch: c.epoch})
@@ -60,7 +60,7 @@
 		Members:  func() []platform.VM { return members },
 		Snapshot: func() *config.Snapshot { return c.snapshot },
 	})}
-	n.choose(c, 0) // takes in the configuration
+	n.choose(c, 0) // applies the configuration
 	c.mu.Lock()
 	c.nodes[self.Peer] = n
 	c.mu.Unlock()
@@ -99,7 +99,7 @@
 	}
 }
 
-// Call implements peer.Caller.
+// Call implements [peer.Caller].
 func (c *cluster) Call(_ context.Context, addr, method string, args, reply any) error {
 	c.mu.Lock()
 	n := c.nodes[addr]
@@ -110,27 +110,27 @@
 	s := &service{share: n.share}
 	switch method {
 	case methodReport:
-		return handle(s.Report, args, reply, new(choice.Pool))
+		return callOverGob(s.Report, args, reply, new(choice.Pool))
 	case methodGrant:
-		return handle(s.Grant, args, reply, new(exposure.Grant))
+		return callOverGob(s.Grant, args, reply, new(exposure.Grant))
 	default:
-		return handle(s.Hold, args, reply, new(struct{}))
+		return callOverGob(s.Hold, args, reply, new(struct{}))
 	}
 }
 
-// handle carries a call over gob, as net/rpc does.
-func handle[A, R any](method func(*A, *R) error, args, reply any, got *R) error {
+// callOverGob encodes arguments and reply with gob, as net/rpc does.
+func callOverGob[A, R any](method func(*A, *R) error, args, reply any, got *R) error {
 	var sent A
-	if err := through(args, &sent); err != nil {
+	if err := gobCopy(args, &sent); err != nil {
 		return err
 	}
 	if err := method(&sent, got); err != nil {
 		return err
 	}
-	return through(got, reply)
+	return gobCopy(got, reply)
 }
 
-func through(from, to any) error {
+func gobCopy(from, to any) error {
 	var buf bytes.Buffer
 	if err := gob.NewEncoder(&buf).Encode(from); err != nil {
 		return err
@@ -138,7 +138,7 @@
 	return gob.NewDecoder(&buf).Decode(to)
 }
 
-// choose plans a draft of the first organisation.
+// choose plans a request of class draft for the first organisation.
 func (n *node) choose(c *cluster, random uint64) choice.Plan {
 	org := &c.snapshot.Doc.Organisations[0]
 	return n.chooser.Choose(choice.Request{
@@ -147,9 +147,9 @@
 	})
 }
 
-// rate lets a node see ratings of a version.
-func (n *node) rate(version string, score float64, times int) {
-	for range times {
+// rate adds count ratings of a version to the node's observations.
+func (n *node) rate(version string, score float64, count int) {
+	for range count {
 		n.chooser.Observe(choice.Observation{Version: version, Class: "draft", Score: score, Now: time.Now()})
 	}
 }
@@ -163,7 +163,7 @@
 	return false
 }
 
-// weight is how many ratings a node knows of a version.
+// weight returns the number of ratings of a version that the node knows.
 func (n *node) weight(version string) float64 {
 	for _, entry := range n.chooser.Archive(version, time.Now()) {
 		return entry.Cell.Long.Weight
--- a/internal/choice/share/deps.go
+++ b/internal/choice/share/deps.go
@@ -9,17 +9,18 @@
 	"github.com/hickorybank/hickorybank/internal/platform"
 )
 
-// Deps are what a [Share] reaches the outside with. None may be nil.
+// Deps holds the external dependencies of a [Share]. None may be nil.
 type Deps struct {
 	Chooser *choice.Chooser
 	Table   platform.Table
 	Peers   peer.Caller
-	// Members returns the entry VMs that this node sees, with their Peer
-	// addresses and failure domains. It must not block.
+	// Members returns the entry VMs that this node knows, with their Peer addresses and
+	// failure domains. It must not block.
 	Members func() []platform.VM
-	// Self is this node; its Peer address is the one that others see.
+	// Self is this node; its Peer address is the one that other nodes use.
 	Self platform.VM
-	// Snapshot returns the configuration in force here, or nil.
+	// Snapshot returns the configuration in force on this node, or nil if there is none
+	// yet.
 	Snapshot func() *config.Snapshot
 	Log      *slog.Logger
 }
--- a/internal/choice/share/grants.go
+++ b/internal/choice/share/grants.go
@@ -11,11 +11,11 @@
 	"github.com/hickorybank/hickorybank/internal/event"
 )
 
-// unitsPerGrant is how many answers a node is granted at a time.
+// unitsPerGrant is the number of answers in one grant.
 const unitsPerGrant = 1
 
-// grants asks for exposure of staged versions, and hands it out when that is
-// this node's duty.
+// grants requests exposure of staged versions, and grants it to other nodes where this
+// node is responsible.
 type grants struct {
 	deps Deps
 
@@ -23,7 +23,7 @@
 	accounts map[string]*account
 }
 
-// account is one version's, used by one call at a time.
+// account is the exposure account of one version; mu serialises its use.
 type account struct {
 	mu sync.Mutex
 	*exposure.Account
@@ -31,20 +31,20 @@
 
 func newGrants(d Deps) *grants { return &grants{deps: d, accounts: map[string]*account{}} }
 
-// ask asks for what the chooser wants. An answer that is lost loses what was
-// granted, which is the safe side.
-func (g *grants) ask(ctx context.Context, now time.Time) {
+// requestGrants requests a grant for each version that the chooser wants. If the reply is
+// lost, the units granted are lost with it, so the cap is never exceeded.
+func (g *grants) requestGrants(ctx context.Context, now time.Time) {
 	for _, version := range g.deps.Chooser.Wants(now) {
-		to := granter(version, g.deps.Self, g.deps.Members())
-		if to.ID == g.deps.Self.ID {
-			g.deps.Chooser.Grant(version, g.hand(version, now), now)
+		granter := granterOf(version, g.deps.Self, g.deps.Members())
+		if granter.ID == g.deps.Self.ID {
+			g.deps.Chooser.Grant(version, g.grant(version, now), now)
 			continue
 		}
-		g.call(ctx, to.Peer, version)
+		g.request(ctx, granter.Peer, version)
 	}
 }
 
-func (g *grants) call(ctx context.Context, addr, version string) {
+func (g *grants) request(ctx context.Context, addr, version string) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var grant exposure.Grant
@@ -53,10 +53,10 @@
 	}
 }
 
-// hand hands out exposure of a version. Any node may be asked: the row in the
-// table bounds all of them together.
-func (g *grants) hand(version string, now time.Time) exposure.Grant {
-	v := g.staged(version)
+// grant grants exposure of a version. Any node may be asked, since the row in the table
+// bounds the grants of all nodes together.
+func (g *grants) grant(version string, now time.Time) exposure.Grant {
+	v := g.stagedVersion(version)
 	if v == nil {
 		return exposure.Grant{}
 	}
@@ -65,11 +65,11 @@
 	defer a.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	if !g.read(ctx, a, version) {
+	if !g.ensureRow(ctx, a, version) {
 		return exposure.Grant{}
 	}
 	if !a.Open() && g.deps.Chooser.ReadyToOpen(version, now) {
-		g.openUp(ctx, a, version)
+		g.liftCap(ctx, a, version)
 	}
 	if a.Open() {
 		return exposure.Grant{Open: true}
@@ -77,11 +77,12 @@
 	if units := a.Hand(unitsPerGrant); units > 0 {
 		return exposure.Grant{Units: units}
 	}
-	g.take(ctx, a, v)
+	g.allocate(ctx, a, v)
 	return exposure.Grant{Units: a.Hand(unitsPerGrant)}
 }
 
-func (g *grants) staged(version string) *config.Version {
+// stagedVersion returns the configuration of a version, or nil if it is not staged.
+func (g *grants) stagedVersion(version string) *config.Version {
 	s := g.deps.Snapshot()
 	if s == nil {
 		return nil
@@ -104,7 +105,9 @@
 	return a
 }
 
-func (g *grants) read(ctx context.Context, a *account, version string) bool {
+// ensureRow reads the account's row if it is not known, and reports whether it is known
+// then.
+func (g *grants) ensureRow(ctx context.Context, a *account, version string) bool {
 	if a.Known() {
 		return true
 	}
@@ -119,7 +122,8 @@
 	return true
 }
 
-func (g *grants) take(ctx context.Context, a *account, v *config.Version) {
+// allocate allocates the next part of the cap in the table.
+func (g *grants) allocate(ctx context.Context, a *account, v *config.Version) {
 	txn, ok := a.Take(v.ExposureCap)
 	if !ok {
 		return
@@ -127,7 +131,8 @@
 	a.Committed(g.deps.Table.Commit(ctx, txn))
 }
 
-func (g *grants) openUp(ctx context.Context, a *account, version string) {
+// liftCap lifts the version's cap in the table.
+func (g *grants) liftCap(ctx context.Context, a *account, version string) {
 	a.Committed(g.deps.Table.Commit(ctx, a.OpenUp()))
 	if a.Open() {
 		event.ExposureOpened.Log(g.deps.Log, slog.String("version", version))
--- a/internal/choice/share/group.go
+++ b/internal/choice/share/group.go
@@ -5,17 +5,17 @@
 	"github.com/hickorybank/hickorybank/internal/platform"
 )
 
-// group is the members among whom a node shares what it sees.
+// group is the set of members among which a node exchanges summaries and holds.
 type group struct {
 	name    string
 	members []platform.VM
 }
 
-// newGroup returns the group of a node among the entry VMs that it sees. It
-// always contains the node itself.
-func newGroup(self platform.VM, seen []platform.VM) group {
-	members := live(self, seen)
-	if len(members) <= largestGroup {
+// newGroup returns the group of a node among the entry VMs that it knows. It always
+// contains the node itself.
+func newGroup(self platform.VM, known []platform.VM) group {
+	members := candidates(self, known)
+	if len(members) <= maxSingleGroup {
 		return group{name: "all", members: members}
 	}
 	g := group{name: self.FailureDomain}
@@ -27,11 +27,11 @@
 	return g
 }
 
-// live returns the members that may be given a duty.
-func live(self platform.VM, seen []platform.VM) []platform.VM {
-	members := make([]platform.VM, 0, len(seen)+1)
+// candidates returns self and the known members that are live and have a peer address.
+func candidates(self platform.VM, known []platform.VM) []platform.VM {
+	members := make([]platform.VM, 0, len(known)+1)
 	members = append(members, self)
-	for _, vm := range seen {
+	for _, vm := range known {
 		if vm.ID != self.ID && vm.State == platform.Live && vm.Peer != "" {
 			members = append(members, vm)
 		}
@@ -39,18 +39,19 @@
 	return members
 }
 
-// collector is the member that collects the summaries of a version.
+// collector returns the member that collects the summaries of a version.
 func (g group) collector(version string) platform.VM {
 	return first("choice/"+version, g.members)
 }
 
-// scanner is the member that reads the holds from the table.
+// scanner returns the member that scans the table for holds.
 func (g group) scanner() platform.VM { return first("choice-holds", g.members) }
 
-// granter is the node that hands out the grants of a version, over all groups.
-// While there is one group it is the collector, who knows the ratings best.
-func granter(version string, self platform.VM, seen []platform.VM) platform.VM {
-	return first("choice/"+version, live(self, seen))
+// granterOf returns the node that grants exposure of a version to all groups. With a
+// single group it is the collector, which has the most recent ratings.
+func granterOf(version string, self platform.VM, known []platform.VM) platform.VM {
+	return first("choice/"+version, candidates(self, known))
 }
 
-func first(duty string, members []platform.VM) platform.VM { return rank.First(duty, members, 1)[0] }
+// first returns the member with the highest rendezvous rank for a task.
+func first(task string, members []platform.VM) platform.VM { return rank.First(task, members, 1)[0] }
--- a/internal/choice/share/holdrow.go
+++ b/internal/choice/share/holdrow.go
@@ -11,19 +11,20 @@
 	"github.com/hickorybank/hickorybank/internal/platform"
 )
 
+// holdPrefix is the prefix of the keys of hold rows.
 const holdPrefix = "hold/"
 
-// recordTries bounds how often a record that others write at the same time is
-// tried again at once.
-const recordTries = 4
+// maxRecordAttempts bounds the immediate attempts to write a hold row that other nodes
+// write at the same time.
+const maxRecordAttempts = 4
 
-// readHolds returns the holds in the table. A row that cannot be read is left
-// out, and named in the error.
+// readHolds returns the holds in the table. At a row that cannot be decoded it stops, and
+// returns the holds before it with an error that names the row.
 func readHolds(ctx context.Context, table platform.Table) ([]choice.Hold, error) {
 	var list []choice.Hold
 	after := ""
 	for {
-		rows, err := table.Scan(ctx, holdPrefix, after, scanLimit)
+		rows, err := table.Scan(ctx, holdPrefix, after, maxScanRows)
 		if err != nil {
 			return list, err
 		}
@@ -35,40 +36,41 @@
 			list = append(list, h)
 			after = row.Key
 		}
-		if len(rows) < scanLimit {
+		if len(rows) < maxScanRows {
 			return list, nil
 		}
 	}
 }
 
+// parseHold decodes a hold row; a missing or empty row is the zero Hold.
 func parseHold(row platform.Row) (choice.Hold, error) {
 	var h choice.Hold
 	if row.Version == 0 || len(row.Value) == 0 {
 		return h, nil
 	}
 	if err := json.Unmarshal(row.Value, &h); err != nil {
-		return h, eris.Wrap(err, "row "+row.Key)
+		return h, eris.Wrap(err, "decode row "+row.Key)
 	}
 	h.Version = strings.TrimPrefix(row.Key, holdPrefix)
 	return h, nil
 }
 
-// recordHold writes a hold unless the table has a later word on its version,
-// and returns what the table then holds. A write whose answer was lost may be
-// repeated: the row then says so already.
+// recordHold writes a hold unless the table has a later state of it, and returns the
+// state that the table then has. It is safe to repeat after a lost reply: the row then
+// has the hold already.
 func recordHold(ctx context.Context, table platform.Table, h choice.Hold) (choice.Hold, error) {
 	key := holdPrefix + h.Version
-	for range recordTries {
+	for range maxRecordAttempts {
 		row, err := table.Get(ctx, key)
 		if err != nil {
 			return h, err
 		}
-		old, err := parseHold(row)
+		stored, err := parseHold(row)
 		if err != nil {
 			return h, err
 		}
-		if !h.After(old) {
-			return old, nil
+		if !h.After(stored) {
+			return stored, nil
 		}
 		result, err := table.Commit(ctx, holdTxn(key, row.Version, h))
 		if err != nil {
@@ -78,13 +80,13 @@
 			return h, nil
 		}
 	}
-	return h, eris.New("row " + key + " is written by others all the time")
+	return h, eris.New("row " + key + ": every attempt to write it conflicted with another writer")
 }
 
 func holdTxn(key string, version uint64, h choice.Hold) platform.Txn {
 	value, err := json.Marshal(h)
 	if err != nil {
-		panic(err) // a struct of plain values can be written
+		panic(err) // a struct of plain values always encodes
 	}
 	return platform.Txn{
 		Conditions: []platform.Condition{{Key: key, Version: version}},
--- a/internal/choice/share/holds.go
+++ b/internal/choice/share/holds.go
@@ -10,39 +10,39 @@
 	"github.com/hickorybank/hickorybank/internal/event"
 )
 
-// holds tells peers and the table which versions turned bad, and learns it
-// from them.
+// holds sends the holds of degraded versions to peers and to the table, and applies those
+// of other nodes.
 type holds struct {
 	deps Deps
 
 	mu sync.Mutex
-	// unrecorded are holds that are not yet in the table.
+	// unrecorded are the latest holds, by version, that are not in the table yet.
 	unrecorded map[string]choice.Hold
 	scanned    time.Time
 }
 
 func newHolds(d Deps) *holds { return &holds{deps: d, unrecorded: map[string]choice.Hold{}} }
 
-// spread tells peers of new holds and records them. A hold is in force at this
-// node since it was raised; while the table is down it waits here, and peers
-// have it from this node.
-func (h *holds) spread(ctx context.Context, _ time.Time) {
+// publish sends new holds to peers and records them. A hold applies on this node as soon
+// as it is raised. While the table is down, the hold stays in unrecorded, and peers have
+// it from this node.
+func (h *holds) publish(ctx context.Context, _ time.Time) {
 	raised := h.deps.Chooser.NewHolds()
 	for _, hold := range raised {
 		event.VersionHeld.Log(h.deps.Log, slog.String("version", hold.Version), slog.Uint64("term", hold.Term),
 			slog.String("reason", string(hold.Reason)), slog.String("class", hold.Class))
 	}
-	h.keep(raised)
+	h.addUnrecorded(raised)
 	if len(raised) > 0 {
-		h.tell(ctx, raised)
+		h.notifyPeers(ctx, raised)
 	}
 	for _, class := range h.deps.Chooser.Stranded() {
 		event.ClassStranded.Log(h.deps.Log, slog.String("class", class))
 	}
-	h.record(ctx)
+	h.recordPending(ctx)
 }
 
-func (h *holds) keep(raised []choice.Hold) {
+func (h *holds) addUnrecorded(raised []choice.Hold) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, hold := range raised {
@@ -50,8 +50,9 @@
 	}
 }
 
-// tell tells all peers of the group. Holds are rare, so that this may be many.
-func (h *holds) tell(ctx context.Context, list []choice.Hold) {
+// notifyPeers sends holds to all peers of the group at once. Holds are rare, so the
+// number of calls does not matter.
+func (h *holds) notifyPeers(ctx context.Context, list []choice.Hold) {
 	var calls sync.WaitGroup
 	for _, vm := range newGroup(h.deps.Self, h.deps.Members()).members {
 		if vm.ID == h.deps.Self.ID {
@@ -60,27 +61,28 @@
 		calls.Go(func() {
 			ctx, cancel := context.WithTimeout(ctx, callTimeout)
 			defer cancel()
-			// One that is not reached has it from its next report or scan.
+			// A peer that is not reached gets the hold with its next report or scan.
 			_ = h.deps.Peers.Call(ctx, vm.Peer, methodHold, &list, new(struct{}))
 		})
 	}
 	calls.Wait()
 }
 
-func (h *holds) record(ctx context.Context) {
-	for _, hold := range h.waiting() {
+// recordPending writes the unrecorded holds to the table, up to the first error.
+func (h *holds) recordPending(ctx context.Context) {
+	for _, hold := range h.pending() {
 		ctx, cancel := context.WithTimeout(ctx, callTimeout)
-		present, err := recordHold(ctx, h.deps.Table, hold)
+		stored, err := recordHold(ctx, h.deps.Table, hold)
 		cancel()
 		if err != nil {
-			return // the next tick tries again
+			return // the next interval retries
 		}
-		h.deps.Chooser.ApplyHold(present)
-		h.recorded(hold)
+		h.deps.Chooser.ApplyHold(stored)
+		h.markRecorded(hold)
 	}
 }
 
-func (h *holds) waiting() []choice.Hold {
+func (h *holds) pending() []choice.Hold {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var list []choice.Hold
@@ -90,7 +92,7 @@
 	return list
 }
 
-func (h *holds) recorded(hold choice.Hold) {
+func (h *holds) markRecorded(hold choice.Hold) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.unrecorded[hold.Version] == hold {
@@ -98,8 +100,8 @@
 	}
 }
 
-// learn takes in holds that came from elsewhere and returns the new ones.
-func (h *holds) learn(list []choice.Hold) []choice.Hold {
+// apply applies holds that come from peers or the table and returns those that are new.
+func (h *holds) apply(list []choice.Hold) []choice.Hold {
 	var changed []choice.Hold
 	for _, hold := range list {
 		if !h.deps.Chooser.ApplyHold(hold) {
@@ -115,32 +117,33 @@
 	return changed
 }
 
-// scan reads the holds from the table: one node of a group often, which tells
-// the others, and each node now and then.
+// scan reads the holds from the table. The group's scanner does so often and notifies the
+// others of changes; every other node does so at a longer interval.
 func (h *holds) scan(ctx context.Context, now time.Time) {
 	scanner := newGroup(h.deps.Self, h.deps.Members()).scanner().ID == h.deps.Self.ID
-	if !scanner && now.Sub(h.scanned) < slowScanGap {
+	if !scanner && now.Sub(h.scanned) < allNodesScanInterval {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	list, err := readHolds(ctx, h.deps.Table)
 	if err != nil {
-		return // what is known stays in force
+		return // known holds stay in force
 	}
 	h.scanned = now
-	if changed := h.learn(list); scanner && len(changed) > 0 {
-		h.tell(ctx, changed)
+	if changed := h.apply(list); scanner && len(changed) > 0 {
+		h.notifyPeers(ctx, changed)
 	}
 }
 
-// Holds returns the holds in the table.
+// Holds returns the holds in the table. It may return some holds together with an error.
 func (s *Share) Holds(ctx context.Context) ([]choice.Hold, error) {
 	return readHolds(ctx, s.deps.Table)
 }
 
-// Lift ends one term of a version's hold; false when there is no such term, or
-// a later one. An error of [platform.ErrUnknown] says that it may have ended.
+// Lift ends one term of a version's hold and notifies the group. It returns false if the
+// version has no such term or a later one. After an error that wraps
+// [platform.ErrUnknown] the hold may or may not have ended.
 func (s *Share) Lift(ctx context.Context, version string, term uint64) (bool, error) {
 	row, err := s.deps.Table.Get(ctx, holdPrefix+version)
 	if err != nil {
@@ -160,7 +163,7 @@
 			return false, err
 		}
 	}
-	s.holds.learn([]choice.Hold{hold})
-	s.holds.tell(ctx, []choice.Hold{hold})
+	s.holds.apply([]choice.Hold{hold})
+	s.holds.notifyPeers(ctx, []choice.Hold{hold})
 	return true, nil
 }
--- a/internal/choice/share/reports.go
+++ b/internal/choice/share/reports.go
@@ -10,19 +10,20 @@
 	"github.com/hickorybank/hickorybank/internal/platform"
 )
 
-// reports sends the summaries of the versions to their collectors and takes
-// the pools that come back.
+// reports sends the summaries of the versions to their collectors and applies the pools
+// that they return.
 type reports struct {
-	deps    Deps
-	archive *archive
-	sent    map[string]time.Time // by version; used by one duty only
-	collect map[string]bool      // versions that this node collects
+	deps       Deps
+	archive    *archive
+	sent       map[string]time.Time // by version; used only by the send loop
+	collecting map[string]bool      // versions that this node collects; used only by the send loop
 }
 
 func newReports(d Deps, a *archive) *reports {
-	return &reports{deps: d, archive: a, sent: map[string]time.Time{}, collect: map[string]bool{}}
+	return &reports{deps: d, archive: a, sent: map[string]time.Time{}, collecting: map[string]bool{}}
 }
 
+// send sends reports on the versions that are due.
 func (r *reports) send(ctx context.Context, now time.Time) {
 	snapshot := r.deps.Snapshot()
 	if snapshot == nil {
@@ -30,34 +31,34 @@
 	}
 	g := newGroup(r.deps.Self, r.deps.Members())
 	var calls sync.WaitGroup
-	for _, b := range r.batches(g, due{sent: r.sent, now: now, gap: reportGap(g), urgent: r.deps.Chooser.Suspects()}.versions(snapshot)) {
+	for _, b := range r.batches(g, schedule{sent: r.sent, now: now, interval: reportInterval(g), urgent: r.deps.Chooser.Suspects()}.due(snapshot)) {
 		calls.Go(func() { r.call(ctx, b) })
 	}
 	calls.Wait()
 }
 
-// batch is what one collector gets.
+// batch holds the versions that one collector is sent in one report.
 type batch struct {
 	to       platform.VM
 	versions []string
 }
 
-// batches groups the versions by collector. Those that this node collects it
-// keeps.
+// batches groups the versions by collector. Versions that this node collects itself are
+// left out.
 func (r *reports) batches(g group, versions []string) []batch {
 	var list []batch
-	at := map[string]int{}
+	batchOf := map[string]int{}
 	for _, version := range versions {
 		to := g.collector(version)
 		if to.ID == r.deps.Self.ID {
-			r.begin(version)
+			r.startCollecting(version)
 			continue
 		}
-		delete(r.collect, version)
-		i, ok := at[to.ID]
+		delete(r.collecting, version)
+		i, ok := batchOf[to.ID]
 		if !ok {
 			i = len(list)
-			at[to.ID] = i
+			batchOf[to.ID] = i
 			list = append(list, batch{to: to})
 		}
 		list[i].versions = append(list[i].versions, version)
@@ -65,19 +66,19 @@
 	return list
 }
 
-// begin takes over the collecting of a version.
-func (r *reports) begin(version string) {
-	if r.collect[version] {
+// startCollecting makes this node the collector of a version.
+func (r *reports) startCollecting(version string) {
+	if r.collecting[version] {
 		return
 	}
-	r.collect[version] = true
+	r.collecting[version] = true
 	r.deps.Chooser.Collect(version)
-	r.archive.want(version)
+	r.archive.track(version)
 }
 
-// call sends one report, and another at once to a collector that turns out to
-// lack what was told to the one before it. A lost call or answer needs no care:
-// the next report holds all that this one does.
+// call sends one report, and at once a second one if the collector lacks data that an
+// earlier collector had received. A lost call or reply needs no handling: the next report
+// contains everything that this one does.
 func (r *reports) call(ctx context.Context, b batch) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -94,22 +95,22 @@
 	}
 }
 
-func reportGap(g group) time.Duration {
-	if len(g.members) <= smallGroup {
-		return quickReport
+func reportInterval(g group) time.Duration {
+	if len(g.members) <= maxSmallGroup {
+		return smallGroupReportInterval
 	}
-	return slowReport
+	return largeGroupReportInterval
 }
 
-// due decides which versions are to be reported.
-type due struct {
-	sent   map[string]time.Time
-	now    time.Time
-	gap    time.Duration
-	urgent []string
+// schedule decides which versions are due to be reported.
+type schedule struct {
+	sent     map[string]time.Time
+	now      time.Time
+	interval time.Duration
+	urgent   []string
 }
 
-func (d due) versions(s *config.Snapshot) []string {
+func (d schedule) due(s *config.Snapshot) []string {
 	urgent := map[string]bool{}
 	for _, version := range d.urgent {
 		urgent[version] = true
@@ -117,7 +118,7 @@
 	var list []string
 	for i := range s.Doc.Models {
 		for _, v := range s.Doc.Models[i].Versions {
-			if v.State == config.Withdrawn || !urgent[v.Name] && d.now.Sub(d.sent[v.Name]) < d.gap {
+			if v.State == config.Withdrawn || !urgent[v.Name] && d.now.Sub(d.sent[v.Name]) < d.interval {
 				continue
 			}
 			d.sent[v.Name] = d.now
--- a/internal/choice/share/service.go
+++ b/internal/choice/share/service.go
@@ -7,28 +7,28 @@
 	"github.com/hickorybank/hickorybank/internal/choice/exposure"
 )
 
-// service answers peers, in net/rpc's form.
+// service implements the net/rpc methods that peers call.
 type service struct{ share *Share }
 
-// Report takes in a peer's summary and answers with what all others have seen.
+// Report merges a peer's summary and returns what all other nodes have observed.
 func (s *service) Report(r *choice.Report, pool *choice.Pool) error {
 	*pool = s.share.deps.Chooser.Answer(*r, time.Now())
 	return nil
 }
 
-// GrantRequest asks for exposure of a staged version.
+// GrantRequest requests exposure of a staged version.
 type GrantRequest struct {
 	Version string
 }
 
-// Grant hands out exposure of a staged version.
+// Grant grants exposure of a staged version.
 func (s *service) Grant(r *GrantRequest, grant *exposure.Grant) error {
-	*grant = s.share.grants.hand(r.Version, time.Now())
+	*grant = s.share.grants.grant(r.Version, time.Now())
 	return nil
 }
 
-// Hold takes in holds that a peer raised or learned of.
+// Hold applies holds that a peer raised or received.
 func (s *service) Hold(list *[]choice.Hold, _ *struct{}) error {
-	s.share.holds.learn(*list)
+	s.share.holds.apply(*list)
 	return nil
 }
--- a/internal/choice/share/settings.go
+++ b/internal/choice/share/settings.go
@@ -3,28 +3,29 @@
 import "time"
 
 const (
-	// tick is how often a node looks whether something is to be sent.
-	tick = time.Second
-	// scanGap is how often one node of a group reads the holds from the
-	// table, and slowScanGap how often every node does, should that one have
-	// fallen out unnoticed.
-	scanGap     = 2 * time.Second
-	slowScanGap = time.Minute
-	// saveGap is how often what a group has seen of a version is written to
-	// the table, and read from the other groups.
-	saveGap = time.Minute
-	// callTimeout bounds a call to a peer or the table.
+	// loopInterval is the interval at which a node checks whether reports or grant
+	// requests are due.
+	loopInterval = time.Second
+	// holdScanInterval is the interval at which the scanner of a group reads the holds
+	// from the table. Every node does so every allNodesScanInterval, in case the scanner
+	// has failed unnoticed.
+	holdScanInterval     = 2 * time.Second
+	allNodesScanInterval = time.Minute
+	// archiveInterval is the interval at which a group's cells of a version are written
+	// to the table, and those of other groups read.
+	archiveInterval = time.Minute
+	// callTimeout bounds a call to a peer or to the table.
 	callTimeout = 2 * time.Second
-	// largestGroup is up to how many nodes are one group whatever their
-	// failure domains.
-	largestGroup = 64
-	// smallGroup is up to how many members a node reports every quickReport;
-	// in a larger one it does every slowReport, which keeps the messages of a
-	// node the same however many there are. A version under suspicion is
-	// reported every tick.
-	smallGroup  = 16
-	quickReport = time.Second
-	slowReport  = time.Minute
-	// scanLimit bounds how many rows one reading of the table returns.
-	scanLimit = 256
+	// maxSingleGroup is the number of nodes up to which all nodes are one group, whatever
+	// their failure domains.
+	maxSingleGroup = 64
+	// In a group of up to maxSmallGroup members a node reports every
+	// smallGroupReportInterval, in a larger one every largeGroupReportInterval, so that
+	// the number of messages of a node does not grow with the group. A version that this
+	// node has evidence against is reported every loopInterval.
+	maxSmallGroup            = 16
+	smallGroupReportInterval = time.Second
+	largeGroupReportInterval = time.Minute
+	// maxScanRows bounds the rows that one scan of the table returns.
+	maxScanRows = 256
 )
--- a/internal/choice/share/share.go
+++ b/internal/choice/share/share.go
@@ -8,7 +8,7 @@
 	"github.com/hickorybank/hickorybank/internal/peer"
 )
 
-// The methods that peers call.
+// The net/rpc methods that peers call.
 const (
 	serviceName  = "Choice"
 	methodReport = serviceName + ".Report"
@@ -16,7 +16,7 @@
 	methodHold   = serviceName + ".Hold"
 )
 
-// Share carries a node's part of version choice.
+// Share runs a node's part in the exchange of version-choice state.
 type Share struct {
 	deps    Deps
 	reports *reports
@@ -24,46 +24,46 @@
 	holds   *holds
 	archive *archive
 
-	duties duty.Group
-	stop   context.CancelFunc
+	loops duty.Group
+	stop  context.CancelFunc
 }
 
-// New returns a share that is not yet started.
+// New returns a share that has not been started.
 func New(d Deps) *Share {
 	s := &Share{deps: d, grants: newGrants(d), holds: newHolds(d), archive: newArchive(d)}
 	s.reports = newReports(d, s.archive)
 	return s
 }
 
-// Register offers the methods that peers call.
+// Register registers the methods that peers call.
 func (s *Share) Register(server *peer.Server) error {
 	return server.Register(serviceName, &service{share: s})
 }
 
-// Start begins the duties.
+// Start starts the background loops. The error is always nil.
 func (s *Share) Start() error {
 	ctx, cancel := context.WithCancel(context.Background())
 	s.stop = cancel
-	s.duties.Go(func() { every(ctx, tick, s.reports.send) })
-	s.duties.Go(func() { every(ctx, tick, s.grants.ask) })
-	s.duties.Go(func() { every(ctx, tick/4, s.holds.spread) })
-	s.duties.Go(func() { every(ctx, scanGap, s.holds.scan) })
-	s.duties.Go(func() { every(ctx, saveGap, s.archive.exchange) })
+	s.loops.Go(func() { runEvery(ctx, loopInterval, s.reports.send) })
+	s.loops.Go(func() { runEvery(ctx, loopInterval, s.grants.requestGrants) })
+	s.loops.Go(func() { runEvery(ctx, loopInterval/4, s.holds.publish) })
+	s.loops.Go(func() { runEvery(ctx, holdScanInterval, s.holds.scan) })
+	s.loops.Go(func() { runEvery(ctx, archiveInterval, s.archive.exchange) })
 	return nil
 }
 
-// Close stops the duties and waits for them.
+// Close stops the background loops and waits for them.
 func (s *Share) Close() {
 	if s.stop != nil {
 		s.stop()
 	}
-	s.duties.Wait()
+	s.loops.Wait()
 }
 
-// every calls do at once and then again and again until the context ends. A
-// call that takes longer than the gap delays the next one.
-func every(ctx context.Context, gap time.Duration, do func(ctx context.Context, now time.Time)) {
-	ticker := time.NewTicker(gap)
+// runEvery calls do at once and then at every interval until the context ends. A call
+// that takes longer than the interval delays the next one.
+func runEvery(ctx context.Context, interval time.Duration, do func(ctx context.Context, now time.Time)) {
+	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
 		do(ctx, time.Now())
