--- a/internal/choice/answer.go
+++ b/internal/choice/answer.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Answer is a whole answer that an attempt gave.
+// Answer is a complete answer to an attempt.
 type Answer struct {
 	Version string
 	Class   string
-	// Took is the time from the attempt's start to its last byte.
+	// Took is the time from the start of the attempt to the last byte.
 	Took time.Duration
-	// InputTokens and OutputTokens are what the answer is billed for.
+	// InputTokens and OutputTokens are the billed tokens.
 	InputTokens  int
 	OutputTokens int
 	Now          time.Time
--- a/internal/choice/archive.go
+++ b/internal/choice/archive.go
@@ -7,11 +7,11 @@
 	"github.com/hickorybank/hickorybank/internal/choice/quality"
 )
 
-// groupPrefix begins the names of summaries that stand for a whole group.
+// groupPrefix is the prefix of the node names in summaries that stand for a whole group.
 const groupPrefix = "group/"
 
-// Archive returns what this node's group has seen of a version, to be kept
-// where it outlives the nodes.
+// Archive returns the cells of a version that this node's group has observed, for storage
+// that outlives the nodes.
 func (c *Chooser) Archive(version string, now time.Time) []quality.Entry {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -21,7 +21,7 @@
 		entry := quality.Entry{Key: quality.Key{Version: version, Class: class}}
 		c.book.Add(&entry.Cell, entry.Key)
 		c.store.Add(&entry.Cell, entry.Key, func(r quality.Run) bool { return !strings.HasPrefix(r.Node, groupPrefix) })
-		s.restore(&entry.Cell, entry.Key)
+		s.addRestored(&entry.Cell, entry.Key)
 		if entry.Cell.At != 0 {
 			entry.Cell.Advance(now.UnixNano())
 			entry.Cell = entry.Cell.Rounded()
@@ -31,31 +31,32 @@
 	return list
 }
 
-// Restore takes in what was archived before this node collected the version.
-// It stands in for a cell as long as it weighs more than what runs have
-// reported: the runs that are in it may report again, and would else count
-// twice.
+// Restore sets the cells that were archived before this node collected the version. An
+// archived cell is used while its weight exceeds that of the cells reported by runs: the
+// archive contains the ratings of runs that may report again, and adding both would count
+// them twice.
 func (c *Chooser) Restore(version string, cells []quality.Entry) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.state(version)
 	s.restored = cells
 	for _, entry := range cells {
-		s.sawClass(entry.Key.Class)
+		s.addClass(entry.Key.Class)
 		c.stamps.mark(entry.Key, quality.Run{})
 	}
 }
 
-func (s *state) restore(total *quality.Cell, key quality.Key) {
+// addRestored replaces total by the restored cell if that has more weight.
+func (s *versionState) addRestored(total *quality.Cell, key quality.Key) {
 	for i := range s.restored {
 		if s.restored[i].Key != key {
 			continue
 		}
-		old := s.restored[i].Cell
-		old.Advance(total.At)
-		total.Advance(old.At)
-		if old.Weight() > total.Weight() {
-			*total = old
+		archived := s.restored[i].Cell
+		archived.Advance(total.At)
+		total.Advance(archived.At)
+		if archived.Weight() > total.Weight() {
+			*total = archived
 		}
 		return
 	}
--- a/internal/choice/balance.go
+++ b/internal/choice/balance.go
@@ -1,14 +1,14 @@
 package choice
 
 const (
-	// balanceMemory is the weight of what was before when a request comes:
-	// a balance remembers about two hundred requests.
-	balanceMemory = 0.995
-	// leastFree is the share of requests that are free to be planned, below
-	// which no more is made up for.
-	leastFree = 0.1
-	// mostBalances bounds the memory for organisations and classes.
-	mostBalances = 10_000
+	// balanceDecay is the factor by which earlier requests are weighted down at each
+	// request, which makes a window of about two hundred requests.
+	balanceDecay = 0.995
+	// minFreeShare bounds the compensation: the free requests count as at least this
+	// share of all requests.
+	minFreeShare = 0.1
+	// maxBalances bounds the memory for balances; when it is reached, all are dropped.
+	maxBalances = 10_000
 )
 
 type balanceKey struct {
@@ -16,43 +16,43 @@
 	class string
 }
 
-// balance knows by how much those requests of an organisation and class miss
-// the target whose version was not planned for it: sessions keep theirs, and
-// staged and little-known versions are given some. The requests that are free
-// to be planned aim higher or lower by as much, so that all together meet it.
+// balance tracks how far the requests of an organisation and class miss the target when
+// their version was not planned: sessions keep their version, and staged and rarely rated
+// versions get some requests. The free requests, whose version is planned, aim higher or
+// lower by as much, so that the mean of all meets the target.
 type balance struct {
 	shortfall float64
 	free      float64
 	all       float64
 }
 
-// fixed counts a request that ran at an expected quality.
-func (b *balance) fixed(shortfall float64) {
-	b.fade()
+// addFixed counts a request whose expected quality was below the target by shortfall.
+func (b *balance) addFixed(shortfall float64) {
+	b.decay()
 	b.shortfall += shortfall
 }
 
-// aim counts a free request and returns the quality it is to reach.
-func (b *balance) aim(target float64) float64 {
-	b.fade()
+// nextTarget counts a free request and returns the quality that it should reach.
+func (b *balance) nextTarget(target float64) float64 {
+	b.decay()
 	b.free++
-	return target + b.shortfall/max(b.free, leastFree*b.all)
+	return target + b.shortfall/max(b.free, minFreeShare*b.all)
 }
 
-func (b *balance) fade() {
-	b.shortfall *= balanceMemory
-	b.free *= balanceMemory
-	b.all = b.all*balanceMemory + 1
+func (b *balance) decay() {
+	b.shortfall *= balanceDecay
+	b.free *= balanceDecay
+	b.all = b.all*balanceDecay + 1
 }
 
-// balance returns that of the request's organisation and class.
-func (c *call) balance() *balance {
+// balance returns the balance of the request's organisation and class.
+func (c *decision) balance() *balance {
 	key := balanceKey{org: c.req.Org.Name, class: c.req.Class.Name}
 	b, ok := c.balances[key]
 	if ok {
 		return b
 	}
-	if len(c.balances) >= mostBalances {
+	if len(c.balances) >= maxBalances {
 		clear(c.balances)
 	}
 	b = new(balance)
@@ -60,8 +60,7 @@
 	return b
 }
 
-// fixed counts that the request runs on a version that was not planned for its
-// target.
-func (c *call) fixed(expected float64) {
-	c.balance().fixed(c.req.Org.Target(c.req.Class.Name) - expected)
+// countFixed counts a request on a version that was not planned for the target.
+func (c *decision) countFixed(expected float64) {
+	c.balance().addFixed(c.req.Org.Target(c.req.Class.Name) - expected)
 }
--- a/internal/choice/bench_test.go
+++ b/internal/choice/bench_test.go
@@ -8,8 +8,8 @@
 
 const benchVersions = 24
 
-// learned returns a chooser that knows all versions well, and a request.
-func learned(b *testing.B, versions int) (*Chooser, Request) {
+// ratedChooser returns a chooser with 600 ratings of each version, and a request.
+func ratedChooser(b *testing.B, versions int) (*Chooser, Request) {
 	s := compile(b, document(versions))
 	c := New(Settings{Node: "a", Epoch: 1})
 	c.Choose(request(s, start, 0))
@@ -24,9 +24,9 @@
 	return c, request(s, start, 0)
 }
 
-// BenchmarkChoose chooses among 24 versions with the plans made.
+// BenchmarkChoose chooses among 24 versions with cached frontiers.
 func BenchmarkChoose(b *testing.B) {
-	c, req := learned(b, benchVersions)
+	c, req := ratedChooser(b, benchVersions)
 	rng := rand.New(rand.NewPCG(1, 2))
 	c.Choose(req)
 	b.ReportAllocs()
@@ -36,10 +36,10 @@
 	}
 }
 
-// BenchmarkChooseRefreshing is a node at 59 requests a second, which makes its
-// plans anew every five seconds.
+// BenchmarkChooseRefreshing models 59 requests per second, where the frontiers are
+// recomputed every five seconds.
 func BenchmarkChooseRefreshing(b *testing.B) {
-	c, req := learned(b, benchVersions)
+	c, req := ratedChooser(b, benchVersions)
 	rng := rand.New(rand.NewPCG(1, 2))
 	b.ReportAllocs()
 	for b.Loop() {
@@ -49,9 +49,9 @@
 	}
 }
 
-// BenchmarkObserve takes in ratings of 24 versions.
+// BenchmarkObserve adds ratings of 24 versions.
 func BenchmarkObserve(b *testing.B) {
-	c, req := learned(b, benchVersions)
+	c, req := ratedChooser(b, benchVersions)
 	now := req.Now
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
@@ -60,10 +60,10 @@
 	}
 }
 
-// BenchmarkExchange is one report of all cells and its pool.
+// BenchmarkExchange measures one report of all cells and its pool.
 func BenchmarkExchange(b *testing.B) {
-	c, req := learned(b, benchVersions)
-	collector, _ := learned(b, benchVersions)
+	c, req := ratedChooser(b, benchVersions)
+	collector, _ := ratedChooser(b, benchVersions)
 	collector.settings.Node = "b"
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/choice/call.go
+++ b/internal/choice/call.go
@@ -5,115 +5,117 @@
 )
 
 const (
-	// caution is the statistic from which a version gets only cautionShare
-	// of its requests, in nats.
-	caution      = 4.0
-	cautionShare = 0.25
+	// throttleThreshold is the statistic, in nats, from which a version gets only
+	// throttledShare of its requests.
+	throttleThreshold = 4.0
+	throttledShare    = 0.25
 )
 
-// call is one choosing under way.
-type call struct {
+// decision is the state of one call to Choose.
+type decision struct {
 	*Chooser
 	req   Request
 	draws draws
-	// usable are the versions to plan with, by their index: serving, not
-	// held, and with room for this request as far as there is any.
+	// usable are the versions to plan with, as a set of indices: serving, not held, and
+	// with capacity for this request if any version has some.
 	usable uint64
-	// waiting are usable and those that this request would have to wait for.
-	waiting uint64
-	// least is the held version that is the least bad; nil when none is held.
-	least *versionView
+	// withWaiting are the usable versions and those for which this request would have to
+	// wait.
+	withWaiting uint64
+	// leastBad is the held version with the highest expected quality; nil when none is
+	// held.
+	leastBad *versionView
 }
 
-func newCall(c *Chooser, req Request) call {
-	return call{Chooser: c, req: req, draws: draws{state: req.Random}}
+func newDecision(c *Chooser, req Request) decision {
+	return decision{Chooser: c, req: req, draws: draws{state: req.Random}}
 }
 
-func (c *call) plan() Plan {
+func (c *decision) plan() Plan {
 	if len(c.req.Versions) == 0 {
 		return Plan{Refusal: RefuseNoVersion}
 	}
 	if c.req.Pinned {
 		return c.pinned()
 	}
-	exposed := c.sort()
+	exposed := c.classify()
 	if exposed != nil {
 		return c.expose(exposed)
 	}
 	if c.usable == 0 {
-		return c.lastResort()
+		return c.leastBadPlan()
 	}
-	return c.mix()
+	return c.planMix()
 }
 
-// sort looks at the versions one by one and returns the staged one that is due
-// to be exposed, if any.
-func (c *call) sort() *versionView {
+// classify sorts the versions into sets and returns the staged one that is due to be
+// exposed, if any.
+func (c *decision) classify() *versionView {
 	var exposed *versionView
-	var usable, spared rooms
+	var usable, throttled roomSets
 	for at, name := range c.req.Versions {
 		i, ok := c.view.index[name]
-		if !ok || i >= mostVersions {
+		if !ok || i >= maxPlannedVersions {
 			continue
 		}
 		v := &c.view.versions[i]
 		switch {
 		case v.state.held():
-			c.least = c.better(c.least, v)
+			c.leastBad = c.higherQuality(c.leastBad, v)
 		case v.config.State == config.Staged:
-			if c.room(at).Engines > 0 && c.due(v) {
+			if c.room(at).Engines > 0 && c.dueForExposure(v) {
 				exposed = v
 			}
-		case !c.spared(v.state):
-			usable.add(i, c.room(at), c.spill(at))
+		case !c.throttle(v.state):
+			usable.add(i, c.room(at), c.overflowDraw(at))
 		default:
-			spared.add(i, c.room(at), c.spill(at))
+			throttled.add(i, c.room(at), c.overflowDraw(at))
 		}
 	}
-	if usable.loaded == 0 && spared.loaded != 0 || usable.all == 0 {
-		usable = spared
+	if usable.loaded == 0 && throttled.loaded != 0 || usable.all == 0 {
+		usable = throttled
 	}
 	c.usable = usable.best()
-	c.waiting = c.usable | usable.loaded
+	c.withWaiting = c.usable | usable.loaded
 	return exposed
 }
 
-// spill draws whether a version that has room for a part of its requests has
-// room for this one. A version that has room for all needs no draw.
-func (c *call) spill(at int) float64 {
+// overflowDraw returns a random number that decides whether a version with capacity for a
+// share of its requests takes this one. A version with capacity for all needs no draw.
+func (c *decision) overflowDraw(at int) float64 {
 	if c.room(at).Share >= 1 {
 		return 0
 	}
 	return c.draws.next()
 }
 
-// spared says that a version under suspicion is left out of this request. It
-// gets few until its ratings have cleared it or it is held: answers that are
-// begun before their forerunners' ratings have come would only be more bad ones.
-func (c *call) spared(s *state) bool {
-	return s.suspicion() >= caution && c.draws.next() >= cautionShare
+// throttle reports whether a suspect version is left out of this request. It gets few
+// requests until ratings clear it or it is held: further answers would run before the
+// ratings of earlier ones arrive, and might all be bad.
+func (c *decision) throttle(s *versionState) bool {
+	return s.statistic() >= throttleThreshold && c.draws.next() >= throttledShare
 }
 
-// better returns the version with the higher expected quality.
-func (c *call) better(a, b *versionView) *versionView {
-	if a == nil || c.mean(b) > c.mean(a) {
+// higherQuality returns the version with the higher expected quality.
+func (c *decision) higherQuality(a, b *versionView) *versionView {
+	if a == nil || c.expectedQuality(b) > c.expectedQuality(a) {
 		return b
 	}
 	return a
 }
 
-func (c *call) mean(v *versionView) float64 {
-	return c.known(v.config, c.req.Class.Name, c.req.Now).option.Estimate.Mean
+func (c *decision) expectedQuality(v *versionView) float64 {
+	return c.estimate(v.config, c.req.Class.Name, c.req.Now).option.Estimate.Mean
 }
 
-// lastResort runs when no serving version may. If all were held, the class
-// would have no version left; so the least bad goes on.
-func (c *call) lastResort() Plan {
-	if c.least == nil {
+// leastBadPlan is used when no serving version is usable. If all are held, the one with
+// the highest expected quality continues to serve the class.
+func (c *decision) leastBadPlan() Plan {
+	if c.leastBad == nil {
 		return Plan{Refusal: RefuseUngranted}
 	}
 	c.stranded[c.req.Class.Name] = struct{}{}
-	p := Plan{First: c.least.config.Name, AllHeld: true, BelowTarget: true}
-	p.Rate = c.sample(c.least.state, false)
+	p := Plan{First: c.leastBad.config.Name, AllHeld: true, BelowTarget: true}
+	p.Rate = c.sample(c.leastBad.state, false)
 	return p
 }
--- a/internal/choice/chooser.go
+++ b/internal/choice/chooser.go
@@ -11,18 +11,18 @@
 	"github.com/hickorybank/hickorybank/internal/choice/quality"
 )
 
-// Chooser is the policy in use. Its methods are safe for concurrent use.
+// Chooser chooses versions from ratings. Its methods are safe for concurrent use.
 type Chooser struct {
 	settings Settings
 
-	mu      sync.Mutex
-	book    *quality.Book
-	store   *quality.Store
-	stamps  stamps
-	states  map[string]*state
-	ratings ratings
-	raised  []Hold
-	// stranded are classes for which every version was held.
+	mu            sync.Mutex
+	book          *quality.Book
+	store         *quality.Store
+	stamps        stamps
+	states        map[string]*versionState
+	ratingService ratingService
+	raised        []Hold
+	// stranded are the classes for which a request found every version held.
 	stranded map[string]struct{}
 	view     *view
 	builder  frontier.Builder
@@ -30,7 +30,7 @@
 	balances map[balanceKey]*balance
 }
 
-// New returns a chooser that has seen nothing yet.
+// New returns a chooser without observations.
 func New(s Settings) *Chooser {
 	s = s.withDefaults()
 	return &Chooser{
@@ -38,28 +38,28 @@
 		book:     quality.NewBook(quality.Run{Node: s.Node, Epoch: s.Epoch}),
 		store:    quality.NewStore(),
 		stamps:   stamps{cells: make(map[quality.Key]stamp)},
-		states:   make(map[string]*state),
+		states:   make(map[string]*versionState),
 		stranded: make(map[string]struct{}),
 		balances: make(map[balanceKey]*balance),
-		builder:  frontier.Builder{Confidence: s.Confidence, Enough: enoughRatings},
+		builder:  frontier.Builder{Confidence: s.Confidence, Enough: exploredRatings},
 	}
 }
 
-// Choose returns the plan for a request.
+// Choose returns the plan for a request. It implements [Policy].
 func (c *Chooser) Choose(req Request) Plan {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.refresh(req.Snapshot, req.Now)
-	call := newCall(c, req)
-	return call.plan()
+	d := newDecision(c, req)
+	return d.plan()
 }
 
 func (c *Chooser) run() quality.Run {
 	return quality.Run{Node: c.settings.Node, Epoch: c.settings.Epoch}
 }
 
-// state returns what is known of a version.
-func (c *Chooser) state(version string) *state {
+// state returns the state of a version, and creates it if necessary.
+func (c *Chooser) state(version string) *versionState {
 	s, ok := c.states[version]
 	if !ok {
 		s = newState(version)
@@ -68,21 +68,21 @@
 	return s
 }
 
-// sorted returns the states in the order of the versions' names.
-func (c *Chooser) sorted() []*state {
+// sortedStates returns the states in the order of the versions' names.
+func (c *Chooser) sortedStates() []*versionState {
 	list := slices.Collect(maps.Values(c.states))
-	slices.SortFunc(list, func(a, b *state) int { return strings.Compare(a.name, b.name) })
+	slices.SortFunc(list, func(a, b *versionState) int { return strings.Compare(a.name, b.name) })
 	return list
 }
 
-// cell returns what all runs have seen of a cell.
+// cell returns the sum of a cell over all runs.
 func (c *Chooser) cell(key quality.Key, now time.Time) quality.Cell {
 	var total quality.Cell
 	s := c.state(key.Version)
 	c.book.Add(&total, key)
 	if s.pool == nil {
 		c.store.Add(&total, key, func(r quality.Run) bool { return r != c.run() })
-		s.restore(&total, key)
+		s.addRestored(&total, key)
 	} else {
 		s.pool.add(&total, key)
 	}
@@ -90,7 +90,7 @@
 	return total
 }
 
-func (p *pooled) add(total *quality.Cell, key quality.Key) {
+func (p *receivedPool) add(total *quality.Cell, key quality.Key) {
 	for i := range p.cells {
 		if p.cells[i].Key == key {
 			total.Plus(p.cells[i].Cell)
--- a/internal/choice/doc.go
+++ b/internal/choice/doc.go
@@ -1,9 +1,8 @@
-// Package choice decides which version, or which cascade of versions, runs a
-// request: the cheapest mix whose expected quality meets the organisation's
-// target. It learns quality from sampled, late and noisy ratings, gives staged
-// versions only what they were granted, and holds a version that turns bad.
+// Package choice decides which version, or which cascade of versions, runs a request: the
+// cheapest mix whose expected quality meets the organisation's target. It estimates
+// quality from sampled, late and noisy ratings, bounds the answers of staged versions by
+// grants, and holds a version that degrades, so that it gets no new work.
 //
-// Everything here is a core without I/O: the time and a random number come in
-// with each call, decisions go out. Package choice/share is the shell that
-// exchanges summaries, grants and holds with peers and the platform's table.
+// The package does no I/O: each call passes in the time and a random number. Package
+// choice/share exchanges summaries, grants and holds with peers and the platform's table.
 package choice
--- a/internal/choice/draws.go
+++ b/internal/choice/draws.go
@@ -1,10 +1,10 @@
 package choice
 
-// draws makes several random numbers out of the one that came with a request,
-// by the SplitMix64 sequence.
+// draws is a SplitMix64 generator that derives several random numbers from the one that
+// comes with a request.
 type draws struct{ state uint64 }
 
-// next returns a number in [0,1).
+// next returns a uniform number in [0,1).
 func (d *draws) next() float64 {
 	d.state += 0x9e3779b97f4a7c15
 	z := d.state
--- a/internal/choice/exchange.go
+++ b/internal/choice/exchange.go
@@ -8,8 +8,8 @@
 	"github.com/hickorybank/hickorybank/internal/choice/quality"
 )
 
-// Summary returns what this node has seen of some versions, or of all when
-// none is named, for its peers.
+// Summary returns this node's observations of the named versions for its peers, or of all
+// versions when none is named.
 func (c *Chooser) Summary(versions ...string) Summary {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -20,7 +20,7 @@
 	sum := Summary{Summary: c.book.Summary(func(key quality.Key) bool {
 		return (len(versions) == 0 || slices.Contains(versions, key.Version)) && include(key)
 	})}
-	for _, s := range c.sorted() {
+	for _, s := range c.sortedStates() {
 		if len(versions) == 0 || slices.Contains(versions, s.name) {
 			e := VersionEvidence{Version: s.name, Term: s.hold.Term, Evidence: s.evidence}
 			sum.Evidence = append(sum.Evidence, e)
@@ -29,8 +29,8 @@
 	return sum
 }
 
-// Merge takes in a peer's summary. Merging it again, or an older one of the
-// same run, changes nothing.
+// Merge merges a peer's summary. Merging it again, or an older one of the same run,
+// changes nothing.
 func (c *Chooser) Merge(sum Summary, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -42,24 +42,24 @@
 		return
 	}
 	c.store.MergeEach(sum.Summary, func(key quality.Key) {
-		c.state(key.Version).sawClass(key.Class)
+		c.state(key.Version).addClass(key.Class)
 		c.stamps.mark(key, sum.Run())
 	})
 	for _, e := range sum.Evidence {
 		s := c.state(e.Version)
-		s.merge(sum.Run(), sum.Seq, e)
-		c.judge(s, "", now)
+		s.mergeEvidence(sum.Run(), sum.Seq, e)
+		c.holdIfDegraded(s, "", now)
 	}
 }
 
-// Wants returns the staged versions that a grant is to be asked for now.
+// Wants returns the staged versions for which a grant should be requested now.
 func (c *Chooser) Wants(now time.Time) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var list []string
-	for _, s := range c.sorted() {
-		if s.wanted && !s.held() && !c.ratings.down() && s.purse.Wants(now) {
-			s.wanted = false
+	for _, s := range c.sortedStates() {
+		if s.grantWanted && !s.held() && !c.ratingService.down() && s.purse.Wants(now) {
+			s.grantWanted = false
 			s.purse.Asked(now)
 			list = append(list, s.name)
 		}
@@ -67,7 +67,7 @@
 	return list
 }
 
-// Grant takes in the answer to an asking for a version.
+// Grant applies the reply to a request for a grant.
 func (c *Chooser) Grant(version string, g exposure.Grant, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/choice/explore.go
+++ b/internal/choice/explore.go
@@ -2,29 +2,29 @@
 
 import "github.com/hickorybank/hickorybank/internal/choice/frontier"
 
-// exploreShare is the share of requests that run on a version which few
-// ratings speak of, if it may be worth more than is known. Without it a version
-// that is believed bad would never be rated again.
+// exploreShare is the share of requests that run on a version with few ratings that may
+// be better than its estimate. Without exploration, a version with a low estimate would
+// never be rated again.
 func exploreShare(weight float64) float64 {
 	switch {
-	case weight < referenceRatings:
+	case weight < minReferenceRatings:
 		return 0.1
-	case weight < enoughRatings/4:
+	case weight < exploredRatings/4:
 		return 0.03
 	}
 	return 0.01
 }
 
-// explore runs a little-known version now and then.
-func (c *call) explore(f *frontier.Frontier) (Plan, bool) {
+// explore runs a version with few ratings for a small share of requests.
+func (c *decision) explore(f *frontier.Frontier) (Plan, bool) {
 	options := f.Explore()
-	if len(options) == 0 || c.ratings.down() {
+	if len(options) == 0 || c.ratingService.down() {
 		return Plan{}, false
 	}
-	pick := &options[int(c.draws.next()*float64(len(options)))]
-	if c.draws.next() >= exploreShare(pick.Estimate.Weight) {
+	option := &options[int(c.draws.next()*float64(len(options)))]
+	if c.draws.next() >= exploreShare(option.Estimate.Weight) {
 		return Plan{}, false
 	}
-	c.fixed(pick.Estimate.Mean)
-	return Plan{First: pick.Version, Rate: true, RateAgain: c.again(c.version(pick.Version))}, true
+	c.countFixed(option.Estimate.Mean)
+	return Plan{First: option.Version, Rate: true, RateAgain: c.sampleSecondRating(c.version(option.Version))}, true
 }
--- a/internal/choice/fixture_test.go
+++ b/internal/choice/fixture_test.go
@@ -12,8 +12,8 @@
 
 var start = time.Date(2026, 1, 5, 8, 0, 0, 0, time.UTC)
 
-// document returns a configuration with one model of n versions, each dearer
-// and better than the one before, that a class can use in cascades.
+// document returns a configuration with one model of n versions, each more expensive and
+// better than the one before, and a class that may use them in cascades.
 func document(n int) *config.Document {
 	doc := &config.Document{
 		Preset:  "ordinary",
@@ -41,7 +41,7 @@
 	return s
 }
 
-// request asks for anything that the first organisation may use.
+// request is a request of the first organisation that may use any of its versions.
 func request(s *config.Snapshot, now time.Time, random uint64) Request {
 	org := &s.Doc.Organisations[0]
 	return Request{
--- a/internal/choice/frontier/frontier_test.go
+++ b/internal/choice/frontier/frontier_test.go
@@ -31,7 +31,7 @@
 
 // expectedMix returns the mean cost and quality of what At returns. At returns one
 // strategy below some draw and another above it, and bisection finds that draw. A mean
-// over 2,000 draws would know the shares only to 0.00025, which is a cost error of 0.0037
+// over 2,000 draws would give the shares only to 0.00025, which is a cost error of 0.0037
 // between strategies of cost 1 and 15.9.
 func expectedMix(f *Frontier, target float64) (cost, quality float64) {
 	low, high := f.At(target, 0), f.At(target, math.Nextafter(1, 0))
--- a/internal/choice/hold.go
+++ b/internal/choice/hold.go
@@ -2,35 +2,35 @@
 
 import "time"
 
-// Hold says that a version turned bad and gets no new work until an operator
-// lifts the hold.
+// Hold records that a version has degraded. A held version gets no new work until an
+// operator lifts the hold.
 type Hold struct {
 	Version string
-	// Term counts the holds of the version; lifting term n says nothing of
-	// term n+1.
+	// Term counts the holds of the version. Lifting one term does not affect a later one.
 	Term uint64
-	// Lifted is set when an operator has ended this term.
+	// Lifted is set when an operator has lifted this term.
 	Lifted bool
-	// Node saw it first.
+	// Node is the node that raised the hold, At the time, and Class the class of the last
+	// observation, if known.
 	Node   string
 	Reason HoldReason
 	Class  string
 	At     time.Time
 }
 
-// HoldReason says which evidence held a version.
+// HoldReason is the kind of evidence that a hold is based on.
 type HoldReason string
 
 // The reasons for holds.
 const (
-	// HoldRatings: its ratings fell far below what it used to reach.
+	// HoldRatings means that ratings fell far below the version's reference.
 	HoldRatings HoldReason = "ratings"
-	// HoldErrors: its attempts failed far more often than others'.
+	// HoldErrors means that far too many of the version's attempts failed.
 	HoldErrors HoldReason = "errors"
 )
 
-// After says that the hold is a later word on its version than another one:
-// of a later term, or the lifting of the same term.
+// After reports whether h replaces o, a hold of the same version: h has a later term, or
+// lifts the same term.
 func (h Hold) After(o Hold) bool {
 	if h.Term != o.Term {
 		return h.Term > o.Term
--- a/internal/choice/hold_test.go
+++ b/internal/choice/hold_test.go
@@ -6,15 +6,15 @@
 	"github.com/matryer/is"
 )
 
-// Words on a version's hold come late and in any order. Only a later term, or
-// the lifting of the same one, may replace what is known.
-func TestLaterWordOnAHold(t *testing.T) {
+// Holds and lifts of a version arrive late and in any order. Only a later term, or the
+// lift of the same term, may replace the known state.
+func TestHoldOrder(t *testing.T) {
 	none, first, lifted := Hold{}, Hold{Term: 1}, Hold{Term: 1, Lifted: true}
 	second := Hold{Term: 2}
 	for _, c := range []struct {
-		name     string
-		word, of Hold
-		later    bool
+		name          string
+		update, known Hold
+		later         bool
 	}{
 		{"first hold", first, none, true},
 		{"again", first, first, false},
@@ -25,7 +25,7 @@
 		{"nothing", none, first, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			is.New(t).Equal(c.word.After(c.of), c.later)
+			is.New(t).Equal(c.update.After(c.known), c.later)
 		})
 	}
 }
--- a/internal/choice/observe.go
+++ b/internal/choice/observe.go
@@ -7,29 +7,29 @@
 	"github.com/hickorybank/hickorybank/internal/choice/quality"
 )
 
-// Observe takes in a rating.
+// Observe adds a rating to the estimates and the tests.
 func (c *Chooser) Observe(o Observation) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ratings.succeeded(o.Took)
+	c.ratingService.recordSuccess(o.Took)
 	if c.view != nil {
 		c.refresh(c.view.snapshot, o.Now)
 	}
 	s := c.state(o.Version)
-	s.sawClass(o.Class)
-	s.rated = o.Now
-	c.test(s, o)
-	c.note(o)
+	s.addClass(o.Class)
+	s.lastRated = o.Now
+	c.testScore(s, o)
+	c.record(o)
 }
 
-// note takes the score into the estimates.
-func (c *Chooser) note(o Observation) {
+// record adds the rating to the estimates.
+func (c *Chooser) record(o Observation) {
 	key := quality.Key{Version: o.Version, Class: o.Class}
 	cell := c.book.Cell(key)
 	c.stamps.mark(key, c.run())
 	now := o.Now.UnixNano()
 	if o.AfterShort {
-		cell.AddRescue(o.Score, c.short(o), now)
+		cell.AddRescue(o.Score, c.rejectedDeviation(o), now)
 	} else {
 		cell.AddScore(o.Score, now)
 	}
@@ -38,27 +38,26 @@
 	}
 }
 
-// typicalShort is by how much a rating that fell short is below its version's
-// mean when it is not known.
-const typicalShort = -0.2
+// typicalDeviation is the assumed deviation of a rejected rating from its version's mean
+// when it is not known.
+const typicalDeviation = -0.2
 
-// short is by how much the rating that fell short was above its version's mean.
-func (c *Chooser) short(o Observation) float64 {
+// rejectedDeviation returns the rejected rating minus the mean rating of its version.
+func (c *Chooser) rejectedDeviation(o Observation) float64 {
 	if o.After == "" || c.view == nil {
-		return typicalShort
+		return typicalDeviation
 	}
 	i, ok := c.view.index[o.After]
 	if !ok {
-		return typicalShort
+		return typicalDeviation
 	}
-	k := c.known(c.view.versions[i].config, o.Class, o.Now)
+	k := c.estimate(c.view.versions[i].config, o.Class, o.Now)
 	return o.AfterScore - k.option.Estimate.Mean
 }
 
-// test takes in what the score says about a bad turn. Answers that followed
-// one that fell short are to harder requests, so they are compared with their
-// like; a version may run nothing else.
-func (c *Chooser) test(s *state, o Observation) {
+// testScore adds the evidence of a score. Fallback answers belong to harder requests, so
+// they are compared only with other fallback answers; a version may run nothing else.
+func (c *Chooser) testScore(s *versionState, o Observation) {
 	if c.view == nil {
 		return
 	}
@@ -66,44 +65,44 @@
 	if !ok {
 		return
 	}
-	k := c.known(c.view.versions[i].config, o.Class, o.Now)
-	table := k.evidence(o.AfterShort)
+	k := c.estimate(c.view.versions[i].config, o.Class, o.Now)
+	table := k.testTable(o.AfterShort)
 	if table == nil {
 		return
 	}
-	s.add(table.Evidence(o.Score))
-	c.judge(s, o.Class, o.Now)
+	s.addEvidence(table.Evidence(o.Score))
+	c.holdIfDegraded(s, o.Class, o.Now)
 }
 
-// ObserveAnswer takes in that an attempt was answered.
+// ObserveAnswer records that an attempt was answered.
 func (c *Chooser) ObserveAnswer(a Answer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.state(a.Version)
-	s.sawClass(a.Class)
+	s.addClass(a.Class)
 	key := quality.Key{Version: a.Version, Class: a.Class}
-	cell, news := c.book.AnswerCell(key)
-	if news {
+	cell, changed := c.book.AnswerCell(key)
+	if changed {
 		c.stamps.mark(key, c.run())
 	}
 	cell.AddAnswer(a.Took, a.InputTokens, a.OutputTokens, a.Now.UnixNano())
-	s.add(detect.Evidence{Errors: detect.AnswerEvidence})
+	s.addEvidence(detect.Evidence{Errors: detect.AnswerEvidence})
 }
 
-// ObserveError takes in that an engine said that the version failed: not a
-// refusal, a cancel, a lost connection or a crash, which are the upstream's
-// and would come from all of its requests at once.
+// ObserveError records that an engine reported a failure of the version. Refusals,
+// cancellations, lost connections and crashes do not count: they are failures of the
+// upstream and would affect all of its requests at once.
 func (c *Chooser) ObserveError(version, class string, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.state(version)
-	s.add(detect.Evidence{Errors: detect.ErrorEvidence})
-	c.judge(s, class, now)
+	s.addEvidence(detect.Evidence{Errors: detect.ErrorEvidence})
+	c.holdIfDegraded(s, class, now)
 }
 
-// ObserveRatingFailure takes in that the rating service did not answer.
+// ObserveRatingFailure records that the rating service did not answer.
 func (c *Chooser) ObserveRatingFailure(time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ratings.failed()
+	c.ratingService.recordFailure()
 }
--- a/internal/choice/opening.go
+++ b/internal/choice/opening.go
@@ -7,18 +7,17 @@
 )
 
 const (
-	// openRatings is how many ratings of a staged version are enough to lift
-	// its cap, and openShare the share of the cap that is enough when the
-	// cap is smaller.
-	openRatings = 20
-	openShare   = 0.5
-	// openQuality is the share of the operators' belief that the ratings
+	// minOpenRatings is the number of ratings of a staged version that suffice to lift
+	// its cap. With a small cap, minOpenCapShare of the cap suffices.
+	minOpenRatings  = 20
+	minOpenCapShare = 0.5
+	// minOpenQuality is the share of the configured prior quality that the mean rating
 	// must reach.
-	openQuality = 0.85
+	minOpenQuality = 0.85
 )
 
-// ReadyToOpen says that enough ratings of a staged version are in and that
-// they are good, so that its cap need bind no more.
+// ReadyToOpen reports whether a staged version has enough good ratings for its exposure
+// cap to be lifted.
 func (c *Chooser) ReadyToOpen(version string, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -30,7 +29,7 @@
 		return false
 	}
 	v := &c.view.versions[i]
-	if v.state.held() || v.state.suspicion() >= alarm/3 || c.ratings.down() {
+	if v.state.held() || v.state.statistic() >= holdThreshold/3 || c.ratingService.down() {
 		return false
 	}
 	var all quality.Moments
@@ -39,6 +38,6 @@
 		all.Weight += cell.Long.Weight
 		all.Sum += cell.Long.Sum
 	}
-	enough := min(openRatings, openShare*float64(v.config.ExposureCap))
-	return all.Weight > 0 && all.Weight >= 0.95*enough && all.Mean() >= openQuality*v.config.PriorQuality
+	required := min(minOpenRatings, minOpenCapShare*float64(v.config.ExposureCap))
+	return all.Weight > 0 && all.Weight >= 0.95*required && all.Mean() >= minOpenQuality*v.config.PriorQuality
 }
--- a/internal/choice/pinned.go
+++ b/internal/choice/pinned.go
@@ -2,8 +2,8 @@
 
 import "github.com/hickorybank/hickorybank/internal/config"
 
-// pinned plans a request whose session or caller fixed the version.
-func (c *call) pinned() Plan {
+// pinned plans a request whose version is fixed by its session or its caller.
+func (c *decision) pinned() Plan {
 	name := c.req.Versions[0]
 	i, ok := c.view.index[name]
 	if !ok {
@@ -14,9 +14,9 @@
 		return Plan{Refusal: RefuseNoEngine}
 	}
 	p := Plan{First: name}
-	c.fixed(c.mean(v))
+	c.countFixed(c.expectedQuality(v))
 	if v.state.held() {
-		if c.alternative(name) {
+		if c.hasAlternative(name) {
 			return Plan{Refusal: RefuseHeld}
 		}
 		c.stranded[c.req.Class.Name] = struct{}{}
@@ -24,7 +24,7 @@
 	}
 	if v.config.State == config.Staged {
 		if !v.state.purse.Granted() {
-			v.state.wanted = true
+			v.state.grantWanted = true
 			return Plan{Refusal: RefuseUngranted}
 		}
 		v.state.purse.Spend()
@@ -32,26 +32,26 @@
 		p.Rate = true
 		return p
 	}
-	p.Rate, p.RateAgain = c.rate(v)
+	p.Rate, p.RateAgain = c.sampleRating(v)
 	return p
 }
 
-// alternative says that the organisation has another version for the class
+// hasAlternative reports whether the organisation may use another version for the class
 // that is serving and not held.
-func (c *call) alternative(pinned string) bool {
+func (c *decision) hasAlternative(pinned string) bool {
 	for i := range c.view.versions {
 		v := &c.view.versions[i]
 		if v.config.Name == pinned || v.config.State != config.Serving || v.state.held() {
 			continue
 		}
-		if c.serves(v) {
+		if c.mayServe(v) {
 			return true
 		}
 	}
 	return false
 }
 
-func (c *call) serves(v *versionView) bool {
+func (c *decision) mayServe(v *versionView) bool {
 	model := c.req.Class.Model
 	if model != "" && c.req.Snapshot.ModelOf(v.config.Name).Name != model {
 		return false
--- a/internal/choice/plan.go
+++ b/internal/choice/plan.go
@@ -1,31 +1,31 @@
 package choice
 
-// Plan says how a request is to be run.
+// Plan describes how to run a request.
 type Plan struct {
-	// First is the version to run first; empty when Refusal is set.
+	// First is the version to run first; empty if Refusal is set.
 	First string
-	// Then are the versions to run, in order, while the answer before falls
-	// short of Threshold. It is shared and must not be changed.
+	// Then are the versions to run, in order, while the rating of the previous answer is
+	// below Threshold. The slice is shared and must not be modified.
 	Then []string
-	// Threshold accepts an answer whose rating is at least this much. An
-	// answer whose rating did not come counts as short.
+	// Threshold is the rating from which an answer is accepted. An answer without a
+	// rating is not accepted.
 	Threshold float64
-	// Rate asks for a rating of the answer of the last version, First or the
-	// last of Then, if it comes to that. All versions before it are rated
-	// anyway, and an answer must not be counted twice.
+	// Rate requests a rating of the answer of the last version, First or the last of
+	// Then, if it runs. Answers of earlier versions are rated anyway, and no answer may
+	// be observed twice.
 	Rate bool
-	// RateAgain asks for a second, independent rating of the first version's
-	// answer, if that is rated; it tells what a rating is worth. Both ratings
-	// are then to come in one observation.
+	// RateAgain requests a second, independent rating of the first version's answer, if
+	// that is rated; it measures the rater's noise. Both ratings must then come in one
+	// observation.
 	RateAgain bool
-	// Exposed says that one granted answer of a staged version was spent.
+	// Exposed is set when one granted answer of a staged version was spent.
 	Exposed bool
-	// BelowTarget says that no allowed plan is expected to meet the
-	// organisation's target; First is then the best there is.
+	// BelowTarget is set when no allowed plan is expected to meet the organisation's
+	// target; First is then the best version available.
 	BelowTarget bool
-	// AllHeld says that every version that could serve is held, and that
-	// First is the least bad of them.
+	// AllHeld is set when every version that could serve is held; First is then the one
+	// with the highest expected quality.
 	AllHeld bool
-	// Refusal says why nothing may run; it is empty for a plan that runs.
+	// Refusal is the reason why the request may not run; empty for a plan that runs.
 	Refusal Refusal
 }
--- a/internal/choice/pool.go
+++ b/internal/choice/pool.go
@@ -6,12 +6,13 @@
 	"github.com/hickorybank/hickorybank/internal/choice/quality"
 )
 
-// Pool is what a node that collects the summaries of a version answers to one
-// that sent its own: what all others have seen. It replaces the pool before.
+// Pool is a collector's reply to a node's summary: the observations of all other runs. It
+// replaces an earlier pool.
 type Pool struct {
-	// At orders pools: the Unix time in nanoseconds when it was made.
+	// At is the Unix time in nanoseconds at which the pool was made; pools of one run are
+	// ordered by it.
 	At int64
-	// From is the run that made it.
+	// From is the run that made the pool.
 	From     quality.Run
 	Versions []VersionPool
 	Holds    []Hold
@@ -24,16 +25,18 @@
 	// Ratings and Errors are the statistics of the tests, in nats.
 	Ratings float64
 	Errors  float64
-	// Cells are those that have changed since the change Since of the maker,
-	// or all when it is 0, up to its change Stamp.
+	// Cells are those changed after the collector's change number Since, or all cells if
+	// Since is 0, up to its change number Stamp.
 	Cells []quality.Entry
 	Since uint64
 	Stamp uint64
-	// Have is up to which summary of the asking run the maker lacks nothing.
+	// Have is the number of the receiver's summary up to which the collector has all its
+	// cells.
 	Have uint64
 }
 
-// Pool returns what all runs but one have seen of some versions.
+// Pool returns the observations of some versions by all runs except one. now is the Unix
+// time in nanoseconds.
 func (c *Chooser) Pool(except quality.Run, versions []string, now int64) Pool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -52,7 +55,7 @@
 	p.Since, p.Stamp = since, c.stamps.last
 	for _, class := range s.classes {
 		key := quality.Key{Version: name, Class: class}
-		if since > 0 && c.stamps.of(key, except) <= since {
+		if since > 0 && c.stamps.lastChange(key, except) <= since {
 			continue
 		}
 		entry := quality.Entry{Key: key}
@@ -60,7 +63,7 @@
 		if except != c.run() {
 			c.book.Add(&entry.Cell, key)
 		}
-		s.restore(&entry.Cell, key)
+		s.addRestored(&entry.Cell, key)
 		if entry.Cell.At != 0 {
 			p.Cells = append(p.Cells, entry)
 		}
@@ -68,8 +71,8 @@
 	return p
 }
 
-// TakePool takes in what others have seen. From then on it stands in place of
-// the summaries that were merged of the same versions.
+// TakePool applies a pool. From then on it replaces the merged summaries of the same
+// versions.
 func (c *Chooser) TakePool(p Pool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -83,29 +86,29 @@
 
 func (c *Chooser) takeVersionPool(v VersionPool, p Pool) {
 	s := c.state(v.Version)
-	s.base = v.Have
-	// Only times of one node's clock are compared.
+	s.acked = v.Have
+	// Times are compared only if they are of the same run's clock.
 	if s.pool != nil && s.pool.from == p.From && s.pool.at >= p.At {
 		return
 	}
 	if v.Since > 0 && (s.pool == nil || s.pool.from != p.From || s.pool.stamp < v.Since) {
-		return // the cells that it leaves out are not here
+		return // the cells that the pool omits are not known here
 	}
-	next := &pooled{at: p.At, from: p.From, stamp: v.Stamp, cells: v.Cells}
+	received := &receivedPool{at: p.At, from: p.From, stamp: v.Stamp, cells: v.Cells}
 	if v.Since > 0 {
-		next.cells = s.pool.with(v.Cells)
+		received.cells = s.pool.merged(v.Cells)
 	}
-	s.pool = next
+	s.pool = received
 	for _, entry := range v.Cells {
-		s.sawClass(entry.Key.Class)
+		s.addClass(entry.Key.Class)
 	}
 	if v.Term == s.hold.Term {
-		s.peers = max(v.Ratings, v.Errors)
+		s.poolStatistic = max(v.Ratings, v.Errors)
 	}
 }
 
-// with returns the cells of the pool with the later ones in their places.
-func (p *pooled) with(later []quality.Entry) []quality.Entry {
+// merged returns the pool's cells, with later ones replacing those of the same key.
+func (p *receivedPool) merged(later []quality.Entry) []quality.Entry {
 	cells := slices.Clone(p.cells)
 	for _, entry := range later {
 		at := slices.IndexFunc(cells, func(e quality.Entry) bool { return e.Key == entry.Key })
@@ -118,12 +121,12 @@
 	return cells
 }
 
-// Collect makes this node the one that others send their summaries of a
-// version to: what it merges counts, and no pool stands in its place.
+// Collect makes this node the collector of a version: merged summaries count, and no pool
+// replaces them.
 func (c *Chooser) Collect(version string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.state(version)
 	s.pool = nil
-	s.peers = 0
+	s.poolStatistic = 0
 }
--- a/internal/choice/ratings.go
+++ b/internal/choice/ratings.go
@@ -6,67 +6,70 @@
 )
 
 const (
-	// failuresToDown is how many failures in a row say that there is no
-	// rating service.
-	failuresToDown = 3
-	// ratingsPerSecond and ratingsBurst bound the sampled ratings of a node,
-	// so that the rating service's load grows with nodes, not with requests.
+	// downAfterFailures is the number of consecutive failures from which the rating
+	// service counts as down.
+	downAfterFailures = 3
+	// ratingsPerSecond and ratingsBurst bound the sampled ratings of a node, so that the
+	// load on the rating service grows with nodes and not with requests.
 	ratingsPerSecond = 2.0
 	ratingsBurst     = 10.0
-	// probeGap is how often a rating is asked for while there is no service.
-	probeGap = 5 * time.Second
-	// durationMemory is the weight of what was before in a decaying mean.
-	durationMemory = 0.95
+	// probeInterval is the interval at which a rating is requested while the service is
+	// down.
+	probeInterval = 5 * time.Second
+	// durationDecay is the factor of earlier values in a decaying mean.
+	durationDecay = 0.95
 )
 
-// ratings knows whether there is a rating service and what may be asked of it.
-type ratings struct {
+// ratingService tracks whether the rating service is up, how long ratings take, and a
+// token bucket of sampled ratings.
+type ratingService struct {
 	failures int
-	// durations and squares are decaying means of how many seconds ratings
-	// took, and of its square.
-	durations float64
-	squares   float64
-	tokens    float64
-	at        time.Time
-	probed    time.Time
+	// meanSeconds and meanSquares are decaying means of the duration of ratings and of
+	// its square.
+	meanSeconds float64
+	meanSquares float64
+	tokens      float64
+	refilled    time.Time
+	lastProbe   time.Time
 }
 
-func (r *ratings) failed() { r.failures++ }
+func (r *ratingService) recordFailure() { r.failures++ }
 
-func (r *ratings) succeeded(took time.Duration) {
+func (r *ratingService) recordSuccess(took time.Duration) {
 	r.failures = 0
 	if took > 0 {
-		r.durations = r.durations*durationMemory + took.Seconds()*(1-durationMemory)
-		r.squares = r.squares*durationMemory + took.Seconds()*took.Seconds()*(1-durationMemory)
+		r.meanSeconds = r.meanSeconds*durationDecay + took.Seconds()*(1-durationDecay)
+		r.meanSquares = r.meanSquares*durationDecay + took.Seconds()*took.Seconds()*(1-durationDecay)
 	}
 }
 
-// took is how long a rating takes at most, nearly always.
-func (r *ratings) took() time.Duration {
-	variance := max(r.squares-r.durations*r.durations, 0)
-	seconds := r.durations + surely*math.Sqrt(variance)
+// durationBound returns an upper bound on the duration of nearly all ratings.
+func (r *ratingService) durationBound() time.Duration {
+	variance := max(r.meanSquares-r.meanSeconds*r.meanSeconds, 0)
+	seconds := r.meanSeconds + durationSDs*math.Sqrt(variance)
 	return time.Duration(seconds * float64(time.Second))
 }
 
-func (r *ratings) down() bool { return r.failures >= failuresToDown }
+func (r *ratingService) down() bool { return r.failures >= downAfterFailures }
 
-// probe says that a rating may be asked for to see whether the service is back.
-func (r *ratings) probe(now time.Time) bool {
-	if now.Sub(r.probed) < probeGap {
+// allowProbe reports whether a rating may be requested to check whether the service is
+// back.
+func (r *ratingService) allowProbe(now time.Time) bool {
+	if now.Sub(r.lastProbe) < probeInterval {
 		return false
 	}
-	r.probed = now
+	r.lastProbe = now
 	return true
 }
 
-// take says that a sampled rating is within the bound, and counts it.
-func (r *ratings) take(now time.Time) bool {
-	if r.at.IsZero() {
+// allow reports whether a sampled rating is within the limit, and counts it.
+func (r *ratingService) allow(now time.Time) bool {
+	if r.refilled.IsZero() {
 		r.tokens = ratingsBurst
-	} else if gap := now.Sub(r.at); gap > 0 {
+	} else if gap := now.Sub(r.refilled); gap > 0 {
 		r.tokens = min(r.tokens+gap.Seconds()*ratingsPerSecond, ratingsBurst)
 	}
-	r.at = now
+	r.refilled = now
 	if r.tokens < 1 {
 		return false
 	}
--- a/internal/choice/refusal.go
+++ b/internal/choice/refusal.go
@@ -1,22 +1,21 @@
 package choice
 
-// Refusal is a reason for which no version may run a request. The request is
-// then not run.
+// Refusal is the reason why no version may run a request. The request must then not run.
 type Refusal string
 
-// The refusals.
+// The reasons for a refusal.
 const (
 	// RefuseNone is the zero value: the plan runs.
 	RefuseNone Refusal = ""
-	// RefuseNoVersion: no version was given to choose from.
+	// RefuseNoVersion means that the request named no version that may serve it.
 	RefuseNoVersion Refusal = "no_version"
-	// RefuseHeld: the session's version is held because it turned bad. A new
-	// session may begin on another version.
+	// RefuseHeld means that the session's version is held because it degraded. A new
+	// session may start on another version.
 	RefuseHeld Refusal = "version_held"
-	// RefuseUngranted: the session's version is staged, and no answer of it
-	// is granted before its ratings are in. It may be tried again later.
+	// RefuseUngranted means that only a staged version could serve the request, and no
+	// answer of it is granted at present. It may be retried later.
 	RefuseUngranted Refusal = "version_not_granted"
-	// RefuseNoEngine: no engine can run the session's version at present. A
-	// session is not moved; it may be tried again later.
+	// RefuseNoEngine means that no engine can run the session's version at present.
+	// Sessions are not moved to another version; the request may be retried later.
 	RefuseNoEngine Refusal = "version_without_engine"
 )
--- a/internal/choice/report.go
+++ b/internal/choice/report.go
@@ -6,54 +6,53 @@
 	"github.com/hickorybank/hickorybank/internal/choice/quality"
 )
 
-// Report is a node's summary of some versions, for the node that collects them.
-// It holds the cells that have changed since the collecting node last said what
-// it has; the answer holds those that have changed since the last answer that
-// came.
+// Report is a node's summary of some versions for their collector. It contains the cells
+// that changed since the last summary that the collector acknowledged; the reply contains
+// the cells that changed since the last pool that the node received.
 //
-// It is safe to lose, repeat and reorder reports and answers: a cell is
-// cumulative, and both sides say what they have, not what they were sent. A
-// collecting node that is new or has forgotten says that it has less, and the
-// next report brings the rest.
+// Reports and replies may be lost, repeated and reordered: cells are cumulative, and both
+// sides state what they have, not what they were sent. A collector that is new or has
+// lost its state acknowledges less, and the next report contains the rest.
 type Report struct {
 	Versions []ReportVersion
 	Summary  Summary
-	// PoolOf is the run that made the pools that Pool speaks of.
+	// PoolOf is the run that made the pools to which ReportVersion.Pool refers.
 	PoolOf quality.Run
 }
 
 // ReportVersion is the part of a [Report] for one version.
 type ReportVersion struct {
 	Version string
-	// Base is the number of the last summary that the collecting node said
-	// it lacks nothing of; Summary holds what has changed since.
+	// Base is the number of the last summary up to which the collector acknowledged all
+	// cells; Summary contains the later changes.
 	Base uint64
-	// Pool is up to which change the asker has the pool; 0 asks for all.
+	// Pool is the change number up to which the sender has the pool; 0 requests all
+	// cells.
 	Pool uint64
 }
 
-// Report returns what a collecting node may lack of some versions.
+// Report returns the summary of some versions that their collector may lack.
 func (c *Chooser) Report(versions []string) Report {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	r := Report{PoolOf: c.poolMaker(versions)}
-	base := make(map[string]uint64, len(versions))
+	r := Report{PoolOf: c.poolSource(versions)}
+	acked := make(map[string]uint64, len(versions))
 	for _, name := range versions {
 		s := c.state(name)
-		base[name] = s.base
-		v := ReportVersion{Version: name, Base: s.base}
+		acked[name] = s.acked
+		v := ReportVersion{Version: name, Base: s.acked}
 		if s.pool != nil && s.pool.from == r.PoolOf {
 			v.Pool = s.pool.stamp
 		}
 		r.Versions = append(r.Versions, v)
 	}
-	r.Summary = c.summary(versions, func(key quality.Key) bool { return c.book.Changed(key) > base[key.Version] })
+	r.Summary = c.summary(versions, func(key quality.Key) bool { return c.book.Changed(key) > acked[key.Version] })
 	return r
 }
 
-// poolMaker is the run that made the first pool there is of the versions; one
-// collecting node has made all of them unless collectors have just changed.
-func (c *Chooser) poolMaker(versions []string) quality.Run {
+// poolSource returns the run that made the first available pool of the versions. One
+// collector made all of them, unless collectors have just changed.
+func (c *Chooser) poolSource(versions []string) quality.Run {
 	for _, name := range versions {
 		if s := c.state(name); s.pool != nil {
 			return s.pool.from
@@ -62,7 +61,7 @@
 	return quality.Run{}
 }
 
-// Answer takes a report in and returns what all others have seen.
+// Answer merges a report and returns the observations of all other runs.
 func (c *Chooser) Answer(r Report, now time.Time) Pool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -81,8 +80,8 @@
 	return p
 }
 
-// Lacks says that the maker of the pool lacks something that the report left
-// out, so that another report is due at once.
+// Lacks reports whether the sender of the pool lacks cells that the report omitted, so
+// that another report should follow at once.
 func (r Report) Lacks(p Pool) bool {
 	for _, answer := range p.Versions {
 		for _, v := range r.Versions {
--- a/internal/choice/report_test.go
+++ b/internal/choice/report_test.go
@@ -13,25 +13,25 @@
 
 var exchanged = []string{"m@1", "m@2", "m@3"}
 
-// exchangeWorld is nodes that report to one of two collectors over a network
-// that loses, repeats and delays.
-type exchangeWorld struct {
+// exchangeNetwork is a set of nodes that report to one of two collectors over a network
+// that loses, repeats and delays messages.
+type exchangeNetwork struct {
 	nodes      []*Chooser
 	collectors []*Chooser
 	epoch      uint64
 	now        time.Time
-	late       []lateMessage
+	delayed    []delayedMessage
 }
 
-// lateMessage is a report or an answer that is still on its way.
-type lateMessage struct {
+// delayedMessage is a report or a pool that has not arrived yet.
+type delayedMessage struct {
 	to     *Chooser
 	report *Report
 	pool   *Pool
 }
 
-func newExchangeWorld() *exchangeWorld {
-	w := &exchangeWorld{now: start, epoch: 1}
+func newExchangeNetwork() *exchangeNetwork {
+	w := &exchangeNetwork{now: start, epoch: 1}
 	for _, name := range []string{"a", "b", "c"} {
 		w.nodes = append(w.nodes, New(Settings{Node: name, Epoch: 1}))
 	}
@@ -41,7 +41,7 @@
 	return w
 }
 
-func (w *exchangeWorld) step(t *rapid.T) {
+func (w *exchangeNetwork) step(t *rapid.T) {
 	w.now = w.now.Add(time.Second)
 	node := rapid.SampledFrom(w.nodes).Draw(t, "node")
 	collector := rapid.IntRange(0, 1).Draw(t, "collector")
@@ -57,16 +57,16 @@
 		w.collectors[collector].Answer(node.Report(exchanged), w.now)
 	case "delay":
 		r := node.Report(exchanged)
-		w.late = append(w.late, lateMessage{to: w.collectors[collector], report: &r})
+		w.delayed = append(w.delayed, delayedMessage{to: w.collectors[collector], report: &r})
 	case "delay answer":
 		p := w.collectors[collector].Answer(node.Report(exchanged), w.now)
-		w.late = append(w.late, lateMessage{to: node, pool: &p})
+		w.delayed = append(w.delayed, delayedMessage{to: node, pool: &p})
 	case "repeat":
 		r := node.Report(exchanged)
 		w.collectors[collector].Answer(r, w.now)
 		node.TakePool(w.collectors[collector].Answer(r, w.now))
 	case "arrive":
-		w.arrive(t)
+		w.deliver(t)
 	case "collect":
 		node.Collect(rapid.SampledFrom(exchanged).Draw(t, "version"))
 	case "restart":
@@ -75,11 +75,11 @@
 	}
 }
 
-func (w *exchangeWorld) arrive(t *rapid.T) {
-	if len(w.late) == 0 {
+func (w *exchangeNetwork) deliver(t *rapid.T) {
+	if len(w.delayed) == 0 {
 		return
 	}
-	m := rapid.SampledFrom(w.late).Draw(t, "late") // it may arrive again
+	m := rapid.SampledFrom(w.delayed).Draw(t, "late") // it may arrive more than once
 	if m.pool != nil {
 		m.to.TakePool(*m.pool)
 		return
@@ -87,8 +87,8 @@
 	m.to.Answer(*m.report, w.now)
 }
 
-// exchange is what package share does for each report.
-func (w *exchangeWorld) exchange(node, collector *Chooser, versions []string) {
+// exchange does what package share does for each report.
+func (w *exchangeNetwork) exchange(node, collector *Chooser, versions []string) {
 	for range 2 {
 		w.now = w.now.Add(time.Second)
 		r := node.Report(versions)
@@ -108,13 +108,13 @@
 	return cells
 }
 
-// A node goes on with ratings that others have long outdone, or a collecting
-// node lacks what a node saw: a report or answer was lost, repeated or overtaken,
-// or the collecting node changed or came back empty, and what was left out
-// because the other side was believed to have it never comes.
-func TestReportsLeaveOutOnlyWhatIsThere(t *testing.T) {
+// A report omits what the collector acknowledged, and a pool what the node has. After
+// losses, repetitions, reordering, restarts and changes of the collector, two exchanges
+// must give both sides all cells; otherwise a node keeps outdated ratings, or the
+// collector never gets some.
+func TestReportsOmitOnlyWhatTheReceiverHas(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newExchangeWorld()
+		w := newExchangeNetwork()
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			w.step(t)
 		}
@@ -147,11 +147,11 @@
 	})
 }
 
-// An answer arrives so late that the node has long had one of another collecting
-// node, or a newer one. What it leaves out is not what the node has.
-func TestLateAnswers(t *testing.T) {
+// A pool may arrive after one of another collector, or after a newer one. The cells that
+// it omits are then not those that the node has, so it must be ignored.
+func TestLatePoolsLoseNoCells(t *testing.T) {
 	is := is.New(t)
-	w := newExchangeWorld()
+	w := newExchangeNetwork()
 	a, b, x, y := w.nodes[0], w.nodes[1], w.collectors[0], w.collectors[1]
 	rate := func(version string) {
 		w.now = w.now.Add(time.Second)
@@ -162,7 +162,7 @@
 		w.now = w.now.Add(time.Second)
 		return x.Answer(a.Report(exchanged), w.now)
 	}
-	same := func() bool {
+	inSync := func() bool {
 		w.exchange(a, x, exchanged)
 		for _, v := range x.Pool(a.run(), exchanged, 0).Versions {
 			if !maps.Equal(cellsOf(v.Cells), cellsOf(a.state(v.Version).pool.cells)) {
@@ -171,7 +171,7 @@
 		}
 		return true
 	}
-	for range 20 { // so that y has counted more changes than x
+	for range 20 { // so that the change numbers of y are above those of x
 		w.nodes[2].Observe(Observation{Version: "m@3", Class: "tag", Score: 0.5, Now: w.now})
 		w.exchange(w.nodes[2], y, exchanged)
 	}
@@ -184,8 +184,8 @@
 	w.exchange(b, x, exchanged)
 	second := answer()
 	w.exchange(a, y, exchanged)
-	a.TakePool(second) // leaves out cells of which y had none
-	is.True(same())
+	a.TakePool(second) // omits cells that y does not have
+	is.True(inSync())
 	rate("m@2")
 	second = answer()
 	rate("m@2")
@@ -193,19 +193,19 @@
 	a.TakePool(third)
 	a.TakePool(second)
 	weight := cellsOf(a.state("m@2").pool.cells)[quality.Key{Version: "m@2", Class: "draft"}].Long.Weight
-	is.True(weight > 3.9) // of four; a little has decayed
+	is.True(weight > 3.9) // of 4; some weight has decayed
 	rate("m@3")
 	second = answer()
 	w.exchange(a, y, exchanged)
 	a.TakePool(first)
-	a.TakePool(second) // leaves out what came after the first
-	is.True(same())
+	a.TakePool(second) // omits the cells changed since the first pool
+	is.True(inSync())
 }
 
-// Cells that got no rating since are sent no more, in either direction.
-func TestReportsHoldOnlyWhatChanged(t *testing.T) {
+// Cells without new ratings must not be sent again in either direction.
+func TestReportsContainOnlyChangedCells(t *testing.T) {
 	is := is.New(t)
-	w := newExchangeWorld()
+	w := newExchangeNetwork()
 	a, b, x := w.nodes[0], w.nodes[1], w.collectors[0]
 	for _, n := range []*Chooser{a, b} {
 		for _, version := range exchanged {
@@ -227,25 +227,24 @@
 		return len(r.Summary.Cells), answered
 	}
 	sent, answered := count(b)
-	is.Equal([]int{sent, answered}, []int{1, 0}) // its own change is no news to it
+	is.Equal([]int{sent, answered}, []int{1, 0}) // a node is not sent its own change
 	sent, answered = count(a)
 	is.Equal([]int{sent, answered}, []int{0, 1})
 	sent, answered = count(a)
 	is.Equal([]int{sent, answered}, []int{0, 0})
-	news := 0
+	resent := 0
 	for range 200 {
 		a.ObserveAnswer(Answer{Version: "m@1", Class: "draft", Took: time.Second, Now: start})
 		sent, _ = count(a)
-		news += sent
+		resent += sent
 	}
-	is.True(news < 50) // durations are told as long as they are news
-	is.True(news > 10)
+	is.True(resent < 50) // durations are sent while they change significantly
+	is.True(resent > 10)
 }
 
-// What a node saw of one version is gone from the sums as soon as it reports
-// another alone, as it does each second for one under suspicion; and what other
-// groups saw of one, when the row of another is read.
-func TestReportOfOneVersionKeepsTheOthers(t *testing.T) {
+// A node reports suspect versions alone every second, and the archive row of one version
+// is read alone. A summary of one version must not drop the cells of others.
+func TestReportOfOneVersionKeepsOtherVersions(t *testing.T) {
 	is := is.New(t)
 	a, x := New(Settings{Node: "a", Epoch: 1}), New(Settings{Node: "x", Epoch: 1})
 	for _, version := range exchanged {
--- a/internal/choice/room.go
+++ b/internal/choice/room.go
@@ -1,32 +1,33 @@
 package choice
 
-// Room is what the upstreams that a node deals with can do for a version.
+// Room is the capacity of the upstreams known to a node for one version.
 type Room struct {
-	// Engines are the usable engines that are known to have it.
+	// Engines is the number of usable engines that are known to have the version.
 	Engines int
-	// Unsure says that none is known to have it, but that there are engines
-	// of which it is not known yet what they have.
+	// Unsure is set when no engine is known to have the version, but the versions of some
+	// engines are not known yet.
 	Unsure bool
-	// Share is the part, from 0 to 1, of the requests that would take the
-	// version which it has room for now.
+	// Share is the share, in [0,1], of the version's requests that the engines have
+	// capacity for now.
 	Share float64
 }
 
-// None says that no engine can run the version now.
+// None reports whether no engine can run the version now.
 func (r Room) None() bool { return r.Engines == 0 && !r.Unsure }
 
-// rooms sorts the versions that may be used by what there is room for.
-type rooms struct {
-	// free have room for this request, loaded an engine, unsure perhaps one.
+// roomSets groups versions, as sets of indices, by capacity.
+type roomSets struct {
+	// free have capacity for this request, loaded an engine that has them, unsure
+	// possibly one.
 	free   uint64
 	loaded uint64
 	unsure uint64
-	// all are those that may be used, with or without an engine.
+	// all are the versions that may be used, with or without an engine.
 	all uint64
 }
 
-// add takes in that the version with the index may be used.
-func (s *rooms) add(index int, room Room, draw float64) {
+// add adds the version with the index.
+func (s *roomSets) add(index int, room Room, draw float64) {
 	bit := uint64(1) << index
 	s.all |= bit
 	switch {
@@ -40,10 +41,9 @@
 	}
 }
 
-// best returns the versions to plan with. When no engine can run any, they are
-// planned with all the same: the upstreams' refusal then says why, and when to
-// come back.
-func (s *rooms) best() uint64 {
+// best returns the versions to plan with. If no engine can run any of them, all are
+// returned: the refusal of the upstreams then gives the reason and the time to retry.
+func (s *roomSets) best() uint64 {
 	for _, set := range []uint64{s.free, s.loaded, s.unsure} {
 		if set != 0 {
 			return set
@@ -52,9 +52,9 @@
 	return s.all
 }
 
-// room is what there is for the version at a place of the request's list. A
-// caller that gives no rooms knows nothing of upstreams.
-func (c *call) room(i int) Room {
+// room returns the capacity for the version at index i of the request. A request without
+// Rooms has no information on upstreams.
+func (c *decision) room(i int) Room {
 	if len(c.req.Rooms) == 0 {
 		return Room{Engines: 1, Share: 1}
 	}
--- a/internal/choice/sample.go
+++ b/internal/choice/sample.go
@@ -1,58 +1,58 @@
 package choice
 
 const (
-	// suspect is the statistic from which every answer of a version is
-	// rated, in nats.
-	suspect = 1.5
-	// enoughPairs is how many answers must have been rated twice before
-	// only pairShare of the rated ones are.
-	enoughPairs = 150
-	pairShare   = 0.1
+	// suspectThreshold is the statistic, in nats, from which a version is suspect and all
+	// its answers are rated.
+	suspectThreshold = 1.5
+	// minPairs is the number of answers rated twice from which only pairShare of the
+	// rated answers are rated twice.
+	minPairs  = 150
+	pairShare = 0.1
 	// earlyPairShare is that share before.
 	earlyPairShare = 0.5
-	// enoughSamples is how many ratings a version must have for a class
-	// before its answers are only sampled: the first thousand narrow the
-	// estimates most, and with them the margin that is paid for.
-	enoughSamples = 1000
-	// enoughRescues is how many second answers of cascades must have been
-	// rated before they are sampled like others.
-	enoughRescues = 1000
+	// minSamples is the number of ratings of a version for a class from which its answers
+	// are only sampled. The first thousand ratings narrow the estimates most, and with
+	// them the safety margin that costs money.
+	minSamples = 1000
+	// minFallbackRatings is the number of rated fallback answers from which they are only
+	// sampled, too.
+	minFallbackRatings = 1000
 )
 
-// rate says whether the answer is to be rated, and whether twice.
-func (c *call) rate(v *versionView) (once, again bool) {
-	k := c.known(v.config, c.req.Class.Name, c.req.Now)
-	if !c.sample(v.state, k.option.Estimate.Weight < enoughSamples) {
+// sampleRating reports whether the answer should be rated, and whether twice.
+func (c *decision) sampleRating(v *versionView) (once, again bool) {
+	k := c.estimate(v.config, c.req.Class.Name, c.req.Now)
+	if !c.sample(v.state, k.option.Estimate.Weight < minSamples) {
 		return false, false
 	}
-	return true, c.again(v)
+	return true, c.sampleSecondRating(v)
 }
 
-// again says whether an answer that is rated is to be rated twice.
-func (c *call) again(v *versionView) bool {
+// sampleSecondRating reports whether a rated answer should be rated twice.
+func (c *decision) sampleSecondRating(v *versionView) bool {
 	share := pairShare
-	if c.known(v.config, c.req.Class.Name, c.req.Now).pairs < enoughPairs {
+	if c.estimate(v.config, c.req.Class.Name, c.req.Now).pairs < minPairs {
 		share = earlyPairShare
 	}
 	return c.draws.next() < share
 }
 
-// rateRescue says whether the second answer of a cascade is to be rated. Each
-// is until enough are in: without, nothing would tell how much harder the
-// requests are that the first version falls short of.
-func (c *call) rateRescue(version string) bool {
-	k := c.known(c.version(version).config, c.req.Class.Name, c.req.Now)
-	return c.sample(c.version(version).state, k.rescues < enoughRescues)
+// sampleFallback reports whether the fallback answer of a cascade should be rated. All
+// are until there are enough ratings: otherwise the difficulty of the requests that the
+// first version fails on would be unknown.
+func (c *decision) sampleFallback(version string) bool {
+	k := c.estimate(c.version(version).config, c.req.Class.Name, c.req.Now)
+	return c.sample(c.version(version).state, k.fallbacks < minFallbackRatings)
 }
 
-// sample says whether an answer of a version is to be rated; all are, within
-// the bound, while few ratings are in.
-func (c *call) sample(s *state, few bool) bool {
-	if c.ratings.down() {
-		return c.ratings.probe(c.req.Now)
+// sample reports whether an answer of a version should be rated. With few set, all are,
+// within the rate limit.
+func (c *decision) sample(s *versionState, few bool) bool {
+	if c.ratingService.down() {
+		return c.ratingService.allowProbe(c.req.Now)
 	}
-	if s.suspicion() >= suspect {
+	if s.statistic() >= suspectThreshold {
 		return true
 	}
-	return (few || c.draws.next() < c.settings.SampleShare) && c.ratings.take(c.req.Now)
+	return (few || c.draws.next() < c.settings.SampleShare) && c.ratingService.allow(c.req.Now)
 }
--- a/internal/choice/script_test.go
+++ b/internal/choice/script_test.go
@@ -15,8 +15,8 @@
 	"github.com/hickorybank/hickorybank/internal/config"
 )
 
-// script drives one chooser through a scenario of testdata.
-type script struct {
+// scenario runs the commands of a file in testdata against one chooser.
+type scenario struct {
 	t        *testing.T
 	now      time.Time
 	rng      *rand.Rand
@@ -26,12 +26,12 @@
 
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
-		s := &script{t: t, now: start, rng: rand.New(rand.NewPCG(1, 2)), chooser: New(Settings{Node: "a", Epoch: 1})}
+		s := &scenario{t: t, now: start, rng: rand.New(rand.NewPCG(1, 2)), chooser: New(Settings{Node: "a", Epoch: 1})}
 		datadriven.RunTest(t, path, func(_ *testing.T, d *datadriven.TestData) string { return s.run(d) })
 	})
 }
 
-func (s *script) run(d *datadriven.TestData) string {
+func (s *scenario) run(d *datadriven.TestData) string {
 	switch d.Cmd {
 	case "config":
 		s.config(d)
@@ -73,7 +73,7 @@
 	return ""
 }
 
-func (s *script) config(d *datadriven.TestData) {
+func (s *scenario) config(d *datadriven.TestData) {
 	doc := document(s.number(d, "versions", 3))
 	if d.HasArg("preset") {
 		doc.Preset = s.text(d, "preset", "")
@@ -92,7 +92,7 @@
 	s.chooser.Choose(request(s.snapshot, s.now, 0))
 }
 
-func (s *script) rate(d *datadriven.TestData) {
+func (s *scenario) rate(d *datadriven.TestData) {
 	mean, noise := float64(s.number(d, "mean", 80))/100, float64(s.number(d, "noise", 5))/100
 	spread := float64(s.number(d, "spread", 15)) / 100
 	for range s.number(d, "n", 1) {
@@ -105,8 +105,8 @@
 	}
 }
 
-// choose prints how often each plan was taken.
-func (s *script) choose(d *datadriven.TestData) string {
+// choose prints how often each plan was returned.
+func (s *scenario) choose(d *datadriven.TestData) string {
 	counts := map[string]int{}
 	var ratings int
 	for range s.number(d, "n", 1000) {
@@ -134,9 +134,9 @@
 	return strings.Join(lines, "\n")
 }
 
-// rooms are all versions' unless said: version/engines/percent, or unsure in
-// place of both.
-func (s *script) rooms(d *datadriven.TestData, versions []string) []Room {
+// rooms gives every version full capacity, except those in the argument room, as
+// version/engines/percent or version/unsure.
+func (s *scenario) rooms(d *datadriven.TestData, versions []string) []Room {
 	if !d.HasArg("room") {
 		return nil
 	}
@@ -178,7 +178,7 @@
 	return strings.Join(words, " ")
 }
 
-func (s *script) holds() string {
+func (s *scenario) holds() string {
 	var lines []string
 	for _, h := range s.chooser.Holds() {
 		lines = append(lines, fmt.Sprintf("%s term %d %s lifted=%v", h.Version, h.Term, h.Reason, h.Lifted))
@@ -189,12 +189,12 @@
 	return strings.Join(lines, "\n")
 }
 
-func (s *script) number(d *datadriven.TestData, key string, fallback int) int {
+func (s *scenario) number(d *datadriven.TestData, key string, fallback int) int {
 	d.MaybeScanArgs(s.t, key, &fallback)
 	return fallback
 }
 
-func (s *script) list(d *datadriven.TestData, key string) []string {
+func (s *scenario) list(d *datadriven.TestData, key string) []string {
 	for _, arg := range d.CmdArgs {
 		if arg.Key == key {
 			return arg.Vals
@@ -203,7 +203,7 @@
 	return nil
 }
 
-func (s *script) text(d *datadriven.TestData, key, fallback string) string {
+func (s *scenario) text(d *datadriven.TestData, key, fallback string) string {
 	d.MaybeScanArgs(s.t, key, &fallback)
 	return fallback
 }
--- a/internal/choice/settings.go
+++ b/internal/choice/settings.go
@@ -4,26 +4,26 @@
 
 // Settings are the static settings of a [Chooser].
 type Settings struct {
-	// Node names this node among its peers.
+	// Node is the ID of this node among its peers.
 	Node string
-	// Epoch tells the runs of a node apart; a later run has a higher one,
-	// for example the start time in nanoseconds.
+	// Epoch distinguishes the runs of a node; a later run has a higher epoch, for example
+	// the start time in nanoseconds.
 	Epoch uint64
-	// Confidence is by how many standard deviations expected qualities are
-	// lowered before they are compared with a target; 0 is [DefaultConfidence].
+	// Confidence is the number of standard deviations by which expected qualities are
+	// lowered before they are compared with a target; 0 means [DefaultConfidence].
 	Confidence float64
-	// SampleShare is the share of answers that are rated when nothing speaks
-	// for more; 0 is [DefaultSampleShare].
+	// SampleShare is the share of answers that are rated where no rule demands more; 0
+	// means [DefaultSampleShare].
 	SampleShare float64
 }
 
-// Defaults, chosen by the measurements in docs/measurements/choice.md.
+// Defaults; docs/measurements/choice.md gives the figures behind them.
 const (
 	DefaultConfidence  = 1.65
 	DefaultSampleShare = 0.25
 
-	// refreshGap is how old the plans made of the estimates may get.
-	refreshGap = 5 * time.Second
+	// refreshInterval is the maximum age of the estimates and frontiers in a view.
+	refreshInterval = 5 * time.Second
 )
 
 func (s Settings) withDefaults() Settings {
--- a/internal/choice/share/cluster_test.go
+++ b/internal/choice/share/cluster_test.go
@@ -163,7 +163,7 @@
 	return false
 }
 
-// weight returns the number of ratings of a version that the node knows.
+// weight returns the weight of the ratings of a version in the node's cells.
 func (n *node) weight(version string) float64 {
 	for _, entry := range n.chooser.Archive(version, time.Now()) {
 		return entry.Cell.Long.Weight
--- a/internal/choice/share/grants.go
+++ b/internal/choice/share/grants.go
@@ -31,7 +31,7 @@
 
 func newGrants(d Deps) *grants { return &grants{deps: d, accounts: map[string]*account{}} }
 
-// requestGrants requests a grant for each version that the chooser wants. If the reply is
+// requestGrants requests a grant for each version that needs one. If the reply is
 // lost, the units granted are lost with it, so the cap is never exceeded.
 func (g *grants) requestGrants(ctx context.Context, now time.Time) {
 	for _, version := range g.deps.Chooser.Wants(now) {
--- a/internal/choice/state.go
+++ b/internal/choice/state.go
@@ -9,95 +9,95 @@
 	"github.com/hickorybank/hickorybank/internal/choice/quality"
 )
 
-// state is what a node knows of one version, whatever the configuration.
-type state struct {
+// versionState is a node's knowledge of one version, independent of the configuration.
+type versionState struct {
 	name string
 	hold Hold
-	// evidence is what this run has seen in the hold's term.
+	// evidence is the evidence that this run observed in the hold's term.
 	evidence detect.Evidence
-	// own tests what this run saw, pooled what it and the merged runs saw.
+	// own tests this run's evidence; pooled tests that of this run and the merged ones.
 	own    detect.Suspicion
 	pooled detect.Suspicion
-	// peers is the highest statistic in the collecting node's pool.
-	peers float64
-	// seen is the evidence of merged runs that is already in pooled.
-	seen map[quality.Run]seenEvidence
-	// pool stands in place of merged summaries when set.
-	pool *pooled
-	// base is the number of the last summary of which the collecting node
-	// has said that it lacks nothing.
-	base  uint64
+	// poolStatistic is the highest statistic in the collector's pool.
+	poolStatistic float64
+	// merged is the evidence of each merged run that is already included in pooled.
+	merged map[quality.Run]mergedEvidence
+	// pool replaces the merged summaries when set.
+	pool *receivedPool
+	// acked is the number of the last summary up to which the collector has acknowledged
+	// all cells.
+	acked uint64
 	purse exposure.Purse
-	// wanted is set when a request would have been exposed with a grant.
-	wanted bool
-	// rated is when this node last took in a rating.
-	rated time.Time
-	// restored is what was archived before this node collected the version.
+	// grantWanted is set when a request would have been exposed had there been a grant.
+	grantWanted bool
+	// lastRated is the time of the last rating that this node observed.
+	lastRated time.Time
+	// restored are the cells archived before this node collected the version.
 	restored []quality.Entry
-	// classes are those of which there are cells.
+	// classes are the classes that have cells.
 	classes []string
 }
 
-// seenEvidence is a run's evidence as of its summary of that number.
-type seenEvidence struct {
+// mergedEvidence is a run's evidence as of its summary seq.
+type mergedEvidence struct {
 	detect.Evidence
 	seq uint64
 }
 
-// pooled is what others have seen of a version.
-type pooled struct {
+// receivedPool holds the observations of a version by other runs.
+type receivedPool struct {
 	at    int64
 	cells []quality.Entry
-	// from is the run that made it, and stamp up to which of its changes it
-	// is complete.
+	// from is the run that made the pool, stamp its change number up to which the pool is
+	// complete.
 	from  quality.Run
 	stamp uint64
 }
 
-func newState(name string) *state {
-	return &state{name: name, seen: make(map[quality.Run]seenEvidence)}
+func newState(name string) *versionState {
+	return &versionState{name: name, merged: make(map[quality.Run]mergedEvidence)}
 }
 
-func (s *state) held() bool { return s.hold.Term > 0 && !s.hold.Lifted }
+func (s *versionState) held() bool { return s.hold.Term > 0 && !s.hold.Lifted }
 
-// suspicion is the highest statistic known, in nats.
-func (s *state) suspicion() float64 {
-	return max(s.own.Ratings(), s.own.Errors(), s.pooled.Ratings(), s.pooled.Errors(), s.peers)
+// statistic returns the highest known statistic of any test, in nats.
+func (s *versionState) statistic() float64 {
+	return max(s.own.Ratings(), s.own.Errors(), s.pooled.Ratings(), s.pooled.Errors(), s.poolStatistic)
 }
 
-func (s *state) sawClass(class string) {
+func (s *versionState) addClass(class string) {
 	if !slices.Contains(s.classes, class) {
 		s.classes = append(s.classes, class)
 	}
 }
 
-// add takes in evidence that this run saw.
-func (s *state) add(e detect.Evidence) {
+// addEvidence adds evidence that this run observed.
+func (s *versionState) addEvidence(e detect.Evidence) {
 	s.evidence = s.evidence.Plus(e)
 	s.own.Add(e)
 	s.pooled.Add(e)
 }
 
-// merge takes in a peer's evidence of this term. What a run saw before it was
-// first heard of here does not count: it may be long past, and another node
-// that collected then has judged it.
-func (s *state) merge(run quality.Run, seq uint64, e VersionEvidence) {
-	earlier, known := s.seen[run]
-	if e.Term != s.hold.Term || known && earlier.seq >= seq {
+// mergeEvidence adds a peer's evidence of the current term. Evidence from before the
+// run's first summary to this node does not count: it may be long outdated, and the
+// previous collector has tested it.
+func (s *versionState) mergeEvidence(run quality.Run, seq uint64, e VersionEvidence) {
+	previous, known := s.merged[run]
+	if e.Term != s.hold.Term || known && previous.seq >= seq {
 		return
 	}
-	s.seen[run] = seenEvidence{Evidence: e.Evidence, seq: seq}
+	s.merged[run] = mergedEvidence{Evidence: e.Evidence, seq: seq}
 	if known {
-		s.pooled.Add(e.Minus(earlier.Evidence))
+		s.pooled.Add(e.Minus(previous.Evidence))
 	}
 }
 
-// begin starts a new term of holds without evidence.
-func (s *state) begin(h Hold) {
+// startTerm starts a new term without evidence.
+func (s *versionState) startTerm(h Hold) {
 	s.hold = h
 	s.evidence = detect.Evidence{}
 	s.own.Reset()
 	s.pooled.Reset()
-	s.peers = 0
-	clear(s.seen)
+	s.poolStatistic = 0
+	clear(s.merged)
 }
--- a/internal/choice/view.go
+++ b/internal/choice/view.go
@@ -10,111 +10,112 @@
 )
 
 const (
-	// mostVersions is how many versions of a configuration can be in a plan.
-	mostVersions = 64
-	// mostFrontiers bounds the memory for plans: one for each class and set
-	// of versions that organisations may use.
-	mostFrontiers = 512
-	// enoughRatings is how many ratings a version needs to be explored no more.
-	enoughRatings = 400
+	// maxPlannedVersions is the number of versions of a configuration that plans can use.
+	maxPlannedVersions = 64
+	// maxFrontiers bounds the cached frontiers, one for each class and set of versions.
+	maxFrontiers = 512
+	// exploredRatings is the number of ratings from which a version is no longer
+	// explored.
+	exploredRatings = 400
 )
 
-// view is what follows from one configuration and the estimates of one moment.
+// view is derived from one configuration and the estimates at one time.
 type view struct {
-	snapshot *config.Snapshot
-	made     time.Time
-	versions []versionView
-	index    map[string]int
-	known    map[quality.Key]*known
-	plans    map[planKey]*frontier.Frontier
-	// tokens are those of all versions together, by class.
+	snapshot  *config.Snapshot
+	refreshed time.Time
+	versions  []versionView
+	index     map[string]int
+	estimates map[quality.Key]*versionEstimate
+	frontiers map[frontierKey]*frontier.Frontier
+	// tokens are the sums over all versions, by class.
 	tokens map[string]quality.Cell
-	// alone holds a list of its own for each version, to be shared by plans.
-	alone map[string][]string
-	// options is working memory.
+	// single holds a one-element list for each version, which plans share.
+	single map[string][]string
+	// options is a reused buffer.
 	options []frontier.Option
 }
 
-// versionView joins a version's configuration with its state.
+// versionView combines a version's configuration with its state.
 type versionView struct {
 	config *config.Version
-	state  *state
+	state  *versionState
 }
 
-// planKey names the frontier of a set of versions for a class.
-type planKey struct {
+// frontierKey identifies the frontier of a set of versions for a class.
+type frontierKey struct {
 	class    string
 	versions uint64
 	cascades bool
 }
 
-// known is what is known of one version for one class.
-type known struct {
+// versionEstimate is the estimate of one version for one class, with the test tables
+// derived from it.
+type versionEstimate struct {
 	option frontier.Option
-	// took is how long an answer takes at most, nearly always; 0 is unknown.
-	took    time.Duration
-	pairs   float64
-	rescues float64
-	// cell is what the estimate was made of; tested says that the version
-	// is to be tested against it.
-	cell   quality.Cell
-	tested bool
-	// table and rescueTable are made when the first rating needs them.
-	table       *detect.Table
-	rescueTable *detect.Table
+	// duration is an upper bound on the duration of nearly all answers; 0 if unknown.
+	duration  time.Duration
+	pairs     float64
+	fallbacks float64
+	// cell is the cell behind the estimate; hasReference is set when the version is
+	// tested against it.
+	cell         quality.Cell
+	hasReference bool
+	// table and fallbackTable are created when the first rating needs them.
+	table         *detect.Table
+	fallbackTable *detect.Table
 }
 
-// refresh makes the view anew when the configuration changed or the estimates
-// are old.
+// refresh recomputes the view when the configuration has changed or the estimates are
+// older than refreshInterval.
 func (c *Chooser) refresh(s *config.Snapshot, now time.Time) {
 	if c.view == nil || c.view.snapshot != s {
 		c.view = c.newView(s)
-	} else if now.Sub(c.view.made) < refreshGap {
+	} else if now.Sub(c.view.refreshed) < refreshInterval {
 		return
 	}
-	c.view.made = now
-	clear(c.view.known)
-	clear(c.view.plans)
+	c.view.refreshed = now
+	clear(c.view.estimates)
+	clear(c.view.frontiers)
 	clear(c.view.tokens)
 }
 
 func (c *Chooser) newView(s *config.Snapshot) *view {
 	v := &view{
-		snapshot: s,
-		index:    make(map[string]int),
-		known:    make(map[quality.Key]*known),
-		plans:    make(map[planKey]*frontier.Frontier),
-		tokens:   make(map[string]quality.Cell),
-		alone:    make(map[string][]string),
+		snapshot:  s,
+		index:     make(map[string]int),
+		estimates: make(map[quality.Key]*versionEstimate),
+		frontiers: make(map[frontierKey]*frontier.Frontier),
+		tokens:    make(map[string]quality.Cell),
+		single:    make(map[string][]string),
 	}
 	for i := range s.Doc.Models {
 		for j := range s.Doc.Models[i].Versions {
 			version := &s.Doc.Models[i].Versions[j]
 			v.index[version.Name] = len(v.versions)
-			v.alone[version.Name] = []string{version.Name}
+			v.single[version.Name] = []string{version.Name}
 			v.versions = append(v.versions, versionView{config: version, state: c.state(version.Name)})
 		}
 	}
 	return v
 }
 
-// frontier returns the frontier of a set of versions for a class.
-func (c *Chooser) frontier(key planKey, now time.Time) *frontier.Frontier {
-	if f, ok := c.view.plans[key]; ok {
+// frontier returns the frontier of a set of versions for a class, cached in the view.
+func (c *Chooser) frontier(key frontierKey, now time.Time) *frontier.Frontier {
+	if f, ok := c.view.frontiers[key]; ok {
 		return f
 	}
-	if len(c.view.plans) >= mostFrontiers {
-		clear(c.view.plans)
+	if len(c.view.frontiers) >= maxFrontiers {
+		clear(c.view.frontiers)
 	}
 	v := c.view
 	v.options = v.options[:0]
-	for i := range min(len(v.versions), mostVersions) {
+	for i := range min(len(v.versions), maxPlannedVersions) {
 		if key.versions&(1<<i) != 0 {
-			k := c.known(v.versions[i].config, key.class, now)
+			k := c.estimate(v.versions[i].config, key.class, now)
 			v.options = append(v.options, k.option)
 		}
 	}
 	f := c.builder.Build(v.options, key.cascades)
-	v.plans[key] = f
+	v.frontiers[key] = f
 	return f
 }
