--- a/internal/choice/holds.go
+++ b/internal/choice/holds.go
@@ -11,8 +11,8 @@
 	// as good as their reference, each of the three rating tests raises at most one false
 	// hold in exp(15.2) ratings, about four million.
 	holdThreshold = 15.2
-	// raterFaultShare is the share of the recently rated versions that must look degraded at
-	// the same time for the rating service to be considered faulty.
+	// raterFaultShare is the share of the recently rated versions that must look degraded
+	// at the same time for the rating service to be considered faulty.
 	raterFaultShare = 0.5
 	// minRecentlyRated is the number of recently rated versions that this rule requires.
 	minRecentlyRated = 3
--- a/internal/choice/quality/cell.go
+++ b/internal/choice/quality/cell.go
@@ -26,7 +26,7 @@
 	Pairs Pairs
 	// Rescue summarises the ratings of fallback answers, which followed another version's
 	// rejected answer, in the long window.
-	Rescue Rescues
+	Rescue Fallbacks
 	// Took holds the durations of answers in seconds, Input and Output the sums of their
 	// tokens, in the middle window.
 	Took   Moments
--- a/internal/choice/quality/rescues.go
+++ b/internal/choice/quality/fallbacks.go
@@ -15,9 +15,9 @@
 	priorHardnessSD = 0.15
 )
 
-// Rescues summarises the ratings of fallback answers, which followed another version's
+// Fallbacks summarises the ratings of fallback answers, which followed another version's
 // rejected answer.
-type Rescues struct {
+type Fallbacks struct {
 	Moments
 	// Scores counts the ratings by [Bin].
 	Scores [Bins]float64
@@ -29,7 +29,7 @@
 	Cross        float64
 }
 
-func (r *Rescues) add(score, deviation float64) {
+func (r *Fallbacks) add(score, deviation float64) {
 	r.Moments.add(score)
 	r.Scores[Bin(score)]++
 	r.Short += deviation
@@ -37,7 +37,7 @@
 	r.Cross += deviation * score
 }
 
-func (r *Rescues) plus(o Rescues) {
+func (r *Fallbacks) plus(o Fallbacks) {
 	r.Moments.plus(o.Moments)
 	for i := range r.Scores {
 		r.Scores[i] += o.Scores[i]
@@ -47,7 +47,7 @@
 	r.Cross += o.Cross
 }
 
-func (r *Rescues) scale(f float64) {
+func (r *Fallbacks) scale(f float64) {
 	r.Moments.scale(f)
 	for i := range r.Scores {
 		r.Scores[i] *= f
@@ -58,7 +58,7 @@
 }
 
 // Shares returns the distribution of the fallback answers' scores.
-func (r *Rescues) Shares() [Bins]float64 { return shares(r.Scores) }
+func (r *Fallbacks) Shares() [Bins]float64 { return shares(r.Scores) }
 
 // Line gives the expected quality of a version's fallback answer: Level, plus Slope times
 // the deviation of the rejected rating from its version's mean.
@@ -81,7 +81,7 @@
 // line fits a line to the fallback ratings by Bayesian linear regression. mean and sd are
 // the version's estimated quality on all requests, spread the standard deviation of
 // single scores.
-func (r *Rescues) line(mean, sd, spread float64) Line {
+func (r *Fallbacks) line(mean, sd, spread float64) Line {
 	weight := 1 / (spread * spread)
 	levelWeight := 1 / (fallbackSD*fallbackSD + sd*sd)
 	const slopeWeight = 1 / (priorHardnessSD * priorHardnessSD)
--- a/internal/choice/quality/quality_test.go
+++ b/internal/choice/quality/quality_test.go
@@ -136,7 +136,7 @@
 	mean, sd := line.Sum(1, -0.15)
 	is.True(math.Abs(mean-0.82) < 0.01)
 	is.True(sd < 0.01)
-	line = new(Rescues).line(0.9, 0.01, 0.2)
+	line = new(Fallbacks).line(0.9, 0.01, 0.2)
 	mean, sd = line.Sum(1, 0)
 	is.Equal(mean, 0.9) // the prior is the quality on all requests
 	is.True(sd > 0.01)
--- a/internal/choice/quality/round.go
+++ b/internal/choice/quality/round.go
@@ -18,7 +18,7 @@
 	return r
 }
 
-func (r *Rescues) round() {
+func (r *Fallbacks) round() {
 	r.Moments.round()
 	roundAll(r.Scores[:])
 	roundToSingle(&r.Short)
--- a/internal/choice/share/deps.go
+++ b/internal/choice/share/deps.go
@@ -14,8 +14,8 @@
 	Chooser *choice.Chooser
 	Table   platform.Table
 	Peers   peer.Caller
-	// Members returns the entry VMs in this node's membership list, with their Peer addresses and
-	// failure domains. It must not block.
+	// Members returns the entry VMs in this node's membership list, with their Peer
+	// addresses and failure domains. It must not block.
 	Members func() []platform.VM
 	// Self is this node; its Peer address is the one that other nodes use.
 	Self platform.VM
--- a/internal/choice/share/group.go
+++ b/internal/choice/share/group.go
@@ -11,8 +11,8 @@
 	members []platform.VM
 }
 
-// newGroup returns the group of a node among the entry VMs in its membership list. It always
-// contains the node itself.
+// newGroup returns the group of a node among the entry VMs in its membership list. It
+// always contains the node itself.
 func newGroup(self platform.VM, known []platform.VM) group {
 	members := candidates(self, known)
 	if len(members) <= maxSingleGroup {
--- a/internal/choice/share/share_test.go
+++ b/internal/choice/share/share_test.go
@@ -102,9 +102,9 @@
 	})
 }
 
-// Every node considers itself responsible for the grants, because each has only itself as a member,
-// and replies of the table are lost. The exposures of all nodes together must stay within
-// the cap.
+// Every node considers itself responsible for the grants, because each has only itself as
+// a member, and replies of the table are lost. The exposures of all nodes together must
+// stay within the cap.
 func TestExposureStaysWithinCapAcrossNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
