--- a/internal/choice/archive.go
+++ b/internal/choice/archive.go
@@ -19,7 +19,7 @@
 	var list []quality.Entry
 	for _, class := range s.classes {
 		entry := quality.Entry{Key: quality.Key{Version: version, Class: class}}
-		c.book.Add(&entry.Cell, entry.Key)
+		c.recorder.Add(&entry.Cell, entry.Key)
 		c.store.Add(&entry.Cell, entry.Key, func(r quality.Run) bool { return !strings.HasPrefix(r.Node, groupPrefix) })
 		s.addRestored(&entry.Cell, entry.Key)
 		if entry.Cell.At != 0 {
--- a/internal/choice/chooser.go
+++ b/internal/choice/chooser.go
@@ -16,7 +16,7 @@
 	settings Settings
 
 	mu            sync.Mutex
-	book          *quality.Book
+	recorder      *quality.Book
 	store         *quality.Store
 	stamps        stamps
 	states        map[string]*versionState
@@ -35,7 +35,7 @@
 	s = s.withDefaults()
 	return &Chooser{
 		settings: s,
-		book:     quality.NewBook(quality.Run{Node: s.Node, Epoch: s.Epoch}),
+		recorder: quality.NewBook(quality.Run{Node: s.Node, Epoch: s.Epoch}),
 		store:    quality.NewStore(),
 		stamps:   stamps{cells: make(map[quality.Key]stamp)},
 		states:   make(map[string]*versionState),
@@ -79,7 +79,7 @@
 func (c *Chooser) cell(key quality.Key, now time.Time) quality.Cell {
 	var total quality.Cell
 	s := c.state(key.Version)
-	c.book.Add(&total, key)
+	c.recorder.Add(&total, key)
 	if s.pool == nil {
 		c.store.Add(&total, key, func(r quality.Run) bool { return r != c.run() })
 		s.addRestored(&total, key)
--- a/internal/choice/exchange.go
+++ b/internal/choice/exchange.go
@@ -17,7 +17,7 @@
 }
 
 func (c *Chooser) summary(versions []string, include func(quality.Key) bool) Summary {
-	sum := Summary{Summary: c.book.Summary(func(key quality.Key) bool {
+	sum := Summary{Summary: c.recorder.Summary(func(key quality.Key) bool {
 		return (len(versions) == 0 || slices.Contains(versions, key.Version)) && include(key)
 	})}
 	for _, s := range c.sortedStates() {
@@ -58,9 +58,9 @@
 	defer c.mu.Unlock()
 	var list []string
 	for _, s := range c.sortedStates() {
-		if s.grantWanted && !s.held() && !c.ratingService.down() && s.purse.Wants(now) {
+		if s.grantWanted && !s.held() && !c.ratingService.down() && s.budget.Wants(now) {
 			s.grantWanted = false
-			s.purse.Asked(now)
+			s.budget.Asked(now)
 			list = append(list, s.name)
 		}
 	}
@@ -71,5 +71,5 @@
 func (c *Chooser) Grant(version string, g exposure.Grant, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.state(version).purse.Receive(g, now)
+	c.state(version).budget.Receive(g, now)
 }
--- a/internal/choice/expose.go
+++ b/internal/choice/expose.go
@@ -8,20 +8,20 @@
 // the version should run it.
 func (c *decision) dueForExposure(v *versionView) bool {
 	s := v.state
-	s.purse.Count(v.config.Share)
-	if !s.purse.Due() {
+	s.budget.Count(v.config.Share)
+	if !s.budget.Due() {
 		return false
 	}
 	s.grantWanted = true
 	// Without ratings a bad version would go undetected, so it gets no new requests until
 	// the rating service is back.
-	return s.purse.Granted() && !c.ratingService.down()
+	return s.budget.Granted() && !c.ratingService.down()
 }
 
 // expose returns the plan that runs a staged version.
 func (c *decision) expose(v *versionView) Plan {
-	protect := !v.state.purse.Open() && c.mayCascade() && c.usable != 0
-	v.state.purse.Spend()
+	protect := !v.state.budget.Open() && c.mayCascade() && c.usable != 0
+	v.state.budget.Spend()
 	c.countFixed(c.expectedQuality(v))
 	p := Plan{First: v.config.Name, Exposed: true, Rate: true}
 	if protect {
--- a/internal/choice/exposure/account_test.go
+++ b/internal/choice/exposure/account_test.go
@@ -133,41 +133,41 @@
 // up in a burst, and exposures of sessions beyond the share must delay later ones.
 func TestExposuresStayWithinTheShare(t *testing.T) {
 	is := is.New(t)
-	var p Purse
+	var b Purse
 	now := time.Unix(0, 0)
-	p.Receive(Grant{Open: true}, now)
+	b.Receive(Grant{Open: true}, now)
 	for range 1000 {
-		p.Count(0.05)
+		b.Count(0.05)
 	}
 	spent := 0
-	for p.Due() {
-		p.Spend()
+	for b.Due() {
+		b.Spend()
 		spent++
 	}
 	is.Equal(spent, maxCredit)
-	p.Spend() // a session
+	b.Spend() // a session
 	for range 39 {
-		p.Count(0.05)
+		b.Count(0.05)
 	}
-	is.True(!p.Due())
-	p.Count(0.05)
-	p.Count(0.05)
-	is.True(p.Due())
+	is.True(!b.Due())
+	b.Count(0.05)
+	b.Count(0.05)
+	is.True(b.Due())
 }
 
 func TestRequestsBackOffWhileNothingIsGranted(t *testing.T) {
 	is := is.New(t)
-	var p Purse
+	var b Purse
 	now := time.Unix(0, 0)
-	is.True(p.Wants(now))
-	p.Asked(now)
-	is.True(!p.Wants(now))
+	is.True(b.Wants(now))
+	b.Asked(now)
+	is.True(!b.Wants(now))
 	asked := 0
 	for range 600 {
 		now = now.Add(time.Second)
-		if p.Wants(now) {
-			p.Asked(now)
-			p.Receive(Grant{}, now)
+		if b.Wants(now) {
+			b.Asked(now)
+			b.Receive(Grant{}, now)
 			asked++
 		}
 	}
--- a/internal/choice/exposure/purse.go
+++ b/internal/choice/exposure/purse.go
@@ -24,43 +24,43 @@
 
 // Count counts one request that the version might serve, and adds its share, in [0,1], to
 // the credit.
-func (p *Purse) Count(share float64) { p.credit = min(p.credit+share, maxCredit) }
+func (b *Purse) Count(share float64) { b.credit = min(b.credit+share, maxCredit) }
 
 // Due reports whether the version's share allows an exposure now.
-func (p *Purse) Due() bool { return p.credit >= 1 }
+func (b *Purse) Due() bool { return b.credit >= 1 }
 
 // Granted reports whether an exposure is granted now.
-func (p *Purse) Granted() bool { return p.open || p.units > 0 }
+func (b *Purse) Granted() bool { return b.open || b.units > 0 }
 
 // Open reports whether the version's cap has been lifted.
-func (p *Purse) Open() bool { return p.open }
+func (b *Purse) Open() bool { return b.open }
 
 // Spend uses one exposure. Sessions may exceed the share; later exposures then wait until
 // the credit has recovered.
-func (p *Purse) Spend() {
-	p.credit--
-	if !p.open {
-		p.units--
+func (b *Purse) Spend() {
+	b.credit--
+	if !b.open {
+		b.units--
 	}
 }
 
 // Wants reports whether the node should ask for a grant now.
-func (p *Purse) Wants(now time.Time) bool {
-	return !p.Granted() && !now.Before(p.nextRequest)
+func (b *Purse) Wants(now time.Time) bool {
+	return !b.Granted() && !now.Before(b.nextRequest)
 }
 
 // Asked records that a grant was requested, so that no second request follows at once.
-func (p *Purse) Asked(now time.Time) { p.nextRequest = now.Add(minRetryInterval) }
+func (b *Purse) Asked(now time.Time) { b.nextRequest = now.Add(minRetryInterval) }
 
 // Receive adds a grant. The interval before the next request doubles after an empty one.
-func (p *Purse) Receive(g Grant, now time.Time) {
-	p.units += g.Units
-	p.open = g.Open
-	if p.Granted() {
-		p.retryInterval = 0
-		p.nextRequest = now
+func (b *Purse) Receive(g Grant, now time.Time) {
+	b.units += g.Units
+	b.open = g.Open
+	if b.Granted() {
+		b.retryInterval = 0
+		b.nextRequest = now
 		return
 	}
-	p.retryInterval = min(max(2*p.retryInterval, minRetryInterval), maxRetryInterval)
-	p.nextRequest = now.Add(p.retryInterval)
+	b.retryInterval = min(max(2*b.retryInterval, minRetryInterval), maxRetryInterval)
+	b.nextRequest = now.Add(b.retryInterval)
 }
--- a/internal/choice/observe.go
+++ b/internal/choice/observe.go
@@ -25,7 +25,7 @@
 // record adds the rating to the estimates.
 func (c *Chooser) record(o Observation) {
 	key := quality.Key{Version: o.Version, Class: o.Class}
-	cell := c.book.Cell(key)
+	cell := c.recorder.Cell(key)
 	c.stamps.mark(key, c.run())
 	now := o.Now.UnixNano()
 	if o.AfterShort {
@@ -81,7 +81,7 @@
 	s := c.state(a.Version)
 	s.addClass(a.Class)
 	key := quality.Key{Version: a.Version, Class: a.Class}
-	cell, changed := c.book.AnswerCell(key)
+	cell, changed := c.recorder.AnswerCell(key)
 	if changed {
 		c.stamps.mark(key, c.run())
 	}
--- a/internal/choice/pinned.go
+++ b/internal/choice/pinned.go
@@ -23,11 +23,11 @@
 		p.AllHeld = true
 	}
 	if v.config.State == config.Staged {
-		if !v.state.purse.Granted() {
+		if !v.state.budget.Granted() {
 			v.state.grantWanted = true
 			return Plan{Refusal: RefuseUngranted}
 		}
-		v.state.purse.Spend()
+		v.state.budget.Spend()
 		p.Exposed = true
 		p.Rate = true
 		return p
--- a/internal/choice/pool.go
+++ b/internal/choice/pool.go
@@ -61,7 +61,7 @@
 		entry := quality.Entry{Key: key}
 		c.store.Add(&entry.Cell, key, func(r quality.Run) bool { return r != except })
 		if except != c.run() {
-			c.book.Add(&entry.Cell, key)
+			c.recorder.Add(&entry.Cell, key)
 		}
 		s.addRestored(&entry.Cell, key)
 		if entry.Cell.At != 0 {
--- a/internal/choice/quality/book.go
+++ b/internal/choice/quality/book.go
@@ -28,66 +28,66 @@
 
 // Cell returns the cell with the key for modification, and creates it if necessary. The
 // cell counts as changed.
-func (b *Book) Cell(key Key) *Cell {
-	b.changed[key] = b.seq + 1
-	b.newAnswers[key] = 0
-	return b.cell(key)
+func (r *Book) Cell(key Key) *Cell {
+	r.changed[key] = r.seq + 1
+	r.newAnswers[key] = 0
+	return r.cell(key)
 }
 
 // AnswerCell returns the cell with the key for adding one answer. It reports whether the
 // cell counts as changed, so that peers need it.
-func (b *Book) AnswerCell(key Key) (*Cell, bool) {
-	cell := b.cell(key)
-	b.newAnswers[key]++
-	if b.newAnswers[key] <= changedShare*cell.Took.Weight {
+func (r *Book) AnswerCell(key Key) (*Cell, bool) {
+	cell := r.cell(key)
+	r.newAnswers[key]++
+	if r.newAnswers[key] <= changedShare*cell.Took.Weight {
 		return cell, false
 	}
-	return b.Cell(key), true
+	return r.Cell(key), true
 }
 
-func (b *Book) cell(key Key) *Cell {
-	cell, ok := b.cells[key]
+func (r *Book) cell(key Key) *Cell {
+	cell, ok := r.cells[key]
 	if !ok {
 		cell = new(Cell)
-		b.cells[key] = cell
-		b.keys = append(b.keys, key)
+		r.cells[key] = cell
+		r.keys = append(r.keys, key)
 	}
 	return cell
 }
 
 // Changed returns the number of the first summary that contains the cell's latest change,
 // or 0 for an unknown cell.
-func (b *Book) Changed(key Key) uint64 { return b.changed[key] }
+func (r *Book) Changed(key Key) uint64 { return r.changed[key] }
 
 // Add adds this run's cell to total.
-func (b *Book) Add(total *Cell, key Key) {
-	if cell, ok := b.cells[key]; ok {
+func (r *Book) Add(total *Cell, key Key) {
+	if cell, ok := r.cells[key]; ok {
 		total.Plus(*cell)
 	}
 }
 
 // Summary returns the cells that include selects. Each summary has a higher number than
 // the one before.
-func (b *Book) Summary(include func(Key) bool) Summary {
-	b.seq++
-	s := Summary{Node: b.run.Node, Epoch: b.run.Epoch, Seq: b.seq}
-	for _, key := range b.keys {
+func (r *Book) Summary(include func(Key) bool) Summary {
+	r.seq++
+	s := Summary{Node: r.run.Node, Epoch: r.run.Epoch, Seq: r.seq}
+	for _, key := range r.keys {
 		if include(key) {
-			s.Cells = append(s.Cells, Entry{Key: key, Cell: b.cells[key].Rounded()})
+			s.Cells = append(s.Cells, Entry{Key: key, Cell: r.cells[key].Rounded()})
 		}
 	}
 	return s
 }
 
 // Retain drops the cells whose key keep rejects.
-func (b *Book) Retain(keep func(Key) bool) {
-	b.keys = slices.DeleteFunc(b.keys, func(key Key) bool {
+func (r *Book) Retain(keep func(Key) bool) {
+	r.keys = slices.DeleteFunc(r.keys, func(key Key) bool {
 		if keep(key) {
 			return false
 		}
-		delete(b.cells, key)
-		delete(b.changed, key)
-		delete(b.newAnswers, key)
+		delete(r.cells, key)
+		delete(r.changed, key)
+		delete(r.newAnswers, key)
 		return true
 	})
 }
--- a/internal/choice/quality/quality_test.go
+++ b/internal/choice/quality/quality_test.go
@@ -15,13 +15,13 @@
 func at(d time.Duration) int64 { return int64(time.Hour) + int64(d) }
 
 func drawSummarySequence(t *rapid.T) []Summary {
-	books := make([]*Book, rapid.IntRange(1, 4).Draw(t, "runs"))
-	for i := range books {
-		books[i] = NewBook(Run{Node: string(rune('a' + i/2)), Epoch: uint64(i)})
+	recorders := make([]*Book, rapid.IntRange(1, 4).Draw(t, "runs"))
+	for i := range recorders {
+		recorders[i] = NewBook(Run{Node: string(rune('a' + i/2)), Epoch: uint64(i)})
 	}
 	var list []Summary
 	for range rapid.IntRange(1, 20).Draw(t, "ratings") {
-		b := books[rapid.IntRange(0, len(books)-1).Draw(t, "run")]
+		b := recorders[rapid.IntRange(0, len(recorders)-1).Draw(t, "run")]
 		seconds := rapid.IntRange(0, 3600).Draw(t, "second")
 		score := rapid.Float64Range(0, 1).Draw(t, "score")
 		b.Cell(key).AddScore(score, at(time.Duration(seconds)*time.Second))
--- a/internal/choice/report.go
+++ b/internal/choice/report.go
@@ -46,7 +46,7 @@
 		}
 		r.Versions = append(r.Versions, v)
 	}
-	r.Summary = c.summary(versions, func(key quality.Key) bool { return c.book.Changed(key) > acked[key.Version] })
+	r.Summary = c.summary(versions, func(key quality.Key) bool { return c.recorder.Changed(key) > acked[key.Version] })
 	return r
 }
 
--- a/internal/choice/state.go
+++ b/internal/choice/state.go
@@ -26,8 +26,8 @@
 	pool *receivedPool
 	// acked is the number of the last summary up to which the collector has acknowledged
 	// all cells.
-	acked uint64
-	purse exposure.Purse
+	acked  uint64
+	budget exposure.Purse
 	// grantWanted is set when a request would have been exposed had there been a grant.
 	grantWanted bool
 	// lastRated is the time of the last rating that this node observed.
