--- a/internal/cascade/cascade_test.go
+++ b/internal/cascade/cascade_test.go
@@ -10,6 +10,8 @@
 	"github.com/hickorybank/hickorybank/internal/admission"
 )
 
+// The smallest model must run first unless no attempt would be left to replace it, and
+// only an answer below the required confidence may be replaced.
 func TestFirstAndNextModel(t *testing.T) {
 	is := is.New(t)
 	p := New(Settings{Accept: 45, AcceptBusy: 45})
--- a/internal/choice/baseline/baseline_test.go
+++ b/internal/choice/baseline/baseline_test.go
@@ -11,6 +11,8 @@
 	"github.com/hickorybank/hickorybank/internal/example"
 )
 
+// The comparison of policies is invalid if a baseline picks another version than its name
+// says.
 func TestBaselinePoliciesPickTheirVersion(t *testing.T) {
 	is := is.New(t)
 	doc, err := example.Load("tarifas")
--- a/internal/choice/exposure/account_test.go
+++ b/internal/choice/exposure/account_test.go
@@ -106,6 +106,8 @@
 	}
 }
 
+// A row that cannot be decoded may have been granted up to the cap, so nothing may be
+// granted from it.
 func TestUnreadableRowGrantsNoUnits(t *testing.T) {
 	is := is.New(t)
 	a := NewAccount("v")
@@ -114,6 +116,7 @@
 	is.Equal(a.Hand(1), 0)
 }
 
+// Lifting the cap must not reset the number of units granted so far.
 func TestLiftingTheCapKeepsTheGrantedCount(t *testing.T) {
 	is := is.New(t)
 	store := &fakeTable{}
@@ -155,6 +158,7 @@
 	is.True(b.Due())
 }
 
+// A node whose requests are answered with empty grants must not request one every second.
 func TestRequestsBackOffWhileNothingIsGranted(t *testing.T) {
 	is := is.New(t)
 	var b Purse
