--- a/internal/choice/detect/suspicion.go
+++ b/internal/choice/detect/suspicion.go
@@ -1,13 +1,13 @@
 package detect
 
-// Suspicion holds the statistics of all tests of one version.
-type Suspicion struct {
+// Detector holds the statistics of all tests of one version.
+type Detector struct {
 	ratings [Alternatives]Cusum
 	errors  Cusum
 }
 
 // Add adds evidence to every test.
-func (d *Suspicion) Add(e Evidence) {
+func (d *Detector) Add(e Evidence) {
 	for i := range d.ratings {
 		d.ratings[i].Add(e.Ratings[i])
 	}
@@ -15,7 +15,7 @@
 }
 
 // Ratings returns the highest statistic of the rating tests, in nats.
-func (d *Suspicion) Ratings() float64 {
+func (d *Detector) Ratings() float64 {
 	var highest float64
 	for i := range d.ratings {
 		highest = max(highest, d.ratings[i].Value())
@@ -24,7 +24,7 @@
 }
 
 // Errors returns the statistic of the error test, in nats.
-func (d *Suspicion) Errors() float64 { return d.errors.Value() }
+func (d *Detector) Errors() float64 { return d.errors.Value() }
 
 // Reset sets all statistics to 0.
-func (d *Suspicion) Reset() { *d = Suspicion{} }
+func (d *Detector) Reset() { *d = Detector{} }
--- a/internal/choice/state.go
+++ b/internal/choice/state.go
@@ -16,8 +16,8 @@
 	// evidence is the evidence that this run observed in the hold's term.
 	evidence detect.Evidence
 	// own tests this run's evidence; pooled tests that of this run and the merged ones.
-	own    detect.Suspicion
-	pooled detect.Suspicion
+	own    detect.Detector
+	pooled detect.Detector
 	// poolStatistic is the highest statistic in the collector's pool.
 	poolStatistic float64
 	// merged is the evidence of each merged run that is already included in pooled.
