--- a/internal/choice/exposure/account_test.go
+++ b/internal/choice/exposure/account_test.go
@@ -136,7 +136,7 @@
 // up in a burst, and exposures of sessions beyond the share must delay later ones.
 func TestExposuresStayWithinTheShare(t *testing.T) {
 	is := is.New(t)
-	var b Purse
+	var b Budget
 	now := time.Unix(0, 0)
 	b.Receive(Grant{Open: true}, now)
 	for range 1000 {
@@ -161,7 +161,7 @@
 // A node whose requests are answered with empty grants must not request one every second.
 func TestRequestsBackOffWhileNothingIsGranted(t *testing.T) {
 	is := is.New(t)
-	var b Purse
+	var b Budget
 	now := time.Unix(0, 0)
 	is.True(b.Wants(now))
 	b.Asked(now)
--- a/internal/choice/exposure/doc.go
+++ b/internal/choice/exposure/doc.go
@@ -4,6 +4,6 @@
 // over all nodes together. Its [Row] in the platform's table counts the units granted.
 // The [Account] of the responsible node allocates small parts of the cap by conditional
 // writes, so that two nodes that both consider themselves responsible never exceed the
-// cap together. A node spends its grants from a [Purse] and exposes the version only
+// cap together. A node spends its grants from a [Budget] and exposes the version only
 // while it has some. Units that a crashed node had left are lost, not granted again.
 package exposure
--- a/internal/choice/exposure/purse.go
+++ b/internal/choice/exposure/purse.go
@@ -12,9 +12,9 @@
 	maxRetryInterval = time.Minute
 )
 
-// Purse is one node's budget of exposures of one staged version. The zero value is empty
+// Budget is one node's budget of exposures of one staged version. The zero value is empty
 // and may be used.
-type Purse struct {
+type Budget struct {
 	units         int
 	open          bool
 	credit        float64
@@ -24,20 +24,20 @@
 
 // Count counts one request that the version might serve, and adds its share, in [0,1], to
 // the credit.
-func (b *Purse) Count(share float64) { b.credit = min(b.credit+share, maxCredit) }
+func (b *Budget) Count(share float64) { b.credit = min(b.credit+share, maxCredit) }
 
 // Due reports whether the version's share allows an exposure now.
-func (b *Purse) Due() bool { return b.credit >= 1 }
+func (b *Budget) Due() bool { return b.credit >= 1 }
 
 // Granted reports whether an exposure is granted now.
-func (b *Purse) Granted() bool { return b.open || b.units > 0 }
+func (b *Budget) Granted() bool { return b.open || b.units > 0 }
 
 // Open reports whether the version's cap has been lifted.
-func (b *Purse) Open() bool { return b.open }
+func (b *Budget) Open() bool { return b.open }
 
 // Spend uses one exposure. Sessions may exceed the share; later exposures then wait until
 // the credit has recovered.
-func (b *Purse) Spend() {
+func (b *Budget) Spend() {
 	b.credit--
 	if !b.open {
 		b.units--
@@ -45,15 +45,15 @@
 }
 
 // Wants reports whether the node should ask for a grant now.
-func (b *Purse) Wants(now time.Time) bool {
+func (b *Budget) Wants(now time.Time) bool {
 	return !b.Granted() && !now.Before(b.nextRequest)
 }
 
 // Asked records that a grant was requested, so that no second request follows at once.
-func (b *Purse) Asked(now time.Time) { b.nextRequest = now.Add(minRetryInterval) }
+func (b *Budget) Asked(now time.Time) { b.nextRequest = now.Add(minRetryInterval) }
 
 // Receive adds a grant. The interval before the next request doubles after an empty one.
-func (b *Purse) Receive(g Grant, now time.Time) {
+func (b *Budget) Receive(g Grant, now time.Time) {
 	b.units += g.Units
 	b.open = g.Open
 	if b.Granted() {
--- a/internal/choice/state.go
+++ b/internal/choice/state.go
@@ -27,7 +27,7 @@
 	// acked is the number of the last summary up to which the collector has acknowledged
 	// all cells.
 	acked  uint64
-	budget exposure.Purse
+	budget exposure.Budget
 	// grantWanted is set when a request would have been exposed had there been a grant.
 	grantWanted bool
 	// lastRated is the time of the last rating that this node observed.
