--- a/internal/choice/exchange.go
+++ b/internal/choice/exchange.go
@@ -58,7 +58,7 @@
 	defer c.mu.Unlock()
 	var list []string
 	for _, s := range c.sortedStates() {
-		if s.grantWanted && !s.held() && !c.ratingService.down() && s.budget.Wants(now) {
+		if s.grantWanted && !s.held() && !c.ratingService.down() && s.budget.ShouldRequest(now) {
 			s.grantWanted = false
 			s.budget.Asked(now)
 			list = append(list, s.name)
--- a/internal/choice/exposure/account_test.go
+++ b/internal/choice/exposure/account_test.go
@@ -163,13 +163,13 @@
 	is := is.New(t)
 	var b Budget
 	now := time.Unix(0, 0)
-	is.True(b.Wants(now))
+	is.True(b.ShouldRequest(now))
 	b.Asked(now)
-	is.True(!b.Wants(now))
+	is.True(!b.ShouldRequest(now))
 	asked := 0
 	for range 600 {
 		now = now.Add(time.Second)
-		if b.Wants(now) {
+		if b.ShouldRequest(now) {
 			b.Asked(now)
 			b.Receive(Grant{}, now)
 			asked++
--- a/internal/choice/exposure/purse.go
+++ b/internal/choice/exposure/purse.go
@@ -6,8 +6,8 @@
 	// maxCredit bounds the exposures that a node may have accumulated under the share, so
 	// that a long time without grants is not followed by a burst.
 	maxCredit = 2
-	// minRetryInterval and maxRetryInterval bound how long a node waits before it asks
-	// again after an empty grant.
+	// minRetryInterval and maxRetryInterval bound how long a node waits before it
+	// requests a grant again after an empty grant.
 	minRetryInterval = 2 * time.Second
 	maxRetryInterval = time.Minute
 )
@@ -44,8 +44,8 @@
 	}
 }
 
-// Wants reports whether the node should ask for a grant now.
-func (b *Budget) Wants(now time.Time) bool {
+// ShouldRequest reports whether the node should request a grant now.
+func (b *Budget) ShouldRequest(now time.Time) bool {
 	return !b.Granted() && !now.Before(b.nextRequest)
 }
 
