--- a/internal/choice/exchange.go
+++ b/internal/choice/exchange.go
@@ -60,7 +60,7 @@
 	for _, s := range c.sortedStates() {
 		if s.grantWanted && !s.held() && !c.ratingService.down() && s.budget.ShouldRequest(now) {
 			s.grantWanted = false
-			s.budget.Asked(now)
+			s.budget.Requested(now)
 			list = append(list, s.name)
 		}
 	}
--- a/internal/choice/exposure/account_test.go
+++ b/internal/choice/exposure/account_test.go
@@ -164,13 +164,13 @@
 	var b Budget
 	now := time.Unix(0, 0)
 	is.True(b.ShouldRequest(now))
-	b.Asked(now)
+	b.Requested(now)
 	is.True(!b.ShouldRequest(now))
 	asked := 0
 	for range 600 {
 		now = now.Add(time.Second)
 		if b.ShouldRequest(now) {
-			b.Asked(now)
+			b.Requested(now)
 			b.Receive(Grant{}, now)
 			asked++
 		}
--- a/internal/choice/exposure/purse.go
+++ b/internal/choice/exposure/purse.go
@@ -49,8 +49,8 @@
 	return !b.Granted() && !now.Before(b.nextRequest)
 }
 
-// Asked records that a grant was requested, so that no second request follows at once.
-func (b *Budget) Asked(now time.Time) { b.nextRequest = now.Add(minRetryInterval) }
+// Requested records that a grant was requested, so that no second request follows at once.
+func (b *Budget) Requested(now time.Time) { b.nextRequest = now.Add(minRetryInterval) }
 
 // Receive adds a grant. The interval before the next request doubles after an empty one.
 func (b *Budget) Receive(g Grant, now time.Time) {
