--- a/internal/choice/exposure/account.go
+++ b/internal/choice/exposure/account.go
@@ -45,8 +45,8 @@
 	return nil
 }
 
-// Hand hands out up to want of the unspent units and returns their number.
-func (a *Account) Hand(want int) int {
+// HandOut hands out up to want of the unspent units and returns their number.
+func (a *Account) HandOut(want int) int {
 	units := min(want, a.unspent)
 	a.unspent -= units
 	return units
--- a/internal/choice/exposure/account_test.go
+++ b/internal/choice/exposure/account_test.go
@@ -100,7 +100,7 @@
 }
 
 func (r *race) hand(a *Account, want int) {
-	r.handed += a.Hand(want)
+	r.handed += a.HandOut(want)
 	if r.handed > r.limit {
 		r.t.Fatalf("handed out %d of %d", r.handed, r.limit)
 	}
@@ -113,7 +113,7 @@
 	a := NewAccount("v")
 	is.True(a.Read(platform.Row{Version: 3, Value: []byte("{")}) != nil)
 	is.True(!a.Known())
-	is.Equal(a.Hand(1), 0)
+	is.Equal(a.HandOut(1), 0)
 }
 
 // Lifting the cap must not reset the number of units granted so far.
--- a/internal/choice/share/grants.go
+++ b/internal/choice/share/grants.go
@@ -74,11 +74,11 @@
 	if a.Open() {
 		return exposure.Grant{Open: true}
 	}
-	if units := a.Hand(unitsPerGrant); units > 0 {
+	if units := a.HandOut(unitsPerGrant); units > 0 {
 		return exposure.Grant{Units: units}
 	}
 	g.allocate(ctx, a, v)
-	return exposure.Grant{Units: a.Hand(unitsPerGrant)}
+	return exposure.Grant{Units: a.HandOut(unitsPerGrant)}
 }
 
 // stagedVersion returns the configuration of a version, or nil if it is not staged.
--- a/internal/choice/sim/table.go
+++ b/internal/choice/sim/table.go
@@ -52,11 +52,11 @@
 	if a.Open() {
 		return exposure.Grant{Open: true}
 	}
-	if units := a.Hand(1); units > 0 {
+	if units := a.HandOut(1); units > 0 {
 		return exposure.Grant{Units: units}
 	}
 	if txn, ok := a.Take(r.snapshot.Version(version).ExposureCap); ok {
 		r.table.commit(a, txn)
 	}
-	return exposure.Grant{Units: a.Hand(1)}
+	return exposure.Grant{Units: a.HandOut(1)}
 }
