--- a/internal/choice/exposure/account.go
+++ b/internal/choice/exposure/account.go
@@ -52,9 +52,9 @@
 	return units
 }
 
-// Take returns the transaction that allocates the next part of a cap of limit units, or
+// Allocate returns the transaction that allocates the next part of a cap of limit units, or
 // false when none are left. The row must be known.
-func (a *Account) Take(limit int) (platform.Txn, bool) {
+func (a *Account) Allocate(limit int) (platform.Txn, bool) {
 	allocated, units := a.current.allocate(max(limit/allocationsPerCap, 1), limit)
 	if units == 0 {
 		return platform.Txn{}, false
--- a/internal/choice/exposure/account_test.go
+++ b/internal/choice/exposure/account_test.go
@@ -83,7 +83,7 @@
 	if !a.Known() {
 		return
 	}
-	txn, ok := a.Take(r.limit)
+	txn, ok := a.Allocate(r.limit)
 	if !ok {
 		return
 	}
@@ -122,7 +122,7 @@
 	store := &fakeTable{}
 	a := NewAccount("v")
 	is.NoErr(a.Read(store.row))
-	txn, ok := a.Take(40)
+	txn, ok := a.Allocate(40)
 	is.True(ok)
 	a.Committed(store.commit(txn), nil)
 	a.Committed(store.commit(a.OpenUp()), nil)
--- a/internal/choice/share/grants.go
+++ b/internal/choice/share/grants.go
@@ -124,7 +124,7 @@
 
 // allocate allocates the next part of the cap in the table.
 func (g *grants) allocate(ctx context.Context, a *account, v *config.Version) {
-	txn, ok := a.Take(v.ExposureCap)
+	txn, ok := a.Allocate(v.ExposureCap)
 	if !ok {
 		return
 	}
--- a/internal/choice/sim/table.go
+++ b/internal/choice/sim/table.go
@@ -55,7 +55,7 @@
 	if units := a.HandOut(1); units > 0 {
 		return exposure.Grant{Units: units}
 	}
-	if txn, ok := a.Take(r.snapshot.Version(version).ExposureCap); ok {
+	if txn, ok := a.Allocate(r.snapshot.Version(version).ExposureCap); ok {
 		r.table.commit(a, txn)
 	}
 	return exposure.Grant{Units: a.HandOut(1)}
