--- a/internal/choice/exposure/account.go
+++ b/internal/choice/exposure/account.go
@@ -63,8 +63,8 @@
 	return a.commitRow(allocated), true
 }
 
-// OpenUp returns the transaction that lifts the cap. The row must be known.
-func (a *Account) OpenUp() platform.Txn {
+// LiftCap returns the transaction that lifts the cap. The row must be known.
+func (a *Account) LiftCap() platform.Txn {
 	opened := a.current
 	opened.Open = true
 	a.pendingUnits = 0
--- a/internal/choice/exposure/account_test.go
+++ b/internal/choice/exposure/account_test.go
@@ -125,7 +125,7 @@
 	txn, ok := a.Allocate(40)
 	is.True(ok)
 	a.Committed(store.commit(txn), nil)
-	a.Committed(store.commit(a.OpenUp()), nil)
+	a.Committed(store.commit(a.LiftCap()), nil)
 	is.True(a.Open())
 	row, err := ParseRow(store.row.Value)
 	is.NoErr(err)
--- a/internal/choice/share/grants.go
+++ b/internal/choice/share/grants.go
@@ -133,7 +133,7 @@
 
 // liftCap lifts the version's cap in the table.
 func (g *grants) liftCap(ctx context.Context, a *account, version string) {
-	a.Committed(g.deps.Table.Commit(ctx, a.OpenUp()))
+	a.Committed(g.deps.Table.Commit(ctx, a.LiftCap()))
 	if a.Open() {
 		event.ExposureOpened.Log(g.deps.Log, slog.String("version", version))
 	}
--- a/internal/choice/sim/table.go
+++ b/internal/choice/sim/table.go
@@ -46,7 +46,7 @@
 	a := r.table.account(version)
 	chooser := r.nodes[r.collector(version)].chooser
 	if !a.Open() && chooser.ReadyToOpen(version, r.time()) {
-		r.table.commit(a, a.OpenUp())
+		r.table.commit(a, a.LiftCap())
 		r.result.Opened[version] = r.now
 	}
 	if a.Open() {
