--- a/internal/choice/chooser.go
+++ b/internal/choice/chooser.go
@@ -16,7 +16,7 @@
 	settings Settings
 
 	mu            sync.Mutex
-	recorder      *quality.Book
+	recorder      *quality.Recorder
 	store         *quality.Store
 	stamps        stamps
 	states        map[string]*versionState
--- a/internal/choice/quality/book.go
+++ b/internal/choice/quality/book.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// Book holds the cells that this run has observed, and numbers its summaries. It is not
+// Recorder holds the cells that this run has observed, and numbers its summaries. It is not
 // safe for concurrent use.
-type Book struct {
+type Recorder struct {
 	run   Run
 	seq   uint64
 	cells map[Key]*Cell
@@ -22,13 +22,13 @@
 const changedShare = 0.1
 
 // NewBook returns an empty book of a run.
-func NewBook(run Run) *Book {
-	return &Book{run: run, cells: make(map[Key]*Cell), changed: make(map[Key]uint64), newAnswers: make(map[Key]float64)}
+func NewBook(run Run) *Recorder {
+	return &Recorder{run: run, cells: make(map[Key]*Cell), changed: make(map[Key]uint64), newAnswers: make(map[Key]float64)}
 }
 
 // Cell returns the cell with the key for modification, and creates it if necessary. The
 // cell counts as changed.
-func (r *Book) Cell(key Key) *Cell {
+func (r *Recorder) Cell(key Key) *Cell {
 	r.changed[key] = r.seq + 1
 	r.newAnswers[key] = 0
 	return r.cell(key)
@@ -36,7 +36,7 @@
 
 // AnswerCell returns the cell with the key for adding one answer. It reports whether the
 // cell counts as changed, so that peers need it.
-func (r *Book) AnswerCell(key Key) (*Cell, bool) {
+func (r *Recorder) AnswerCell(key Key) (*Cell, bool) {
 	cell := r.cell(key)
 	r.newAnswers[key]++
 	if r.newAnswers[key] <= changedShare*cell.Took.Weight {
@@ -45,7 +45,7 @@
 	return r.Cell(key), true
 }
 
-func (r *Book) cell(key Key) *Cell {
+func (r *Recorder) cell(key Key) *Cell {
 	cell, ok := r.cells[key]
 	if !ok {
 		cell = new(Cell)
@@ -57,10 +57,10 @@
 
 // Changed returns the number of the first summary that contains the cell's latest change,
 // or 0 for an unknown cell.
-func (r *Book) Changed(key Key) uint64 { return r.changed[key] }
+func (r *Recorder) Changed(key Key) uint64 { return r.changed[key] }
 
 // Add adds this run's cell to total.
-func (r *Book) Add(total *Cell, key Key) {
+func (r *Recorder) Add(total *Cell, key Key) {
 	if cell, ok := r.cells[key]; ok {
 		total.Plus(*cell)
 	}
@@ -68,7 +68,7 @@
 
 // Summary returns the cells that include selects. Each summary has a higher number than
 // the one before.
-func (r *Book) Summary(include func(Key) bool) Summary {
+func (r *Recorder) Summary(include func(Key) bool) Summary {
 	r.seq++
 	s := Summary{Node: r.run.Node, Epoch: r.run.Epoch, Seq: r.seq}
 	for _, key := range r.keys {
@@ -80,7 +80,7 @@
 }
 
 // Retain drops the cells whose key keep rejects.
-func (r *Book) Retain(keep func(Key) bool) {
+func (r *Recorder) Retain(keep func(Key) bool) {
 	r.keys = slices.DeleteFunc(r.keys, func(key Key) bool {
 		if keep(key) {
 			return false
--- a/internal/choice/quality/quality_test.go
+++ b/internal/choice/quality/quality_test.go
@@ -15,7 +15,7 @@
 func at(d time.Duration) int64 { return int64(time.Hour) + int64(d) }
 
 func drawSummarySequence(t *rapid.T) []Summary {
-	recorders := make([]*Book, rapid.IntRange(1, 4).Draw(t, "runs"))
+	recorders := make([]*Recorder, rapid.IntRange(1, 4).Draw(t, "runs"))
 	for i := range recorders {
 		recorders[i] = NewBook(Run{Node: string(rune('a' + i/2)), Epoch: uint64(i)})
 	}
