--- a/internal/choice/chooser.go
+++ b/internal/choice/chooser.go
@@ -35,7 +35,7 @@
 	s = s.withDefaults()
 	return &Chooser{
 		settings: s,
-		recorder: quality.NewBook(quality.Run{Node: s.Node, Epoch: s.Epoch}),
+		recorder: quality.NewRecorder(quality.Run{Node: s.Node, Epoch: s.Epoch}),
 		store:    quality.NewStore(),
 		stamps:   stamps{cells: make(map[quality.Key]stamp)},
 		states:   make(map[string]*versionState),
--- a/internal/choice/quality/book.go
+++ b/internal/choice/quality/book.go
@@ -21,8 +21,8 @@
 // would cause its cell to be sent to every peer.
 const changedShare = 0.1
 
-// NewBook returns an empty book of a run.
-func NewBook(run Run) *Recorder {
+// NewRecorder returns an empty recorder for a run.
+func NewRecorder(run Run) *Recorder {
 	return &Recorder{run: run, cells: make(map[Key]*Cell), changed: make(map[Key]uint64), newAnswers: make(map[Key]float64)}
 }
 
--- a/internal/choice/quality/quality_test.go
+++ b/internal/choice/quality/quality_test.go
@@ -17,7 +17,7 @@
 func drawSummarySequence(t *rapid.T) []Summary {
 	recorders := make([]*Recorder, rapid.IntRange(1, 4).Draw(t, "runs"))
 	for i := range recorders {
-		recorders[i] = NewBook(Run{Node: string(rune('a' + i/2)), Epoch: uint64(i)})
+		recorders[i] = NewRecorder(Run{Node: string(rune('a' + i/2)), Epoch: uint64(i)})
 	}
 	var list []Summary
 	for range rapid.IntRange(1, 20).Draw(t, "ratings") {
@@ -64,7 +64,7 @@
 	is := is.New(t)
 	s := NewStore()
 	for i := range 2 * MaxRuns {
-		b := NewBook(Run{Node: "n", Epoch: uint64(i)})
+		b := NewRecorder(Run{Node: "n", Epoch: uint64(i)})
 		for range 1 + i%2 {
 			b.Cell(key).AddScore(0.5, at(0))
 		}
