--- a/internal/choice/frontier/frontier_test.go
+++ b/internal/choice/frontier/frontier_test.go
@@ -132,7 +132,7 @@
 		second := noise * math.Sin(float64(i)*1.7+1)
 		c.AddScore(mean+spread+first, int64(time.Hour))
 		c.AddPair(mean+spread+first, mean+spread+second, int64(time.Hour))
-		c.AddRescue(mean, -0.1, int64(time.Hour))
+		c.AddFallback(mean, -0.1, int64(time.Hour))
 	}
 	return Option{Version: name, Cost: cost, Estimate: c.Estimate(mean)}
 }
--- a/internal/choice/observe.go
+++ b/internal/choice/observe.go
@@ -29,7 +29,7 @@
 	c.stamps.mark(key, c.run())
 	now := o.Now.UnixNano()
 	if o.AfterShort {
-		cell.AddRescue(o.Score, c.rejectedDeviation(o), now)
+		cell.AddFallback(o.Score, c.rejectedDeviation(o), now)
 	} else {
 		cell.AddScore(o.Score, now)
 	}
--- a/internal/choice/quality/cell.go
+++ b/internal/choice/quality/cell.go
@@ -86,9 +86,9 @@
 	c.Pairs.add(first, second)
 }
 
-// AddRescue adds the rating of a fallback answer. deviation is the rating of the rejected
+// AddFallback adds the rating of a fallback answer. deviation is the rating of the rejected
 // answer minus the mean rating of its version.
-func (c *Cell) AddRescue(score, deviation float64, now int64) {
+func (c *Cell) AddFallback(score, deviation float64, now int64) {
 	c.Advance(now)
 	c.Rescue.add(score, deviation)
 }
--- a/internal/choice/quality/quality_test.go
+++ b/internal/choice/quality/quality_test.go
@@ -130,7 +130,7 @@
 	var c Cell
 	for range 2000 {
 		deviation := -0.3 * rng.Float64()
-		c.AddRescue(0.85+0.2*deviation+0.05*rng.NormFloat64(), deviation, at(0))
+		c.AddFallback(0.85+0.2*deviation+0.05*rng.NormFloat64(), deviation, at(0))
 	}
 	line := c.Estimate(0.9).Rescue
 	mean, sd := line.Sum(1, -0.15)
