--- a/internal/choice/frontier/builder.go
+++ b/internal/choice/frontier/builder.go
@@ -83,7 +83,7 @@
 		b.fallbacks = append(b.fallbacks, i)
 	}
 	slices.SortStableFunc(b.fallbacks, func(i, j int) int {
-		return cmp.Compare(options[j].Estimate.Rescue.Level, options[i].Estimate.Rescue.Level)
+		return cmp.Compare(options[j].Estimate.Fallback.Level, options[i].Estimate.Fallback.Level)
 	})
 	b.fallbacks = b.fallbacks[:min(len(b.fallbacks), maxFallbacks)]
 	return b.fallbacks
--- a/internal/choice/frontier/cascade.go
+++ b/internal/choice/frontier/cascade.go
@@ -54,7 +54,7 @@
 	// the lift that is due to quality.
 	lift, liftSD := f.Curve.Lift(a.linear, a.square)
 	// The accepted scores exceed the mean by as much as the rejected ones are below it.
-	fallback, fallbackSD := n.Rescue.Sum(rejected, -a.linear)
+	fallback, fallbackSD := n.Fallback.Sum(rejected, -a.linear)
 	mean := a.share*f.Mean + lift + fallback
 	sd := math.Sqrt(square(a.share*f.SD) + square(liftSD) + square(fallbackSD))
 	return Point{
--- a/internal/choice/quality/estimate.go
+++ b/internal/choice/quality/estimate.go
@@ -32,8 +32,8 @@
 	Shift  float64
 	// Curve gives the expected quality of an answer from its rating.
 	Curve Curve
-	// Rescue gives the quality of the version's fallback answers.
-	Rescue Line
+	// Fallback gives the quality of the version's fallback answers.
+	Fallback Line
 }
 
 // Estimate combines the cell with the prior mean quality configured by the operators.
@@ -44,7 +44,7 @@
 	e.Mean, e.SD = posterior(window, e.Spread, prior)
 	e.Scores, e.Shift = c.scores(e.Mean)
 	e.Curve = c.Pairs.curve(e.Mean, e.Spread*e.Spread)
-	e.Rescue = c.Rescue.line(e.Mean, e.SD, e.Spread)
+	e.Fallback = c.Rescue.line(e.Mean, e.SD, e.Spread)
 	return e
 }
 
--- a/internal/choice/quality/quality_test.go
+++ b/internal/choice/quality/quality_test.go
@@ -132,7 +132,7 @@
 		deviation := -0.3 * rng.Float64()
 		c.AddFallback(0.85+0.2*deviation+0.05*rng.NormFloat64(), deviation, at(0))
 	}
-	line := c.Estimate(0.9).Rescue
+	line := c.Estimate(0.9).Fallback
 	mean, sd := line.Sum(1, -0.15)
 	is.True(math.Abs(mean-0.82) < 0.01)
 	is.True(sd < 0.01)
