--- a/internal/choice/observation.go
+++ b/internal/choice/observation.go
@@ -15,12 +15,12 @@
 	// Sampled is set when the answer was sampled for rating (Plan.Rate), not rated as
 	// part of a cascade.
 	Sampled bool
-	// AfterShort is set for a fallback answer, which ran because the rating of an earlier
+	// IsFallback is set for a fallback answer, which ran because the rating of an earlier
 	// version's answer was below the threshold. Such requests are harder than others, so
 	// they are kept apart from the version's quality on all requests.
-	AfterShort bool
+	IsFallback bool
 	// After is the version whose answer was rejected, and AfterScore the rating of that
-	// answer, if AfterShort is set and they are known.
+	// answer, if IsFallback is set and they are known.
 	After      string
 	AfterScore float64
 	// Took is the duration of the rating; 0 if unknown.
--- a/internal/choice/observe.go
+++ b/internal/choice/observe.go
@@ -28,12 +28,12 @@
 	cell := c.recorder.Cell(key)
 	c.stamps.mark(key, c.run())
 	now := o.Now.UnixNano()
-	if o.AfterShort {
+	if o.IsFallback {
 		cell.AddFallback(o.Score, c.rejectedDeviation(o), now)
 	} else {
 		cell.AddScore(o.Score, now)
 	}
-	if o.HasAgain && !o.AfterShort {
+	if o.HasAgain && !o.IsFallback {
 		cell.AddPair(o.Score, o.Again, now)
 	}
 }
@@ -66,7 +66,7 @@
 		return
 	}
 	k := c.estimate(c.view.versions[i].config, o.Class, o.Now)
-	table := k.testTable(o.AfterShort)
+	table := k.testTable(o.IsFallback)
 	if table == nil {
 		return
 	}
--- a/internal/choice/script_test.go
+++ b/internal/choice/script_test.go
@@ -99,7 +99,7 @@
 	spread := float64(s.number(d, "spread", 15)) / 100
 	for range s.number(d, "n", 1) {
 		answer := mean + spread*s.rng.NormFloat64()
-		o := Observation{Version: s.text(d, "version", ""), Class: "draft", AfterShort: d.HasArg("after-short"), Now: s.now}
+		o := Observation{Version: s.text(d, "version", ""), Class: "draft", IsFallback: d.HasArg("after-short"), Now: s.now}
 		o.Score = min(max(answer+noise*s.rng.NormFloat64(), 0), 1)
 		o.Again = min(max(answer+noise*s.rng.NormFloat64(), 0), 1)
 		o.HasAgain = true
--- a/internal/choice/share/bench_test.go
+++ b/internal/choice/share/bench_test.go
@@ -23,7 +23,7 @@
 			score := min(max(0.8+0.15*rng.NormFloat64(), 0), 1)
 			o := choice.Observation{Version: "drafter@3", Class: fmt.Sprintf("class-%d", class), Score: score, Again: score, HasAgain: true, Now: now}
 			c.Observe(o)
-			o.AfterShort = true
+			o.IsFallback = true
 			c.Observe(o)
 			c.ObserveAnswer(choice.Answer{Version: o.Version, Class: o.Class, Took: time.Second, InputTokens: 1000, OutputTokens: 300, Now: now})
 		}
--- a/internal/choice/sim/job.go
+++ b/internal/choice/sim/job.go
@@ -123,7 +123,7 @@
 			then(0, false)
 			return
 		}
-		o := choice.Observation{Version: version, Class: j.class.Name, Sampled: j.plan.Rate, AfterShort: after, Now: r.time(), Took: r.now - asked}
+		o := choice.Observation{Version: version, Class: j.class.Name, Sampled: j.plan.Rate, IsFallback: after, Now: r.time(), Took: r.now - asked}
 		if after {
 			o.After, o.AfterScore = j.shortVersion, j.shortScore
 		}
--- a/internal/node/chat_run.go
+++ b/internal/node/chat_run.go
@@ -172,7 +172,7 @@
 	}
 	now := time.Now()
 	r.node.chooser.Observe(choice.Observation{
-		Version: d.Version, Class: r.class.Name, Score: score, AfterShort: r.short, Took: now.Sub(began), Now: now,
+		Version: d.Version, Class: r.class.Name, Score: score, IsFallback: r.short, Took: now.Sub(began), Now: now,
 	})
 	r.short = r.short || score < r.plan.Threshold
 	return r.machine.Rated(score, true)
--- a/internal/node/raters.go
+++ b/internal/node/raters.go
@@ -50,7 +50,7 @@
 }
 
 func (r *raters) rate(ctx context.Context, s sample) {
-	o := choice.Observation{Version: s.req.Version, Class: s.req.Class, Sampled: true, AfterShort: s.short}
+	o := choice.Observation{Version: s.req.Version, Class: s.req.Class, Sampled: true, IsFallback: s.short}
 	score, ok := r.once(ctx, s.req)
 	if !ok {
 		return
