--- a/internal/choice/observe.go
+++ b/internal/choice/observe.go
@@ -44,10 +44,10 @@
 
 // rejectedDeviation returns the rejected rating minus the mean rating of its version.
 func (c *Chooser) rejectedDeviation(o Observation) float64 {
-	if o.After == "" || c.view == nil {
+	if o.RejectedVersion == "" || c.view == nil {
 		return typicalDeviation
 	}
-	i, ok := c.view.index[o.After]
+	i, ok := c.view.index[o.RejectedVersion]
 	if !ok {
 		return typicalDeviation
 	}
