--- a/internal/choice/observation.go
+++ b/internal/choice/observation.go
@@ -19,10 +19,10 @@
 	// version's answer was below the threshold. Such requests are harder than others, so
 	// they are kept apart from the version's quality on all requests.
 	IsFallback bool
-	// RejectedVersion is the version whose answer was rejected, and AfterScore the rating of that
+	// RejectedVersion is the version whose answer was rejected, and RejectedScore the rating of that
 	// answer, if IsFallback is set and they are known.
 	RejectedVersion string
-	AfterScore      float64
+	RejectedScore   float64
 	// Took is the duration of the rating; 0 if unknown.
 	Took time.Duration
 	Now  time.Time
--- a/internal/choice/observe.go
+++ b/internal/choice/observe.go
@@ -52,7 +52,7 @@
 		return typicalDeviation
 	}
 	k := c.estimate(c.view.versions[i].config, o.Class, o.Now)
-	return o.AfterScore - k.option.Estimate.Mean
+	return o.RejectedScore - k.option.Estimate.Mean
 }
 
 // testScore adds the evidence of a score. Fallback answers belong to harder requests, so
--- a/internal/choice/sim/job.go
+++ b/internal/choice/sim/job.go
@@ -125,7 +125,7 @@
 		}
 		o := choice.Observation{Version: version, Class: j.class.Name, Sampled: j.plan.Rate, IsFallback: after, Now: r.time(), Took: r.now - asked}
 		if after {
-			o.RejectedVersion, o.AfterScore = j.shortVersion, j.shortScore
+			o.RejectedVersion, o.RejectedScore = j.shortVersion, j.shortScore
 		}
 		o.Score = r.truth.rating(j.rng, answer)
 		if j.plan.RateAgain {
