--- a/internal/choice/bench_test.go
+++ b/internal/choice/bench_test.go
@@ -69,6 +69,6 @@
 	for b.Loop() {
 		sum := c.Summary(req.Versions...)
 		collector.Merge(sum, req.Now)
-		c.TakePool(collector.Pool(sum.Run(), req.Versions, req.Now.UnixNano()))
+		c.ApplyPool(collector.Pool(sum.Run(), req.Versions, req.Now.UnixNano()))
 	}
 }
--- a/internal/choice/exchange_test.go
+++ b/internal/choice/exchange_test.go
@@ -48,7 +48,7 @@
 	is := is.New(t)
 	a, b := chooserWithRatings(t, "a", 0.8, 30), chooserWithRatings(t, "b", 0.6, 10)
 	b.Merge(a.Summary(), start)
-	a.TakePool(b.Pool(a.run(), []string{"m@1"}, 1))
+	a.ApplyPool(b.Pool(a.run(), []string{"m@1"}, 1))
 	for _, c := range []*Chooser{a, b} {
 		c.view.refreshed = start.Add(-refreshInterval)
 		c.Choose(request(c.view.snapshot, start, 0))
--- a/internal/choice/pool.go
+++ b/internal/choice/pool.go
@@ -71,9 +71,9 @@
 	return p
 }
 
-// TakePool applies a pool. From then on it replaces the merged summaries of the same
+// ApplyPool applies a pool. From then on it replaces the merged summaries of the same
 // versions.
-func (c *Chooser) TakePool(p Pool) {
+func (c *Chooser) ApplyPool(p Pool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, v := range p.Versions {
--- a/internal/choice/report_test.go
+++ b/internal/choice/report_test.go
@@ -64,7 +64,7 @@
 	case "repeat":
 		r := node.Report(exchanged)
 		w.collectors[collector].Answer(r, w.now)
-		node.TakePool(w.collectors[collector].Answer(r, w.now))
+		node.ApplyPool(w.collectors[collector].Answer(r, w.now))
 	case "arrive":
 		w.deliver(t)
 	case "collect":
@@ -81,7 +81,7 @@
 	}
 	m := rapid.SampledFrom(w.delayed).Draw(t, "late") // it may arrive more than once
 	if m.pool != nil {
-		m.to.TakePool(*m.pool)
+		m.to.ApplyPool(*m.pool)
 		return
 	}
 	m.to.Answer(*m.report, w.now)
@@ -93,7 +93,7 @@
 		w.now = w.now.Add(time.Second)
 		r := node.Report(versions)
 		p := collector.Answer(r, w.now)
-		node.TakePool(p)
+		node.ApplyPool(p)
 		if !r.Lacks(p) {
 			return
 		}
@@ -184,21 +184,21 @@
 	w.exchange(b, x, exchanged)
 	second := answer()
 	w.exchange(a, y, exchanged)
-	a.TakePool(second) // omits cells that y does not have
+	a.ApplyPool(second) // omits cells that y does not have
 	is.True(inSync())
 	rate("m@2")
 	second = answer()
 	rate("m@2")
 	third := answer()
-	a.TakePool(third)
-	a.TakePool(second)
+	a.ApplyPool(third)
+	a.ApplyPool(second)
 	weight := cellsOf(a.state("m@2").pool.cells)[quality.Key{Version: "m@2", Class: "draft"}].Long.Weight
 	is.True(weight > 3.9) // of 4; some weight has decayed
 	rate("m@3")
 	second = answer()
 	w.exchange(a, y, exchanged)
-	a.TakePool(first)
-	a.TakePool(second) // omits the cells changed since the first pool
+	a.ApplyPool(first)
+	a.ApplyPool(second) // omits the cells changed since the first pool
 	is.True(inSync())
 }
 
@@ -220,7 +220,7 @@
 	count := func(n *Chooser) (sent, answered int) {
 		r := n.Report(exchanged)
 		p := x.Answer(r, w.now.Add(time.Minute))
-		n.TakePool(p)
+		n.ApplyPool(p)
 		for _, v := range p.Versions {
 			answered += len(v.Cells)
 		}
--- a/internal/choice/share/reports.go
+++ b/internal/choice/share/reports.go
@@ -88,7 +88,7 @@
 		if r.deps.Peers.Call(ctx, b.to.Peer, methodReport, &report, &pool) != nil {
 			return
 		}
-		r.deps.Chooser.TakePool(pool)
+		r.deps.Chooser.ApplyPool(pool)
 		if !report.Lacks(pool) {
 			return
 		}
--- a/internal/choice/sim/node.go
+++ b/internal/choice/sim/node.go
@@ -101,7 +101,7 @@
 		}
 		pool := other.chooser.Answer(n.chooser.Report(versions), now)
 		other.spread()
-		n.chooser.TakePool(pool)
+		n.chooser.ApplyPool(pool)
 	}
 	for _, version := range n.chooser.Wants(now) {
 		n.chooser.Grant(version, n.run.grant(version), now)
