--- a/internal/capacity/probe_share.go
+++ b/internal/capacity/probe_share.go
@@ -26,7 +26,7 @@
 
 // Report takes in a summary and answers with what all others have seen.
 func (s shareReceiver) Report(r *choice.Report, pool *choice.Pool) error {
-	*pool = s.chooser.Answer(*r, start.Add(time.Second))
+	*pool = s.chooser.HandleReport(*r, start.Add(time.Second))
 	return nil
 }
 
--- a/internal/choice/report.go
+++ b/internal/choice/report.go
@@ -61,8 +61,8 @@
 	return quality.Run{}
 }
 
-// Answer merges a report and returns the observations of all other runs.
-func (c *Chooser) Answer(r Report, now time.Time) Pool {
+// HandleReport merges a report and returns the observations of all other runs.
+func (c *Chooser) HandleReport(r Report, now time.Time) Pool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.merge(r.Summary, now)
--- a/internal/choice/report_test.go
+++ b/internal/choice/report_test.go
@@ -54,17 +54,17 @@
 	case "lose":
 		node.Report(exchanged)
 	case "lose answer":
-		w.collectors[collector].Answer(node.Report(exchanged), w.now)
+		w.collectors[collector].HandleReport(node.Report(exchanged), w.now)
 	case "delay":
 		r := node.Report(exchanged)
 		w.delayed = append(w.delayed, delayedMessage{to: w.collectors[collector], report: &r})
 	case "delay answer":
-		p := w.collectors[collector].Answer(node.Report(exchanged), w.now)
+		p := w.collectors[collector].HandleReport(node.Report(exchanged), w.now)
 		w.delayed = append(w.delayed, delayedMessage{to: node, pool: &p})
 	case "repeat":
 		r := node.Report(exchanged)
-		w.collectors[collector].Answer(r, w.now)
-		node.ApplyPool(w.collectors[collector].Answer(r, w.now))
+		w.collectors[collector].HandleReport(r, w.now)
+		node.ApplyPool(w.collectors[collector].HandleReport(r, w.now))
 	case "arrive":
 		w.deliver(t)
 	case "collect":
@@ -84,7 +84,7 @@
 		m.to.ApplyPool(*m.pool)
 		return
 	}
-	m.to.Answer(*m.report, w.now)
+	m.to.HandleReport(*m.report, w.now)
 }
 
 // exchange does what package share does for each report.
@@ -92,7 +92,7 @@
 	for range 2 {
 		w.now = w.now.Add(time.Second)
 		r := node.Report(versions)
-		p := collector.Answer(r, w.now)
+		p := collector.HandleReport(r, w.now)
 		node.ApplyPool(p)
 		if !r.Lacks(p) {
 			return
@@ -160,7 +160,7 @@
 	}
 	answer := func() Pool {
 		w.now = w.now.Add(time.Second)
-		return x.Answer(a.Report(exchanged), w.now)
+		return x.HandleReport(a.Report(exchanged), w.now)
 	}
 	inSync := func() bool {
 		w.exchange(a, x, exchanged)
@@ -219,7 +219,7 @@
 	b.Observe(Observation{Version: "m@2", Class: "draft", Score: 0.5, Now: start})
 	count := func(n *Chooser) (sent, answered int) {
 		r := n.Report(exchanged)
-		p := x.Answer(r, w.now.Add(time.Minute))
+		p := x.HandleReport(r, w.now.Add(time.Minute))
 		n.ApplyPool(p)
 		for _, v := range p.Versions {
 			answered += len(v.Cells)
--- a/internal/choice/share/bench_test.go
+++ b/internal/choice/share/bench_test.go
@@ -68,13 +68,13 @@
 		reports = append(reports, s.Report(versions))
 	}
 	used := heapBytes() - before
-	pool := collector.Answer(reports[0], now)
+	pool := collector.HandleReport(reports[0], now)
 	reportBytes, poolBytes := encodedBytes(b, &reports[0]), encodedBytes(b, &pool)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		r := &reports[i%nodes]
 		r.Summary.Seq++
-		pool = collector.Answer(*r, now)
+		pool = collector.HandleReport(*r, now)
 	}
 	b.ReportMetric(reportBytes, "report-bytes")
 	b.ReportMetric(poolBytes, "pool-bytes")
--- a/internal/choice/share/service.go
+++ b/internal/choice/share/service.go
@@ -12,7 +12,7 @@
 
 // Report merges a peer's summary and returns what all other nodes have observed.
 func (s *service) Report(r *choice.Report, pool *choice.Pool) error {
-	*pool = s.share.deps.Chooser.Answer(*r, time.Now())
+	*pool = s.share.deps.Chooser.HandleReport(*r, time.Now())
 	return nil
 }
 
--- a/internal/choice/sim/node.go
+++ b/internal/choice/sim/node.go
@@ -99,7 +99,7 @@
 		if other == n || len(versions) == 0 {
 			continue
 		}
-		pool := other.chooser.Answer(n.chooser.Report(versions), now)
+		pool := other.chooser.HandleReport(n.chooser.Report(versions), now)
 		other.spread()
 		n.chooser.ApplyPool(pool)
 	}
