--- a/internal/choice/exchange.go
+++ b/internal/choice/exchange.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// Wants returns the staged versions for which a grant should be requested now.
-func (c *Chooser) Wants(now time.Time) []string {
+// GrantsNeeded returns the staged versions for which a grant should be requested now.
+func (c *Chooser) GrantsNeeded(now time.Time) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var list []string
--- a/internal/choice/script_test.go
+++ b/internal/choice/script_test.go
@@ -60,7 +60,7 @@
 	case "choose":
 		return s.choose(d)
 	case "wants":
-		return strings.Join(s.chooser.Wants(s.now), " ")
+		return strings.Join(s.chooser.GrantsNeeded(s.now), " ")
 	case "grant":
 		s.chooser.Grant(s.text(d, "version", ""), exposure.Grant{Units: s.number(d, "units", 0), Open: d.HasArg("open")}, s.now)
 	case "ready":
--- a/internal/choice/share/grants.go
+++ b/internal/choice/share/grants.go
@@ -34,7 +34,7 @@
 // requestGrants requests a grant for each version that needs one. If the reply is
 // lost, the units granted are lost with it, so the cap is never exceeded.
 func (g *grants) requestGrants(ctx context.Context, now time.Time) {
-	for _, version := range g.deps.Chooser.Wants(now) {
+	for _, version := range g.deps.Chooser.GrantsNeeded(now) {
 		granter := granterOf(version, g.deps.Self, g.deps.Members())
 		if granter.ID == g.deps.Self.ID {
 			g.deps.Chooser.Grant(version, g.grant(version, now), now)
--- a/internal/choice/sim/node.go
+++ b/internal/choice/sim/node.go
@@ -103,7 +103,7 @@
 		other.spread()
 		n.chooser.ApplyPool(pool)
 	}
-	for _, version := range n.chooser.Wants(now) {
+	for _, version := range n.chooser.GrantsNeeded(now) {
 		n.chooser.Grant(version, n.run.grant(version), now)
 	}
 	if n.run.now < n.run.cfg.Duration {
