--- a/internal/choice/opening.go
+++ b/internal/choice/opening.go
@@ -16,9 +16,9 @@
 	minOpenQuality = 0.85
 )
 
-// ReadyToOpen reports whether a staged version has enough good ratings for its exposure
+// CanLiftCap reports whether a staged version has enough good ratings for its exposure
 // cap to be lifted.
-func (c *Chooser) ReadyToOpen(version string, now time.Time) bool {
+func (c *Chooser) CanLiftCap(version string, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.view == nil {
--- a/internal/choice/script_test.go
+++ b/internal/choice/script_test.go
@@ -64,7 +64,7 @@
 	case "grant":
 		s.chooser.Grant(s.text(d, "version", ""), exposure.Grant{Units: s.number(d, "units", 0), Open: d.HasArg("open")}, s.now)
 	case "ready":
-		return fmt.Sprint(s.chooser.ReadyToOpen(s.text(d, "version", ""), s.now))
+		return fmt.Sprint(s.chooser.CanLiftCap(s.text(d, "version", ""), s.now))
 	case "lift":
 		s.chooser.ApplyHold(Hold{Version: s.text(d, "version", ""), Term: uint64(s.number(d, "term", 1)), Lifted: true})
 	case "holds":
--- a/internal/choice/share/grants.go
+++ b/internal/choice/share/grants.go
@@ -68,7 +68,7 @@
 	if !g.ensureRow(ctx, a, version) {
 		return exposure.Grant{}
 	}
-	if !a.Open() && g.deps.Chooser.ReadyToOpen(version, now) {
+	if !a.Open() && g.deps.Chooser.CanLiftCap(version, now) {
 		g.liftCap(ctx, a, version)
 	}
 	if a.Open() {
--- a/internal/choice/sim/table.go
+++ b/internal/choice/sim/table.go
@@ -45,7 +45,7 @@
 func (r *run) grant(version string) exposure.Grant {
 	a := r.table.account(version)
 	chooser := r.nodes[r.collector(version)].chooser
-	if !a.Open() && chooser.ReadyToOpen(version, r.time()) {
+	if !a.Open() && chooser.CanLiftCap(version, r.time()) {
 		r.table.commit(a, a.LiftCap())
 		r.result.Opened[version] = r.now
 	}
