--- a/internal/gateway/addresses.go
+++ b/internal/gateway/addresses.go
@@ -7,12 +7,12 @@
 	"github.com/hickorybank/hickorybank/internal/gossip"
 )
 
-// Addresses returns where callers of a host in a region should connect, and for how long
-// they may keep the answer.
+// Addresses returns the listen addresses of the nodes that callers of a host in a region
+// should connect to, and how long callers may cache them.
 //
-// Where routes of the host bind their requests to regions, a request should not be sent
-// through another one: these are then the nodes of the caller's own region, else those of
-// the regions that the routes allow.
+// Routes of the host may bind their requests to regions, and a request should not pass
+// through another region. Addresses then returns nodes of the caller's own region, or else
+// those of the regions that the routes allow.
 func (n *Node) Addresses(host, region string) ([]string, time.Duration) {
 	n.mu.Lock()
 	serving := slices.DeleteFunc(slices.Clone(n.roster.Alive()), func(m gossip.Member) bool {
@@ -20,7 +20,7 @@
 	})
 	n.mu.Unlock()
 	var allowed []string
-	if table := n.table(); table != nil {
+	if table := n.routingTable(); table != nil {
 		allowed = table.Regions(host)
 	}
 	if len(allowed) > 0 {
@@ -33,8 +33,8 @@
 	return all, n.settings.AddressTTL
 }
 
-// withinRegions returns the members of a caller's region, those of the allowed regions
-// where there are none, and all where there are none of these either.
+// withinRegions returns the members in the caller's region. Without any it returns the
+// members in the allowed regions, and without these all members.
 func withinRegions(members []gossip.Member, region string, allowed []string) []gossip.Member {
 	for _, regions := range [][]string{{region}, allowed} {
 		var within []gossip.Member
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -11,129 +11,132 @@
 	"github.com/hickorybank/hickorybank/internal/fleet"
 )
 
-// attempt is one sending of a request to one upstream.
+// attempt is one try to run a request at one upstream.
 type attempt struct {
 	job *job
 	up  *fleet.Upstream
-	// id and addr are the upstream's as it was chosen: its record may change meanwhile.
+	// id and addr are the upstream's when it was chosen; its record may change during the
+	// attempt.
 	id, addr string
-	// version and revision are those of the upstream and of the roll-out when
-	// the attempt began.
+	// version and revision are those of the upstream and of the rollout when the attempt
+	// began.
 	version  string
 	revision uint64
 	began    time.Time
 	ended    bool
-	// told is set when the roll-out has been told of the answer.
-	told bool
-	// ranBefore tells whether an earlier attempt may have run.
-	ranBefore bool
-	// work is what the attempt costs its upstream, rank its place in the
-	// upstream's queue.
+	// reported is set once the attempt's outcome has been reported to the rollout.
+	reported bool
+	// mayHaveRunBefore is set if an earlier attempt may have run the request.
+	mayHaveRunBefore bool
+	// work is the attempt's load on its upstream, rank its position in the upstream's
+	// queue.
 	work *fleet.Work
 	rank int
-	// want is what was asked of the upstream, usual how long such an attempt
-	// usually waits for its answer to begin; 0 where that is not known.
-	want  fleet.AttemptSpec
-	usual time.Duration
+	// spec is what the attempt requires of an upstream. usualDelay is how long such an
+	// attempt usually waits for its answer to begin; 0 if unknown.
+	spec       fleet.AttemptSpec
+	usualDelay time.Duration
 }
 
-// choose picks an upstream for the job's next attempt, and counts it. Where there is none,
-// room is when one takes it, if that is known.
-func (n *Node) choose(j *job) (a *attempt, room time.Time) {
+// newAttempt chooses an upstream for the job's next attempt and counts the attempt. If
+// there is no upstream, a is nil and roomAt is when one has capacity; zero if that is
+// unknown.
+func (n *Node) newAttempt(j *job) (a *attempt, roomAt time.Time) {
 	now := time.Now()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	rule := n.canary.Rule(j.service, canary.Caller{Hash: j.hash, Session: j.ask.Session != ""}, now)
-	want := j.want(rule)
-	if v := n.unorderedVersion(j.service, now); v != "" && rule.Version != v {
-		want.NotVersions = append(want.NotVersions, v)
+	rule := n.canary.Rule(j.service, canary.Caller{Hash: j.affinityHash, Session: j.headers.Session != ""}, now)
+	spec := j.attemptSpec(rule)
+	if v := n.heldVersion(j.service, now); v != "" && rule.Version != v {
+		spec.NotVersions = append(spec.NotVersions, v)
 	}
 	if rule.Part > 0 {
 		ofVersion, _ := n.fleet.Count(j.service, rule.Version, now)
-		want.Most = max(1, int(rule.Part*float64(ofVersion)+0.5))
+		spec.Most = max(1, int(rule.Part*float64(ofVersion)+0.5))
 	}
-	up := n.fleet.Choose(want, now)
+	up := n.fleet.Choose(spec, now)
 	if up == nil {
-		room, _ = n.fleet.RoomAt(&want, now)
+		roomAt, _ = n.fleet.RoomAt(&spec, now)
 	}
-	if up == nil && rule.Version != "" && (room.IsZero() || j.ask.Session == "") {
-		// The version has nobody for it: any other that may serve is better
-		// than none, but for a session whose own has room in a while.
-		want.Version, want.Most = "", 0
-		up = n.fleet.Choose(want, now)
+	if up == nil && rule.Version != "" && (roomAt.IsZero() || j.headers.Session == "") {
+		// No upstream of the version can run the request, so any other allowed version is
+		// used. A session waits instead when its own version is known to have capacity
+		// later.
+		spec.Version, spec.Most = "", 0
+		up = n.fleet.Choose(spec, now)
 	}
 	if up == nil {
-		return nil, room
+		return nil, roomAt
 	}
-	n.canary.Sent(j.service, up.Version, j.arrived == 0)
+	n.canary.Sent(j.service, up.Version, j.attemptsReached == 0)
 	return &attempt{
 		job: j, up: up, id: up.ID, addr: up.Addr, version: up.Version, revision: n.canary.Revision(j.service), began: now,
-		want: want, rank: n.fleet.Rank(up, &want, j.priority, now), usual: n.fleet.Delay(&want, now),
-		ranBefore: j.mayHaveRun, work: n.fleet.Begin(up, &want, now),
+		spec: spec, rank: n.fleet.Rank(up, &spec, j.priority, now), usualDelay: n.fleet.Delay(&spec, now),
+		mayHaveRunBefore: j.mayHaveRun, work: n.fleet.Begin(up, &spec, now),
 	}, time.Time{}
 }
 
-// want is what the job's next attempt asks of an upstream.
-func (j *job) want(rule canary.Rule) fleet.AttemptSpec {
-	w := fleet.AttemptSpec{
-		Service: j.service, Version: rule.Version, NotVersions: rule.Not, Model: j.wantedModel(),
-		Weight: j.weight(), Tokens: j.ask.TokensIn, Tried: j.tried,
+// attemptSpec returns what the job's next attempt requires of an upstream.
+func (j *job) attemptSpec(rule canary.Rule) fleet.AttemptSpec {
+	spec := fleet.AttemptSpec{
+		Service: j.service, Version: rule.Version, NotVersions: rule.Not, Model: j.requestedModel(),
+		Weight: j.modelWeight(), Tokens: j.headers.TokensIn, Tried: j.tried,
 		Regions: j.regions(),
-		Seed:    j.hash ^ uint64(j.node.born) ^ uint64(j.start.UnixNano()) ^ uint64(len(j.tried)),
+		Seed:    j.affinityHash ^ uint64(j.node.incarnation) ^ uint64(j.start.UnixNano()) ^ uint64(len(j.tried)),
 	}
-	// The last part is the request's own.
-	for _, p := range j.ask.Parts[:max(len(j.ask.Parts)-1, 0)] {
-		w.Parts = append(w.Parts, fleet.Part{ID: p.ID, Tokens: p.Tokens})
+	// The last part belongs to this request alone.
+	for _, p := range j.headers.Parts[:max(len(j.headers.Parts)-1, 0)] {
+		spec.Parts = append(spec.Parts, fleet.Part{ID: p.ID, Tokens: p.Tokens})
 	}
-	return w
+	return spec
 }
 
-// weight is the wanted model's work for a token, by its cost, as a share of the
-// dearest's.
-func (j *job) weight() float64 {
+// modelWeight returns the requested model's work per token as a fraction of the most
+// expensive model's. Costs stand for the work.
+func (j *job) modelWeight() float64 {
 	s := j.table.Service(j.service)
 	if s == nil || s.Engine == nil {
 		return 1
 	}
-	own, most := 0.0, 0.0
+	own, highest := 0.0, 0.0
 	for _, m := range s.Engine.Models {
-		most = max(most, m.Cost)
-		if m.Name == j.wantedModel() {
+		highest = max(highest, m.Cost)
+		if m.Name == j.requestedModel() {
 			own = m.Cost
 		}
 	}
-	if own == 0 || most == 0 {
+	if own == 0 || highest == 0 {
 		return 1
 	}
-	return own / most
+	return own / highest
 }
 
-func (j *job) wantedModel() string {
+func (j *job) requestedModel() string {
 	if j.model != "" {
 		return j.model
 	}
-	return j.ask.Model
+	return j.headers.Model
 }
 
-// stands tells whether the attempt's upstream still takes new work: it may have said otherwise
-// while the attempt waited for a connection.
-func (a *attempt) stands() bool {
+// upstreamAccepts reports whether the attempt's upstream still accepts new work. The
+// upstream may have announced a limit or its end while the attempt waited for a connection.
+func (a *attempt) upstreamAccepts() bool {
 	n := a.job.node
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.fleet.Takes(a.up, time.Now())
 }
 
-// started notes that the attempt's answer has begun.
-func (a *attempt) started() {
+// markStarted records that the attempt's answer has begun.
+func (a *attempt) markStarted() {
 	n := a.job.node
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.fleet.Started(a.up, a.work, time.Now())
 }
 
-// end counts the attempt's end, once.
-func (a *attempt) end(result fleet.Result) {
+// finish records the attempt's result; only the first call counts.
+func (a *attempt) finish(result fleet.Result) {
 	if a.ended {
 		return
 	}
@@ -146,49 +149,52 @@
 	n.canary.Ended(a.job.service, a.version, a.revision)
 }
 
-// answered tells the roll-out how the attempt went.
-func (a *attempt) answered(failed bool, pace time.Duration) {
-	a.told = true
+// reportOutcome reports the attempt's outcome to the rollout. pace is the mean pause
+// between events, or the duration of a complete answer; 0 if unknown.
+func (a *attempt) reportOutcome(failed bool, pace time.Duration) {
+	a.reported = true
 	n := a.job.node
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.canary.Answered(canary.Answer{
-		Service: a.job.service, Version: a.version, Route: a.job.route.Name, Model: a.job.wantedModel(),
+		Service: a.job.service, Version: a.version, Route: a.job.route.Name, Model: a.job.requestedModel(),
 		Failed: failed, Pace: pace,
 	})
 }
 
-// returning notes that nobody listened at an upstream's address.
-func (n *Node) returning(up *fleet.Upstream) {
+// noteNotConnected records that no connection to the upstream could be opened.
+func (n *Node) noteNotConnected(up *fleet.Upstream) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.fleet.Returning(up, time.Now())
 }
 
-// misdirected forgets an upstream whose address is another's.
-func (n *Node) misdirected(a *attempt) {
+// noteMisdirected drops an upstream whose address now belongs to another upstream.
+func (n *Node) noteMisdirected(a *attempt) {
 	n.pool.Forget(a.addr)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.fleet.Misdirected(a.up)
 }
 
+// blocked reports whether requests with this fingerprint are blocked for crashing
+// upstreams.
 func (n *Node) blocked(print uint64) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.guard.Blocked(print)
 }
 
-// first counts a request for its service's retry budget.
-func (n *Node) first(service string) {
+// countRequest adds a request to its service's retry budget.
+func (n *Node) countRequest(service string) {
 	now := time.Now()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.budget(service, now).Request(now)
 }
 
-// allowRetry takes a further attempt from the service's retry budget, less a
-// part that stays for others.
+// allowRetry takes one further attempt from the service's retry budget. It leaves the
+// fraction reserve of the budget to other retries.
 func (n *Node) allowRetry(service string, reserve float64) bool {
 	now := time.Now()
 	n.mu.Lock()
@@ -196,25 +202,26 @@
 	return n.budget(service, now).Allow(now, reserve)
 }
 
-// crashProbe bounds the look whether an upstream that broke off still listens.
-const crashProbe = 200 * time.Millisecond
+// crashProbeTimeout bounds the connection attempt that checks whether an upstream still
+// listens.
+const crashProbeTimeout = 200 * time.Millisecond
 
-// suspectCrash finds out whether an upstream that broke off has crashed: then
-// nobody listens at its address. A request that runs at a crash is struck; an
-// upstream that only broke one connection strikes nobody.
+// suspectCrash checks whether an upstream that broke off an answer has crashed, which shows
+// in its address refusing connections. The crash then counts as a strike against the
+// request's fingerprint. An upstream that only lost one connection causes no strike.
 func (n *Node) suspectCrash(j *job, a *attempt) {
-	c, err := net.DialTimeout("tcp4", a.addr, crashProbe)
+	c, err := net.DialTimeout("tcp4", a.addr, crashProbeTimeout)
 	if err == nil {
-		_ = c.Close() // it was only opened to see whether somebody listens
+		_ = c.Close() // the connection only shows that the upstream listens
 		return
 	}
 	now := time.Now()
 	n.mu.Lock()
-	fresh := n.guard.Add(crashguard.Strike{Fingerprint: j.print, Upstream: a.up.Start()}, now)
-	strikes := n.guard.Strikes(j.print)
+	fresh := n.guard.Add(crashguard.Strike{Fingerprint: j.fingerprint, Upstream: a.up.Start()}, now)
+	strikes := n.guard.Strikes(j.fingerprint)
 	n.mu.Unlock()
 	n.pool.Forget(a.addr)
 	if fresh {
-		n.event(event.ForwardStrike, j, slog.String("upstream", a.id), slog.Int("strikes", strikes))
+		n.logEvent(event.ForwardStrike, j, slog.String("upstream", a.id), slog.Int("strikes", strikes))
 	}
 }
--- a/internal/gateway/attempt_timer.go
+++ b/internal/gateway/attempt_timer.go
@@ -10,48 +10,49 @@
 )
 
 const (
-	// movedAfterTimes is how many times the usual wait an attempt may wait for
-	// its answer to begin before it is moved.
-	movedAfterTimes = 4.0
-	// movedAfterLeast is the least wait before an attempt is moved: waits that
-	// short are seldom told apart from chance.
-	movedAfterLeast = 300 * time.Millisecond
-	// moveReserve is the part of the retry budget that moved attempts leave to
-	// failed ones.
+	// moveDelayFactor is how long an attempt waits for its answer to begin before it is
+	// moved, as a multiple of the usual wait.
+	moveDelayFactor = 4.0
+	// minMoveDelay is the shortest wait before an attempt is moved: shorter waits are
+	// within the usual variation.
+	minMoveDelay = 300 * time.Millisecond
+	// moveReserve is the fraction of the retry budget that moved attempts leave to failed
+	// ones.
 	moveReserve = 0.5
 )
 
-// errMoved says that an answer began in the moment in which its attempt was
-// moved.
+// errMoved reports an answer that began at the moment its attempt was moved.
 var errMoved = errors.New("the attempt was moved")
 
-// attemptTimer moves an attempt that waits far longer than its like.
+// attemptTimer moves an attempt to another upstream when it waits far longer than usual for
+// its answer to begin.
 //
-// It guards against work that is stuck at one upstream while others are idle:
-// behind a prompt that takes seconds to read, or at an upstream that has fallen
-// silent without closing its connections. The caller would wait until its time
-// is over. What counts as long follows from what attempts usually wait, moved
-// ones included: when all upstreams are slow, nothing is moved. Where the budget
-// does not allow it then, the whole budget may be used once the answer would be
-// far too late.
+// It guards against work that is stuck at one upstream while others are idle. The work may
+// be queued behind a prompt that takes seconds to read, or the upstream may have stopped
+// responding without closing its connections. The caller would wait until its deadline. The
+// threshold follows the usual wait of all attempts, including moved ones, so nothing is
+// moved when all upstreams are slow. If the retry budget less its reserve does not allow
+// the move, the timer fires again once the answer would be far too late; the whole budget
+// may then be used.
 type attemptTimer struct {
 	mu    sync.Mutex
 	timer *time.Timer
-	// moved is set when the watch has ended the attempt, over when it can no
-	// longer do so: an answer that has begun is never cut off.
-	moved, over bool
+	// moved is set when the timer has cancelled the attempt. disarmed is set when it no
+	// longer may: an answer that has begun is never cut off.
+	moved, disarmed bool
 }
 
-// startTimer watches an attempt until its answer begins; cancel ends the attempt.
+// startTimer starts a timer that runs until the attempt's answer begins; cancel ends the
+// attempt.
 func (a *attempt) startTimer(cancel context.CancelFunc) *attemptTimer {
 	p := &attemptTimer{}
 	if !a.movable() {
 		return p
 	}
-	late := lateAfter(a.job.route.Goal, time.Until(a.job.deadline))
+	late := lateDelay(a.job.route.Goal, time.Until(a.job.deadline))
 	first := late
-	if a.usual > 0 {
-		first = min(max(time.Duration(movedAfterTimes*float64(a.usual)), movedAfterLeast), late)
+	if a.usualDelay > 0 {
+		first = min(max(time.Duration(moveDelayFactor*float64(a.usualDelay)), minMoveDelay), late)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -59,68 +60,68 @@
 	return p
 }
 
-// lateAfter is how long an attempt may wait before the whole budget may be used to move
-// it: until its answer would be far too late, and no longer than leaves as much time for
-// another one. Where a route's goal is as long as its callers wait, it would be moved when
-// nobody waits any more.
-func lateAfter(goal, left time.Duration) time.Duration {
-	return min(time.Duration(firstStall*float64(goal)), left/2)
+// lateDelay returns how long an attempt may wait before the whole retry budget may be used
+// to move it. That is when its answer would be far too late, but at most half of the time
+// left, so that another attempt has as much. A route's goal may be as long as its callers
+// wait; without this bound the move would come after the caller has gone.
+func lateDelay(goal, left time.Duration) time.Duration {
+	return min(time.Duration(firstEventStallFactor*float64(goal)), left/2)
 }
 
-// fire moves the attempt if it may be moved.
-func (p *attemptTimer) fire(a *attempt, cancel context.CancelFunc, late time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+// fire moves the attempt if the retry budget allows it.
+func (t *attemptTimer) fire(a *attempt, cancel context.CancelFunc, late time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	waited := time.Since(a.began)
 	reserve := moveReserve
 	if waited >= late {
 		reserve = 0
 	}
 	switch {
-	case p.over:
+	case t.disarmed:
 	case a.job.node.allowMove(a, reserve):
-		p.moved = true
+		t.moved = true
 		cancel()
 	case waited < late:
-		p.timer.Reset(late - waited)
+		t.timer.Reset(late - waited)
 	}
 }
 
-// end stops the watch; it reports whether the attempt was ended by it.
-func (p *attemptTimer) end() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.over = true
-	if p.timer != nil {
-		p.timer.Stop()
+// stop disarms the timer and reports whether the timer had cancelled the attempt.
+func (t *attemptTimer) stop() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.disarmed = true
+	if t.timer != nil {
+		t.timer.Stop()
 	}
-	return p.moved
+	return t.moved
 }
 
-// movable tells whether the attempt may be moved: it can be repeated, and as
-// many attempts are left as the request still needs.
+// movable reports whether the attempt may be moved: it must be repeatable, and enough
+// attempts must be left for the request.
 func (a *attempt) movable() bool {
 	j := a.job
 	if j.route.Kind != route.Stream || !j.route.Repeatable() || j.route.Goal <= 0 {
 		return false
 	}
-	needed := 2 // this one, and the one in its place
+	needed := 2 // this one and its replacement
 	if j.model != "" && j.model != j.route.Models[len(j.route.Models)-1] {
-		needed++ // a larger model's
+		needed++ // one by a larger model
 	}
-	return j.left() >= needed
+	return j.attemptsLeft() >= needed
 }
 
-// allowMove takes a move from the retry budget, less a part that stays for
-// others, if there is another upstream.
+// allowMove takes a move from the retry budget, less the fraction reserve, if another
+// upstream can run the attempt.
 func (n *Node) allowMove(a *attempt, reserve float64) bool {
 	now := time.Now()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	want := a.want
-	want.Tried = append([]string{a.id}, want.Tried...)
-	if n.fleet.Choose(want, now) == nil {
+	spec := a.spec
+	spec.Tried = append([]string{a.id}, spec.Tried...)
+	if n.fleet.Choose(spec, now) == nil {
 		return false
 	}
-	return n.budget(want.Service, now).Allow(now, reserve)
+	return n.budget(spec.Service, now).Allow(now, reserve)
 }
--- a/internal/gateway/attempt_timer_test.go
+++ b/internal/gateway/attempt_timer_test.go
@@ -7,11 +7,11 @@
 	"github.com/matryer/is"
 )
 
-// A label is asked for whose goal is all the time that its caller has. Its attempt is stuck
-// behind a long prompt, the retry budget is half spent, and it may be moved for sure only
-// when its answer would be far too late: that was after the caller had gone, while other
-// upstreams were idle all along. It is moved while there is time for another attempt.
-func TestStuckAttemptIsMovedWhileThereIsTime(t *testing.T) {
+// Guards against an attempt that is moved only after its caller has gone. This happens on a
+// route whose goal is as long as the caller waits, when the attempt is stuck behind a long
+// prompt and half of the retry budget is spent. The attempt must move while time is left
+// for another one.
+func TestStuckAttemptMovesWhileTimeIsLeft(t *testing.T) {
 	tests := []struct {
 		name             string
 		goal, left, want time.Duration
@@ -22,7 +22,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			is.New(t).Equal(lateAfter(test.goal, test.left), test.want)
+			is.New(t).Equal(lateDelay(test.goal, test.left), test.want)
 		})
 	}
 }
--- a/internal/gateway/call_meter.go
+++ b/internal/gateway/call_meter.go
@@ -10,47 +10,49 @@
 	"github.com/hickorybank/hickorybank/internal/telemetry"
 )
 
-// CallCause is why a node calls the platform's table.
+// CallCause is why a node calls the platform's table. Its values are labels in metrics and
+// logs.
 type CallCause string
 
-// Causes of calls of the table.
+// Causes of calls of the platform's table.
 const (
-	// CauseStart calls are those of a node that knows nothing yet.
+	// CauseStart marks readings by a node that has no state yet.
 	CauseStart CallCause = "start"
-	// CauseReader calls are those of a circle's reader.
+	// CauseReader marks readings by the reader of a circle.
 	CauseReader CallCause = "reader"
-	// CauseMember calls are those of a node whose reader is not heard.
+	// CauseMember marks readings by a node that receives nothing from its reader.
 	CauseMember CallCause = "member"
-	// CauseRetry calls follow one that failed.
+	// CauseRetry marks a call that follows a failed one.
 	CauseRetry CallCause = "retry"
-	// CauseJoin calls record a node and find others.
+	// CauseJoin marks calls that record a node and return the other members.
 	CauseJoin CallCause = "join"
-	// CauseSnapshot calls keep and recall the list of upstreams.
+	// CauseSnapshot marks calls that save or load the snapshot of the list of upstreams.
 	CauseSnapshot CallCause = "snapshot"
-	// CauseRollout calls read and record how roll-outs stand.
+	// CauseRollout marks calls that read or record the states of rollouts.
 	CauseRollout CallCause = "rollout"
 )
 
 type causeKey struct{}
 
-// withCause returns a context whose calls of the table have a cause.
+// withCause returns a context that labels calls of the platform's table with a cause.
 func withCause(ctx context.Context, cause CallCause) context.Context {
 	return context.WithValue(ctx, causeKey{}, cause)
 }
 
-// CallMeter counts calls of the table by cause, each round trip once.
+// CallMeter is an [http.RoundTripper] that counts and logs calls of the platform's table by
+// cause. Each round trip counts once.
 type CallMeter struct {
 	next    http.RoundTripper
 	metrics *telemetry.Set
 	log     *slog.Logger
 }
 
-// NewCallMeter returns a meter of the calls that go through next.
+// NewCallMeter returns a CallMeter that sends its calls through next.
 func NewCallMeter(next http.RoundTripper, metrics *telemetry.Set, log *slog.Logger) *CallMeter {
 	return &CallMeter{next: next, metrics: metrics, log: log}
 }
 
-// RoundTrip makes a call and counts it.
+// RoundTrip sends the request through the next transport and counts the call by its result.
 func (m *CallMeter) RoundTrip(r *http.Request) (*http.Response, error) {
 	cause, _ := r.Context().Value(causeKey{}).(CallCause)
 	began := time.Now()
--- a/internal/gateway/contacts.go
+++ b/internal/gateway/contacts.go
@@ -8,27 +8,27 @@
 
 const (
 	// nearContacts and farContacts are how many peers of its own failure domain and of
-	// others a node exchanges its usual news with: a random graph of that degree
-	// reaches 1,600 nodes in four rounds.
+	// other domains a node gossips with. A random graph of that degree reaches 1,600 nodes
+	// in four rounds.
 	nearContacts = 8
 	farContacts  = 4
-	// renewOdds is how many rounds of news pass, on average, between two changes of a
-	// contact, so that no part of the nodes keeps to itself.
+	// renewOdds is the mean number of gossip rounds between two replacements of a contact.
+	// Replacements keep the nodes from splitting into isolated parts.
 	renewOdds = 20
 )
 
-// contacts are the peers that a node exchanges its usual news with.
+// contacts is the set of peers, by ID, that a node gossips with regularly.
 //
-// A peer drawn anew each round costs a connection each round, whose first message
-// describes its types: 2,906 B in place of 222. With contacts that stay for a while a
-// node among 168 hears 2,114 B a second at rest in place of 4,844, among 76 1,965 in
-// place of 4,210 (TestSpreadAtSize).
+// A peer chosen anew in each round costs a connection in each round, whose first message
+// describes its types: 2,906 B instead of 222. With lasting contacts, a node at rest
+// receives 2,114 B/s instead of 4,844 among 168 nodes, and 1,965 B/s instead of 4,210 among
+// 76 (TestSpreadAtSize).
 type contacts map[string]bool
 
-// pick returns a contact that lives, most often a near one; ok is false if there is
-// none. live may be reordered.
+// pick returns a random contact that is alive, usually a near one; ok is false if there is
+// none. pick may reorder live.
 func (c contacts) pick(live []gossip.Member, near func(gossip.Member) bool) (m gossip.Member, ok bool) {
-	c.forget(live)
+	c.prune(live)
 	rand.Shuffle(len(live), func(i, k int) { live[i], live[k] = live[k], live[i] })
 	all := [2][]gossip.Member{
 		c.fill(live, nearContacts, near),
@@ -44,8 +44,8 @@
 	return from[rand.IntN(len(from))], true
 }
 
-// forget drops contacts that no longer live, and now and then another.
-func (c contacts) forget(live []gossip.Member) {
+// prune removes contacts that are no longer alive, and occasionally one that is.
+func (c contacts) prune(live []gossip.Member) {
 	lives := make(map[string]bool, len(live))
 	for _, m := range live {
 		lives[m.ID] = true
@@ -59,8 +59,8 @@
 	}
 }
 
-// fill returns the contacts of a kind, after drawing those that are missing.
-func (c contacts) fill(live []gossip.Member, most int, kind func(gossip.Member) bool) []gossip.Member {
+// fill returns the live contacts of a kind, after adding random peers up to the limit.
+func (c contacts) fill(live []gossip.Member, limit int, kind func(gossip.Member) bool) []gossip.Member {
 	var chosen, others []gossip.Member
 	for _, m := range live {
 		switch {
@@ -71,7 +71,7 @@
 			others = append(others, m)
 		}
 	}
-	for _, m := range others[:min(len(others), max(most-len(chosen), 0))] {
+	for _, m := range others[:min(len(others), max(limit-len(chosen), 0))] {
 		c[m.ID] = true
 		chosen = append(chosen, m)
 	}
--- a/internal/gateway/contacts_test.go
+++ b/internal/gateway/contacts_test.go
@@ -9,10 +9,10 @@
 	"github.com/hickorybank/hickorybank/internal/gossip"
 )
 
-// someMembers are nodes of four failure domains, without one.
-func someMembers(count int, but string) (all []gossip.Member) {
+// membersExcept returns count members in four failure domains, without the excluded ID.
+func membersExcept(count int, excluded string) (all []gossip.Member) {
 	for i := range count {
-		if m := (gossip.Member{ID: fmt.Sprint(i), Domain: fmt.Sprint(i % 4)}); m.ID != but {
+		if m := (gossip.Member{ID: fmt.Sprint(i), Domain: fmt.Sprint(i % 4)}); m.ID != excluded {
 			all = append(all, m)
 		}
 	}
@@ -21,8 +21,8 @@
 
 func inFirstDomain(m gossip.Member) bool { return m.Domain == "0" }
 
-// metIn are the peers that some rounds of news were exchanged with.
-func metIn(c contacts, rounds int, live func() []gossip.Member) map[string]bool {
+// peersPicked returns the IDs of the peers that were picked in a number of rounds.
+func peersPicked(c contacts, rounds int, live func() []gossip.Member) map[string]bool {
 	met := map[string]bool{}
 	for range rounds {
 		if m, ok := c.pick(live(), inFirstDomain); ok {
@@ -32,15 +32,15 @@
 	return met
 }
 
-// A node among many exchanges news with few in a minute, so that their connections are
-// used again; a contact that is lost is replaced at once.
-func TestContactsAreFew(t *testing.T) {
+// Guards against a new connection in each gossip round. A node among many must use few
+// contacts, so that connections are reused, and must replace a lost contact at once.
+func TestContactsAreFewAndReplacedWhenLost(t *testing.T) {
 	is := is.New(t)
 	c := contacts{}
-	is.True(len(metIn(c, 100, func() []gossip.Member { return someMembers(60, "") })) <= 3*(nearContacts+farContacts))
+	is.True(len(peersPicked(c, 100, func() []gossip.Member { return membersExcept(60, "") })) <= 3*(nearContacts+farContacts))
 	is.Equal(len(c), nearContacts+farContacts)
 	for lost := range c {
-		is.True(!metIn(c, 100, func() []gossip.Member { return someMembers(60, lost) })[lost])
+		is.True(!peersPicked(c, 100, func() []gossip.Member { return membersExcept(60, lost) })[lost])
 		break
 	}
 	_, ok := c.pick(nil, inFirstDomain)
@@ -49,9 +49,10 @@
 	is.True(ok && m.ID == "far")
 }
 
-// No part of the nodes keeps to itself: in time a node meets all.
-func TestContactsChange(t *testing.T) {
+// Guards against parts of the deployment that only gossip among themselves. Contacts must
+// change, so that a node picks every peer in time.
+func TestContactsReachAllPeersInTime(t *testing.T) {
 	is := is.New(t)
-	met := metIn(contacts{}, 20_000, func() []gossip.Member { return someMembers(20, "") })
+	met := peersPicked(contacts{}, 20_000, func() []gossip.Member { return membersExcept(20, "") })
 	is.Equal(len(met), 20)
 }
--- a/internal/gateway/dialect.go
+++ b/internal/gateway/dialect.go
@@ -8,72 +8,78 @@
 	"github.com/hickorybank/hickorybank/internal/notice"
 )
 
-// Part is one part of a prompt, which an engine may have cached.
+// Part is a part of a prompt that an engine may have cached. Tokens is its size in tokens.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
-// Ask is what a caller's headers say.
+// Ask holds the values of a caller's request headers.
 type Ask struct {
-	// ID names the attempt of the caller.
+	// ID identifies the caller's attempt.
 	ID string
 	// Key is the organisation's key.
 	Key string
-	// Time is how long the caller waits; 0 if it does not say.
+	// Time is how long the caller waits for the answer; 0 if unknown.
 	Time time.Duration
-	// LastEvent is the event after which a stream goes on; empty for the start.
+	// LastEvent is the ID of the event after which a stream resumes; empty for its start.
 	LastEvent string
-	// Session joins requests that belong together; empty for none.
+	// Session is the session that the request belongs to; empty for none.
 	Session string
-	// Model is the model that the caller names.
+	// Model is the model that the caller asks for.
 	Model string
-	// AnyModel lets the router choose the model.
+	// AnyModel allows the gateway to choose the model.
 	AnyModel bool
-	// TokensIn and TokensOut are the prompt's size and the answer's bound.
+	// TokensIn is the size of the prompt, TokensOut the bound on the answer, both in
+	// tokens.
 	TokensIn, TokensOut int
-	Parts               []Part
+	// Parts are the parts of the prompt in order; the last one belongs to this request
+	// alone.
+	Parts []Part
 }
 
-// Order is what the router tells an upstream of a request.
+// Order holds the values of the headers that the gateway sets on a request to an upstream.
 type Order struct {
-	// Instance is the ID of the only upstream that may run it.
-	Instance     string
+	// Instance is the ID of the only upstream that may run the request.
+	Instance string
+	// Organisation is the caller's organisation; empty for none.
 	Organisation string
-	// Left is the time left for the answer.
+	// Left is the time left until the request's deadline.
 	Left time.Duration
-	// Model is the model that the router chose; empty to leave the caller's.
+	// Model is the model that the gateway chose; empty to keep the caller's.
 	Model string
-	// LastEvent is the event after which the stream goes on.
+	// LastEvent is the ID of the event after which the stream resumes.
 	LastEvent string
-	// Rank is the request's place in the upstream's queue, 0 first; negative for
+	// Rank is the request's position in the upstream's queue, starting at 0; negative for
 	// none.
 	Rank int
 }
 
-// Reply is what an upstream's headers say of its answer.
+// Reply holds the values of an upstream's response headers.
 type Reply struct {
-	// NotRun is set when the upstream did not run the request.
+	// NotRun is set if the upstream did not run the request.
 	NotRun bool
-	// Confidence is the model's own opinion of its answer, 0 to 100.
-	Confidence    int
+	// Confidence is the model's own rating of its answer, 0 to 100.
+	Confidence int
+	// HasConfidence is set if the answer carries a confidence.
 	HasConfidence bool
-	// Running, Waiting are the upstream's load.
+	// Running and Waiting are the numbers of requests that the upstream runs and queues.
 	Running, Waiting int
-	HasLoad          bool
-	// Notice is what the upstream says of itself beside its load.
+	// HasLoad is set if the answer carries the upstream's load.
+	HasLoad bool
+	// Notice is what the upstream announces about itself beside its load.
 	Notice notice.Answer
 }
 
 // Dialect reads and writes the headers of callers and upstreams.
 type Dialect interface {
-	// Read decodes a caller's headers; its error is told to the caller.
+	// Read decodes a caller's headers. The text of its error is sent to the caller.
 	Read(h http.Header) (Ask, error)
-	// Forward returns the fields to send to an upstream: the caller's, less
-	// those that only the router may set, and the router's.
+	// Forward returns the header fields to send to an upstream: the caller's, less those
+	// that only the gateway may set, and the gateway's own.
 	Forward(h http.Header, ask *Ask, o *Order) []exchange.Field
-	// Reply decodes an upstream's headers.
+	// Reply decodes the headers of an upstream's answer.
 	Reply(status int, h http.Header) Reply
-	// IDField is the header that carries a request's ID both ways.
+	// IDField is the name of the header that carries a request's ID in both directions.
 	IDField() string
 }
--- a/internal/gateway/discard_log.go
+++ b/internal/gateway/discard_log.go
@@ -5,6 +5,6 @@
 	"log"
 )
 
-// discardLog takes net/http's own lines on broken connections: each request's
-// end is logged with its ID by this package.
+// discardLog discards the log lines of net/http about broken connections. This package logs
+// the end of each request with its ID.
 var discardLog = log.New(io.Discard, "", 0)
--- a/internal/gateway/evacuations.go
+++ b/internal/gateway/evacuations.go
@@ -8,27 +8,26 @@
 	"github.com/hickorybank/hickorybank/internal/event"
 )
 
-// takeEvacuations takes orders to evacuate failure domains, from the table or a peer; the
-// caller holds mu.
-func (n *Node) takeEvacuations(orders []evacuation.Order, from string) {
+// applyEvacuations applies evacuation orders from the table or a peer; the caller holds mu.
+func (n *Node) applyEvacuations(orders []evacuation.Order, from string) {
 	for _, o := range orders {
 		if n.evacuations.Take(o) {
-			n.enforceEvacuation(o, from)
+			n.setEvacuation(o, from)
 		}
 	}
 }
 
-// endOtherEvacuations ends the orders that a complete reading of the table lacks; the
+// endMissingEvacuations ends the orders that a complete reading of the table lacks; the
 // caller holds mu.
-func (n *Node) endOtherEvacuations(c OrdersChange) {
+func (n *Node) endMissingEvacuations(c OrdersChange) {
 	for _, o := range n.evacuations.EndOthers(c.Evacuations, c.Revision) {
-		n.enforceEvacuation(o, fromTable)
+		n.setEvacuation(o, fromTable)
 	}
 }
 
-// enforceEvacuation has a change of a domain's state in force here, and the nodes told
-// for which this one reads; the caller holds mu.
-func (n *Node) enforceEvacuation(o evacuation.Order, from string) {
+// setEvacuation applies the new state of a failure domain and, on a group's leader, has the
+// other nodes notified; the caller holds mu.
+func (n *Node) setEvacuation(o evacuation.Order, from string) {
 	now := time.Now()
 	n.fleet.SetEvacuated(o.Domain, !o.Ended, now)
 	attrs := []slog.Attr{slog.String("domain", o.Domain), slog.Uint64("revision", o.Revision), slog.String("from", from)}
@@ -36,15 +35,16 @@
 		event.EvacuationEnded.Log(n.log, attrs...)
 	} else {
 		event.EvacuationBegan.Log(n.log, attrs...)
-		n.checkEvacuation(o, now)
+		n.warnAboutEvacuation(o, now)
 	}
-	if n.leads() {
-		n.tellSoon()
+	if n.leadsGroup() {
+		n.requestPush()
 	}
 }
 
-// checkEvacuation reports what an operator would want to know of a new order.
-func (n *Node) checkEvacuation(o evacuation.Order, now time.Time) {
+// warnAboutEvacuation logs problems of a new order: an unknown failure domain, or services
+// that are left without upstreams.
+func (n *Node) warnAboutEvacuation(o evacuation.Order, now time.Time) {
 	if _, known := n.settings.Regions[o.Domain]; !known && len(n.settings.Regions) > 0 {
 		event.EvacuationUnknown.Log(n.log, slog.String("domain", o.Domain))
 	}
@@ -53,7 +53,7 @@
 	}
 }
 
-// evacuatedDomains is how many failure domains are to be evacuated.
+// evacuatedDomains returns the number of failure domains with an active evacuation order.
 func (n *Node) evacuatedDomains() float64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/gateway/event_reader.go
+++ b/internal/gateway/event_reader.go
@@ -6,38 +6,38 @@
 	"io"
 )
 
-var errPartEvent = errors.New("stream ended inside an event")
-var errLongEvent = errors.New("event is too long")
+var errTruncatedEvent = errors.New("stream ended inside an event")
+var errEventTooLong = errors.New("event is too long")
 
-// eventReader cuts a stream into whole events.
+// eventReader splits a stream of server-sent events into complete events.
 type eventReader struct {
-	from io.Reader
-	rest []byte
-	buf  [eventBuffer]byte
+	from    io.Reader
+	pending []byte
+	buf     [readBufferBytes]byte
 }
 
-// next returns the events that are complete, the ID of the last one that has
-// one, and their number. An end inside an event is an error, as the upstream
-// broke off there.
+// next returns the bytes of the events that are complete, the last event ID among them, and
+// the number of events. The end of the stream inside an event is an error: the upstream
+// broke off.
 func (s *eventReader) next() (events []byte, id string, count int, err error) {
 	n, err := s.from.Read(s.buf[:])
-	s.rest = append(s.rest, s.buf[:n]...)
-	end, count := wholeEvents(s.rest)
-	events = s.rest[:end:end]
-	s.rest = s.rest[end:]
+	s.pending = append(s.pending, s.buf[:n]...)
+	end, count := completeEvents(s.pending)
+	events = s.pending[:end:end]
+	s.pending = s.pending[end:]
 	id = lastID(events)
 	switch {
-	case err == io.EOF && len(s.rest) > 0:
-		err = errPartEvent
-	case err == nil && len(s.rest) > mostEvent:
-		err = errLongEvent
+	case err == io.EOF && len(s.pending) > 0:
+		err = errTruncatedEvent
+	case err == nil && len(s.pending) > maxEventBytes:
+		err = errEventTooLong
 	}
 	return events, id, count, err
 }
 
-// wholeEvents returns where the last complete event ends, and how many there
-// are: an event ends with an empty line.
-func wholeEvents(b []byte) (end, count int) {
+// completeEvents returns the offset after the last complete event and the number of events.
+// An event ends with an empty line.
+func completeEvents(b []byte) (end, count int) {
 	line := 0
 	empty := true
 	for i, c := range b {
@@ -59,7 +59,7 @@
 	return end, count
 }
 
-// lastID returns the last "id:" of whole events.
+// lastID returns the last "id:" field of complete events.
 func lastID(events []byte) string {
 	id := ""
 	for len(events) > 0 {
--- a/internal/gateway/event_reader_test.go
+++ b/internal/gateway/event_reader_test.go
@@ -11,7 +11,7 @@
 	"github.com/matryer/is"
 )
 
-// readAll reads a stream to its end, in whatever pieces it comes.
+// readAll reads a stream to its end, whatever the sizes of its reads.
 func readAll(r io.Reader) (text, id string, count int, err error) {
 	s := &eventReader{from: r}
 	for {
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestStreamsAreCutIntoWholeEvents(t *testing.T) {
+func TestStreamIsCutIntoCompleteEvents(t *testing.T) {
 	tests := []struct {
 		name, in, text, id string
 		count              int
@@ -35,8 +35,8 @@
 	}{
 		{"none", "", "", "", 0, io.EOF},
 		{"two", "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", "2", 2, io.EOF},
-		{"cut in a line", "id: 1\n\nid: 2\nda", "id: 1\n\n", "1", 1, errPartEvent},
-		{"cut before the empty line", "id: 1\n\nid: 2\ndata: b\n", "id: 1\n\n", "1", 1, errPartEvent},
+		{"cut in a line", "id: 1\n\nid: 2\nda", "id: 1\n\n", "1", 1, errTruncatedEvent},
+		{"cut before the empty line", "id: 1\n\nid: 2\ndata: b\n", "id: 1\n\n", "1", 1, errTruncatedEvent},
 		{"carriage returns", "id: 1\r\ndata: a\r\n\r\n", "id: 1\r\ndata: a\r\n\r\n", "1", 1, io.EOF},
 		{"no id", "data: a\n\n", "data: a\n\n", "", 1, io.EOF},
 		{"comment", ": hello\n\n\n", ": hello\n\n\n", "", 1, io.EOF},
@@ -52,28 +52,28 @@
 	}
 }
 
-func TestEndlessEventIsRefused(t *testing.T) {
+func TestEndlessEventIsRejected(t *testing.T) {
 	is := is.New(t)
-	_, _, _, err := readAll(io.LimitReader(endless{}, 4*mostEvent))
-	is.Equal(err, errLongEvent)
+	_, _, _, err := readAll(io.LimitReader(endlessReader{}, 4*maxEventBytes))
+	is.Equal(err, errEventTooLong)
 }
 
-type endless struct{}
+type endlessReader struct{}
 
-func (endless) Read(p []byte) (int, error) {
+func (endlessReader) Read(p []byte) (int, error) {
 	for i := range p {
 		p[i] = 'x'
 	}
 	return len(p), nil
 }
 
-// Whatever arrives, the whole events and the rest are what was sent, in order,
-// and the rest holds no complete event.
+// For any input and read size, the events and the pending bytes together must equal the
+// input, and the pending bytes must hold no complete event.
 func FuzzEventReader(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: a\n\nid: 2\n"), 3)
 	f.Add([]byte("\n\n\r\n\n"), 1)
 	f.Fuzz(func(t *testing.T, in []byte, size int) {
-		s := &eventReader{from: &pieces{in, max(size%16, 1)}}
+		s := &eventReader{from: &chunkReader{in, max(size%16, 1)}}
 		var out []byte
 		for {
 			events, _, _, err := s.next()
@@ -82,25 +82,25 @@
 				break
 			}
 		}
-		if !bytes.Equal(append(out, s.rest...), in) {
-			t.Fatalf("%q and %q of %q", out, s.rest, in)
+		if !bytes.Equal(append(out, s.pending...), in) {
+			t.Fatalf("%q and %q of %q", out, s.pending, in)
 		}
-		if end, _ := wholeEvents(s.rest); end > 0 && len(in) < mostEvent {
-			t.Fatalf("%q was left", s.rest)
+		if end, _ := completeEvents(s.pending); end > 0 && len(in) < maxEventBytes {
+			t.Fatalf("%q was left", s.pending)
 		}
 	})
 }
 
-type pieces struct {
-	left []byte
+type chunkReader struct {
+	rest []byte
 	size int
 }
 
-func (p *pieces) Read(b []byte) (int, error) {
-	if len(p.left) == 0 {
+func (p *chunkReader) Read(b []byte) (int, error) {
+	if len(p.rest) == 0 {
 		return 0, io.EOF
 	}
-	n := copy(b, p.left[:min(p.size, len(p.left))])
-	p.left = p.left[n:]
+	n := copy(b, p.rest[:min(p.size, len(p.rest))])
+	p.rest = p.rest[n:]
 	return n, nil
 }
--- /dev/null
+++ b/internal/gateway/first_message_test.go
@@ -0,0 +1,40 @@
+package gateway
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"github.com/hickorybank/hickorybank/internal/gossip"
+)
+
+// Guards against first messages that list all members. At rest these were half of what a
+// hundred nodes received. A first message describes only its sender; a roster hash shows
+// that the sender knows others, and a second exchange transfers the difference.
+func TestFirstMessageDescribesOnlyItsSender(t *testing.T) {
+	is := is.New(t)
+	n, peer := newGroupNode(false), newGroupNode(true)
+	var all []gossip.Member
+	for i := range 100 {
+		all = append(all, gossip.Member{ID: fmt.Sprintf("m%d", i), Born: 1, Peer: "x:1", Beat: 1})
+	}
+	n.roster.Merge(all, time.Now())
+	first := n.newMessage(gossip.Member{ID: "n0"})
+	is.Equal(len(first.Members), 1)
+	is.Equal(first.Members[0].ID, "n9")
+	n.peerStates["n1"] = peerState{} // a peer has answered it
+	first = n.newMessage(gossip.Member{ID: "n0"})
+	is.Equal(len(first.Digest), 0)
+	answer := peer.Exchange(first)
+	is.Equal(len(answer.Members), 0) // only the digest, which shows that it knows other members
+	is.True(n.receive(answer))
+	second := n.rosterDifference(answer.Digest)
+	is.True(len(second.Members) >= len(all)) // the hundred members, and those in the same parts of the digest
+	second.From, second.RosterHash = "n9", n.roster.Hash()
+	n.receive(peer.Exchange(second))
+	is.Equal(peer.roster.Hash(), n.roster.Hash())
+	third := peer.Exchange(n.newMessage(gossip.Member{ID: "n0"}))
+	is.Equal(len(third.Members)+len(third.Digest), 0)
+}
--- a/internal/gateway/fleet_changes.go
+++ b/internal/gateway/fleet_changes.go
@@ -10,16 +10,16 @@
 	"github.com/hickorybank/hickorybank/internal/fleet"
 )
 
-// applyFleet takes a reading of the list that began at a time.
+// applyFleet applies a reading of the list that began at the time at.
 func (n *Node) applyFleet(c FleetChange, at time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
-	lapsing := n.wasAway(at)
-	if c.Revision < n.list.revision {
-		return // a peer's or an earlier reading arrived late
+	mayHaveLapsed := n.missedReadings(at)
+	if c.Revision < n.view.listRevision {
+		return // a later reading, by this node or a peer, is applied already
 	}
-	n.list.revision = c.Revision
+	n.view.listRevision = c.Revision
 	for _, r := range c.Put {
 		n.putUpstream(r, now)
 	}
@@ -28,21 +28,21 @@
 	if c.Whole {
 		drop = append(drop, n.unlisted(c.Put)...)
 	}
-	n.dropUpstreams(drop, at, lapsing)
+	n.dropUpstreams(drop, at, mayHaveLapsed)
 }
 
-// wasAway tells whether the table may have been away before a reading that began at a
-// time: this node has no other for so long before it that upstreams' entries may have
-// lapsed; the caller holds mu.
-func (n *Node) wasAway(at time.Time) bool {
-	return !n.list.provenAt.IsZero() && at.Sub(n.list.provenAt) > awayTimes*n.readEvery()
+// missedReadings reports whether upstreams' entries may have lapsed before a reading that
+// began at the time at: this node's previous reading is then so old that the table may have
+// been unavailable. The caller holds mu.
+func (n *Node) missedReadings(at time.Time) bool {
+	return !n.view.listAsOf.IsZero() && at.Sub(n.view.listAsOf) > outageIntervals*n.readInterval()
 }
 
-// awayTimes is how many readings in a row have to fail before upstreams that
-// vanish may have lapsed: entries outlive a shorter outage.
-const awayTimes = 2
+// outageIntervals is how many read intervals an outage lasts before missing upstreams may
+// have lapsed: entries outlive a shorter outage.
+const outageIntervals = 2
 
-// unlisted returns the known upstreams that a complete list lacks.
+// unlisted returns the IDs of known upstreams that a complete list lacks.
 func (n *Node) unlisted(list []fleet.Record) []string {
 	listed := make(map[string]bool, len(list))
 	for _, r := range list {
@@ -57,93 +57,94 @@
 	return ids
 }
 
+// putUpstream adds or updates an upstream; the caller holds mu.
 func (n *Node) putUpstream(r fleet.Record, now time.Time) {
-	delete(n.list.gone, r.ID)
+	delete(n.view.retained, r.ID)
 	known := n.fleet.Get(r.ID)
 	if !n.fleet.Put(r, now) {
 		return
 	}
 	if known != nil && known.Born != r.Born {
-		// Its kept connections ended with it.
+		// The connections of the upstream's earlier start are closed.
 		n.pool.Forget(known.Addr)
 	}
-	n.meetVersion(r.Service, r.Version, now)
+	n.noteVersion(r.Service, r.Version, now)
 	event.FleetChanged.Log(n.log, slog.String("upstream", r.ID), slog.String("service", r.Service), slog.String("addr", r.Addr),
-		slog.Int64("born", r.Born), slog.String("version", r.Version), slog.Bool("draining", r.Draining), slog.Uint64("revision", n.list.revision))
+		slog.Int64("born", r.Born), slog.String("version", r.Version), slog.Bool("draining", r.Draining), slog.Uint64("revision", n.view.listRevision))
 }
 
-// dropUpstreams forgets upstreams that are no longer listed; those that lapsed
-// are kept for a while.
+// dropUpstreams drops upstreams that are no longer listed. With mayHaveLapsed it retains
+// them for a while; at is when the reading began. The caller holds mu.
 //
-// It guards against a table that lost its entries while it was away: without
-// it every upstream would vanish at once although all live. Those that do are
-// listed again within lapseGrace. Only the first reading after an outage can
-// show such a loss: what vanishes later has left. Kept upstreams are not told
-// to peers: a peer that has had the table all the while knows that they left. at is
-// when the reading began.
-func (n *Node) dropUpstreams(ids []string, at time.Time, lapsing bool) {
+// It guards against a table that lost its entries during an outage: without it all
+// upstreams would vanish at once although they are alive. Live upstreams are listed again
+// within lapseGrace. Only the first reading after an outage can show such a loss; upstreams
+// that vanish later have left. Retained upstreams are not gossiped: a peer whose readings
+// have no gap knows that they left.
+func (n *Node) dropUpstreams(ids []string, at time.Time, mayHaveLapsed bool) {
 	until := at.Add(lapseGrace)
 	kept := 0
 	for _, id := range ids {
-		if !lapsing {
+		if !mayHaveLapsed {
 			n.dropUpstream(id)
 			continue
 		}
 		if n.fleet.Keep(id) {
-			n.list.gone[id] = until
+			n.view.retained[id] = until
 			kept++
 		}
 	}
 	if kept > 0 {
-		event.FleetKept.Log(n.log, slog.Int("upstreams", kept), slog.Uint64("revision", n.list.revision))
+		event.FleetKept.Log(n.log, slog.Int("upstreams", kept), slog.Uint64("revision", n.view.listRevision))
 	}
 }
 
-// dropUnreadable forgets the upstreams whose entries can't be read, at once: what
-// stood there before has been written over, and says nothing of the upstream
-// any more. The others hold.
+// dropUnreadable drops the upstreams whose entries can't be read, at once. The earlier
+// entry has been overwritten, so it no longer describes the upstream. Other upstreams are
+// unaffected.
 func (n *Node) dropUnreadable(rows []Unreadable) {
 	for _, r := range rows {
-		n.unreadable(r)
+		n.noteUnreadable(r)
 		n.dropUpstream(r.Key)
 	}
 }
 
-// unreadable notes a row that could not be read.
-func (n *Node) unreadable(r Unreadable) {
+// noteUnreadable counts and logs a row that can't be read.
+func (n *Node) noteUnreadable(r Unreadable) {
 	n.metrics.Counter("hickorybank_unreadable_rows_total").Inc()
 	event.RowUnreadable.Log(n.log, slog.String("key", r.Key), slog.String("err", r.Err.Error()))
 }
 
+// dropUpstream drops an upstream, retained or not; the caller holds mu.
 func (n *Node) dropUpstream(id string) {
-	delete(n.list.gone, id)
+	delete(n.view.retained, id)
 	u := n.fleet.Get(id)
 	if u == nil {
 		return
 	}
 	n.fleet.Drop(id)
-	event.FleetGone.Log(n.log, slog.String("upstream", id), slog.String("service", u.Service), slog.Uint64("revision", n.list.revision))
+	event.FleetGone.Log(n.log, slog.String("upstream", id), slog.String("service", u.Service), slog.Uint64("revision", n.view.listRevision))
 }
 
-// dropLapsed forgets kept upstreams that a reading has not listed again in time, this
-// node's own or a peer's; the caller holds mu.
+// dropExpiredRetained drops retained upstreams that a late enough reading, by this node or
+// a peer, does not list either; the caller holds mu.
 //
-// It guards against both ways of going by the clock: upstreams that live would be
-// dropped where the table is away again before it lists them, and one that has left
-// would be kept for good by a node whose own last call failed and that needs no other,
-// as its peers read for it.
-func (n *Node) dropLapsed() {
-	for _, id := range slices.Sorted(maps.Keys(n.list.gone)) {
-		if !n.list.provenAt.Before(n.list.gone[id]) {
+// Expiry depends on readings and not on the clock alone. By the clock, live upstreams would
+// be dropped if the table fails again before it lists them. An upstream that has left would
+// be retained for good by a node whose last own call failed and that makes no further call
+// because its peers read for it.
+func (n *Node) dropExpiredRetained() {
+	for _, id := range slices.Sorted(maps.Keys(n.view.retained)) {
+		if !n.view.listAsOf.Before(n.view.retained[id]) {
 			n.dropUpstream(id)
 		}
 	}
 }
 
-// dropKept forgets all kept upstreams: a peer has had the table while this
-// node had not, so that what vanished has left; the caller holds mu.
-func (n *Node) dropKept() {
-	for _, id := range slices.Sorted(maps.Keys(n.list.gone)) {
+// dropRetained drops all retained upstreams: a peer has read the table during this node's
+// gap, so what vanished has left. The caller holds mu.
+func (n *Node) dropRetained() {
+	for _, id := range slices.Sorted(maps.Keys(n.view.retained)) {
 		n.dropUpstream(id)
 	}
 }
--- a/internal/gateway/follow_config.go
+++ b/internal/gateway/follow_config.go
@@ -13,190 +13,196 @@
 )
 
 const (
-	// busyRest is how long a peer that serves others is left alone, and half as much
-	// again by chance: about as long as it needs for one of them.
-	busyRest = 50 * time.Millisecond
-	// failedRest is how long a peer is left alone that did not answer.
-	failedRest = 500 * time.Millisecond
-	// refusedRest is how long all are left alone after a configuration that this node
-	// can't read, unless there is a newer one: a release that can may follow.
-	refusedRest = 5 * time.Second
-	// emptyRest is how long one is left alone that has nothing newer yet.
-	emptyRest = 100 * time.Millisecond
+	// busyBackoff is how long this node leaves alone a peer that is serving others, plus up
+	// to half as much at random. A peer needs about that long to serve one of them.
+	busyBackoff = 50 * time.Millisecond
+	// failedBackoff is how long this node leaves alone a peer that did not answer.
+	failedBackoff = 500 * time.Millisecond
+	// rejectedBackoff is how long this node fetches nothing after a configuration that it
+	// can't read, unless a newer one is known: a version that it can read may follow.
+	rejectedBackoff = 5 * time.Second
+	// emptyBackoff is how long this node leaves alone a peer that has nothing newer yet.
+	emptyBackoff = 100 * time.Millisecond
 )
 
-// followConfig brings in newer configurations that peers have.
+// followConfig fetches newer configurations from peers.
 //
-// News name a peer's version only; a node that has an older one takes the newer from
-// whoever has it. It guards against changes that come late because they are large: a
-// reader that sent the whole to all of its group would fill its link, and news, flights
-// and proofs of freshness would wait behind it.
+// Gossip messages only carry a peer's version; a node with an older one fetches the newer
+// from any peer that has it. This keeps changes fast when configurations are large. A
+// reader that sent the whole configuration to all of its group would fill its link, and
+// gossip, in-flight reports and freshness proofs would queue behind it.
 func (n *Node) followConfig(ctx context.Context) {
-	f := &configFetch{node: n, receiver: transfer.NewReceiver(n.settings.ID), rests: map[string]time.Time{}}
+	f := &configFetcher{node: n, receiver: transfer.NewReceiver(n.settings.ID), backoffUntil: map[string]time.Time{}}
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-n.newer:
+		case <-n.newerConfig:
 			f.catchUp(ctx)
 		}
 	}
 }
 
-// hearVersion notes that a peer has a version of the configuration.
-func (n *Node) hearVersion(version int64) {
+// notePeerVersion records that a peer has a version of the configuration.
+func (n *Node) notePeerVersion(version int64) {
 	if version <= n.configVersion() {
 		return
 	}
-	for heard := n.heardVersion.Load(); version > heard; heard = n.heardVersion.Load() {
-		if n.heardVersion.CompareAndSwap(heard, version) {
+	for heard := n.newestPeerVersion.Load(); version > heard; heard = n.newestPeerVersion.Load() {
+		if n.newestPeerVersion.CompareAndSwap(heard, version) {
 			break
 		}
 	}
 	select {
-	case n.newer <- struct{}{}:
-	default: // the duty is about to look already
+	case n.newerConfig <- struct{}{}:
+	default: // a fetch is requested already
 	}
 }
 
-// Piece answers a peer that asks for a newer configuration.
-func (n *Node) Piece(in transfer.Ask) transfer.Piece { return n.sender.Answer(in, time.Now()) }
+// Piece answers a peer that fetches a newer configuration. It is a method of the gossip
+// service.
+func (n *Node) Piece(in transfer.Ask) transfer.Piece { return n.configSender.Answer(in, time.Now()) }
 
-// configFetch is the duty's state.
-type configFetch struct {
+// configFetcher is the state of followConfig.
+type configFetcher struct {
 	node     *Node
 	receiver *transfer.Receiver
-	// rests is until when peers are left alone, by their IDs.
-	rests map[string]time.Time
-	// tips are peers that others named.
-	tips []string
-	// refused is the latest version that was refused, and refusedAt when.
-	refused   int64
-	refusedAt time.Time
+	// backoffUntil is when peers may be asked again, by peer ID.
+	backoffUntil map[string]time.Time
+	// suggestedPeers are the IDs of peers that busy peers have named.
+	suggestedPeers []string
+	// rejectedVersion is the latest version that this node could not read, and rejectedAt
+	// when.
+	rejectedVersion int64
+	rejectedAt      time.Time
 }
 
-// catchUp takes newer configurations from peers as long as some have one.
-func (f *configFetch) catchUp(ctx context.Context) {
-	clear(f.rests)
-	f.tips = nil
-	for ctx.Err() == nil && !f.resting(time.Now()) {
-		peer, wait := f.choose(time.Now())
+// catchUp fetches newer configurations as long as any peer has one.
+func (f *configFetcher) catchUp(ctx context.Context) {
+	clear(f.backoffUntil)
+	f.suggestedPeers = nil
+	for ctx.Err() == nil && !f.backingOffRejected(time.Now()) {
+		peer, wait := f.nextPeer(time.Now())
 		switch {
 		case wait > 0:
 			pause(ctx, wait)
 		case peer.Peer == "":
 			return
 		default:
-			f.takeFrom(ctx, peer)
+			f.fetchFrom(ctx, peer)
 		}
 	}
 }
 
-// resting tells whether what peers have was refused a moment ago.
+// backingOffRejected reports whether this node has recently rejected what its peers have.
 //
-// It guards against a document that a node of an older release can't read: it would
-// take it from one peer after the other, for as long as the upgrade lasts.
-func (f *configFetch) resting(now time.Time) bool {
-	return f.node.heardVersion.Load() <= f.refused && now.Sub(f.refusedAt) < refusedRest
+// It guards against a configuration that a node of an older release can't read. The node
+// would fetch it from one peer after another for as long as the upgrade lasts.
+func (f *configFetcher) backingOffRejected(now time.Time) bool {
+	return f.node.newestPeerVersion.Load() <= f.rejectedVersion && now.Sub(f.rejectedAt) < rejectedBackoff
 }
 
-// choose returns the peer to ask, or how long to wait for one; neither when nobody
+// nextPeer returns the peer to ask, or how long to wait for one. Both are zero if no peer
 // has a newer version.
-func (f *configFetch) choose(now time.Time) (gossip.Member, time.Duration) {
+func (f *configFetcher) nextPeer(now time.Time) (gossip.Member, time.Duration) {
 	n := f.node
 	own := n.configVersion()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	have := slices.DeleteFunc(n.roster.Others(), func(m gossip.Member) bool {
-		return m.Peer == "" || n.told[m.ID].config <= own && !slices.Contains(f.tips, m.ID)
+	candidates := slices.DeleteFunc(n.roster.Others(), func(m gossip.Member) bool {
+		return m.Peer == "" || n.peerStates[m.ID].configVersion <= own && !slices.Contains(f.suggestedPeers, m.ID)
 	})
-	rand.Shuffle(len(have), func(i, k int) { have[i], have[k] = have[k], have[i] })
-	slices.SortStableFunc(have, func(a, b gossip.Member) int { return f.order(a) - f.order(b) })
+	rand.Shuffle(len(candidates), func(i, k int) { candidates[i], candidates[k] = candidates[k], candidates[i] })
+	slices.SortStableFunc(candidates, func(a, b gossip.Member) int { return f.preference(a) - f.preference(b) })
 	wait := time.Duration(0)
-	for _, m := range have {
-		rest := f.rests[m.ID].Sub(now)
-		if rest <= 0 {
+	for _, m := range candidates {
+		left := f.backoffUntil[m.ID].Sub(now)
+		if left <= 0 {
 			return m, 0
 		}
-		if wait == 0 || rest < wait {
-			wait = rest
+		if wait == 0 || left < wait {
+			wait = left
 		}
 	}
 	return gossip.Member{}, wait
 }
 
-// order puts peers that others named first, as nobody else may ask them yet, then
-// those of this node's own failure domain.
-func (f *configFetch) order(m gossip.Member) int {
+// preference ranks peers, lowest first: peers that others named, as nobody else may be
+// fetching from them yet, then peers in this node's failure domain.
+func (f *configFetcher) preference(m gossip.Member) int {
 	switch {
-	case slices.Contains(f.tips, m.ID):
+	case slices.Contains(f.suggestedPeers, m.ID):
 		return 0
-	case f.node.near(m):
+	case f.node.sameDomain(m):
 		return 1
 	default:
 		return 2
 	}
 }
 
-// takeFrom takes what a peer has that is newer, piece by piece.
-func (f *configFetch) takeFrom(ctx context.Context, peer gossip.Member) {
+// fetchFrom fetches a peer's newer configuration piece by piece.
+func (f *configFetcher) fetchFrom(ctx context.Context, peer gossip.Member) {
 	n := f.node
 	began := time.Now()
 	for ctx.Err() == nil {
 		f.receiver.Begin(uint64(n.configVersion()))
-		p, err := n.contents.Piece(peer.Peer, f.receiver.Ask())
-		f.count(p, err)
+		p, err := n.transferClient.Piece(peer.Peer, f.receiver.Ask())
+		f.countPiece(p, err)
 		if err != nil {
-			f.cut(peer, began, err)
+			f.abort(peer, began, err)
 			return
 		}
 		if p.Busy {
-			f.tips = p.Others
-			f.rest(peer, busyRest+rand.N(busyRest/2))
+			f.suggestedPeers = p.Others
+			f.backOff(peer, busyBackoff+rand.N(busyBackoff/2))
 			return
 		}
 		if p.To <= uint64(n.configVersion()) {
-			f.rest(peer, emptyRest)
+			f.backOff(peer, emptyBackoff)
 			return
 		}
-		whole, err := f.receiver.Take(p)
+		complete, err := f.receiver.Take(p)
 		if err != nil {
-			f.cut(peer, began, err)
+			f.abort(peer, began, err)
 			return
 		}
-		if whole {
+		if complete {
 			f.finish(peer, int64(p.To), began)
 			return
 		}
 	}
 }
 
-// finish tells the sender that all of a version has come, and puts it in force.
-func (f *configFetch) finish(peer gossip.Member, version int64, began time.Time) {
+// finish tells the sender that the transfer is complete, and applies the version.
+func (f *configFetcher) finish(peer gossip.Member, version int64, began time.Time) {
 	n := f.node
-	if _, err := n.contents.Piece(peer.Peer, f.receiver.Ask()); err != nil {
-		f.rest(peer, failedRest) // it forgets this node by itself
+	if _, err := n.transferClient.Piece(peer.Peer, f.receiver.Ask()); err != nil {
+		f.backOff(peer, failedBackoff) // the sender's record of this transfer expires by itself
 	}
 	result, err := n.applyUpdate(f.receiver, peer.ID)
 	switch result {
-	case unfit:
-		f.cut(peer, began, err)
-	case refused:
-		f.refused, f.refusedAt = version, time.Now()
+	case updateUnusable:
+		f.abort(peer, began, err)
+	case updateRejected:
+		f.rejectedVersion, f.rejectedAt = version, time.Now()
 	}
 }
 
-func (f *configFetch) rest(peer gossip.Member, d time.Duration) { f.rests[peer.ID] = time.Now().Add(d) }
+// backOff leaves a peer alone for a time.
+func (f *configFetcher) backOff(peer gossip.Member, d time.Duration) {
+	f.backoffUntil[peer.ID] = time.Now().Add(d)
+}
 
-// cut notes that a transfer ended before its time.
-func (f *configFetch) cut(peer gossip.Member, began time.Time, err error) {
-	f.rest(peer, failedRest)
+// abort logs a transfer that failed and leaves its peer alone for a while.
+func (f *configFetcher) abort(peer gossip.Member, began time.Time, err error) {
+	f.backOff(peer, failedBackoff)
 	event.TableCut.Log(f.node.log, slog.String("peer", peer.ID), slog.Int64("version", f.node.configVersion()),
-		slog.Int64("heard", f.node.heardVersion.Load()), slog.Int("received", f.receiver.Received()),
+		slog.Int64("heard", f.node.newestPeerVersion.Load()), slog.Int("received", f.receiver.Received()),
 		slog.Duration("after", time.Since(began)), slog.String("err", err.Error()))
 }
 
-func (f *configFetch) count(p transfer.Piece, err error) {
+// countPiece counts a call for a piece by its result.
+func (f *configFetcher) countPiece(p transfer.Piece, err error) {
 	result := "ok"
 	switch {
 	case err != nil:
--- a/internal/gateway/follow_config_test.go
+++ b/internal/gateway/follow_config_test.go
@@ -19,8 +19,7 @@
 	"github.com/hickorybank/hickorybank/internal/transfer"
 )
 
-// newerPeer is a peer that has a newer configuration; asked counts the pieces that were
-// asked of it.
+// newerPeer is a peer that has a newer configuration; asked counts the requests for pieces.
 type newerPeer struct {
 	gossip.Exchanger
 	sender *transfer.Sender
@@ -32,9 +31,10 @@
 	return p.sender.Answer(in, time.Now())
 }
 
-// newerWorld asks a configuration of 100 kB from a peer for a time, as news of its
-// version come every 0.6 s; it returns the pieces that were asked for.
-func newerWorld(t *testing.T, source Source, d time.Duration) (*Node, int64) {
+// fetchFromNewerPeer runs followConfig for a time against a peer that has a newer
+// configuration, whose version the node receives every 0.6 s. It returns the number of
+// pieces requested.
+func fetchFromNewerPeer(t *testing.T, source Source, d time.Duration) (*Node, int64) {
 	const peerAddr = "10.0.0.2:80"
 	net := sim.New(time.Millisecond, 1)
 	l, err := net.Host("10.0.0.2", 0).Listen(peerAddr)
@@ -60,42 +60,42 @@
 		n.followConfig(ctx)
 		close(done)
 	}()
-	for pause(ctx, gossipEvery) {
-		n.take(gossip.Message{From: "n0", ConfigVersion: 1, Proof: gossip.Proof{Age: noProof, OrdersAge: noProof}})
+	for pause(ctx, gossipInterval) {
+		n.receive(gossip.Message{From: "n0", ConfigVersion: 1, Proof: gossip.Proof{Age: noProof, OrdersAge: noProof}})
 	}
 	<-done
-	n.contents.Close()
+	n.transferClient.Close()
 	server.Close()
-	time.Sleep(time.Second) // until the ends of connections have arrived
+	time.Sleep(time.Second) // until closed connections have ended
 	return n, peer.asked.Load()
 }
 
-// unreadable refuses every configuration.
-type unreadable struct{ Source }
+// rejectingSource rejects every configuration.
+type rejectingSource struct{ Source }
 
-func (unreadable) Decode([]byte, *route.Table) (*route.Table, error) {
+func (rejectingSource) Decode([]byte, *route.Table) (*route.Table, error) {
 	return nil, errors.New("a kind that is not known here")
 }
 
-// Nodes of a newer release are told of a kind of route that this one does not know. It
-// refuses their configuration, as it should, and took it again from the next peer every
-// half second: a large one fills its link for as long as the upgrade lasts. It asks
-// again after a while.
-func TestRefusedConfigurationIsLeftAlone(t *testing.T) {
+// Guards against repeated transfers of a configuration that an older release can't read,
+// for example one with an unknown kind of route. The node fetched it from another peer
+// every half second; a large one fills its link for as long as the upgrade lasts. It must
+// try again only after rejectedBackoff.
+func TestRejectedConfigurationIsNotFetchedAgainAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		n, asked := newerWorld(t, unreadable{}, 20*time.Second)
+		n, asked := fetchFromNewerPeer(t, rejectingSource{}, 20*time.Second)
 		is.Equal(n.configVersion(), int64(0))
-		is.True(asked >= 2)  // it is tried again
-		is.True(asked <= 10) // but not all the time
+		is.True(asked >= 2)  // it tries again
+		is.True(asked <= 10) // but not in every round
 	})
 }
 
-func TestNewerConfigurationIsTakenFromAPeer(t *testing.T) {
+func TestNewerConfigurationIsFetchedFromAPeer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		n, asked := newerWorld(t, oneRoute{}, 2*time.Second)
+		n, asked := fetchFromNewerPeer(t, oneRoute{}, 2*time.Second)
 		is.Equal(n.configVersion(), int64(1))
-		is.Equal(asked, int64(2)) // a piece, and that it has come
+		is.Equal(asked, int64(2)) // one piece, and the report that the transfer is complete
 	})
 }
--- a/internal/gateway/follow_flights.go
+++ b/internal/gateway/follow_flights.go
@@ -9,27 +9,27 @@
 	"github.com/hickorybank/hickorybank/internal/gossip"
 )
 
-// flightsEvery is the pause between a node's reports of what it has under way.
-const flightsEvery = 200 * time.Millisecond
+// flightReportInterval is the pause between a node's reports of its in-flight requests.
+const flightReportInterval = 200 * time.Millisecond
 
-// followFlights tells what this node has under way, and hears what all nodes have. Without
-// an answer the upstreams' own load reports count.
+// followFlights reports this node's in-flight requests and receives the sum over all nodes.
+// Without an answer the upstreams' own load reports count.
 func (n *Node) followFlights(ctx context.Context) {
-	for pause(ctx, flightsEvery) {
+	for pause(ctx, flightReportInterval) {
 		now := time.Now()
 		n.mu.Lock()
 		own := n.fleet.Flight()
 		n.flights.Take(gossip.FlightReport{From: n.settings.ID, Flight: own}, now)
 		role := n.roster.FlightRole()
 		n.mu.Unlock()
-		heard := true
+		ok := true
 		if role.To.ID == "" {
 			n.exchangeFlights(role.Others)
 		} else {
-			heard = n.reportFlights(role)
+			ok = n.reportFlights(role)
 		}
-		if !heard {
-			continue // the leader's loss is noticed by the usual news
+		if !ok {
+			continue // gossip detects the loss of the leader
 		}
 		n.mu.Lock()
 		n.fleet.TakeFlight(n.flights.All(time.Now()), own, time.Now())
@@ -37,8 +37,8 @@
 	}
 }
 
-// reportFlights reports to the leader of this node's group or domain; it returns whether
-// that has answered.
+// reportFlights reports to the leader of this node's group or failure domain; it reports
+// whether the leader has answered.
 func (n *Node) reportFlights(role gossip.FlightRole) bool {
 	if role.To.Peer == "" {
 		return false
@@ -46,7 +46,7 @@
 	n.mu.Lock()
 	report := n.flights.Report(n.settings.ID, role, time.Now())
 	n.mu.Unlock()
-	all, err := n.peers.Flights(role.To.Peer, report)
+	all, err := n.gossipClient.Flights(role.To.Peer, report)
 	if err != nil {
 		return false
 	}
@@ -57,20 +57,20 @@
 }
 
 // exchangeFlights exchanges the sum over this failure domain with the first leaders of the
-// others. Of two one calls, as both learn in an exchange what they need.
+// others. Only one of two leaders calls, as one exchange informs both.
 func (n *Node) exchangeFlights(others []gossip.Member) {
 	n.mu.Lock()
 	report := gossip.FlightReport{From: n.settings.ID, Domain: true, Flight: n.flights.Domain(time.Now())}
 	n.mu.Unlock()
-	work := pool.New().WithMaxGoroutines(feedWidth)
+	work := pool.New().WithMaxGoroutines(maxParallelExchanges)
 	for _, m := range others {
 		if m.ID <= n.settings.ID || m.Peer == "" {
 			continue
 		}
 		work.Go(func() {
-			if theirs, err := n.peers.Flights(m.Peer, report); err == nil {
+			if reply, err := n.gossipClient.Flights(m.Peer, report); err == nil {
 				n.mu.Lock()
-				n.flights.Take(theirs, time.Now())
+				n.flights.Take(reply, time.Now())
 				n.mu.Unlock()
 			}
 		})
@@ -78,7 +78,8 @@
 	work.Wait()
 }
 
-// Flights answers a peer's report of what it has under way.
+// Flights answers a peer's report of its in-flight requests. It is a method of the gossip
+// service.
 func (n *Node) Flights(in gossip.FlightReport) gossip.FlightReport {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/gateway/follow_peers.go
+++ b/internal/gateway/follow_peers.go
@@ -13,31 +13,29 @@
 	"github.com/hickorybank/hickorybank/internal/gossip"
 )
 
-// followPeers meets the deployment and then exchanges news with a peer at a
-// time.
+// followPeers joins the deployment and then gossips with one peer per round.
 func (n *Node) followPeers(ctx context.Context) {
-	n.meet(ctx)
+	n.contactSeeds(ctx)
 	joined := false
 	var tried time.Time
 	for {
-		if !joined && time.Since(tried) >= mostRetryCall && n.shouldJoin() {
+		if !joined && time.Since(tried) >= maxRetryDelay && n.shouldJoin() {
 			tried = time.Now()
 			joined = n.join(ctx)
 		}
 		if n.refreshSelf() {
-			n.exchangeWith(ctx, n.pickPeers(readyWidth), n.message)
+			n.exchangeWith(ctx, n.pickPeers(readyPeers), n.newMessage)
 		} else {
-			n.exchangeWith(ctx, n.pickPeers(1), n.message)
+			n.exchangeWith(ctx, n.pickPeers(1), n.newMessage)
 		}
 		n.refreshSenders()
-		if !pause(ctx, gossipEvery) {
+		if !pause(ctx, gossipInterval) {
 			return
 		}
 	}
 }
 
-// refreshSelf takes this node's own state into the roster; it reports whether
-// that changed.
+// refreshSelf updates this node's own entry in the roster; it reports whether that changed.
 func (n *Node) refreshSelf() bool {
 	ready := n.Ready()
 	n.mu.Lock()
@@ -45,8 +43,8 @@
 	return n.roster.SetSelf(ready, n.stopping.Load())
 }
 
-// pickPeers chooses some peers at random, or one of this node's contacts; one that is not known to live is
-// tried now and then, as it may be back.
+// pickPeers returns count random peers; for a count of one, one of this node's contacts. It
+// occasionally adds a peer that is not known to be alive, as it may have recovered.
 func (n *Node) pickPeers(count int) []gossip.Member {
 	now := time.Now()
 	n.mu.Lock()
@@ -54,42 +52,43 @@
 	live := n.roster.Others()
 	rand.Shuffle(len(live), func(i, k int) { live[i], live[k] = live[k], live[i] })
 	picked := live[:min(len(live), count)]
-	if contact, ok := n.contacts.pick(live, n.near); ok && count == 1 {
+	if contact, ok := n.contacts.pick(live, n.sameDomain); ok && count == 1 {
 		picked = []gossip.Member{contact}
 	}
-	if len(live) >= count && rand.IntN(strangerOdds) > 0 {
+	if len(live) >= count && rand.IntN(unknownPeerOdds) > 0 {
 		return picked
 	}
-	if stranger, ok := n.stranger(now); ok {
-		picked = append(picked, stranger)
+	if peer, ok := n.unknownPeer(now); ok {
+		picked = append(picked, peer)
 	}
 	return picked
 }
 
-// farOdds is how many rounds of news pass, on average, between two with a node
-// that may be in another failure domain. Readers tell each other what has to be
-// known everywhere; what is left reaches a domain of twenty nodes within two
-// rounds more. With 76 nodes, bytes between failure domains fall by a seventh.
+// farOdds is the mean number of gossip rounds between two with a node of another failure
+// domain. Readers push urgent changes to all domains; the rest reaches a domain of twenty
+// nodes within two more rounds. With 76 nodes this saves a seventh of the bytes between
+// failure domains.
 const farOdds = 4
 
-// near tells whether a node is in this node's own failure domain.
-func (n *Node) near(m gossip.Member) bool { return m.Domain == n.settings.Domain }
+// sameDomain reports whether a node is in this node's failure domain.
+func (n *Node) sameDomain(m gossip.Member) bool { return m.Domain == n.settings.Domain }
 
-// strangerOdds is how many rounds pass, on average, between two calls of a
-// peer that is not known to live.
-const strangerOdds = 6
+// unknownPeerOdds is the mean number of rounds between two calls of a peer that is not
+// known to be alive.
+const unknownPeerOdds = 6
 
-// stranger picks a seed or a recorded member that is not known to live.
-func (n *Node) stranger(now time.Time) (gossip.Member, bool) {
-	all := append(n.seeds(), n.recorded...)
+// unknownPeer picks a seed or a recorded member that is not known to be alive; the caller
+// holds mu.
+func (n *Node) unknownPeer(now time.Time) (gossip.Member, bool) {
+	all := append(n.seeds(), n.recordedMembers...)
 	all = append(all, n.roster.Known(now)[1:]...)
-	return n.notLive(all)
+	return n.pickNotLive(all)
 }
 
-// seed picks a seed that is not known to live; the caller holds mu.
-func (n *Node) seed() (gossip.Member, bool) { return n.notLive(n.seeds()) }
+// seed picks a seed that is not known to be alive; the caller holds mu.
+func (n *Node) seed() (gossip.Member, bool) { return n.pickNotLive(n.seeds()) }
 
-// seeds are the settings' seeds, as members of which only the address is known.
+// seeds returns the configured seeds as members of which only the address is known.
 func (n *Node) seeds() (all []gossip.Member) {
 	for _, addr := range n.settings.Seeds {
 		all = append(all, gossip.Member{Peer: addr})
@@ -97,8 +96,8 @@
 	return all
 }
 
-// notLive picks one of some members that is not known to live; the caller holds mu.
-func (n *Node) notLive(all []gossip.Member) (gossip.Member, bool) {
+// pickNotLive picks a random one of all that is not known to be alive; the caller holds mu.
+func (n *Node) pickNotLive(all []gossip.Member) (gossip.Member, bool) {
 	live := map[string]bool{n.settings.Peer: true}
 	for _, m := range n.roster.Alive() {
 		live[m.Peer] = true
@@ -110,75 +109,76 @@
 	return unknown[rand.IntN(len(unknown))], true
 }
 
-// exchangeAll tells many peers at once, where news can't wait.
-func (n *Node) exchangeAll(ctx context.Context) {
-	n.exchangeWith(ctx, n.pickPeers(urgentWidth), n.message)
+// exchangeUrgently gossips with several peers at once, for changes that can't wait for a
+// round.
+func (n *Node) exchangeUrgently(ctx context.Context) {
+	n.exchangeWith(ctx, n.pickPeers(urgentPeers), n.newMessage)
 }
 
-// urgentWidth bounds the peers told at once; they tell the others.
-const urgentWidth = 12
+// urgentPeers bounds the peers that are called at once; they pass the change on.
+const urgentPeers = 12
 
-// readyWidth is how many peers a node tells at once that it can serve, or no longer can.
-// Hundreds that start together told twelve each, all of what they knew of each other.
-const readyWidth = 4
+// readyPeers is how many peers a node calls at once when its readiness changes. It is
+// smaller than urgentPeers, as hundreds of nodes may start together and each describes the
+// members it knows.
+const readyPeers = 4
 
-// exchangeWith exchanges news with some peers; message says what one is told.
+// exchangeWith gossips with some peers; message builds the message for each.
 func (n *Node) exchangeWith(ctx context.Context, peers []gossip.Member, message func(to gossip.Member) gossip.Message) {
 	if len(peers) == 1 {
 		n.exchange(ctx, peers[0], message)
 		return
 	}
-	work := pool.New().WithMaxGoroutines(feedWidth)
+	work := pool.New().WithMaxGoroutines(maxParallelExchanges)
 	for _, m := range peers {
 		work.Go(func() { n.exchange(ctx, m, message) })
 	}
 	work.Wait()
 }
 
-// exchange exchanges news with one peer, twice where the first time showed that both
-// know other members.
+// exchange gossips with one peer, twice if the first answer shows that the rosters differ.
 func (n *Node) exchange(ctx context.Context, m gossip.Member, message func(to gossip.Member) gossip.Message) {
-	n.exchangeUpTo(ctx, exchangeTries, m, message)
+	n.exchangeUpTo(ctx, maxExchangeCalls, m, message)
 }
 
-// exchangeUpTo exchanges news with one peer in so many calls at most.
-func (n *Node) exchangeUpTo(ctx context.Context, tries int, m gossip.Member, message func(to gossip.Member) gossip.Message) {
-	var differing gossip.Message
-	for range tries {
+// exchangeUpTo gossips with one peer in the given number of calls at most.
+func (n *Node) exchangeUpTo(ctx context.Context, calls int, m gossip.Member, message func(to gossip.Member) gossip.Message) {
+	var difference gossip.Message
+	for range calls {
 		if ctx.Err() != nil {
 			return
 		}
 		out := message(m)
-		out.Members = append(out.Members, differing.Members...)
-		if len(differing.Digest) > 0 {
-			out.Digest = differing.Digest
+		out.Members = append(out.Members, difference.Members...)
+		if len(difference.Digest) > 0 {
+			out.Digest = difference.Digest
 		}
 		began := time.Now()
-		in, err := n.peers.Exchange(m.Peer, out)
+		in, err := n.gossipClient.Exchange(m.Peer, out)
 		n.countExchange(err)
 		if err != nil {
 			event.PeerCallFailed.Log(n.log, slog.String("peer", m.ID), slog.String("addr", m.Peer), slog.Int("upstreams", len(out.Fleet)),
 				slog.Duration("after", time.Since(began)), slog.String("err", err.Error()))
-			n.peerLost(m, err)
+			n.notePeerFailure(m, err)
 			return
 		}
-		if !n.take(in) {
+		if !n.receive(in) {
 			return
 		}
-		differing = n.differing(in.Digest)
+		difference = n.rosterDifference(in.Digest)
 		m = gossip.Member{ID: in.From, Born: in.Born, Peer: m.Peer}
 	}
 }
 
-// differing returns this node's digest and its members in the parts of the roster in
-// which a peer's differs.
-func (n *Node) differing(theirs gossip.Digest) gossip.Message {
+// rosterDifference returns this node's digest, and its members in the parts of the roster
+// in which a peer's digest differs.
+func (n *Node) rosterDifference(theirs gossip.Digest) gossip.Message {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return gossip.Message{Digest: n.roster.Digest(), Members: n.roster.Differing(theirs, time.Now())}
 }
 
-// countExchange counts an exchange with a peer.
+// countExchange counts a call of a peer by its result.
 func (n *Node) countExchange(err error) {
 	result := "ok"
 	if err != nil {
@@ -187,16 +187,17 @@
 	n.metrics.Counter("hickorybank_peer_exchanges_total", "result", result).Inc()
 }
 
-// exchangeTries bounds the calls of one exchange.
-const exchangeTries = 2
+// maxExchangeCalls bounds the calls of one exchange.
+const maxExchangeCalls = 2
 
-func (n *Node) peerLost(m gossip.Member, err error) {
+// notePeerFailure records that a call of a peer failed.
+func (n *Node) notePeerFailure(m gossip.Member, err error) {
 	if m.ID == "" {
 		return
 	}
 	n.mu.Lock()
 	died := n.roster.Unreached(m.ID, time.Now())
-	delete(n.told, m.ID)
+	delete(n.peerStates, m.ID)
 	n.mu.Unlock()
 	if died {
 		event.PeerLost.Log(n.log, slog.String("peer", m.ID), slog.String("addr", m.Peer), slog.String("err", err.Error()))
--- a/internal/gateway/follow_rollouts.go
+++ b/internal/gateway/follow_rollouts.go
@@ -11,20 +11,20 @@
 	"github.com/hickorybank/hickorybank/internal/gossip"
 )
 
-// followRollouts weighs the evidence on new versions and records verdicts.
+// followRollouts evaluates new versions, records the verdicts and announces new rollouts.
 func (n *Node) followRollouts(ctx context.Context) {
-	next := map[string]time.Time{}
-	for pause(ctx, tickEvery) {
-		for _, d := range n.weigh(time.Now()) {
-			n.follow(ctx, d, next)
+	retryAt := map[string]time.Time{}
+	for pause(ctx, rolloutTickInterval) {
+		for _, d := range n.evaluateRollouts(time.Now()) {
+			n.applyDecision(ctx, d, retryAt)
 		}
-		n.announce(ctx, next)
+		n.announceRollouts(ctx, retryAt)
 	}
 }
 
-// follow acts on a decision; next is when a service's state may be written
-// again after a failed try.
-func (n *Node) follow(ctx context.Context, d canary.Decision, next map[string]time.Time) {
+// applyDecision acts on a decision about a rollout. retryAt is when a service's state may
+// be written again after a failed write, by service.
+func (n *Node) applyDecision(ctx context.Context, d canary.Decision, retryAt map[string]time.Time) {
 	attrs := []slog.Attr{
 		slog.String("service", d.Order.Service), slog.String("target", d.Order.Target), slog.String("verdict", d.Verdict.String()),
 		slog.Float64("likelihood", d.Likelihood), slog.String("route", d.Route),
@@ -33,11 +33,11 @@
 	}
 	if d.Widened {
 		event.VersionWidened.Log(n.log, attrs...)
-		n.tellSoon()
+		n.requestPush()
 	}
 	if d.Shift {
 		event.VersionShifts.Log(n.log, attrs...)
-		n.tellSoon()
+		n.requestPush()
 		return
 	}
 	if d.Verdict == canary.Open {
@@ -45,98 +45,102 @@
 	}
 	if d.Made {
 		event.VersionDecided.Log(n.log, attrs...)
-		n.tellSoon()
+		n.requestPush()
 	}
 	now := time.Now()
-	again, tried := next[d.Order.Service]
-	turn := n.turn(d.Order)
-	if now.Before(again) || tried && n.tableAway() || !d.Made && now.Before(turn) {
+	again, tried := retryAt[d.Order.Service]
+	turn := n.verdictTurn(d.Order)
+	if now.Before(again) || tried && n.tableUnavailable() || !d.Made && now.Before(turn) {
 		return
 	}
-	if !n.write(ctx, d.Order, d.Verdict) {
-		next[d.Order.Service] = now.Add(mostRetryCall)
+	if !n.recordVerdict(ctx, d.Order, d.Verdict) {
+		retryAt[d.Order.Service] = now.Add(maxRetryDelay)
 		return
 	}
-	delete(next, d.Order.Service)
+	delete(retryAt, d.Order.Service)
 }
 
-// tableAway tells whether this node knows that the table can't be read by it and by who
-// reads for it. A verdict that could not be written then waits until somebody can: tried
-// again by each node each second, it was most of the calls of a table that is away.
-func (n *Node) tableAway() bool {
+// tableUnavailable reports whether neither this node nor its reader can read the table. A
+// verdict whose first write failed then waits for the next reading by any node. Retried by
+// each node each second, such writes were most of the calls of an unavailable table.
+func (n *Node) tableUnavailable() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.list.awayAt.After(n.list.provenAt)
+	return n.view.outageAt.After(n.view.listAsOf)
 }
 
-func (n *Node) weigh(now time.Time) []canary.Decision {
+// evaluateRollouts returns what the evidence on new versions decides now.
+func (n *Node) evaluateRollouts(now time.Time) []canary.Decision {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.canary.Forget(n.roster.Lives)
 	return n.canary.Tick(now, canary.View{
 		Count: func(service, version string) (int, int) { return n.fleet.Count(service, version, now) },
-		Whole: n.leads(),
+		Whole: n.leadsGroup(),
 	})
 }
 
-// turn is when this node may write a verdict that another made: the nodes
-// follow one after the other, in order of their IDs, until one has written.
+// verdictTurn returns when this node may write a verdict that another node made. The nodes
+// take turns in the order of their IDs until one has written it.
 //
-// It guards against a table that turns away just the node that decided: the
-// verdict would not be recorded while all others could.
-func (n *Node) turn(o canary.Order) time.Time {
+// It guards against a table that refuses only the node that decided: the verdict would not
+// be recorded although all other nodes could.
+func (n *Node) verdictTurn(o canary.Order) time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	key := turnKey{o.Service, o.Revision}
-	if n.heard[key].IsZero() {
-		n.heard[key] = time.Now()
+	key := verdictKey{o.Service, o.Revision}
+	if n.verdictSeenAt[key].IsZero() {
+		n.verdictSeenAt[key] = time.Now()
 	}
 	rank := slices.IndexFunc(n.roster.Alive(), func(m gossip.Member) bool { return m.ID == n.settings.ID })
-	return n.heard[key].Add(time.Duration(rank+1) * turnStep)
+	return n.verdictSeenAt[key].Add(time.Duration(rank+1) * verdictTurnStep)
 }
 
-// turnKey names a verdict on one order.
-type turnKey struct {
+// verdictKey identifies the verdict on one rollout order.
+type verdictKey struct {
 	service  string
 	revision uint64
 }
 
-// turnStep is the time between the turns of two nodes.
-const turnStep = 100 * time.Millisecond
+// verdictTurnStep is the time between the turns of two nodes.
+const verdictTurnStep = 100 * time.Millisecond
 
-func (n *Node) write(ctx context.Context, o canary.Order, v canary.Verdict) bool {
-	ctx, cancel := context.WithTimeout(withCause(ctx, CauseRollout), callTimeout)
+// recordVerdict writes a rollout's state to the table and applies the state that then
+// stands; it reports whether the write succeeded.
+func (n *Node) recordVerdict(ctx context.Context, o canary.Order, v canary.Verdict) bool {
+	ctx, cancel := context.WithTimeout(withCause(ctx, CauseRollout), tableCallTimeout)
 	defer cancel()
-	stands, err := n.source.Record(ctx, o, v)
+	recorded, err := n.source.Record(ctx, o, v)
 	n.sourceResult("record", err)
 	if err != nil {
 		event.VersionUnrecorded.Log(n.log, slog.String("service", o.Service), slog.String("verdict", v.String()), slog.String("err", err.Error()))
 		return false
 	}
 	event.VersionRecorded.Log(n.log, slog.String("service", o.Service), slog.String("target", o.Target),
-		slog.String("verdict", stands.String()), slog.Uint64("revision", o.Revision))
+		slog.String("verdict", recorded.String()), slog.Uint64("revision", o.Revision))
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.canary.Decide(o.Service, o.Revision, stands, true)
-	n.announced[o.Service] = max(n.announced[o.Service], o.Revision)
+	n.canary.Decide(o.Service, o.Revision, recorded, true)
+	n.announcedRevision[o.Service] = max(n.announcedRevision[o.Service], o.Revision)
 	return true
 }
 
-// announce records that an order is under way.
-func (n *Node) announce(ctx context.Context, next map[string]time.Time) {
+// announceRollouts records new rollouts as under way; only the first node of the roster
+// does so.
+func (n *Node) announceRollouts(ctx context.Context, retryAt map[string]time.Time) {
 	now := time.Now()
 	var due []canary.Order
 	n.mu.Lock()
 	first := n.roster.Alive()[0].ID == n.settings.ID
-	for _, o := range n.orders {
-		if first && n.announced[o.Service] < o.Revision && n.canary.Open(o.Service) && !now.Before(next[o.Service]) {
+	for _, o := range n.rollouts {
+		if first && n.announcedRevision[o.Service] < o.Revision && n.canary.Open(o.Service) && !now.Before(retryAt[o.Service]) {
 			due = append(due, o.Order)
 		}
 	}
 	n.mu.Unlock()
 	for _, o := range due {
-		if !n.write(ctx, o, canary.Open) {
-			next[o.Service] = time.Now().Add(mostRetryCall)
+		if !n.recordVerdict(ctx, o, canary.Open) {
+			retryAt[o.Service] = time.Now().Add(maxRetryDelay)
 		}
 	}
 }
--- a/internal/gateway/follow_rollouts_test.go
+++ b/internal/gateway/follow_rollouts_test.go
@@ -16,7 +16,7 @@
 	"github.com/hickorybank/hickorybank/internal/telemetry"
 )
 
-// recordingSource is a table that takes verdicts.
+// recordingSource is a table that accepts verdicts.
 type recordingSource struct {
 	Source
 	recorded chan canary.Verdict
@@ -27,7 +27,7 @@
 	return v, nil
 }
 
-// newSilentPeer listens and answers nobody; called gets each connection.
+// newSilentPeer accepts connections and never answers; called receives each connection.
 func newSilentPeer(t *testing.T) (addr string, called <-chan net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -48,10 +48,10 @@
 	return l.Addr().String(), conns
 }
 
-// A good version is not completed in time, although its node had decided so
-// before: the node told its peers first, some of which were cut off, and wrote
-// the verdict into the table when their time-outs were over, after the limit.
-func TestVerdictIsRecordedBeforePeersAreTold(t *testing.T) {
+// Guards against a verdict that reaches the table after the rollout's limit. The node
+// notified its peers first, some of them unreachable, and wrote the verdict only after
+// their timeouts.
+func TestVerdictIsRecordedBeforePeersAreNotified(t *testing.T) {
 	is := is.New(t)
 	addr, called := newSilentPeer(t)
 	source := &recordingSource{recorded: make(chan canary.Verdict, 1)}
@@ -61,7 +61,7 @@
 	n.roster.Merge([]gossip.Member{{ID: "n2", Born: 1, Peer: addr, Ready: true, Beat: 1}}, time.Now())
 	order := canary.Order{Service: "engine", Target: "v2", Limit: time.Minute, Revision: 1}
 	is.True(n.canary.Take(order, time.Now()))
-	n.follow(t.Context(), canary.Decision{Order: order, Verdict: canary.Completed, Made: true}, map[string]time.Time{})
+	n.applyDecision(t.Context(), canary.Decision{Order: order, Verdict: canary.Completed, Made: true}, map[string]time.Time{})
 	is.Equal(<-source.recorded, canary.Completed)
 	select {
 	case <-called:
@@ -72,35 +72,35 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		n.tellRollouts(ctx)
+		n.pushRollouts(ctx)
 	}()
-	_ = (<-called).Close() // and then it is told
+	_ = (<-called).Close() // afterwards it is notified
 	cancel()
 	<-done
 }
 
-// awaySource is a table that takes verdicts only when it is back.
-type awaySource struct {
+// unavailableSource is a table that fails to record verdicts until it is available.
+type unavailableSource struct {
 	Source
-	back  bool
-	tries int
+	available bool
+	tries     int
 }
 
-func (s *awaySource) Record(_ context.Context, _ canary.Order, v canary.Verdict) (canary.Verdict, error) {
+func (s *unavailableSource) Record(_ context.Context, _ canary.Order, v canary.Verdict) (canary.Verdict, error) {
 	s.tries++
-	if !s.back {
+	if !s.available {
 		return canary.Open, errors.New("the table is away")
 	}
 	return v, nil
 }
 
-// The table is away when a version's end is decided. Every node that had its turn tried
-// to write it each second, hundreds of calls for what nobody could record. Each tries
-// once; then the verdict waits until somebody has read the table again.
-func TestVerdictWaitsForATableThatIsAway(t *testing.T) {
+// Guards against hundreds of calls of an unavailable table. Every node that had its turn
+// retried a verdict each second. Each may try once; then the verdict waits until some node
+// has read the table again.
+func TestVerdictWaitsWhileTableIsUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		source := &awaySource{}
+		source := &unavailableSource{}
 		n := New(Settings{ID: "n1", Drain: 3 * time.Second, Apply: 3 * time.Second}, Deps{
 			Source: source, Log: slog.New(slog.DiscardHandler), Metrics: telemetry.New(telemetry.Bounds{}),
 		})
@@ -108,22 +108,22 @@
 		n.canary.Take(order, time.Now())
 		next := map[string]time.Time{}
 		follow := func(made bool) {
-			n.follow(t.Context(), canary.Decision{Order: order, Verdict: canary.Completed, Made: made}, next)
-			time.Sleep(tickEvery)
+			n.applyDecision(t.Context(), canary.Decision{Order: order, Verdict: canary.Completed, Made: made}, next)
+			time.Sleep(rolloutTickInterval)
 		}
-		n.list.provenAt = time.Now()
+		n.view.listAsOf = time.Now()
 		time.Sleep(time.Second)
-		n.list.awayAt = time.Now()
+		n.view.outageAt = time.Now()
 		follow(true)
-		is.Equal(source.tries, 1) // it may be this node's own call that failed
+		is.Equal(source.tries, 1) // the first failure may be this node's own
 		for range 40 {
 			follow(false)
 		}
 		is.Equal(source.tries, 1)
-		source.back = true
-		n.list.provenAt = time.Now()
+		source.available = true
+		n.view.listAsOf = time.Now()
 		follow(false)
 		is.Equal(source.tries, 2)
-		is.Equal(n.announced["engine"], uint64(1)) // it is recorded
+		is.Equal(n.announcedRevision["engine"], uint64(1)) // it is recorded
 	})
 }
--- a/internal/gateway/follow_table.go
+++ b/internal/gateway/follow_table.go
@@ -15,198 +15,204 @@
 
 // followTable keeps up with the platform's table.
 //
-// Reading it from every node costs calls that grow with the nodes. So nodes
-// form groups of neighbours, whose leader tells the others what is read, and the
-// leaders circles, of which one reads. A node that has not heard for a while reads by
-// itself, so that a reader that is lost, cut off or turned away costs calls and not
-// freshness.
+// If every node read the table, the calls would grow with the number of nodes. So
+// neighbouring nodes form groups, and the leader of a group pushes what is read to its
+// members. Leaders form circles, of which one, the reader, reads the table. A node that
+// receives nothing for a while reads the table itself. The loss of a reader, or an error
+// that only the reader gets, thus costs calls and not freshness.
 func (n *Node) followTable(ctx context.Context) {
 	r := tableReader{node: n}
-	defer r.end()
+	defer r.wait()
 	failures := 0
 	for ctx.Err() == nil {
 		if wait := time.Until(n.nextReading(failures)); wait > 0 {
-			if n.awaitNews(ctx, min(wait, n.lookEvery())) {
-				n.feedGroup(ctx)
+			if n.awaitRemoteReading(ctx, min(wait, n.recheckInterval())) {
+				n.pushToGroup(ctx)
 			}
 			continue
 		}
 		cause := n.readingCause(failures)
 		if r.read(withCause(ctx, cause)) {
 			failures = 0
-			n.passOn(ctx, cause)
+			n.pushReading(ctx, cause)
 		} else {
 			failures++
-			n.tellAway(ctx, failures)
+			n.pushOutage(ctx, failures)
 		}
 	}
 }
 
-// awaitNews waits for a time, or until a leader has heard of a reading of the table that
-// its group has to be told of; it reports whether it has.
-func (n *Node) awaitNews(ctx context.Context, d time.Duration) bool {
+// awaitRemoteReading waits for a time, or until a leader has received another node's
+// reading of the table that it has to push to its group; it reports whether it has.
+func (n *Node) awaitRemoteReading(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
 	case <-t.C:
-	case <-n.readElsewhere:
+	case <-n.remoteReading:
 		return true
 	}
 	return false
 }
 
-// noteReading notes that another node's reading of the table has become known here, by
-// word of a peer; the caller holds mu.
-func (n *Node) noteReading(from string) {
-	if !n.leads() || n.inGroup(from) {
+// noteRemoteReading records that this node has received another node's reading of the
+// table; the caller holds mu.
+func (n *Node) noteRemoteReading(from string) {
+	if !n.leadsGroup() || n.inGroup(from) {
 		return
 	}
 	select {
-	case n.readElsewhere <- struct{}{}:
-	default: // the group is about to be told
+	case n.remoteReading <- struct{}{}:
+	default: // a push to the group is requested already
 	}
 }
 
-// tellAway tells those for which this node reads that it cannot, once for each outage.
-// They would take it for lost, and all read the table in turn.
-func (n *Node) tellAway(ctx context.Context, failures int) {
+// pushOutage notifies the nodes that depend on this one that it cannot read the table, once
+// per outage. Otherwise they would assume that it has failed, and all read the table in
+// turn.
+func (n *Node) pushOutage(ctx context.Context, failures int) {
 	n.mu.Lock()
-	n.list.awayAt = time.Now()
-	told := n.leads() && failures == 1
+	n.view.outageAt = time.Now()
+	push := n.leadsGroup() && failures == 1
 	n.mu.Unlock()
-	if told {
-		n.passOn(ctx, CauseReader)
+	if push {
+		n.pushReading(ctx, CauseReader)
 	}
 }
 
-// readingCause is why this node reads the table now, after failed readings.
+// readingCause returns why this node reads the table now, after a number of failed
+// readings.
 func (n *Node) readingCause(failures int) CallCause {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	switch {
 	case failures > 0:
 		return CauseRetry
-	case n.list.provenAt.IsZero():
+	case n.view.listAsOf.IsZero():
 		return CauseStart
-	case n.reads():
+	case n.readsTable():
 		return CauseReader
 	default:
 		return CauseMember
 	}
 }
 
-// startStep is the pause between looks of a node that knows nothing at what peers have
-// told it.
-const startStep = 5 * time.Millisecond
+// startPollInterval is how often a node without state checks what it has received from
+// peers.
+const startPollInterval = 5 * time.Millisecond
 
-// lookEvery bounds the pause until this node looks anew when it should read the table.
-func (n *Node) lookEvery() time.Duration {
+// recheckInterval bounds the pause until this node computes its next reading anew.
+func (n *Node) recheckInterval() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.list.provenAt.IsZero() || n.list.ordersProvenAt.IsZero() {
-		return startStep
+	if n.view.listAsOf.IsZero() || n.view.ordersAsOf.IsZero() {
+		return startPollInterval
 	}
-	return n.readEvery()
+	return n.readInterval()
 }
 
-// readEvery is the pause between a reader's readings.
-func (n *Node) readEvery() time.Duration { return n.settings.readEvery() }
+// readInterval returns the pause between a reader's readings.
+func (n *Node) readInterval() time.Duration { return n.settings.readInterval() }
 
-// pace is the pause between a reader's readings now; the caller holds mu.
+// readerInterval returns the pause between a reader's readings at present; the caller holds
+// mu.
 //
-// It guards against a list that is read when most upstreams' entries have lapsed: those
-// that live are listed again within two seconds, and until the next reading the few that
-// were listed first would get all requests.
-func (n *Node) pace() time.Duration {
-	if time.Since(n.list.returnedAt) < returnWatch {
-		return min(returnEvery, n.readEvery())
+// It is short after an outage, when most entries of upstreams have lapsed. Live upstreams
+// are listed again within two seconds; until the next reading the few that were listed
+// first would get all requests.
+func (n *Node) readerInterval() time.Duration {
+	if time.Since(n.view.recoveredAt) < recoveryWindow {
+		return min(recoveryInterval, n.readInterval())
 	}
-	return n.listEvery()
+	return n.listInterval()
 }
 
-// listEvery is the pause between readings of the list that nodes expect of who reads for
-// them; the caller holds mu. It is short after the first reading of all that there was, or
-// of an outage's end: entries may have lapsed.
-func (n *Node) listEvery() time.Duration {
-	if time.Since(n.list.steadySince) < returnWatch {
-		return min(returnEvery, n.readEvery())
+// listInterval returns the pause between readings of the list that nodes expect of their
+// reader; the caller holds mu. It is short after the first reading, or the first after an
+// outage, as entries may have lapsed.
+func (n *Node) listInterval() time.Duration {
+	if time.Since(n.view.gaplessSince) < recoveryWindow {
+		return min(recoveryInterval, n.readInterval())
 	}
-	return n.readEvery()
+	return n.readInterval()
 }
 
-// nextReading is when this node should read the table, after failed readings.
+// nextReading returns when this node should read the table, after a number of failed
+// readings.
 func (n *Node) nextReading(failures int) time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	p := readingPlan{
-		every: n.listEvery(),
-		began: n.began, asked: n.asked, informed: n.informed, founding: n.founding(),
-		listProven: n.list.provenAt, ordersProven: n.list.ordersProvenAt, ordersPending: n.list.ordersPendingAt,
-		readAt: n.readAt, failures: failures, empty: !n.list.ordersProvenAt.IsZero() && n.list.orders == 0,
-		away:  n.list.awayAt.After(n.list.provenAt),
-		leads: n.leads(), reads: n.reads(),
+		interval:  n.listInterval(),
+		startedAt: n.startedAt, peerAsked: n.peerAsked, informedAt: n.informedAt, founding: n.founding(),
+		listAsOf: n.view.listAsOf, ordersAsOf: n.view.ordersAsOf, ordersPendingAt: n.view.ordersPendingAt,
+		readAt: n.lastReadAt, failures: failures, empty: !n.view.ordersAsOf.IsZero() && n.view.ordersRevision == 0,
+		outage:     n.view.outageAt.After(n.view.listAsOf),
+		leadsGroup: n.leadsGroup(), readsTable: n.readsTable(),
 	}
-	p.place, p.turn = n.turnToRead()
+	p.place, p.turn = n.readTurn()
 	return p.due()
 }
 
-// turnToRead is this node's place in its group, or a leader's in its circle, as a number
-// and as a part, 0 to 1; the caller holds mu.
-func (n *Node) turnToRead() (place int, part float64) {
+// readTurn returns this node's place in its group, or a leader's in its circle, as an index
+// and as a fraction from 0 to 1; the caller holds mu.
+func (n *Node) readTurn() (place int, part float64) {
 	group := n.roster.Group()
-	if n.leads() {
+	if n.leadsGroup() {
 		group = n.roster.Circle()
 	}
 	place = slices.IndexFunc(group, func(m gossip.Member) bool { return m.ID == n.settings.ID })
 	return place, float64(place) / float64(max(len(group), 1))
 }
 
-// founding tells whether the deployment starts for the first time and this node is none
-// of its seeds.
+// founding reports whether the deployment starts for the first time and this node is not
+// one of its seeds.
 func (n *Node) founding() bool {
 	return n.settings.Founding && len(n.settings.Seeds) > 0 && !slices.Contains(n.settings.Seeds, n.settings.Peer)
 }
 
-// leads tells whether this node leads its group; the caller holds mu.
-func (n *Node) leads() bool { return n.roster.Group()[0].ID == n.settings.ID }
+// leadsGroup reports whether this node leads its group; the caller holds mu.
+func (n *Node) leadsGroup() bool { return n.roster.Group()[0].ID == n.settings.ID }
 
-// reads tells whether this node reads the table for its circle; the caller holds mu.
-func (n *Node) reads() bool {
+// readsTable reports whether this node reads the table for its circle; the caller holds mu.
+func (n *Node) readsTable() bool {
 	circle := n.roster.Circle()
 	return len(circle) > 0 && circle[0].ID == n.settings.ID
 }
 
-// listProven notes that what the node knows of the upstreams is as of a time, and of the
-// table's clock then; the caller holds mu.
-func (n *Node) listProven(at time.Time, clock time.Duration) {
-	n.list.listClock = clock
-	known := n.list.provenAt
+// advanceList records that the node knows the list as of the time at, when the table's
+// clock showed clock; the caller holds mu.
+func (n *Node) advanceList(at time.Time, clock time.Duration) {
+	n.view.listClock = clock
+	known := n.view.listAsOf
 	if !at.After(known) {
 		return
 	}
-	if n.list.awayAt.After(known) {
-		n.list.returnedAt = time.Now()
+	if n.view.outageAt.After(known) {
+		n.view.recoveredAt = time.Now()
 	}
-	if known.IsZero() || n.wasAway(at) {
-		n.list.awayFrom = known
-		n.list.steadySince = at
+	if known.IsZero() || n.missedReadings(at) {
+		n.view.gapStart = known
+		n.view.gaplessSince = at
 	}
-	n.list.provenAt = at
-	n.dropLapsed()
+	n.view.listAsOf = at
+	n.dropExpiredRetained()
 }
 
-// tableCall bounds a call of the table that may wait for a change.
+// tableCallContext bounds a call of the table that may wait for a change.
 //
-// It guards against answers that have grown: 785 kB, 1,046 kB on the wire, never came
-// over a link of 10 Mbit/s within a fixed limit, and each try began anew. A table that
-// has fallen silent still shows within callTimeout.
-func tableCall(ctx context.Context, wait time.Duration) (context.Context, context.CancelFunc) {
-	return progress.Context(ctx, progress.Limits{First: callTimeout + wait, Pause: callTimeout, Whole: callTimeout + wait + mostTransfer})
+// The bound on the whole call allows for large answers. An answer of 785 kB, 1,046 kB on
+// the wire, never completed over a link of 10 Mbit/s within a fixed limit, and each retry
+// started over. A table that stops responding is still detected within tableCallTimeout.
+func tableCallContext(ctx context.Context, wait time.Duration) (context.Context, context.CancelFunc) {
+	return progress.Context(ctx, progress.Limits{First: tableCallTimeout + wait, Pause: tableCallTimeout, Whole: tableCallTimeout + wait + maxTableTransfer})
 }
 
+// fetchFleet returns the changes of the list after a revision, or the whole list if the
+// table no longer has that history.
 func (n *Node) fetchFleet(ctx context.Context, after uint64) (FleetChange, error) {
-	ctx, cancel := tableCall(ctx, 0)
+	ctx, cancel := tableCallContext(ctx, 0)
 	defer cancel()
 	change, err := n.source.Fleet(ctx, after)
 	if errors.Is(err, ErrCompacted) {
@@ -215,8 +221,10 @@
 	return change, err
 }
 
+// fetchOrders returns the operator orders after a revision, or all of them if the table no
+// longer has that history. It waits up to wait for a change.
 func (n *Node) fetchOrders(ctx context.Context, after uint64, wait time.Duration) (OrdersChange, error) {
-	ctx, cancel := tableCall(ctx, wait)
+	ctx, cancel := tableCallContext(ctx, wait)
 	defer cancel()
 	change, err := n.source.Orders(ctx, after, wait)
 	if errors.Is(err, ErrCompacted) {
@@ -225,61 +233,61 @@
 	return change, err
 }
 
-// passOn tells others what this node has read of the table: the reader the leaders of its
-// circle, a leader its group. So does a node that has read because those are not heard:
-// all others would read the same.
-func (n *Node) passOn(ctx context.Context, cause CallCause) {
+// pushReading pushes what this node has read of the table: the reader to the leaders of its
+// circle, a leader to its group. A node that reads in place of an unresponsive reader or
+// leader does so as well, since all others would read the same.
+func (n *Node) pushReading(ctx context.Context, cause CallCause) {
 	n.mu.Lock()
 	group, circle := n.roster.Group(), n.roster.Circle()
-	leads, reads := n.leads(), n.reads()
+	leads, reads := n.leadsGroup(), n.readsTable()
 	n.mu.Unlock()
 	standsIn := cause == CauseMember || cause == CauseRetry
-	var told conc.WaitGroup
+	var pushes conc.WaitGroup
 	if reads || leads && standsIn {
-		told.Go(func() { n.exchangeWith(ctx, n.except(circle), n.feedMessage) })
+		pushes.Go(func() { n.exchangeWith(ctx, n.withoutSelf(circle), n.pushMessage) })
 	}
 	if leads || standsIn {
-		told.Go(func() { n.exchangeWith(ctx, n.except(group), n.feedMessage) })
+		pushes.Go(func() { n.exchangeWith(ctx, n.withoutSelf(group), n.pushMessage) })
 	}
-	told.Wait()
+	pushes.Wait()
 }
 
-// feedGroup tells the members of this node's group what it knows, if it leads them.
-func (n *Node) feedGroup(ctx context.Context) {
+// pushToGroup pushes this node's state to its group if it leads the group.
+func (n *Node) pushToGroup(ctx context.Context) {
 	n.mu.Lock()
-	group, leads := n.roster.Group(), n.leads()
+	group, leads := n.roster.Group(), n.leadsGroup()
 	n.mu.Unlock()
 	if leads {
-		n.exchangeWith(ctx, n.except(group), n.feedMessage)
+		n.exchangeWith(ctx, n.withoutSelf(group), n.pushMessage)
 	}
 }
 
-// except returns some members without this node.
-func (n *Node) except(members []gossip.Member) []gossip.Member {
+// withoutSelf returns some members without this node.
+func (n *Node) withoutSelf(members []gossip.Member) []gossip.Member {
 	return slices.DeleteFunc(slices.Clone(members), func(m gossip.Member) bool { return m.ID == n.settings.ID })
 }
 
-// feedLeaders tells the leaders of the other groups what this group knows: all of
-// them what it has counted of a roll-out, else some: each hears it anyway, and is only
-// faster so.
-func (n *Node) feedLeaders(ctx context.Context) {
+// pushToLeaders pushes the group's state to the leaders of other groups. During a rollout it
+// calls all of them, as they need the group's counts. Otherwise it calls only some: each receives
+// the state anyway, and the push only speeds that up.
+func (n *Node) pushToLeaders(ctx context.Context) {
 	n.mu.Lock()
 	groups := n.roster.Groups()
-	leads := n.leads()
+	leads := n.leadsGroup()
 	open := len(n.canary.Tallies(time.Now())) > 0
 	n.mu.Unlock()
 	if !leads {
 		return
 	}
-	var readers []gossip.Member
+	var leaders []gossip.Member
 	for _, g := range groups {
 		if g[0].ID != n.settings.ID {
-			readers = append(readers, g[0])
+			leaders = append(leaders, g[0])
 		}
 	}
 	if !open {
-		rand.Shuffle(len(readers), func(i, k int) { readers[i], readers[k] = readers[k], readers[i] })
-		readers = readers[:min(len(readers), urgentWidth)]
+		rand.Shuffle(len(leaders), func(i, k int) { leaders[i], leaders[k] = leaders[k], leaders[i] })
+		leaders = leaders[:min(len(leaders), urgentPeers)]
 	}
-	n.exchangeWith(ctx, readers, n.feedMessage)
+	n.exchangeWith(ctx, leaders, n.pushMessage)
 }
--- a/internal/gateway/follow_table_test.go
+++ b/internal/gateway/follow_table_test.go
@@ -11,8 +11,8 @@
 	"github.com/hickorybank/hickorybank/internal/telemetry"
 )
 
-// newGroupNode returns a node of a group of many, which have heard of each other;
-// reader makes it the one that reads the table for the group.
+// newGroupNode returns a node whose group knows two members; reader makes it the one that
+// reads the table for the group.
 func newGroupNode(reader bool) *Node {
 	id := "n9"
 	if reader {
@@ -26,38 +26,37 @@
 	return n
 }
 
-// calls is how often a node calls the table in a time in which it does not
-// answer; known tells whether the node had read it before.
-func calls(n *Node, known bool, away time.Duration) int {
+// countTableCalls returns how often a node calls the table during an outage; known is set
+// if the node had read it before.
+func countTableCalls(n *Node, known bool, outage time.Duration) int {
 	if known {
-		n.list.provenAt = time.Now()
-		n.list.ordersProvenAt, n.list.orders = n.list.provenAt, 1
+		n.view.listAsOf = time.Now()
+		n.view.ordersAsOf, n.view.ordersRevision = n.view.listAsOf, 1
 	}
-	end := time.Now().Add(away)
+	end := time.Now().Add(outage)
 	count := 0
 	for {
 		due := n.nextReading(count)
 		if due.After(end) {
 			return count
 		}
-		n.readAt = due
-		if n.readAt.Before(time.Now()) {
-			n.readAt = time.Now()
+		n.lastReadAt = due
+		if n.lastReadAt.Before(time.Now()) {
+			n.lastReadAt = time.Now()
 		}
 		count++
 	}
 }
 
-// The table is away for ten seconds. Each node of a group misses its reader's
-// news and calls the table itself: at the reader's pace that is twenty times the
-// calls for one answer. A reader, and a node that knows nothing yet, go on at
-// that pace.
-func TestOneOfAGroupFollowsATableThatIsAway(t *testing.T) {
+// Guards against members of a group that all call an unavailable table at the reader's rate
+// when their reader's messages stop: twenty times the calls for one answer. A reader, and a
+// node without state, keep that rate.
+func TestMembersCallAnUnavailableTableSeldom(t *testing.T) {
 	is := is.New(t)
-	const away = 10 * time.Second
-	reader, member, fresh := calls(newGroupNode(true), true, away), calls(newGroupNode(false), true, away), calls(newGroupNode(false), false, away)
-	t.Logf("calls in %v: reader %d, member %d, member that knows nothing %d", away, reader, member, fresh)
+	const outage = 10 * time.Second
+	reader, member, fresh := countTableCalls(newGroupNode(true), true, outage), countTableCalls(newGroupNode(false), true, outage), countTableCalls(newGroupNode(false), false, outage)
+	t.Logf("calls in %v: reader %d, member %d, member that knows nothing %d", outage, reader, member, fresh)
 	is.True(3*member <= reader)
-	is.True(member >= 3) // it is not left to the reader alone
+	is.True(member >= 3) // members do not rely on the reader alone
 	is.True(fresh >= reader)
 }
--- a/internal/gateway/idle_listener.go
+++ b/internal/gateway/idle_listener.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// idleListener gives callers' connections the configuration's idle time, which
-// may change while the server runs.
+// idleListener applies the configuration's idle timeout to callers' connections; it may
+// change while the server runs.
 type idleListener struct {
 	net.Listener
 	limit func() time.Duration
 }
 
-// Accept wraps each connection.
+// Accept waits for a connection and wraps it.
 func (l *idleListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
@@ -21,25 +21,25 @@
 	return &idleConn{c, l.limit}, nil
 }
 
-// idleConn replaces the server's fixed idle time by the one in force.
+// idleConn replaces the server's fixed idle timeout by the configured one.
 type idleConn struct {
 	net.Conn
 	limit func() time.Duration
 }
 
-// SetReadDeadline sets a deadline. One that is almost idleMark away is the
-// server's for an idle connection: none of its other deadlines are so long.
+// SetReadDeadline sets a read deadline. One that is almost idleSentinel away is the
+// server's for an idle connection, as none of its other deadlines is that long.
 func (c *idleConn) SetReadDeadline(t time.Time) error {
-	if left := time.Until(t); !t.IsZero() && left > idleMark-time.Minute {
+	if left := time.Until(t); !t.IsZero() && left > idleSentinel-time.Minute {
 		t = time.Now().Add(c.limit())
 	}
 	return c.Conn.SetReadDeadline(t)
 }
 
-// idleLimit is how long a caller's connection may be idle.
+// idleLimit returns how long a caller's connection may be idle.
 func (n *Node) idleLimit() time.Duration {
 	if c := n.config.Load(); c != nil && c.Limits.IdleTimeout > 0 {
 		return c.Limits.IdleTimeout
 	}
-	return defaultIdle
+	return defaultIdleTimeout
 }
--- a/internal/gateway/job.go
+++ b/internal/gateway/job.go
@@ -13,7 +13,7 @@
 	"github.com/hickorybank/hickorybank/internal/route"
 )
 
-// job is one caller's request on its way.
+// job is the state of one caller's request while it is forwarded.
 type job struct {
 	node    *Node
 	w       http.ResponseWriter
@@ -23,89 +23,93 @@
 	route   *route.Route
 	service string
 	org     string
-	// holder is the organisation; nil where the request needs none.
-	holder   *route.Organisation
-	ask      Ask
-	body     []byte
-	bodyRead bool
-	start    time.Time
-	deadline time.Time
-	priority int
-	// hash places the request's session, or the request itself.
-	hash uint64
-	// print is the fingerprint of the work.
-	print uint64
+	// organisation is the request's organisation; nil if the request needs none.
+	organisation *route.Organisation
+	headers      Ask
+	body         []byte
+	bodyRead     bool
+	start        time.Time
+	deadline     time.Time
+	priority     int
+	// affinityHash is a hash of the session or, without one, of the request's ID. It selects the
+	// service and whether the request gets a new version.
+	affinityHash uint64
+	// fingerprint identifies the work, so that requests that crash upstreams are
+	// recognised.
+	fingerprint uint64
 
-	// tried are the upstreams that were sent the request, sent how many
-	// attempts count against the route's bound.
-	tried []string
-	sent  int
-	// arrived counts attempts that reached some upstream.
-	arrived int
-	// mayHaveRun is set from the first byte that was sent until the upstream
-	// says that it did not run the request.
+	// tried are the IDs of the upstreams that were sent the request. attemptsUsed counts
+	// the attempts against the route's bound.
+	tried        []string
+	attemptsUsed int
+	// attemptsReached counts the attempts that reached an upstream.
+	attemptsReached int
+	// mayHaveRun is set once the first byte has been sent, until the upstream states that
+	// it did not run the request.
 	mayHaveRun bool
-	// begun is set when the caller has been sent a part of the answer.
-	begun bool
-	// firstAfter is when the caller was sent the first part of the answer.
-	firstAfter time.Duration
-	// longestPause is the longest time between two parts of an attempt's answer.
+	// answerStarted is set once the caller has been sent a part of the answer.
+	answerStarted bool
+	// firstPartAfter is how long after start the caller was sent the first part of the
+	// answer.
+	firstPartAfter time.Duration
+	// longestPause is the longest pause between two parts of an attempt's answer.
 	longestPause time.Duration
-	// lastEvent is the last event that the caller has received.
+	// lastEvent is the ID of the last event that the caller has received.
 	lastEvent string
-	// model is the model of the next attempt; empty to leave the caller's.
+	// model is the model of the next attempt; empty to keep the caller's.
 	model string
-	// failed is an upstream's failure to pass on when nothing better comes.
-	failed *held
-	// paid is set when the next attempt has been taken from the retry budget.
-	paid bool
-	// room is when an upstream takes work again, where all are known to take none until
-	// then.
-	room time.Time
-	// unreached is how many upstreams could not be connected to.
-	unreached int
-	outcome   string
+	// failedAnswer is an upstream's error answer, to be passed on if no attempt succeeds.
+	failedAnswer *bufferedAnswer
+	// retryReserved is set if the next attempt has been taken from the retry budget
+	// already.
+	retryReserved bool
+	// roomAt is when an upstream has capacity again; zero if unknown.
+	roomAt time.Time
+	// connectFailures counts the upstreams to which no connection could be opened.
+	connectFailures int
+	outcome         string
 }
 
-// held is a whole answer.
-type held struct {
+// bufferedAnswer is a complete answer of an upstream.
+type bufferedAnswer struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// left is how many more attempts the route allows.
-func (j *job) left() int { return max(j.route.MaxAttempts, 1) - j.sent }
+// attemptsLeft returns how many more attempts the route allows.
+func (j *job) attemptsLeft() int { return max(j.route.MaxAttempts, 1) - j.attemptsUsed }
 
-// regions are those that may run the request, by its route and its organisation: where
-// both name some, by both. nil allows all.
+// regions returns the regions that may run the request. If both its route and its
+// organisation name regions, these are the common ones. nil allows all regions; an empty
+// list allows none.
 func (j *job) regions() []string {
 	of := j.route.Regions
-	if j.holder == nil || len(j.holder.Regions) == 0 {
-		return allOrNone(of)
+	if j.organisation == nil || len(j.organisation.Regions) == 0 {
+		return nilIfEmpty(of)
 	}
 	if len(of) == 0 {
-		return j.holder.Regions
+		return j.organisation.Regions
 	}
 	both := []string{}
 	for _, r := range of {
-		if slices.Contains(j.holder.Regions, r) {
+		if slices.Contains(j.organisation.Regions, r) {
 			both = append(both, r)
 		}
 	}
 	return both
 }
 
-// allOrNone returns nil for an empty list, which allows all regions.
-func allOrNone(regions []string) []string {
+// nilIfEmpty returns nil for an empty list, which allows all regions.
+func nilIfEmpty(regions []string) []string {
 	if len(regions) == 0 {
 		return nil
 	}
 	return regions
 }
 
-// path returns the raw path of a request target, and the target in the form
-// that is sent to upstreams.
+// rawTarget returns the raw path of a request, and its target in the form that is sent to
+// upstreams.
 func rawTarget(r *http.Request) (path, target string) {
 	target = r.RequestURI
 	if !strings.HasPrefix(target, "/") {
@@ -122,8 +126,8 @@
 	return path, target
 }
 
-// pickService chooses one of the route's services by its weights; requests of
-// one session go to the same one.
+// pickService chooses one of the route's services by weight. Requests of one session go to
+// the same service.
 func pickService(r *route.Route, hash uint64) string {
 	total := 0
 	for _, s := range r.Shares {
@@ -142,12 +146,13 @@
 	return r.Shares[0].Service
 }
 
+// identify sets the job's affinity hash, service and fingerprint.
 func (j *job) identify(path string) {
-	key := j.ask.Session
+	key := j.headers.Session
 	if key == "" {
-		key = j.ask.ID
+		key = j.headers.ID
 	}
-	j.hash = xxhash.Sum64String(key)
-	j.service = pickService(j.route, j.hash)
-	j.print = crashguard.Fingerprint(j.org, path, j.body)
+	j.affinityHash = xxhash.Sum64String(key)
+	j.service = pickService(j.route, j.affinityHash)
+	j.fingerprint = crashguard.Fingerprint(j.org, path, j.body)
 }
--- a/internal/gateway/join.go
+++ b/internal/gateway/join.go
@@ -8,101 +8,103 @@
 )
 
 const (
-	// meetStep is the pause between a starting node's calls of its seeds.
-	meetStep = 100 * time.Millisecond
-	// aloneAfter is how long a node may hear of no other before it looks for them in the
+	// seedCallInterval is the pause between a starting node's calls of its seeds.
+	seedCallInterval = 100 * time.Millisecond
+	// aloneAfter is how long a node may know of no other before it looks for members in the
 	// table.
 	aloneAfter = time.Second
-	// leaderSettles is how long a node leads its group before it is recorded: right after a
-	// start, before it has heard of all others, each takes itself for a leader.
-	leaderSettles = 3 * time.Second
+	// leaderSettleTime is how long a node leads its group before it is recorded in the
+	// table. Right after a start each node takes itself for a leader, as it does not know
+	// all others yet.
+	leaderSettleTime = 3 * time.Second
 )
 
-// meet calls seeds until one has answered, or the node would rather look in the table.
-// While the whole deployment starts for the first time it goes on until one knows what
-// the table holds, so that not all have to read it.
+// contactSeeds calls seeds until one has answered, or until the node should look in the
+// table instead. While the whole deployment starts for the first time, it continues until a
+// seed knows what the table holds, so that not all nodes have to read it.
 //
-// It compares members once: while hundreds of nodes start, each call would find others
-// that it does not know yet, and tell of all that it does.
-func (n *Node) meet(ctx context.Context) {
-	tries := exchangeTries
-	for ctx.Err() == nil && time.Since(n.began) < aloneAfter && !n.met() {
+// It compares rosters only once. While hundreds of nodes start, each comparison would find
+// new members, and transfer all that this node knows.
+func (n *Node) contactSeeds(ctx context.Context) {
+	tries := maxExchangeCalls
+	for ctx.Err() == nil && time.Since(n.startedAt) < aloneAfter && !n.learnedFromSeeds() {
 		n.mu.Lock()
 		seed, ok := n.seed()
 		n.mu.Unlock()
 		if !ok {
 			return
 		}
-		n.exchangeUpTo(ctx, tries, seed, n.message)
-		if n.heardAny() {
+		n.exchangeUpTo(ctx, tries, seed, n.newMessage)
+		if n.receivedAny() {
 			tries = 1
 		}
-		n.noteAsked()
-		if n.met() || !pause(ctx, meetStep) {
+		n.notePeerAsked()
+		if n.learnedFromSeeds() || !pause(ctx, seedCallInterval) {
 			return
 		}
 	}
 }
 
-// met tells whether this node has learned from a seed what it can.
-func (n *Node) met() bool {
+// learnedFromSeeds reports whether this node has learned from a seed what it can.
+func (n *Node) learnedFromSeeds() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return !n.informed.IsZero() || len(n.told) > 0 && !n.founding()
+	return !n.informedAt.IsZero() || len(n.peerStates) > 0 && !n.founding()
 }
 
-// heardAny tells whether any peer has told this node something.
-func (n *Node) heardAny() bool {
+// receivedAny reports whether this node has received a message from any peer.
+func (n *Node) receivedAny() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return len(n.told) > 0
+	return len(n.peerStates) > 0
 }
 
-// noteAsked notes that a peer was asked, whether it answered or not.
-func (n *Node) noteAsked() {
+// notePeerAsked records that a peer was called, whether it answered or not.
+func (n *Node) notePeerAsked() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.asked = true
+	n.peerAsked = true
 }
 
-// noteInformed notes that a peer knows what the table holds; the caller holds mu.
+// noteInformed records that a peer knows what the table holds; the caller holds mu.
 func (n *Node) noteInformed(in gossip.Message, now time.Time) {
-	if n.informed.IsZero() && in.ConfigVersion > 0 && in.Proof.FleetRevision > 0 {
-		n.informed = now
+	if n.informedAt.IsZero() && in.ConfigVersion > 0 && in.Proof.FleetRevision > 0 {
+		n.informedAt = now
 	}
 }
 
-// shouldJoin tells whether this node should be recorded in the table now.
+// shouldJoin reports whether this node should be recorded in the table now.
 func (n *Node) shouldJoin() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.joinDue(time.Now())
 }
 
-// joinDue tells whether this node should be recorded in the table; the caller holds mu.
+// joinDue reports whether this node should be recorded in the table; the caller holds mu.
 //
-// Others find the deployment by its seeds and by whom a peer has told of; the table is
-// for those that reach neither, and for parts of a deployment that have lost each other.
-// One recorded node of each group is enough for that, and calls of the table do not grow
+// Nodes find the deployment by its seeds and by gossip. The records in the table are for
+// nodes that reach neither, and for parts of a deployment that have lost each other. One
+// recorded node of each group is enough for that, and the calls of the table do not grow
 // with each start.
 func (n *Node) joinDue(now time.Time) bool {
 	if len(n.roster.Alive()) == 1 {
 		n.leaderSince = time.Time{}
-		return now.Sub(n.began) >= aloneAfter
+		return now.Sub(n.startedAt) >= aloneAfter
 	}
-	if !n.leads() {
+	if !n.leadsGroup() {
 		n.leaderSince = time.Time{}
 		return false
 	}
 	if n.leaderSince.IsZero() {
 		n.leaderSince = now
 	}
-	return now.Sub(n.leaderSince) >= leaderSettles
+	return now.Sub(n.leaderSince) >= leaderSettleTime
 }
 
-// join records this node and learns of others.
+// join records this node in the table and learns of other members; it reports whether the
+// call succeeded.
 func (n *Node) join(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(withCause(ctx, CauseJoin), callTimeout)
+	ctx, cancel := context.WithTimeout(withCause(ctx, CauseJoin), tableCallTimeout)
 	defer cancel()
 	n.mu.Lock()
 	self := n.roster.Self()
@@ -114,6 +116,6 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.recorded = members
+	n.recordedMembers = members
 	return true
 }
--- a/internal/gateway/log.go
+++ b/internal/gateway/log.go
@@ -8,10 +8,10 @@
 	"github.com/hickorybank/hickorybank/internal/event"
 )
 
-// event logs a decision on a request with what decided it.
-func (n *Node) event(e event.Event, j *job, attrs ...slog.Attr) {
+// logEvent logs a decision on a request with the facts behind it.
+func (n *Node) logEvent(e event.Event, j *job, attrs ...slog.Attr) {
 	all := make([]slog.Attr, 0, len(attrs)+8)
-	all = append(all, slog.String("request", j.ask.ID))
+	all = append(all, slog.String("request", j.headers.ID))
 	if j.route != nil {
 		all = append(all, slog.String("route", j.route.Name))
 	}
@@ -23,13 +23,13 @@
 	}
 	all = append(all,
 		slog.Int64("after_ms", time.Since(j.start).Milliseconds()),
-		slog.Int("attempts", j.arrived),
+		slog.Int("attempts", j.attemptsReached),
 		slog.Bool("may_have_run", j.mayHaveRun))
 	all = append(all, attrs...)
 	e.Log(n.log, all...)
 }
 
-// observe counts a request's end.
+// observe counts the end of a request and records its duration.
 func (j *job) observe(status int) {
 	kind := "none"
 	if j.route != nil {
--- a/internal/gateway/messages.go
+++ b/internal/gateway/messages.go
@@ -9,95 +9,95 @@
 	"github.com/hickorybank/hickorybank/internal/gossip"
 )
 
-// Exchange answers a peer's message.
+// Exchange answers a peer's message. It is a method of the gossip service.
 func (n *Node) Exchange(in gossip.Message) gossip.Message {
-	n.take(in)
+	n.receive(in)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	out := n.compose(in.From)
-	n.answerMembers(&out, in)
+	out := n.baseMessage(in.From)
+	n.addRosterDifference(&out, in)
 	out.Tallies = n.canary.Tallies(time.Now())
-	if in.Proof.Age < 0 || in.Proof.Age > n.readEvery()*2 {
-		n.tellFleet(&out, in.From) // the sender can't read the table itself
+	if in.Proof.Age < 0 || in.Proof.Age > n.readInterval()*2 {
+		n.addFleet(&out, in.From) // the sender can't read the table itself
 	}
 	return out
 }
 
-// message is the usual news for a peer.
-func (n *Node) message(to gossip.Member) gossip.Message {
+// newMessage returns a regular gossip message for a peer.
+func (n *Node) newMessage(to gossip.Member) gossip.Message {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	m := n.compose(to.ID)
+	m := n.baseMessage(to.ID)
 	m.Tallies = n.canary.Tallies(time.Now())
 	return m
 }
 
-// feedMessage is what a leader tells its group and other leaders. Those hear the counts of
-// each group from its own leader: told by all leaders of all nodes, the counts of a
-// roll-out crossed failure domains as often as there are leaders.
-func (n *Node) feedMessage(to gossip.Member) gossip.Message {
+// pushMessage returns what a leader pushes to its group and to other leaders. Other leaders
+// get only the counts of the leader's own group. If all leaders sent the counts of all
+// nodes, the counts of a rollout would cross failure domains once per leader.
+func (n *Node) pushMessage(to gossip.Member) gossip.Message {
 	now := time.Now()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	m := n.compose(to.ID)
+	m := n.baseMessage(to.ID)
 	near := n.inGroup(to.ID)
 	m.Tallies = n.canary.Known(now, func(node string) bool { return near || n.inGroup(node) })
-	n.tellFleet(&m, to.ID)
+	n.addFleet(&m, to.ID)
 	return m
 }
 
-// compose is what every message has; the caller holds mu.
-func (n *Node) compose(to string) gossip.Message {
+// baseMessage returns what every message contains; the caller holds mu.
+func (n *Node) baseMessage(to string) gossip.Message {
 	now := time.Now()
 	m := gossip.Message{
-		From: n.settings.ID, Born: n.born,
+		From: n.settings.ID, Born: n.incarnation,
 		RosterHash:  n.roster.Hash(),
 		Pins:        n.canary.Pins(now),
 		Evacuations: n.evacuations.All(),
 		Strikes:     n.guard.Known(now),
 		Proof:       gossip.Proof{Age: noProof, OrdersAge: noProof, FleetHash: n.fleet.Hash()},
 	}
-	if proven := n.list.provenAt; !proven.IsZero() {
+	if proven := n.view.listAsOf; !proven.IsZero() {
 		m.Proof.Age = now.Sub(proven)
-		m.Proof.Steady = now.Sub(n.list.steadySince)
-		m.Proof.ListClock = n.list.listClock
-		m.Proof.FleetRevision = n.list.revision
+		m.Proof.Steady = now.Sub(n.view.gaplessSince)
+		m.Proof.ListClock = n.view.listClock
+		m.Proof.FleetRevision = n.view.listRevision
 	}
-	if away := n.list.awayAt; away.After(n.list.provenAt) {
+	if away := n.view.outageAt; away.After(n.view.listAsOf) {
 		m.Proof.Away = now.Sub(away)
 	}
-	if proven := n.list.ordersProvenAt; !proven.IsZero() {
+	if proven := n.view.ordersAsOf; !proven.IsZero() {
 		m.Proof.OrdersAge = now.Sub(proven)
-		m.Proof.OrdersRevision = n.list.orders
-		m.Proof.OrdersClock = n.list.ordersClock
-		m.Proof.OrdersPending = (n.leads() || n.list.transfers) && n.list.ordersPendingAt.After(proven)
-	}
-	_, heard := n.told[to]
-	m.Notices = n.fleet.Notices(now, !heard)
-	if !heard {
-		// It may not know this node. What else it lacks shows in its answer's hash: a
-		// table of all members at each first contact was half of what 168 nodes heard.
+		m.Proof.OrdersRevision = n.view.ordersRevision
+		m.Proof.OrdersClock = n.view.ordersClock
+		m.Proof.OrdersPending = (n.leadsGroup() || n.view.transferring) && n.view.ordersPendingAt.After(proven)
+	}
+	_, known := n.peerStates[to]
+	m.Notices = n.fleet.Notices(now, !known)
+	if !known {
+		// The peer may not know this node. Other members that it lacks show in its answer's
+		// hash: a full roster at each first contact was half of what 168 nodes received.
 		m.Members = []gossip.Member{n.roster.Self()}
 	}
-	if len(n.told) == 0 {
-		m.Digest = n.roster.Digest() // it has just started and lacks nearly all
+	if len(n.peerStates) == 0 {
+		m.Digest = n.roster.Digest() // it has just started and lacks nearly all members
 	}
 	if c := n.config.Load(); c != nil {
 		m.ConfigVersion = c.Version
 	}
-	for _, o := range n.orders {
-		o.Age = now.Sub(n.started[o.Service])
+	for _, o := range n.rollouts {
+		o.Age = now.Sub(n.rolloutStartedAt[o.Service])
 		m.Orders = append(m.Orders, o)
 	}
 	return m
 }
 
-// noProof is the age of a proof where there is none.
+// noProof is the age of a proof that does not exist.
 const noProof = -time.Nanosecond
 
-// answerMembers adds to an answer the members in which the asker's roster differs, or
-// by what it may find out; the caller holds mu.
-func (n *Node) answerMembers(out *gossip.Message, in gossip.Message) {
+// addRosterDifference adds to an answer the members in which the sender's roster differs,
+// or the digest by which the sender finds them; the caller holds mu.
+func (n *Node) addRosterDifference(out *gossip.Message, in gossip.Message) {
 	switch {
 	case in.RosterHash == n.roster.Hash():
 	case len(in.Digest) > 0:
@@ -107,15 +107,15 @@
 	}
 }
 
-// tellFleet adds what the peer's list of upstreams lacks, or the whole where it is not
-// known what it has; the caller holds mu.
-func (n *Node) tellFleet(m *gossip.Message, to string) {
-	theirs := n.told[to].fleetHash
-	if n.list.revision == 0 || theirs == m.Proof.FleetHash {
+// addFleet adds the edits that the peer's list of upstreams lacks, or the whole list if the
+// peer's is unknown; the caller holds mu.
+func (n *Node) addFleet(m *gossip.Message, to string) {
+	theirs := n.peerStates[to].fleetHash
+	if n.view.listRevision == 0 || theirs == m.Proof.FleetHash {
 		return
 	}
 	if theirs == 0 {
-		m.Lapsed = n.lapsed()
+		m.Lapsed = n.retainedRecords()
 	}
 	if edits, ok := n.fleet.EditsSince(theirs, time.Now()); ok {
 		m.Edits = edits
@@ -124,20 +124,20 @@
 	m.Fleet = n.fleet.Records(time.Now())
 }
 
-// take takes what a peer tells; it reports whether both know other members, and the
-// peer's digest tells which.
-func (n *Node) take(in gossip.Message) (differ bool) {
+// receive merges a peer's message. It reports whether the rosters differ and the peer's
+// digest shows where.
+func (n *Node) receive(in gossip.Message) (differ bool) {
 	now := time.Now()
-	n.hearVersion(in.ConfigVersion)
+	n.notePeerVersion(in.ConfigVersion)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.told[in.From] = told{config: in.ConfigVersion, fleetHash: in.Proof.FleetHash}
-	n.takeMembers(in, now)
+	n.peerStates[in.From] = peerState{configVersion: in.ConfigVersion, fleetHash: in.Proof.FleetHash}
+	n.mergeMembers(in, now)
 	n.noteInformed(in, now)
-	n.takeEvacuations(in.Evacuations, in.From)
-	n.takeNotices(in, now)
+	n.applyEvacuations(in.Evacuations, in.From)
+	n.mergeNotices(in, now)
 	for _, o := range in.Orders {
-		n.takeOrder(o.Order, o.Age, in.From)
+		n.applyRollout(o.Order, o.Age, in.From)
 	}
 	n.canary.TakePins(in.Pins, now)
 	for _, t := range in.Tallies {
@@ -149,13 +149,14 @@
 	for _, s := range in.Strikes {
 		n.guard.Add(s, now)
 	}
-	n.takeAway(in, now)
-	n.takeListProof(in, now)
-	n.takeOrdersProof(in, now)
+	n.mergeOutage(in, now)
+	n.mergeListProof(in, now)
+	n.mergeOrdersProof(in, now)
 	return in.RosterHash != n.roster.Hash() && len(in.Digest) > 0
 }
 
-func (n *Node) takeMembers(in gossip.Message, now time.Time) {
+// mergeMembers merges a peer's members into the roster; the caller holds mu.
+func (n *Node) mergeMembers(in gossip.Message, now time.Time) {
 	n.roster.Answered(in.From)
 	for _, m := range n.roster.Merge(in.Members, now) {
 		event.PeerChanged.Log(n.log, slog.String("peer", m.ID), slog.String("from", in.From),
@@ -163,89 +164,91 @@
 	}
 }
 
-// takeAway takes the word of who reads for this node that it cannot; a leader passes it on.
-func (n *Node) takeAway(in gossip.Message, now time.Time) {
-	if in.Proof.Away <= 0 || !n.hearsFrom(in.From) {
+// mergeOutage records that this node's reader or leader can't read the table, which a
+// leader passes on; the caller holds mu.
+func (n *Node) mergeOutage(in gossip.Message, now time.Time) {
+	if in.Proof.Away <= 0 || !n.receivesTableFrom(in.From) {
 		return
 	}
-	first := !n.list.awayAt.After(n.list.provenAt)
-	n.list.awayAt = later(n.list.awayAt, now.Add(-in.Proof.Away))
-	if first && n.list.awayAt.After(n.list.provenAt) {
-		n.noteReading(in.From)
+	first := !n.view.outageAt.After(n.view.listAsOf)
+	n.view.outageAt = later(n.view.outageAt, now.Add(-in.Proof.Away))
+	if first && n.view.outageAt.After(n.view.listAsOf) {
+		n.noteRemoteReading(in.From)
 	}
 }
 
-// takeListProof takes a peer's newer reading of the list, once this node has all that
-// the reading saw.
+// mergeListProof takes over a peer's newer reading of the list, once this node has
+// everything that the reading returned. The caller holds mu.
 //
-// A list is taken whole from a newer reading only: an older one could bring
-// back an upstream that has left. Which is newer the table's clock tells. By its age the
-// same reading would always be newer than when it was heard before, as its time on the
-// way is not known: hundreds of nodes kept each other's knowledge fresh for ever while
-// the table turned their reader away, and nobody read in its place.
-func (n *Node) takeListProof(in gossip.Message, now time.Time) {
+// A whole list is taken from a newer reading only: an older one could bring back an
+// upstream that has left. The table's clock decides which reading is newer. By its age
+// alone, a reading that comes back from a peer would always seem newer than before, since
+// its transfer time is unknown. Hundreds of nodes then kept each other's readings fresh for
+// ever while the table refused their reader, and no other node read in its place.
+func (n *Node) mergeListProof(in gossip.Message, now time.Time) {
 	if in.Proof.Age < 0 || in.Proof.FleetRevision == 0 {
 		return
 	}
 	steadySince := now.Add(-in.Proof.Steady)
-	if steadySince.Before(n.list.awayFrom) {
-		n.dropKept()
+	if steadySince.Before(n.view.gapStart) {
+		n.dropRetained()
 	}
 	at := now.Add(-in.Proof.Age)
-	if in.Proof.ListClock <= n.list.listClock {
+	if in.Proof.ListClock <= n.view.listClock {
 		return
 	}
-	knewNone := n.list.revision == 0
-	if in.Proof.FleetRevision >= n.list.revision {
-		n.takeFleet(in, at, n.wasAway(at) && !steadySince.Before(n.list.provenAt))
+	wasEmpty := n.view.listRevision == 0
+	if in.Proof.FleetRevision >= n.view.listRevision {
+		n.mergeFleet(in, at, n.missedReadings(at) && !steadySince.Before(n.view.listAsOf))
 	}
 	if n.fleet.Hash() != in.Proof.FleetHash {
 		return
 	}
-	if knewNone {
-		n.keep(in.Lapsed, at.Add(lapseGrace))
+	if wasEmpty {
+		n.retain(in.Lapsed, at.Add(lapseGrace))
 	}
-	first := n.list.provenAt.IsZero()
-	n.listProven(at, in.Proof.ListClock)
+	first := n.view.listAsOf.IsZero()
+	n.advanceList(at, in.Proof.ListClock)
 	if first {
-		n.list.steadySince = earlier(n.list.steadySince, steadySince)
+		n.view.gaplessSince = earlier(n.view.gaplessSince, steadySince)
 	}
-	n.noteReading(in.From)
-	n.list.revision = max(n.list.revision, in.Proof.FleetRevision)
+	n.noteRemoteReading(in.From)
+	n.view.listRevision = max(n.view.listRevision, in.Proof.FleetRevision)
 }
 
-// takeOrdersProof takes a peer's reading of operators' changes. The roll-outs that it
-// saw came with the message; the configuration may still be on its way.
-func (n *Node) takeOrdersProof(in gossip.Message, now time.Time) {
-	if in.Proof.OrdersPending && (n.hearsFrom(in.From) || n.inGroup(in.From)) {
-		n.list.ordersPendingAt = now
-	}
-	if in.Proof.OrdersAge < 0 || in.ConfigVersion == 0 || in.Proof.OrdersClock <= n.list.ordersClock {
+// mergeOrdersProof takes over a peer's reading of operator orders. The rollouts that it
+// returned came with the message; the configuration may still be in transfer. The caller
+// holds mu.
+func (n *Node) mergeOrdersProof(in gossip.Message, now time.Time) {
+	if in.Proof.OrdersPending && (n.receivesTableFrom(in.From) || n.inGroup(in.From)) {
+		n.view.ordersPendingAt = now
+	}
+	if in.Proof.OrdersAge < 0 || in.ConfigVersion == 0 || in.Proof.OrdersClock <= n.view.ordersClock {
 		return
 	}
 	p := ordersProof{at: now.Add(-in.Proof.OrdersAge), clock: in.Proof.OrdersClock, version: in.ConfigVersion, revision: in.Proof.OrdersRevision}
 	switch {
-	case n.list.awaited.version == 0:
-		n.list.awaited = p
-	case p.clock > n.list.awaited.clock && p.clock > n.list.awaitedNext.clock:
-		n.list.awaitedNext = p
+	case n.view.pendingProof.version == 0:
+		n.view.pendingProof = p
+	case p.clock > n.view.pendingProof.clock && p.clock > n.view.nextPendingProof.clock:
+		n.view.nextPendingProof = p
 	}
-	n.useOrdersProof()
+	n.applyPendingProofs()
 }
 
-// inGroup tells whether a node is in this node's group; the caller holds mu.
+// inGroup reports whether a node is in this node's group; the caller holds mu.
 func (n *Node) inGroup(id string) bool {
 	return slices.ContainsFunc(n.roster.Group(), func(m gossip.Member) bool { return m.ID == id })
 }
 
-// hearsFrom tells whether this node hears from a peer what is read of the table; the
-// caller holds mu.
-func (n *Node) hearsFrom(id string) bool {
+// receivesTableFrom reports whether a peer is the leader or reader that this node depends
+// on; the caller holds mu.
+func (n *Node) receivesTableFrom(id string) bool {
 	circle := n.roster.Circle()
 	return id == n.roster.Group()[0].ID || len(circle) > 0 && id == circle[0].ID
 }
 
-// ordersProof says that operators' changes up to a revision are known, to who has a
+// ordersProof states that operator orders up to a revision are known to a node that has a
 // version of the configuration.
 type ordersProof struct {
 	at       time.Time
@@ -254,29 +257,29 @@
 	revision uint64
 }
 
-// useOrdersProof takes the proof that waited for its configuration, once that is in
-// force; the caller holds mu.
+// applyPendingProofs applies the proofs that waited for their configuration, once it is
+// active; the caller holds mu.
 //
-// It guards against proofs that are lost because a transfer takes a moment: the node
-// would soon read the table itself, for what it has just got.
-func (n *Node) useOrdersProof() {
+// It guards against proofs that are lost because a transfer takes a moment. The node would
+// soon read the table itself for what it has just received.
+func (n *Node) applyPendingProofs() {
 	for {
-		p := n.list.awaited
+		p := n.view.pendingProof
 		if p.version == 0 || n.configVersion() < p.version {
 			return
 		}
-		if p.clock > n.list.ordersClock {
-			n.ordersProven(p.at, p.clock)
+		if p.clock > n.view.ordersClock {
+			n.advanceOrders(p.at, p.clock)
 		}
-		n.list.orders = max(n.list.orders, p.revision)
-		n.list.awaited, n.list.awaitedNext = n.list.awaitedNext, ordersProof{}
+		n.view.ordersRevision = max(n.view.ordersRevision, p.revision)
+		n.view.pendingProof, n.view.nextPendingProof = n.view.nextPendingProof, ordersProof{}
 	}
 }
 
-// takeFleet takes the list of upstreams that a message has, or its edits if they lead
-// from the list that this node has. at is when the reading behind it began; lapsing is
-// set where the table may have been away before it, to the sender as well.
-func (n *Node) takeFleet(in gossip.Message, at time.Time, lapsing bool) {
+// mergeFleet applies the list of upstreams in a message, or its edits if they start from
+// the list that this node has. at is when the reading behind it began. mayHaveLapsed is set
+// if the table may have been unavailable before it, for the sender as well.
+func (n *Node) mergeFleet(in gossip.Message, at time.Time, mayHaveLapsed bool) {
 	put, drop := in.Edits.Put, in.Edits.Drop
 	switch {
 	case len(in.Fleet) > 0:
@@ -284,9 +287,9 @@
 	case len(put)+len(drop) == 0 || in.Edits.From != n.fleet.Hash():
 		return
 	}
-	n.list.revision = in.Proof.FleetRevision
+	n.view.listRevision = in.Proof.FleetRevision
 	for _, r := range put {
 		n.putUpstream(r, time.Now())
 	}
-	n.dropUpstreams(drop, at, lapsing)
+	n.dropUpstreams(drop, at, mayHaveLapsed)
 }
--- a/internal/gateway/node.go
+++ b/internal/gateway/node.go
@@ -25,38 +25,38 @@
 	"github.com/hickorybank/hickorybank/internal/transfer"
 )
 
-// Node is one running gateway.
+// Node is a running gateway. Create it with [New].
 type Node struct {
-	settings Settings
-	dialect  Dialect
-	source   Source
-	log      *slog.Logger
-	metrics  *telemetry.Set
-	pool     *exchange.Pool
-	network  network.Network
-	peers    *gossip.Client
-	// contents are connections to peers apart from those of the news, which would
-	// wait behind what is large.
-	contents *gossip.Client
-	sender   *transfer.Sender
-	// newer asks the duty that brings in configurations to look for one.
-	newer chan struct{}
-	// applying has one place, for who reads a configuration and puts it in force.
-	applying chan struct{}
-	policy   *cascade.Policy
-	dropped  func() int64
-	born     int64
+	settings     Settings
+	dialect      Dialect
+	source       Source
+	log          *slog.Logger
+	metrics      *telemetry.Set
+	pool         *exchange.Pool
+	network      network.Network
+	gossipClient *gossip.Client
+	// transferClient has its own connections to peers: gossip would queue behind large
+	// transfers.
+	transferClient *gossip.Client
+	configSender   *transfer.Sender
+	// newerConfig wakes followConfig.
+	newerConfig chan struct{}
+	// applying is a semaphore of one place for reading and activating a configuration.
+	applying        chan struct{}
+	policy          *cascade.Policy
+	droppedLogLines func() int64
+	incarnation     int64
 
 	config atomic.Pointer[configuration]
-	// heardVersion is the newest version of the configuration that peers have.
-	heardVersion atomic.Int64
-	stopping     atomic.Bool
-	stopped      chan struct{}
-	// active counts callers' requests under way, bodies the bytes they hold.
-	active atomic.Int64
-	bodies atomic.Int64
+	// newestPeerVersion is the newest version of the configuration that any peer has.
+	newestPeerVersion atomic.Int64
+	stopping          atomic.Bool
+	stopped           chan struct{}
+	// active counts callers' requests in progress, bodyBytes the size of their bodies.
+	active    atomic.Int64
+	bodyBytes atomic.Int64
 
-	// mu guards the cores below.
+	// mu guards the fields below.
 	mu          sync.Mutex
 	fleet       *fleet.Fleet
 	canary      *canary.Canary
@@ -66,107 +66,107 @@
 	evacuations *evacuation.Orders
 	senders     senderSet
 	budgets     map[string]*admission.WindowBudget
-	list        fleetState
-	// held are versions that nobody has ordered, and when they were first
-	// listed; known are those that may serve; served is when a service's first
-	// upstream was listed.
-	held    map[string]time.Time
-	known   map[string]bool
-	served  map[string]time.Time
-	sources sourceState
-	// began is when the node started; asked is set when a peer has answered it or could not
-	// be reached since, informed is when one that knows what the table holds first did.
-	began, informed time.Time
-	asked           bool
+	view        tableView
+	// heldVersions are versions that no order names, with the time when they were first
+	// listed; allowedVersions are those that may serve. firstListedAt is when a service's
+	// first upstream was listed. Both maps of versions are keyed by versionKey.
+	heldVersions    map[string]time.Time
+	allowedVersions map[string]bool
+	firstListedAt   map[string]time.Time
+	sourceHealth    sourceHealth
+	// startedAt is when the node started. informedAt is when a peer that knows what the
+	// table holds first answered. peerAsked is set once a peer has answered or could not be
+	// reached.
+	startedAt, informedAt time.Time
+	peerAsked             bool
 	// leaderSince is when this node began to lead its group; zero while it does not.
 	leaderSince time.Time
-	// readAt is when this node last read the table, fedAt when it last told
-	// others beside a reading.
-	readAt, fedAt time.Time
-	orders        []gossip.Order
-	// started is when the newest roll-out of a service began, announced the
+	// lastReadAt is when this node last read the table, lastPushAt when it last pushed to
+	// others apart from a reading.
+	lastReadAt, lastPushAt time.Time
+	rollouts               []gossip.Order
+	// rolloutStartedAt is when the newest rollout of a service began, announcedRevision its
 	// newest revision that is recorded as under way.
-	started   map[string]time.Time
-	announced map[string]uint64
-	// heard is when a verdict that another node made was first known here.
-	heard map[turnKey]time.Time
-	// recorded are the members that the table listed when this node joined.
-	recorded []gossip.Member
-	// told is what peers told last of what they have.
-	told     map[string]told
-	contacts contacts
-	// unsoundAt is when a field of an upstream's answers was last logged as unsound,
-	// noticeLabels are the upstreams that are told apart in metrics.
-	unsoundAt    map[string]time.Time
-	noticeLabels map[string]bool
-	// noticesSwept is when upstreams that are gone were last forgotten, noticesTold when
-	// other nodes were last told at once of an upstream's notice.
-	noticesSwept, noticesTold time.Time
-	// readElsewhere tells the duty that follows the table of readings by others.
-	readElsewhere chan struct{}
-	// urgent asks the duty that tells other nodes of roll-outs to do so at once.
-	urgent chan struct{}
+	rolloutStartedAt  map[string]time.Time
+	announcedRevision map[string]uint64
+	// verdictSeenAt is when a verdict of another node was first known here.
+	verdictSeenAt map[verdictKey]time.Time
+	// recordedMembers are the members that the table listed when this node joined.
+	recordedMembers []gossip.Member
+	// peerStates is what peers last reported to have, by peer ID.
+	peerStates map[string]peerState
+	contacts   contacts
+	// malformedLoggedAt is when a malformed field of an upstream's answers was last logged.
+	// noticeLabels are the upstreams with their own label in metrics.
+	malformedLoggedAt map[string]time.Time
+	noticeLabels      map[string]bool
+	// noticesSweptAt is when notices of upstreams that are gone were last removed,
+	// noticesPushedAt when an upstream's notice was last pushed to other nodes.
+	noticesSweptAt, noticesPushedAt time.Time
+	// remoteReading wakes followTable when another node's reading has become known.
+	remoteReading chan struct{}
+	// pushRequested wakes pushRollouts.
+	pushRequested chan struct{}
 }
 
-// configuration is the one in force, as it was read and as it is used.
+// configuration is an active configuration, decoded and as transferred to peers.
 type configuration struct {
 	*route.Table
-	doc *archive.Archive
+	archive *archive.Archive
 }
 
-// fleetState is what the node knows of the table.
-type fleetState struct {
-	// revision and orders are the revisions of the upstreams' list and of the
-	// operators' changes that the node has taken.
-	revision, orders uint64
-	// readOrders is the table's revision at this node's own latest reading of
-	// operators' changes.
-	readOrders uint64
-	// provenAt is when the latest reading of the list began that the node has taken,
-	// its own or its reader's; ordersProvenAt is as of when operators' changes are
-	// known, ordersPendingAt when a large one was last heard to be on its way to the
-	// reader.
-	provenAt, ordersProvenAt, ordersPendingAt time.Time
+// tableView is what the node knows of the platform's table.
+type tableView struct {
+	// listRevision and ordersRevision are the table's revisions up to which the node has
+	// applied the list of upstreams and operator orders.
+	listRevision, ordersRevision uint64
+	// ownOrdersRevision is the table's revision at this node's own latest reading of
+	// operator orders.
+	ownOrdersRevision uint64
+	// listAsOf is when the latest reading of the list began that the node has applied, its
+	// own or a peer's. ordersAsOf is the time as of which operator orders are known.
+	// ordersPendingAt is when a large order was last known to be in transfer to the reader.
+	listAsOf, ordersAsOf, ordersPendingAt time.Time
 	// listClock and ordersClock are the table's own clock at these readings.
 	listClock, ordersClock time.Duration
-	// transfers is set while this node itself takes a large change from the table.
-	transfers bool
-	// returnedAt is when this node first heard of a reading after the table was away.
-	returnedAt time.Time
-	// awayAt is when this node, or who reads for it, last could not read the table.
-	awayAt time.Time
-	// awaited is a proof of operators' changes whose configuration is on its way,
-	// awaitedNext the latest after it: with a change every moment, the latest alone
-	// would never be met.
-	awaited, awaitedNext ordersProof
-	// steadySince is when the node's readings without a gap began, awayFrom
-	// the last reading before that gap.
-	steadySince, awayFrom time.Time
-	// gone are upstreams that vanished while the table was away, and until
-	// when they are kept.
-	gone map[string]time.Time
+	// transferring is set while this node itself reads a large order from the table.
+	transferring bool
+	// recoveredAt is when this node first knew of a reading after an outage of the table.
+	recoveredAt time.Time
+	// outageAt is when this node, its reader or its leader last failed to read the table.
+	outageAt time.Time
+	// pendingProof is a proof of operator orders whose configuration is in transfer.
+	// nextPendingProof is the latest after it. With frequent changes, the latest alone
+	// would never match the active version.
+	pendingProof, nextPendingProof ordersProof
+	// gaplessSince is when the node's current series of readings without a gap began,
+	// gapStart the last reading before that gap.
+	gaplessSince, gapStart time.Time
+	// retained are upstreams that vanished during an outage of the table, with the time
+	// until which they are retained.
+	retained map[string]time.Time
 }
 
-// told is what a peer has of the configuration and of the upstreams' list.
-type told struct {
-	config    int64
-	fleetHash uint64
+// peerState is a peer's version of the configuration and hash of the list of upstreams.
+type peerState struct {
+	configVersion int64
+	fleetHash     uint64
 }
 
-// Deps are what a node works with.
+// Deps are the dependencies of a node.
 type Deps struct {
 	Dialect Dialect
 	Source  Source
 	Log     *slog.Logger
 	Metrics *telemetry.Set
-	// Network is where the node listens, and reaches its peers; nil for the
-	// machine's own. Upstreams are always reached over that.
+	// Network is where the node listens and reaches its peers; nil for the operating
+	// system's. Upstreams are always reached over the operating system's network.
 	Network network.Network
-	// Dropped is how many log lines were dropped so far; nil where none are.
+	// Dropped returns how many log lines have been dropped so far; nil if none ever are.
 	Dropped func() int64
 }
 
-// New returns a node that is not yet running.
+// New returns a node that is not running yet; call [Node.Run] to run it.
 func New(s Settings, d Deps) *Node {
 	began := time.Now()
 	if d.Network == nil {
@@ -176,36 +176,36 @@
 		d.Dropped = func() int64 { return 0 }
 	}
 	n := &Node{
-		dropped:  d.Dropped,
-		settings: s, dialect: d.Dialect, source: d.Source, log: d.Log, metrics: d.Metrics,
-		pool:     exchange.NewPool(exchange.Settings{}),
-		network:  d.Network,
-		peers:    gossip.NewClient(d.Network),
-		contents: gossip.NewClient(d.Network),
-		sender:   transfer.NewSender(s.Link),
-		newer:    make(chan struct{}, 1),
-		applying: make(chan struct{}, 1),
-		policy:   cascade.New(cascade.Settings{Accept: s.Accept, AcceptBusy: s.AcceptBusy}),
-		born:     began.UnixNano(), began: began,
-		stopped:     make(chan struct{}),
-		fleet:       fleet.New(fleet.Settings{Domain: s.Domain, Regions: s.Regions, Origin: originOf(s.ID, began.UnixNano())}),
-		canary:      canary.New(canary.Settings{ShareBound: s.ExposeShare, Slack: s.ExposeSlack, Session: s.Session, Lag: orderLag}, s.ID, began.UnixNano()),
-		guard:       crashguard.New(),
-		roster:      gossip.NewRoster(gossip.Member{ID: s.ID, Born: began.UnixNano(), Front: s.Front, Peer: s.Peer, Domain: s.Domain, Region: s.Region, Link: s.Link}),
-		flights:     gossip.NewFlightSums(),
-		evacuations: evacuation.New(),
-		senders:     senderSet{seen: map[string]time.Time{}},
-		budgets:     map[string]*admission.WindowBudget{},
-		list:        fleetState{gone: map[string]time.Time{}},
-		held:        map[string]time.Time{},
-		known:       map[string]bool{}, served: map[string]time.Time{},
-		started: map[string]time.Time{}, announced: map[string]uint64{},
-		unsoundAt: map[string]time.Time{}, noticeLabels: map[string]bool{},
-		told: map[string]told{}, contacts: contacts{}, heard: map[turnKey]time.Time{},
-		urgent: make(chan struct{}, 1), readElsewhere: make(chan struct{}, 1),
+		droppedLogLines: d.Dropped,
+		settings:        s, dialect: d.Dialect, source: d.Source, log: d.Log, metrics: d.Metrics,
+		pool:           exchange.NewPool(exchange.Settings{}),
+		network:        d.Network,
+		gossipClient:   gossip.NewClient(d.Network),
+		transferClient: gossip.NewClient(d.Network),
+		configSender:   transfer.NewSender(s.Link),
+		newerConfig:    make(chan struct{}, 1),
+		applying:       make(chan struct{}, 1),
+		policy:         cascade.New(cascade.Settings{Accept: s.Accept, AcceptBusy: s.AcceptBusy}),
+		incarnation:    began.UnixNano(), startedAt: began,
+		stopped:         make(chan struct{}),
+		fleet:           fleet.New(fleet.Settings{Domain: s.Domain, Regions: s.Regions, Origin: originOf(s.ID, began.UnixNano())}),
+		canary:          canary.New(canary.Settings{ShareBound: s.ExposeShare, Slack: s.ExposeSlack, Session: s.Session, Lag: orderLag}, s.ID, began.UnixNano()),
+		guard:           crashguard.New(),
+		roster:          gossip.NewRoster(gossip.Member{ID: s.ID, Born: began.UnixNano(), Front: s.Front, Peer: s.Peer, Domain: s.Domain, Region: s.Region, Link: s.Link}),
+		flights:         gossip.NewFlightSums(),
+		evacuations:     evacuation.New(),
+		senders:         senderSet{lastSeen: map[string]time.Time{}},
+		budgets:         map[string]*admission.WindowBudget{},
+		view:            tableView{retained: map[string]time.Time{}},
+		heldVersions:    map[string]time.Time{},
+		allowedVersions: map[string]bool{}, firstListedAt: map[string]time.Time{},
+		rolloutStartedAt: map[string]time.Time{}, announcedRevision: map[string]uint64{},
+		malformedLoggedAt: map[string]time.Time{}, noticeLabels: map[string]bool{},
+		peerStates: map[string]peerState{}, contacts: contacts{}, verdictSeenAt: map[verdictKey]time.Time{},
+		pushRequested: make(chan struct{}, 1), remoteReading: make(chan struct{}, 1),
 	}
 	d.Metrics.Gauge("hickorybank_config_version", func() float64 { return float64(n.configVersion()) })
-	d.Metrics.Gauge("hickorybank_config_heard_version", func() float64 { return float64(max(n.heardVersion.Load(), n.configVersion())) })
+	d.Metrics.Gauge("hickorybank_config_heard_version", func() float64 { return float64(max(n.newestPeerVersion.Load(), n.configVersion())) })
 	d.Metrics.Gauge("hickorybank_table_age_seconds", n.tableAge)
 	d.Metrics.Gauge("hickorybank_evacuated_domains", n.evacuatedDomains)
 	d.Metrics.Gauge("hickorybank_limited_upstreams", n.limitedUpstreams)
@@ -214,23 +214,23 @@
 	return n
 }
 
-// originOf names a run of a node by a number.
+// originOf returns a number that identifies one run of a node.
 func originOf(id string, born int64) uint64 {
 	return xxhash.Sum64String(id + "@" + strconv.FormatInt(born, 10))
 }
 
-// tableAge is how many seconds ago the list was read that this node goes by; 0 before the
-// first reading.
+// tableAge returns the age of the applied reading of the list in seconds; 0 before the
+// first one.
 func (n *Node) tableAge() float64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.list.provenAt.IsZero() {
+	if n.view.listAsOf.IsZero() {
 		return 0
 	}
-	return time.Since(n.list.provenAt).Seconds()
+	return time.Since(n.view.listAsOf).Seconds()
 }
 
-// configVersion is the version of the configuration in force; 0 for none.
+// configVersion returns the version of the active configuration; 0 for none.
 func (n *Node) configVersion() int64 {
 	if c := n.config.Load(); c != nil {
 		return c.Version
@@ -238,21 +238,21 @@
 	return 0
 }
 
-// Ready tells whether the node can serve: it knows a configuration and the
-// upstreams, and is not stopping.
+// Ready reports whether the node can serve: it has a configuration and a list of upstreams,
+// and is not stopping.
 func (n *Node) Ready() bool {
 	if n.stopping.Load() || n.config.Load() == nil {
 		return false
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.list.revision > 0
+	return n.view.listRevision > 0
 }
 
-// Active is how many callers' requests are under way.
+// Active returns the number of callers' requests in progress.
 func (n *Node) Active() int64 { return n.active.Load() }
 
-// ReadyHandler answers whether the node is ready.
+// ReadyHandler returns a handler that answers whether the node is ready.
 func (n *Node) ReadyHandler() http.Handler {
 	return telemetry.Readyz(func() []string {
 		if n.Ready() {
@@ -264,14 +264,14 @@
 
 // budget returns the retry budget of a service; the caller holds mu.
 //
-// All nodes share one bound over a window: each spends its part of the ratio,
-// of its own requests, and an equal part of the slack, without a call.
+// All nodes share one bound over a window. Each spends its own requests' part of the ratio
+// and an equal part of the slack, without calls between nodes.
 func (n *Node) budget(service string, now time.Time) *admission.WindowBudget {
-	slack := n.settings.RetrySlack * retryPart / float64(max(len(n.roster.Alive()), 1))
+	slack := n.settings.RetrySlack * retryBudgetFraction / float64(max(len(n.roster.Alive()), 1))
 	b := n.budgets[service]
 	if b == nil {
 		b = admission.NewWindowBudget(admission.WindowSettings{
-			Ratio:  n.settings.RetryRatio * retryPart,
+			Ratio:  n.settings.RetryRatio * retryBudgetFraction,
 			Window: n.settings.RetryWindow,
 		})
 		n.budgets[service] = b
@@ -280,7 +280,7 @@
 	return b
 }
 
-// retryPart is the part of the retry bound that is used: requests near a
-// window's edge count in one window at their node and in another at upstreams,
-// and a node that restarts does not know what it spent before.
-const retryPart = 0.92
+// retryBudgetFraction is the fraction of the retry bound that is used. Requests near a
+// window's edge may count in different windows at their node and at upstreams, and a
+// restarted node does not know what it spent before.
+const retryBudgetFraction = 0.92
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -10,10 +10,11 @@
 	"github.com/hickorybank/hickorybank/internal/notice"
 )
 
-// fromAnswer names an answer that this node read itself as the source of news in logs.
+// fromAnswer names an answer that this node read itself as the source of a notice in logs.
 const fromAnswer = "answer"
 
-// noteAnswer takes what an upstream's answer, read at a time, says of the upstream.
+// noteAnswer records what an upstream's answer, read at the time at, states about the
+// upstream.
 func (n *Node) noteAnswer(up *fleet.Upstream, r Reply, at time.Time) {
 	now := time.Now()
 	n.mu.Lock()
@@ -22,16 +23,16 @@
 		n.fleet.Report(up, r.Running, r.Waiting, now)
 	}
 	for _, field := range r.Notice.Unsound {
-		n.noteUnsound(up, field, now)
+		n.noteMalformed(up, field, now)
 	}
 	for _, change := range n.fleet.Answered(up, r.Notice, at, now) {
 		n.noteChange(up.Start(), change, fromAnswer, now.Sub(at))
-		n.tellNotice(change, now)
+		n.pushNotice(change, now)
 	}
 }
 
-// takeNotices takes what a peer tells of upstreams' answers; the caller holds mu.
-func (n *Node) takeNotices(in gossip.Message, now time.Time) {
+// mergeNotices applies a peer's reports of upstreams' notices; the caller holds mu.
+func (n *Node) mergeNotices(in gossip.Message, now time.Time) {
 	for _, r := range in.Notices {
 		for _, change := range n.fleet.TakeNotice(r, now) {
 			n.noteChange(r.Start, change, in.From, max(r.Age, 0))
@@ -39,45 +40,46 @@
 	}
 }
 
-// tellNotice has other nodes told at once of what this one has read first, unless they
-// were a moment ago; the caller holds mu.
-func (n *Node) tellNotice(c notice.Change, now time.Time) {
+// pushNotice requests a push of an urgent notice that this node received first, unless one
+// was requested a moment ago; the caller holds mu.
+func (n *Node) pushNotice(c notice.Change, now time.Time) {
 	urgent := c.Kind == notice.LimitBegan || c.Kind == notice.LimitEnded || c.Kind == notice.Leaving
-	if !urgent || now.Sub(n.noticesTold) < noticesTellPause {
+	if !urgent || now.Sub(n.noticesPushedAt) < noticePushInterval {
 		return
 	}
-	n.noticesTold = now
-	n.tellSoon()
+	n.noticesPushedAt = now
+	n.requestPush()
 }
 
-// noticesTellPause is the least pause between news that are told at once: upstreams of a
-// failure domain are in need together.
-const noticesTellPause = 250 * time.Millisecond
+// noticePushInterval is the minimum pause between pushes of notices: upstreams of a failure
+// domain often send notices at the same time.
+const noticePushInterval = 250 * time.Millisecond
 
-// noteUnsound logs a field of an upstream's answers that makes no sense, not for each
-// answer; the caller holds mu.
-func (n *Node) noteUnsound(up *fleet.Upstream, field string, now time.Time) {
+// noteMalformed counts a malformed field of an upstream's answer, and logs it at intervals;
+// the caller holds mu.
+func (n *Node) noteMalformed(up *fleet.Upstream, field string, now time.Time) {
 	n.metrics.Counter("hickorybank_unsound_answer_fields_total", "field", field).Inc()
 	key := up.Start() + " " + field
-	if last, known := n.unsoundAt[key]; known && now.Sub(last) < unsoundPause {
+	if last, known := n.malformedLoggedAt[key]; known && now.Sub(last) < malformedLogInterval {
 		return
 	}
-	if len(n.unsoundAt) >= mostUnsound {
-		clear(n.unsoundAt)
+	if len(n.malformedLoggedAt) >= maxMalformedLogged {
+		clear(n.malformedLoggedAt)
 	}
-	n.unsoundAt[key] = now
+	n.malformedLoggedAt[key] = now
 	event.AnswerUnsound.Log(n.log, slog.String("upstream", up.ID), slog.Int64("born", up.Born), slog.String("field", field))
 }
 
 const (
-	// unsoundPause is the pause between two log lines on one field of one upstream.
-	unsoundPause = time.Minute
-	// mostUnsound bounds the fields whose last log line is remembered.
-	mostUnsound = 1024
+	// malformedLogInterval is the minimum pause between log lines for a field of one
+	// upstream.
+	malformedLogInterval = time.Minute
+	// maxMalformedLogged bounds the fields whose last log line is remembered.
+	maxMalformedLogged = 1024
 )
 
-// noteChange counts and logs what a statement of an upstream has changed here; the caller
-// holds mu. The statement was age old, and came from an answer or a peer.
+// noteChange counts and logs a notice that changed an upstream's state here; the caller
+// holds mu. The notice has the given age and came from an answer or a peer.
 func (n *Node) noteChange(start string, c notice.Change, from string, age time.Duration) {
 	n.metrics.Counter("hickorybank_upstream_notices_total", "kind", c.Kind.String(), "upstream", n.noticeLabel(start)).Inc()
 	if c.Repeated {
@@ -98,51 +100,52 @@
 	}
 }
 
-// mostNoticeLabels bounds the upstreams that are told apart in metrics.
-const mostNoticeLabels = 128
+// maxNoticeLabels bounds the upstreams with their own label in metrics.
+const maxNoticeLabels = 128
 
-// noticeLabel is the name of an upstream's start in metrics; the caller holds mu.
+// noticeLabel returns the metric label of an upstream's start; the caller holds mu.
 func (n *Node) noticeLabel(start string) string {
-	if !n.noticeLabels[start] && len(n.noticeLabels) >= mostNoticeLabels {
+	if !n.noticeLabels[start] && len(n.noticeLabels) >= maxNoticeLabels {
 		return "other"
 	}
 	n.noticeLabels[start] = true
 	return start
 }
 
-// limitedUpstreams is how many upstreams have a rate limit of their own in force.
+// limitedUpstreams returns the number of upstreams with an announced rate limit in force.
 func (n *Node) limitedUpstreams() float64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return float64(n.fleet.LimitedUpstreams())
 }
 
-// leavingUpstreams is how many upstreams have said that they leave before the table's list
-// did.
+// leavingUpstreams returns the number of upstreams that announced their end before the
+// table's list showed it.
 func (n *Node) leavingUpstreams() float64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return float64(n.fleet.LeavingUpstreams())
 }
 
-// restingUpstreams is how many upstreams this node leaves alone, as they have asked for rest.
+// restingUpstreams returns the number of upstreams that get no requests because they asked
+// for rest.
 func (n *Node) restingUpstreams() float64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return float64(n.fleet.RestingUpstreams(time.Now()))
 }
 
-// sweepNotices forgets what upstreams have said that are long gone, now and then.
+// sweepNotices removes the notices of upstreams that are long gone, at intervals.
 func (n *Node) sweepNotices() {
 	now := time.Now()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if now.Sub(n.noticesSwept) < noticesSweepEvery {
+	if now.Sub(n.noticesSweptAt) < noticeSweepInterval {
 		return
 	}
-	n.noticesSwept = now
+	n.noticesSweptAt = now
 	n.fleet.SweepNotices(now)
 }
 
-// noticesSweepEvery is the pause between two looks for upstreams that are long gone.
-const noticesSweepEvery = time.Minute
+// noticeSweepInterval is the pause between two removals of such notices.
+const noticeSweepInterval = time.Minute
--- a/internal/gateway/orders.go
+++ b/internal/gateway/orders.go
@@ -15,25 +15,25 @@
 	"github.com/hickorybank/hickorybank/internal/transfer"
 )
 
-// takeOrdersChange takes what operators have changed; first is set when the
-// whole was read, waited when the call waited for the change.
-func (n *Node) takeOrdersChange(ctx context.Context, c OrdersChange, first, waited bool) {
+// applyOrdersChange applies operator orders from the table. first is set for a reading of
+// all orders, waited if the call waited for the change.
+func (n *Node) applyOrdersChange(ctx context.Context, c OrdersChange, first, waited bool) {
 	if first {
-		n.recallRollouts(ctx, c.Rollouts)
+		n.restoreRollouts(ctx, c.Rollouts)
 	}
 	n.mu.Lock()
 	for _, r := range c.Unreadable {
-		n.unreadable(r)
+		n.noteUnreadable(r)
 	}
-	n.takeEvacuations(c.Evacuations, fromTable)
+	n.applyEvacuations(c.Evacuations, fromTable)
 	if c.Whole {
-		n.endOtherEvacuations(c)
+		n.endMissingEvacuations(c)
 	}
 	for _, o := range c.Rollouts {
-		if proven := n.list.ordersProvenAt; !waited && !proven.IsZero() {
-			o.Late = min(time.Since(proven), mostLate)
+		if proven := n.view.ordersAsOf; !waited && !proven.IsZero() {
+			o.Late = min(time.Since(proven), maxOrderDelay)
 		}
-		n.takeOrder(o, 0, fromTable)
+		n.applyRollout(o, 0, fromTable)
 	}
 	n.mu.Unlock()
 	if c.Config != nil {
@@ -41,85 +41,84 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.list.orders = max(n.list.orders, c.Revision)
+	n.view.ordersRevision = max(n.view.ordersRevision, c.Revision)
 }
 
-// mostLate bounds how late an order is taken to have been learned of.
-const mostLate = 3 * time.Second
+// maxOrderDelay bounds the delay with which an order is assumed to have become known.
+const maxOrderDelay = 3 * time.Second
 
-// fromTable names the table as the source of news in logs.
+// fromTable names the table as a source in logs.
 const fromTable = "table"
 
-// applyConfig puts a configuration that the table holds in force, if it is newer than
-// the present one.
+// applyConfig activates a configuration from the table if it is newer than the active one.
 func (n *Node) applyConfig(raw []byte) {
 	n.applying <- struct{}{}
 	defer func() { <-n.applying }()
 	doc, err := archive.Compact(raw)
 	if err == nil {
-		err = n.enforce(doc, fromTable, func(old *archive.Archive, version uint64) *archive.Archive {
+		err = n.activate(doc, fromTable, func(old *archive.Archive, version uint64) *archive.Archive {
 			return old.Replace(version, doc)
 		})
 	}
 	if err != nil {
-		n.rejected(fromTable, err)
+		n.noteRejectedConfig(fromTable, err)
 	}
 }
 
-// taken is what became of an update that a peer sent.
-type taken int
+// updateResult is the result of an update from a peer.
+type updateResult int
 
 const (
-	// applied updates are in force, or something newer is.
-	applied taken = iota
-	// unfit ones are damaged, or lead from another document.
-	unfit
-	// refused ones lead to a document that this node can't read.
-	refused
+	// updateApplied means that the update or something newer is active.
+	updateApplied updateResult = iota
+	// updateUnusable means that the update is damaged or starts from another configuration.
+	updateUnusable
+	// updateRejected means that the update leads to a configuration that this node can't
+	// read.
+	updateRejected
 )
 
-// applyUpdate puts what a peer sent in force, if it is newer.
-func (n *Node) applyUpdate(r *transfer.Receiver, from string) (taken, error) {
+// applyUpdate activates an update from a peer if it is newer.
+func (n *Node) applyUpdate(r *transfer.Receiver, from string) (updateResult, error) {
 	n.applying <- struct{}{}
 	defer func() { <-n.applying }()
-	if n.document().Tag() != r.Known() {
-		return applied, nil // the table was faster
+	if n.currentArchive().Tag() != r.Known() {
+		return updateApplied, nil // the table was faster than the peer
 	}
-	next, err := r.Update(n.document())
+	next, err := r.Update(n.currentArchive())
 	if err != nil {
-		return unfit, err
+		return updateUnusable, err
 	}
-	err = n.enforce(next.Raw(), from, func(*archive.Archive, uint64) *archive.Archive { return next })
+	err = n.activate(next.Raw(), from, func(*archive.Archive, uint64) *archive.Archive { return next })
 	if err != nil {
-		n.rejected(from, err)
-		return refused, err
+		n.noteRejectedConfig(from, err)
+		return updateRejected, err
 	}
-	return applied, nil
+	return updateApplied, nil
 }
 
-// document is the configuration in force as it is told to peers; nil for none.
-func (n *Node) document() *archive.Archive {
+// currentArchive returns the active configuration in the form sent to peers; nil for none.
+func (n *Node) currentArchive() *archive.Archive {
 	if c := n.config.Load(); c != nil {
-		return c.doc
+		return c.archive
 	}
 	return nil
 }
 
-// table is the table in force; nil for none.
-func (n *Node) table() *route.Table {
+// routingTable returns the active routing table; nil for none.
+func (n *Node) routingTable() *route.Table {
 	if c := n.config.Load(); c != nil {
 		return c.Table
 	}
 	return nil
 }
 
-// enforce reads a document and puts it in force; versions only grow in the life of a
-// process. archived makes what peers are told of it. The caller has a
-// place in applying, and no lock: requests go on under the former table while this
-// one is read.
-func (n *Node) enforce(doc []byte, from string, archived func(old *archive.Archive, version uint64) *archive.Archive) error {
+// activate decodes a configuration and activates it if its version is newer. newArchive
+// builds the form that is sent to peers. The caller holds the place in applying and not mu:
+// requests continue under the former routing table while this one is decoded.
+func (n *Node) activate(doc []byte, from string, newArchive func(old *archive.Archive, version uint64) *archive.Archive) error {
 	began := time.Now()
-	table, err := n.source.Decode(doc, n.table())
+	table, err := n.source.Decode(doc, n.routingTable())
 	n.metrics.Histogram("hickorybank_config_decode_seconds").UpdateDuration(began)
 	if err != nil {
 		return err
@@ -127,79 +126,78 @@
 	if table.Version <= n.configVersion() {
 		return nil
 	}
-	next := archived(n.document(), uint64(table.Version))
+	next := newArchive(n.currentArchive(), uint64(table.Version))
 	if next.Tag() != uint64(table.Version) {
-		return eris.Errorf("configuration: version %d came as %d", table.Version, next.Tag())
+		return eris.Errorf("configuration: version is %d, archive has version %d", table.Version, next.Tag())
 	}
-	n.config.Store(&configuration{Table: table, doc: next})
-	n.sender.Set(next)
+	n.config.Store(&configuration{Table: table, archive: next})
+	n.configSender.Set(next)
 	event.TableApplied.Log(n.log, slog.Int64("version", table.Version), slog.String("from", from), slog.Int("bytes", len(doc)),
 		slog.Duration("decoding", time.Since(began)))
 	for _, field := range table.Unsound {
 		event.TableUnsound.Log(n.log, slog.Int64("version", table.Version), slog.String("field", field))
 	}
-	n.noteConfig()
+	n.configActivated()
 	return nil
 }
 
-// rejected notes a configuration that can't be used; the one in force stays.
-func (n *Node) rejected(from string, err error) {
+// noteRejectedConfig counts and logs an unusable configuration; the active one stays.
+func (n *Node) noteRejectedConfig(from string, err error) {
 	n.metrics.Counter("hickorybank_config_rejected_total").Inc()
 	event.TableRejected.Log(n.log, slog.String("from", from), slog.String("err", err.Error()))
 }
 
-// noteConfig takes what waited for a configuration that is now in force, and has the
-// other nodes told at once, if this node reads the table for its group.
-func (n *Node) noteConfig() {
+// configActivated applies what waited for the new configuration. On the leader of a group
+// it requests a push to the other nodes.
+func (n *Node) configActivated() {
 	n.mu.Lock()
 	n.setWarmUps()
-	n.useOrdersProof()
-	leads := n.leads()
+	n.applyPendingProofs()
+	leads := n.leadsGroup()
 	n.mu.Unlock()
 	if leads {
-		n.tellSoon()
+		n.requestPush()
 	}
 }
 
-// recallRollouts reads how far roll-outs had come before this process began.
-func (n *Node) recallRollouts(ctx context.Context, orders []canary.Order) {
+// restoreRollouts restores the progress that rollouts had made before this process started.
+func (n *Node) restoreRollouts(ctx context.Context, orders []canary.Order) {
 	if len(orders) == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(withCause(ctx, CauseRollout), callTimeout)
+	ctx, cancel := context.WithTimeout(withCause(ctx, CauseRollout), tableCallTimeout)
 	defer cancel()
 	states, err := n.source.Rollouts(ctx)
 	n.sourceResult("rollouts", err)
 	if err != nil {
-		return // the orders then count as new: the watch begins again
+		return // the orders then count as new, and their observation starts over
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, o := range orders {
 		for _, s := range states {
 			if s.Order.Service == o.Service && s.Order.Revision == o.Revision {
-				n.takeOrder(o, s.Age, fromTable)
+				n.applyRollout(o, s.Age, fromTable)
 				n.canary.Decide(o.Service, o.Revision, s.Verdict, true)
 			}
 		}
 	}
 }
 
-// takeOrder takes a roll-out that has been under way for a time; the caller
-// holds mu.
-func (n *Node) takeOrder(o canary.Order, age time.Duration, from string) {
+// applyRollout starts a rollout that has been under way for age; the caller holds mu.
+func (n *Node) applyRollout(o canary.Order, age time.Duration, from string) {
 	started := time.Now().Add(-age)
 	if !n.canary.Take(o, started) {
 		return
 	}
-	kept := n.orders[:0]
-	for _, known := range n.orders {
+	kept := n.rollouts[:0]
+	for _, known := range n.rollouts {
 		if known.Service != o.Service {
 			kept = append(kept, known)
 		}
 	}
-	n.orders = append(kept, gossip.Order{Order: o})
-	n.started[o.Service] = started
+	n.rollouts = append(kept, gossip.Order{Order: o})
+	n.rolloutStartedAt[o.Service] = started
 	event.VersionOrdered.Log(n.log, slog.String("service", o.Service), slog.String("target", o.Target),
 		slog.Duration("limit", o.Limit), slog.Uint64("revision", o.Revision), slog.Duration("age", age), slog.String("from", from))
 }
--- a/internal/gateway/reading_plan.go
+++ b/internal/gateway/reading_plan.go
@@ -6,151 +6,154 @@
 )
 
 const (
-	// leaderReadPart and memberReadPart are how long a group's leader and its members wait
-	// for who reads for them, in readings, before they may read the table themselves.
-	leaderReadPart = 1.25
-	memberReadPart = 1.4
-	// leaderTurnPart and memberTurnPart are the time, in readings, over which they take
-	// their turns then: leaders first.
-	leaderTurnPart = 0.15
-	memberTurnPart = 0.3
-	// awayTurnPart is the time, in readings, between the first awayTurns turns where who
-	// reads is heard but cannot read: where the table turns a third away, one of six can
-	// read but for once in seven hundred times, and well within the bounds on changes.
-	// Later turns come ever later, up to awayMostPart.
-	awayTurnPart = 0.08
-	awayTurns    = 6
-	awayMostPart = 6
-	// retryCall is the pause after a failed call of the table.
-	retryCall = 250 * time.Millisecond
-	// mostRetryRead bounds that pause for who reads for others or knows nothing: a node
-	// that can reach the table again should know it well before it has to keep all
-	// bounds.
-	mostRetryRead = 400 * time.Millisecond
-	// memberRetryReads is the pause between a follower's own failed readings, in
-	// readings: those that can read tell it meanwhile.
+	// leaderReadDelay and memberReadDelay are how long a group's leader and its members
+	// wait for their reader's messages before they may read the table themselves, in read
+	// intervals.
+	leaderReadDelay = 1.25
+	memberReadDelay = 1.4
+	// leaderTurnSpan and memberTurnSpan are the time over which they then take turns, in
+	// read intervals. Leaders come first.
+	leaderTurnSpan = 0.15
+	memberTurnSpan = 0.3
+	// outageTurnDelay is the time between the first outageTurns turns while the reader
+	// reports that it cannot read, in read intervals. If the table refuses a third of the
+	// nodes, at least one of six can read in all but one of seven hundred cases, well
+	// within the bounds on changes. Later turns are delayed exponentially, up to
+	// maxOutageDelay.
+	outageTurnDelay = 0.08
+	outageTurns     = 6
+	maxOutageDelay  = 6
+	// firstRetryDelay is the pause after the first failed call of the table.
+	firstRetryDelay = 250 * time.Millisecond
+	// maxReaderRetryDelay bounds that pause for readers and for nodes without state. A node
+	// must see the table's return early enough to meet all bounds on changes.
+	maxReaderRetryDelay = 400 * time.Millisecond
+	// memberRetryReads is the pause between failed readings of a node that is not a reader,
+	// in read intervals. Nodes that can read inform it meanwhile.
 	memberRetryReads = 3
-	// startWait is how long a node that knows nothing waits for a peer that does,
-	// informedWait how long for what that peer has, once it has been heard.
-	startWait    = 100 * time.Millisecond
+	// peerWait is how long a node without state waits for a peer that has state;
+	// informedWait is how long it then waits for that peer's state.
+	peerWait     = 100 * time.Millisecond
 	informedWait = 800 * time.Millisecond
 	// foundingWait is how long the nodes of a deployment that starts for the first time
-	// leave the table to their seeds: nobody calls yet.
+	// leave the table to their seeds. There are no callers yet.
 	foundingWait = 2 * time.Second
 )
 
-// readingPlan is what a node's next reading of the table follows from.
+// readingPlan holds the inputs that decide when a node next reads the table.
 //
-// It answers three patterns. Calm: one node reads for the leaders of its circle's groups,
-// and each leader tells its group. A reader that is lost,
-// cut off or turned away: its members miss its news in the same moment; they take turns,
-// and the first that can read tells the others, so that a third of the nodes turned away
-// costs a few calls and not the readings of all. A table that is away for all: readers
-// look for its return and say that it is away; a few of the others try, in turns that come
-// ever later.
+// It covers three situations:
+//
+//   - Normal operation: one node reads for the leaders of its circle's groups, and each leader
+//     informs its group.
+//   - A reader is lost, cut off or refused by the table: its members miss its messages at the same
+//     moment. They take turns, and the first that can read informs the others. A third of the
+//     nodes refused thus costs a few calls and not the readings of all nodes.
+//   - The table is unavailable to all: readers keep checking for its return and report the outage.
+//     A few other nodes try in turns with growing delays.
 type readingPlan struct {
-	// every is the pause between a reader's readings.
-	every time.Duration
-	// began is when the node started; asked is set when a peer has answered it, or could
-	// not be reached, and founding while a deployment starts for the first time and this
-	// is none of its seeds. informed is when one that knows what the table holds first
-	// answered.
-	began, informed time.Time
-	asked, founding bool
-	// listProven, ordersProven and ordersPending are as of when the node knows the
-	// list and operators' changes, and when it last heard that some are on their way.
-	listProven, ordersProven, ordersPending time.Time
-	// readAt is when the node last read the table, failures how often in a row it could
-	// not; empty is set when nothing was there.
+	// interval is the pause between a reader's readings.
+	interval time.Duration
+	// startedAt is when the node started; informedAt is when a peer that knows what the
+	// table holds first answered. peerAsked is set once a peer has answered or could not be
+	// reached. founding is set while a deployment starts for the first time and this node
+	// is none of its seeds.
+	startedAt, informedAt time.Time
+	peerAsked, founding   bool
+	// listAsOf and ordersAsOf are the times as of which the node knows the list and
+	// operator orders. ordersPendingAt is when orders were last known to be in transfer.
+	listAsOf, ordersAsOf, ordersPendingAt time.Time
+	// readAt is when the node last read the table, failures the number of failed readings
+	// since the last success. empty is set if the table held no orders.
 	readAt   time.Time
 	failures int
 	empty    bool
-	// away is set while who reads for this node says that it cannot.
-	away bool
-	// leads is set where the node leads its group, reads where it reads for its circle
-	// besides; turn is its place among the others, 0 to 1.
-	leads, reads bool
-	turn         float64
-	// place is that place as a number, from 1.
+	// outage is set while the reader or leader of this node reports that it can't read.
+	outage bool
+	// leadsGroup is set if the node leads its group, readsTable if it also reads for its
+	// circle. turn is its place among the others as a fraction, 0 to 1.
+	leadsGroup, readsTable bool
+	turn                   float64
+	// place is that place as an index; 0 is the reader or leader itself.
 	place int
 }
 
-// due is when the node should read the table.
+// due returns when the node should read the table.
 func (p *readingPlan) due() time.Time {
-	unknown := p.listProven.IsZero() || p.ordersProven.IsZero()
+	unknown := p.listAsOf.IsZero() || p.ordersAsOf.IsZero()
 	switch {
-	case p.empty && p.reads:
-		return p.readAt.Add(retryCall) // the operator's first configuration is on its way
+	case p.empty && p.readsTable:
+		return p.readAt.Add(firstRetryDelay) // the operator's first configuration is expected
 	case unknown && p.failures == 0:
-		return p.start()
+		return p.startDue()
 	case unknown:
-		return p.readAt.Add(p.pause(mostRetryRead))
-	case !p.reads:
-		return p.follower()
+		return p.readAt.Add(p.retryDelay(maxReaderRetryDelay))
+	case !p.readsTable:
+		return p.followerDue()
 	case p.failures == 0:
-		return p.listProven // a reader's own call waits for changes
-	case p.listProven.After(p.readAt):
-		// Somebody else can read: the table turns just this node away.
-		return p.readAt.Add(p.pause(memberRetryReads * p.every))
+		return p.listAsOf // a reader's own call waits for changes
+	case p.listAsOf.After(p.readAt):
+		// Another node can read: the table refuses only this one.
+		return p.readAt.Add(p.retryDelay(memberRetryReads * p.interval))
 	default:
-		return p.readAt.Add(p.pause(mostRetryRead))
+		return p.readAt.Add(p.retryDelay(maxReaderRetryDelay))
 	}
 }
 
-// start is when a node that knows nothing reads the table: its peers know all that it
-// needs, unless they have just started as well.
-func (p *readingPlan) start() time.Time {
+// startDue returns when a node without state reads the table. Its peers have everything
+// that it needs, unless they have just started as well.
+func (p *readingPlan) startDue() time.Time {
 	switch {
-	case !p.informed.IsZero():
-		return p.informed.Add(informedWait)
+	case !p.informedAt.IsZero():
+		return p.informedAt.Add(informedWait)
 	case p.founding:
-		return p.began.Add(foundingWait)
-	case p.asked:
-		return p.began
+		return p.startedAt.Add(foundingWait)
+	case p.peerAsked:
+		return p.startedAt
 	default:
-		return p.began.Add(startWait)
+		return p.startedAt.Add(peerWait)
 	}
 }
 
-// follower is when a node for which another one reads reads the table itself.
-func (p *readingPlan) follower() time.Time {
-	wait := memberReadPart + memberTurnPart*p.turn
-	if p.leads {
-		wait = leaderReadPart + leaderTurnPart*p.turn
+// followerDue returns when a node that is not a reader reads the table itself.
+func (p *readingPlan) followerDue() time.Time {
+	wait := memberReadDelay + memberTurnSpan*p.turn
+	if p.leadsGroup {
+		wait = leaderReadDelay + leaderTurnSpan*p.turn
 	}
-	retry := memberRetryReads * p.every
-	if p.away {
-		wait += p.awayTurn()
-		retry = awayMostPart * p.every
+	retry := memberRetryReads * p.interval
+	if p.outage {
+		wait += p.outageTurn()
+		retry = maxOutageDelay * p.interval
 	}
-	known := earlier(p.listProven, later(p.ordersProven, p.ordersPending))
-	due := known.Add(time.Duration(wait * float64(p.every)))
+	known := earlier(p.listAsOf, later(p.ordersAsOf, p.ordersPendingAt))
+	due := known.Add(time.Duration(wait * float64(p.interval)))
 	switch {
 	case p.failures == 0:
 		return due
-	case p.away:
+	case p.outage:
 		return later(due, p.readAt.Add(retry))
 	default:
-		return later(due, p.readAt.Add(p.pause(retry)))
+		return later(due, p.readAt.Add(p.retryDelay(retry)))
 	}
 }
 
-// awayTurn is how much longer, in readings, this node waits where the table may be away
-// for all.
-func (p *readingPlan) awayTurn() float64 {
-	if p.place <= awayTurns {
-		return awayTurnPart * float64(p.place)
+// outageTurn returns how much longer this node waits while the table may be unavailable to
+// all, in read intervals.
+func (p *readingPlan) outageTurn() float64 {
+	if p.place <= outageTurns {
+		return outageTurnDelay * float64(p.place)
 	}
-	return min(awayTurnPart*awayTurns*math.Exp2(float64(p.place-awayTurns)), awayMostPart)
+	return min(outageTurnDelay*outageTurns*math.Exp2(float64(p.place-outageTurns)), maxOutageDelay)
 }
 
-// pause is the pause after readings that failed, up to a bound: short once, as a call
-// may fail by chance.
-func (p *readingPlan) pause(most time.Duration) time.Duration {
+// retryDelay returns the pause after failed readings, up to a bound. It is short after the
+// first failure, as a single call may fail by chance.
+func (p *readingPlan) retryDelay(bound time.Duration) time.Duration {
 	if p.failures == 1 {
-		return min(retryCall, most)
+		return min(firstRetryDelay, bound)
 	}
-	return most
+	return bound
 }
 
 func earlier(a, b time.Time) time.Time {
