--- a/internal/gateway/reading_plan_test.go
+++ b/internal/gateway/reading_plan_test.go
@@ -7,57 +7,56 @@
 	"github.com/matryer/is"
 )
 
-// planCase is a node's state and when it should read the table, both by the time since
-// its start.
+// planCase is a node's state and the expected time of its next reading, since its start.
 type planCase struct {
 	name string
 	plan readingPlan
 	due  time.Duration
 }
 
-// planEvery is the pause between a reader's readings in the cases.
-const planEvery = 2 * time.Second
+// planInterval is the pause between a reader's readings in the cases.
+const planInterval = 2 * time.Second
 
-// TestReadingPlan holds each pattern of load against the plan: a calm fleet, starts of
-// some and of all nodes, a reader that is lost, a table that is away for some and for all.
+// TestReadingPlan checks the plan in each situation: normal operation, starts of some and
+// of all nodes, a lost reader, and a table that is unavailable to some or to all.
 func TestReadingPlan(t *testing.T) {
 	began := time.Unix(1000, 0)
 	at := func(s float64) time.Time { return began.Add(time.Duration(s * float64(time.Second))) }
-	known := readingPlan{listProven: at(10), ordersProven: at(10), readAt: at(8)}
+	known := readingPlan{listAsOf: at(10), ordersAsOf: at(10), readAt: at(8)}
 	with := func(change func(p *readingPlan)) readingPlan {
 		p := known
 		change(&p)
 		return p
 	}
 	cases := []planCase{
-		{"starts, nobody asked yet", readingPlan{}, startWait},
-		{"starts, seeds do not know more", readingPlan{asked: true}, 0},
-		{"starts, a peer knows all", readingPlan{asked: true, informed: at(0.02)}, 20*time.Millisecond + informedWait},
-		{"starts, the list came, changes are on their way", readingPlan{informed: at(0.02), listProven: at(0.1)}, 20*time.Millisecond + informedWait},
-		{"the whole deployment starts", readingPlan{founding: true, asked: true}, foundingWait},
-		{"reader, nothing is there yet", readingPlan{listProven: at(1), ordersProven: at(1), readAt: at(1), empty: true, reads: true}, time.Second + retryCall},
-		{"member, nothing is there yet", readingPlan{listProven: at(1), ordersProven: at(1), readAt: at(1), empty: true}, 3800 * time.Millisecond},
-		{"starts while the table is away", readingPlan{asked: true, readAt: at(1), failures: 5}, time.Second + mostRetryRead},
-		{"reader", with(func(p *readingPlan) { p.reads = true }), 10 * time.Second},
-		{"reader, the table is away", with(func(p *readingPlan) { p.reads, p.readAt, p.failures = true, at(12), 3 }), 12*time.Second + mostRetryRead},
-		{"reader, the table turns it alone away", with(func(p *readingPlan) { p.reads, p.listProven, p.readAt, p.failures = true, at(12.5), at(12), 3 }), 18 * time.Second},
+		{"starts, nobody asked yet", readingPlan{}, peerWait},
+		{"starts, seeds do not know more", readingPlan{peerAsked: true}, 0},
+		{"starts, a peer knows all", readingPlan{peerAsked: true, informedAt: at(0.02)}, 20*time.Millisecond + informedWait},
+		{"starts, the list came, changes are on their way", readingPlan{informedAt: at(0.02), listAsOf: at(0.1)}, 20*time.Millisecond + informedWait},
+		{"the whole deployment starts", readingPlan{founding: true, peerAsked: true}, foundingWait},
+		{"reader, nothing is there yet", readingPlan{listAsOf: at(1), ordersAsOf: at(1), readAt: at(1), empty: true, readsTable: true}, time.Second + firstRetryDelay},
+		{"member, nothing is there yet", readingPlan{listAsOf: at(1), ordersAsOf: at(1), readAt: at(1), empty: true}, 3800 * time.Millisecond},
+		{"starts while the table is away", readingPlan{peerAsked: true, readAt: at(1), failures: 5}, time.Second + maxReaderRetryDelay},
+		{"reader", with(func(p *readingPlan) { p.readsTable = true }), 10 * time.Second},
+		{"reader, the table is away", with(func(p *readingPlan) { p.readsTable, p.readAt, p.failures = true, at(12), 3 }), 12*time.Second + maxReaderRetryDelay},
+		{"reader, the table turns it alone away", with(func(p *readingPlan) { p.readsTable, p.listAsOf, p.readAt, p.failures = true, at(12.5), at(12), 3 }), 18 * time.Second},
 		{"first of a group that hears no reader", known, 12800 * time.Millisecond},
 		{"last of a group that hears no reader", with(func(p *readingPlan) { p.turn = 1 }), 13400 * time.Millisecond},
-		{"first leader of a circle that hears no reader", with(func(p *readingPlan) { p.leads = true }), 12500 * time.Millisecond},
-		{"last leader of a circle, before any member", with(func(p *readingPlan) { p.leads, p.turn = true, 1 }), 12800 * time.Millisecond},
-		{"first member, the reader says that the table is away", with(func(p *readingPlan) { p.away, p.place = true, 1 }), 12960 * time.Millisecond},
-		{"sixth member then", with(func(p *readingPlan) { p.away, p.place = true, 6 }), 13760 * time.Millisecond},
-		{"eighth member then", with(func(p *readingPlan) { p.away, p.place = true, 8 }), 16640 * time.Millisecond},
-		{"last of many members then", with(func(p *readingPlan) { p.away, p.place = true, 23 }), 24800 * time.Millisecond},
-		{"member whose turn failed as well", with(func(p *readingPlan) { p.away, p.place, p.readAt, p.failures = true, 1, at(13.1), 1 }), 25100 * time.Millisecond},
-		{"the reader takes a large change", with(func(p *readingPlan) { p.listProven, p.ordersPending = at(11.5), at(11.8) }), 14300 * time.Millisecond},
-		{"member, first call failed", with(func(p *readingPlan) { p.readAt, p.failures = at(13), 1 }), 13*time.Second + retryCall},
+		{"first leader of a circle that hears no reader", with(func(p *readingPlan) { p.leadsGroup = true }), 12500 * time.Millisecond},
+		{"last leader of a circle, before any member", with(func(p *readingPlan) { p.leadsGroup, p.turn = true, 1 }), 12800 * time.Millisecond},
+		{"first member, the reader says that the table is away", with(func(p *readingPlan) { p.outage, p.place = true, 1 }), 12960 * time.Millisecond},
+		{"sixth member then", with(func(p *readingPlan) { p.outage, p.place = true, 6 }), 13760 * time.Millisecond},
+		{"eighth member then", with(func(p *readingPlan) { p.outage, p.place = true, 8 }), 16640 * time.Millisecond},
+		{"last of many members then", with(func(p *readingPlan) { p.outage, p.place = true, 23 }), 24800 * time.Millisecond},
+		{"member whose turn failed as well", with(func(p *readingPlan) { p.outage, p.place, p.readAt, p.failures = true, 1, at(13.1), 1 }), 25100 * time.Millisecond},
+		{"the reader takes a large change", with(func(p *readingPlan) { p.listAsOf, p.ordersPendingAt = at(11.5), at(11.8) }), 14300 * time.Millisecond},
+		{"member, first call failed", with(func(p *readingPlan) { p.readAt, p.failures = at(13), 1 }), 13*time.Second + firstRetryDelay},
 		{"member, the table is away", with(func(p *readingPlan) { p.readAt, p.failures = at(13.2), 2 }), 19200 * time.Millisecond},
-		{"member that could not read, and hears again", with(func(p *readingPlan) { p.listProven, p.ordersProven, p.readAt, p.failures = at(30), at(30), at(13), 4 }), 32800 * time.Millisecond},
+		{"member that could not read, and hears again", with(func(p *readingPlan) { p.listAsOf, p.ordersAsOf, p.readAt, p.failures = at(30), at(30), at(13), 4 }), 32800 * time.Millisecond},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			c.plan.every, c.plan.began = planEvery, began
+			c.plan.interval, c.plan.startedAt = planInterval, began
 			is.New(t).Equal(c.plan.due().Sub(began).Round(time.Microsecond), c.due)
 		})
 	}
--- a/internal/gateway/record_change_test.go
+++ b/internal/gateway/record_change_test.go
@@ -26,14 +26,14 @@
 func (plainDialect) Reply(int, http.Header) Reply                       { return Reply{} }
 func (plainDialect) IDField() string                                    { return "" }
 
-// TestRecordThatChangesUnderAnAttempt guards against an attempt that reads its upstream's name
-// and address while a newer record of it is taken; the race detector tells.
-func TestRecordThatChangesUnderAnAttempt(t *testing.T) {
+// Guards against an attempt that reads its upstream's ID and address while a newer record
+// of the upstream is applied. The race detector shows it.
+func TestRecordChangesDuringAnAttempt(t *testing.T) {
 	const attempts = 300
 	n := New(Settings{ID: "n", Drain: time.Second, Apply: time.Second}, Deps{
 		Dialect: plainDialect{}, Log: slog.New(slog.DiscardHandler), Metrics: telemetry.New(telemetry.Bounds{}),
 	})
-	n.known[versionKey("s", "v1")] = true
+	n.allowedVersions[versionKey("s", "v1")] = true
 	put := func(id string, slots int) {
 		n.mu.Lock()
 		defer n.mu.Unlock()
@@ -55,8 +55,8 @@
 			route: &route.Route{MaxAttempts: 1}, deadline: time.Now().Add(time.Minute), start: time.Now(),
 			table: &configuration{Table: &route.Table{}},
 		}
-		if a, _ := n.choose(j); a != nil {
-			j.attempt(a)
+		if a, _ := n.newAttempt(j); a != nil {
+			j.runAttempt(a)
 		}
 	}
 	current.Store(attempts)
--- /dev/null
+++ b/internal/gateway/retained_upstreams_test.go
@@ -0,0 +1,95 @@
+package gateway
+
+import (
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"github.com/hickorybank/hickorybank/internal/fleet"
+	"github.com/hickorybank/hickorybank/internal/gossip"
+)
+
+// listTestNode is a member of a group that knows two upstreams as of a time.
+type listTestNode struct {
+	*Node
+	// peer is the list of the peer whose readings this node receives.
+	peer *fleet.Fleet
+}
+
+func newListNode(at time.Time) *listTestNode {
+	n := &listTestNode{Node: newGroupNode(false), peer: fleet.New(fleet.Settings{})}
+	for _, id := range []string{"u1", "u2"} {
+		r := fleet.Record{ID: id, Service: "s", Addr: "10.0.0.1:1", Version: "v1", Slots: 1}
+		n.fleet.Put(r, at)
+		n.peer.Put(r, at)
+	}
+	n.view.listAsOf, n.view.gaplessSince, n.view.listRevision = at, at, 10
+	return n
+}
+
+// receiveReading delivers a peer's reading of the table that began at the time at; the peer
+// has read the table without a gap for steady.
+func (n *listTestNode) receiveReading(now, at time.Time, steady time.Duration, revision uint64) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	in := gossip.Message{From: "n1", Fleet: n.peer.Records(time.Now()), Proof: gossip.Proof{
+		Age: now.Sub(at), Steady: steady, FleetRevision: revision, FleetHash: n.peer.Hash(),
+		ListClock: at.Sub(n.startedAt),
+	}}
+	n.mergeListProof(in, now)
+}
+
+func (n *listTestNode) listed(id string) bool { return n.fleet.Get(id) != nil }
+
+// Guards against an upstream that is retained for good and gets requests after it has left.
+// The node is cut off from the table and from most peers. 3.7 s after its last proof it
+// learns that an upstream left, from a peer that read the table 1.3 s before. By the clock
+// the upstream's entry could have lapsed, so it was retained; by the readings there was no
+// gap, so nothing ended that. The node kept receiving proofs, never called the table again,
+// and sent requests to the upstream 15 s after it had left.
+func TestRetainedUpstreamIsDroppedByPeersProofs(t *testing.T) {
+	is := is.New(t)
+	start := time.Now()
+	n := newListNode(start)
+	n.sourceHealth.down = true // its own last call failed
+	n.peer.Drop("u1")
+	after := func(d time.Duration) time.Time { return start.Add(d) }
+	n.receiveReading(after(3700*time.Millisecond), after(2400*time.Millisecond), time.Second, 20)
+	for d := 4 * time.Second; d <= 8*time.Second; d += 500 * time.Millisecond {
+		n.receiveReading(after(d), after(d-400*time.Millisecond), d-2400*time.Millisecond, 20)
+	}
+	is.True(!n.listed("u1"))
+	is.True(n.listed("u2"))
+}
+
+// Guards against live upstreams that are dropped in a second outage. The first reading
+// after the first outage lists none of them, and the table fails again at once. They must
+// keep serving until a late enough reading does not list them either.
+func TestRetainedUpstreamsSurviveASecondOutage(t *testing.T) {
+	is := is.New(t)
+	start := time.Now()
+	n := newListNode(start)
+	after := func(d time.Duration) time.Time { return start.Add(d) }
+	n.peer.Drop("u1")
+	n.receiveReading(after(10*time.Second), after(10*time.Second), 0, 20)
+	is.True(n.listed("u1"))
+	n.receiveReading(after(20*time.Second), after(11*time.Second), 0, 20) // this reading is too early
+	is.True(n.listed("u1"))
+	n.receiveReading(after(21*time.Second), after(21*time.Second), 0, 20)
+	is.True(!n.listed("u1"))
+}
+
+// Guards against retaining an upstream that has left. A node that was cut off learns of its
+// end from a peer that has read the table without a gap, so the entry cannot have lapsed
+// unseen.
+func TestGaplessPeerDropsAnUpstreamAtOnce(t *testing.T) {
+	is := is.New(t)
+	start := time.Now()
+	n := newListNode(start)
+	n.peer.Drop("u1")
+	now := start.Add(10 * time.Second)
+	n.receiveReading(now, now, 15*time.Second, 20)
+	is.True(!n.listed("u1"))
+	is.True(n.listed("u2"))
+}
--- a/internal/gateway/retry_after_test.go
+++ b/internal/gateway/retry_after_test.go
@@ -7,10 +7,10 @@
 	"github.com/matryer/is"
 )
 
-// Upstreams crash at the peak, and a thousand callers are refused within a
-// moment. Those of urgent work return first, and the others after them, spread
-// out, instead of all at once.
-func TestRefusedCallersReturnInOrder(t *testing.T) {
+// Guards against refused callers that all return at once. After upstreams crash at the
+// peak, a thousand callers are refused within a moment. Urgent callers must return first,
+// and each priority must be spread out.
+func TestRetryAfterOrdersAndSpreadsCallers(t *testing.T) {
 	is := is.New(t)
 	const usual = time.Second
 	perTenth := map[int]int{}
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -12,27 +12,27 @@
 	"github.com/hickorybank/hickorybank/internal/route"
 )
 
-// mostUnreached bounds the upstreams to which no connection could be opened
-// for one request; nothing was sent to them.
-const mostUnreached = 6
+// maxConnectFailures bounds the upstreams to which no connection could be opened for one
+// request. Nothing was sent to them.
+const maxConnectFailures = 6
 
 // run makes attempts until the request has its final answer.
 func (j *job) run() {
-	if j.node.blocked(j.print) {
-		j.refuse(suspectWork)
+	if j.node.blocked(j.fingerprint) {
+		j.refuse(crashingRequest)
 		return
 	}
-	j.node.first(j.service)
-	if len(j.route.Models) > 0 && j.ask.AnyModel {
-		j.model = j.node.policy.First(j.firstState())
+	j.node.countRequest(j.service)
+	if len(j.route.Models) > 0 && j.headers.AnyModel {
+		j.model = j.node.policy.First(j.initialCascadeState())
 	}
 	for {
-		a := j.findUpstream()
+		a := j.nextAttempt()
 		if a == nil {
 			j.giveUp()
 			return
 		}
-		if j.attempt(a) {
+		if j.runAttempt(a) {
 			return
 		}
 		if j.ctx.Err() != nil {
@@ -42,75 +42,76 @@
 	}
 }
 
-// giveUp sends the final answer of a request for which nothing more is tried.
+// giveUp sends the final answer of a request for which no further attempt is made.
 func (j *job) giveUp() {
 	switch {
 	case j.r.Context().Err() != nil:
 		j.callerLeft()
-	case j.begun:
+	case j.answerStarted:
 		j.breakOff("no_upstream")
-	case j.failed != nil:
-		j.deliver(j.failed)
+	case j.failedAnswer != nil:
+		j.deliver(j.failedAnswer)
 	case j.ctx.Err() != nil && j.mayHaveRun:
-		j.refuse(tooLate)
+		j.refuse(timedOut)
 	case j.ctx.Err() != nil:
 		j.refuse(notInTime)
 	case j.mayHaveRun:
-		j.refuse(broken)
-	case !j.room.IsZero():
-		j.refuse(upstreamsPaced(time.Until(j.room)))
-	case j.arrived > 0:
-		j.refuse(turnedAway)
+		j.refuse(upstreamFailed)
+	case !j.roomAt.IsZero():
+		j.refuse(upstreamsPaced(time.Until(j.roomAt)))
+	case j.attemptsReached > 0:
+		j.refuse(upstreamsFull)
 	default:
 		j.refuse(noUpstream)
 	}
 }
 
-// callerLeft ends a request whose caller has gone: there is nobody to answer.
+// callerLeft ends a request whose caller has disconnected; no answer is possible.
 func (j *job) callerLeft() {
 	j.outcome = "caller_left"
-	j.node.event(event.ForwardLeft, j, slog.Bool("begun", j.begun))
-	j.observe(statusCallerLeft)
-	panic(http.ErrAbortHandler) // closes the connection without a sound end
+	j.node.logEvent(event.ForwardLeft, j, slog.Bool("begun", j.answerStarted))
+	j.observe(statusClientClosedRequest)
+	panic(http.ErrAbortHandler) // closes the connection without a proper end of the answer
 }
 
-// statusCallerLeft stands in metrics for a caller that left.
-const statusCallerLeft = 499
+// statusClientClosedRequest is the status in metrics of requests whose callers
+// disconnected.
+const statusClientClosedRequest = 499
 
-// breakOff ends an answer that has begun and can't be finished, in a way that
-// does not look complete.
+// breakOff ends an answer that has begun and can't be finished, so that it does not look
+// complete.
 func (j *job) breakOff(reason string) {
 	j.outcome = "broken_off"
-	j.node.event(event.ForwardBroken, j, slog.String("reason", reason), slog.String("last_event", j.lastEvent))
+	j.node.logEvent(event.ForwardBroken, j, slog.String("reason", reason), slog.String("last_event", j.lastEvent))
 	j.observe(http.StatusBadGateway)
 	panic(http.ErrAbortHandler) // closes the connection without the end of the body
 }
 
-// findUpstream chooses an upstream for the next attempt. It waits a little
-// when there is none: one may be back at once.
-func (j *job) findUpstream() *attempt {
-	until := j.start.Add(time.Duration(waitPart * float64(j.route.Goal)))
+// nextAttempt chooses an upstream for the next attempt. Without any it waits briefly, as
+// one may be available again within moments.
+func (j *job) nextAttempt() *attempt {
+	until := j.start.Add(time.Duration(upstreamWaitFraction * float64(j.route.Goal)))
 	for {
-		if j.ctx.Err() != nil || !j.mayTry() {
+		if j.ctx.Err() != nil || !j.mayAttempt() {
 			return nil
 		}
-		a, room := j.node.choose(j)
+		a, roomAt := j.node.newAttempt(j)
 		if a != nil {
 			return a
 		}
-		if (!time.Now().Before(until) || room.After(until)) && !j.begun {
-			j.room = room
+		if (!time.Now().Before(until) || roomAt.After(until)) && !j.answerStarted {
+			j.roomAt = roomAt
 			return nil
 		}
-		if !pause(j.ctx, min(max(time.Until(room), waitStep), waitMost)) {
+		if !pause(j.ctx, min(max(time.Until(roomAt), waitPollInterval), maxWaitPollInterval)) {
 			return nil
 		}
 	}
 }
 
-// mayTry tells whether the route allows another attempt.
-func (j *job) mayTry() bool {
-	if j.unreached > mostUnreached || j.left() <= 0 {
+// mayAttempt reports whether the route allows another attempt.
+func (j *job) mayAttempt() bool {
+	if j.connectFailures > maxConnectFailures || j.attemptsLeft() <= 0 {
 		return false
 	}
 	return !j.mayHaveRun || j.route.Repeatable()
@@ -128,23 +129,23 @@
 	}
 }
 
-// attempt sends the request to one upstream. It returns true when the request
-// has its final answer, false when another attempt may be made.
-func (j *job) attempt(a *attempt) bool {
-	if j.arrived > 0 && !j.paid && !j.node.allowRetry(j.service, 0) {
-		j.sent = max(j.route.MaxAttempts, 1) // no more attempts
-		a.end(fleet.Abandoned)
-		j.node.event(event.ForwardAttempt, j, slog.String("reason", "retry_budget"))
+// runAttempt sends the request to one upstream. It returns true if the request has its
+// final answer, false if another attempt may be made.
+func (j *job) runAttempt(a *attempt) bool {
+	if j.attemptsReached > 0 && !j.retryReserved && !j.node.allowRetry(j.service, 0) {
+		j.attemptsUsed = max(j.route.MaxAttempts, 1) // no more attempts
+		a.finish(fleet.Abandoned)
+		j.node.logEvent(event.ForwardAttempt, j, slog.String("reason", "retry_budget"))
 		return false
 	}
-	paid := j.arrived > 0
-	j.paid = false
+	reserved := j.attemptsReached > 0
+	j.retryReserved = false
 	ctx, cancel := j.attemptContext()
 	defer cancel()
 	j.tried = append(j.tried, a.id)
-	watch := a.startTimer(cancel)
-	resp, failure := j.node.pool.Do(ctx, a.addr, j.request(a))
-	moved := watch.end()
+	timer := a.startTimer(cancel)
+	resp, failure := j.node.pool.Do(ctx, a.addr, j.upstreamRequest(a))
+	moved := timer.stop()
 	var reply Reply
 	if failure == nil {
 		reply = j.node.dialect.Reply(resp.Status, resp.Header)
@@ -157,35 +158,35 @@
 		failure = &exchange.Failure{Sent: true, Reason: exchange.Cancelled, Err: errMoved}
 	}
 	if failure != nil {
-		j.failedAttempt(a, failure, moved)
-		j.paid = j.paid || paid && !failure.Sent // what reached nobody is not spent
+		j.noteFailedAttempt(a, failure, moved)
+		j.retryReserved = j.retryReserved || reserved && !failure.Sent // a retry that reached no upstream is not spent
 		return false
 	}
-	j.arrived++
-	j.sent++
+	j.attemptsReached++
+	j.attemptsUsed++
 	j.mayHaveRun = true
-	a.started()
+	a.markStarted()
 	if reply.NotRun {
-		j.turnedAway(a, resp)
+		j.noteDeclined(a, resp)
 		return false
 	}
 	if j.route.Kind == route.Stream && resp.Status == http.StatusOK {
-		return j.stream(a, resp, reply)
+		return j.forwardStream(a, resp, reply)
 	}
-	return j.whole(a, resp)
+	return j.forwardBuffered(a, resp)
 }
 
-// attemptContext bounds an attempt at a whole answer so that time is left for
-// another one, where the route allows one. A stream watches its own pauses.
+// attemptContext bounds an attempt at a buffered answer so that time is left for another
+// one, if the route allows one. Streams have their own stall deadlines.
 func (j *job) attemptContext() (context.Context, context.CancelFunc) {
-	if j.route.Kind == route.Stream || !j.route.Repeatable() || j.left() < 2 {
+	if j.route.Kind == route.Stream || !j.route.Repeatable() || j.attemptsLeft() < 2 {
 		return context.WithCancel(j.ctx)
 	}
 	return context.WithTimeout(j.ctx, time.Until(j.deadline)/2)
 }
 
-// request is what is sent to an upstream.
-func (j *job) request(a *attempt) *exchange.Request {
+// upstreamRequest returns the request that is sent to an upstream.
+func (j *job) upstreamRequest(a *attempt) *exchange.Request {
 	_, target := rawTarget(j.r)
 	order := Order{
 		Instance: a.id, Organisation: j.org, Left: time.Until(j.deadline),
@@ -196,66 +197,66 @@
 	}
 	req := &exchange.Request{
 		Method: j.r.Method, Target: target, Host: j.r.Host,
-		Fields: j.node.dialect.Forward(j.r.Header, &j.ask, &order),
+		Fields: j.node.dialect.Forward(j.r.Header, &j.headers, &order),
 		Body:   j.body, HasBody: len(j.body) > 0 || j.r.ContentLength == 0 && j.r.Method != http.MethodGet && j.r.Method != http.MethodHead,
-		IDField: j.node.dialect.IDField(), ID: j.ask.ID,
-		Stands: a.stands,
+		IDField: j.node.dialect.IDField(), ID: j.headers.ID,
+		Stands: a.upstreamAccepts,
 	}
 	if !j.route.Repeatable() {
-		req.MaxIdle = onceMaxIdle
+		req.MaxIdle = nonIdempotentMaxIdle
 	}
 	return req
 }
 
-// failedAttempt notes an attempt that brought no answer.
-func (j *job) failedAttempt(a *attempt, f *exchange.Failure, moved bool) {
+// noteFailedAttempt records an attempt that brought no answer.
+func (j *job) noteFailedAttempt(a *attempt, f *exchange.Failure, moved bool) {
 	result := fleet.Unreached
 	reason := string(f.Reason)
 	switch {
 	case f.Reason == exchange.Withdrawn:
 		result = fleet.Abandoned
-		j.tried = j.tried[:len(j.tried)-1] // it has not been sent there
+		j.tried = j.tried[:len(j.tried)-1] // the request was not sent there
 	case f.Reason == exchange.Cancelled && moved:
 		result, reason = fleet.Moved, "waited_too_long"
-		j.paid = true
+		j.retryReserved = true
 	case f.Reason == exchange.Cancelled && j.ctx.Err() != nil:
 		result = fleet.Abandoned
 	case f.Reason == exchange.Cancelled || f.Reason == exchange.Garbled:
 		result = fleet.Failed
 	}
 	if f.Sent {
-		j.arrived++
-		j.sent++
+		j.attemptsReached++
+		j.attemptsUsed++
 		j.mayHaveRun = true
 	} else if f.Reason != exchange.Withdrawn {
-		j.unreached++
+		j.connectFailures++
 	}
-	a.end(result)
+	a.finish(result)
 	if f.Reason == exchange.NotConnected {
-		j.node.returning(a.up)
+		j.node.noteNotConnected(a.up)
 	}
 	if f.Sent && f.Reason == exchange.Broken {
 		j.node.suspectCrash(j, a)
 	}
-	j.node.event(event.ForwardAttempt, j, slog.String("upstream", a.id), slog.String("reason", reason),
-		slog.Bool("sent", f.Sent), slog.Int64("usual_ms", a.usual.Milliseconds()), slog.String("err", f.Err.Error()))
+	j.node.logEvent(event.ForwardAttempt, j, slog.String("upstream", a.id), slog.String("reason", reason),
+		slog.Bool("sent", f.Sent), slog.Int64("usual_ms", a.usualDelay.Milliseconds()), slog.String("err", f.Err.Error()))
 }
 
-// turnedAway notes an attempt that the upstream did not run.
-func (j *job) turnedAway(a *attempt, resp *exchange.Response) {
-	h := readHeld(resp)
+// noteDeclined records an attempt that the upstream did not run.
+func (j *job) noteDeclined(a *attempt, resp *exchange.Response) {
+	answer := readBuffered(resp)
 	resp.Close()
-	a.end(fleet.Full)
-	j.mayHaveRun = a.ranBefore
+	a.finish(fleet.Full)
+	j.mayHaveRun = a.mayHaveRunBefore
 	if resp.Status == http.StatusMisdirectedRequest {
-		// The address belongs to another upstream now: this one is gone.
-		j.node.misdirected(a)
-		j.sent--
-		j.unreached++
+		// The address now belongs to another upstream; this one is gone.
+		j.node.noteMisdirected(a)
+		j.attemptsUsed--
+		j.connectFailures++
 	}
-	j.node.event(event.ForwardAttempt, j, slog.String("upstream", a.id), slog.String("reason", "not_run"), slog.Int("status", resp.Status))
-	if resp.Status == http.StatusBadRequest && h != nil {
-		j.failed = h // the request itself is at fault
-		j.sent = max(j.route.MaxAttempts, 1)
+	j.node.logEvent(event.ForwardAttempt, j, slog.String("upstream", a.id), slog.String("reason", "not_run"), slog.Int("status", resp.Status))
+	if resp.Status == http.StatusBadRequest && answer != nil {
+		j.failedAnswer = answer // the request itself is invalid
+		j.attemptsUsed = max(j.route.MaxAttempts, 1)
 	}
 }
--- a/internal/gateway/sender_set_test.go
+++ b/internal/gateway/sender_set_test.go
@@ -9,13 +9,13 @@
 	"github.com/hickorybank/hickorybank/internal/gossip"
 )
 
-// TestStoppedNodesGiveUpTheirPartOfARate guards against a rate of which half stays unused for
-// an hour after VMs were replaced one by one, and against one that is dealt out twice while
-// a node is cut off, or starts again in its place.
-func TestStoppedNodesGiveUpTheirPartOfARate(t *testing.T) {
+// Guards against a rate of which half stays unused for an hour after VMs were replaced one
+// by one. Also guards against a share that is given away while its node is cut off or
+// restarts.
+func TestStoppedNodesLoseTheirShareOfARate(t *testing.T) {
 	is := is.New(t)
 	start := time.Now()
-	s := senderSet{seen: map[string]time.Time{}}
+	s := senderSet{lastSeen: map[string]time.Time{}}
 	stays := gossip.Member{ID: "stays"}
 	see := func(after time.Duration, members ...gossip.Member) []string {
 		s.add(append(members, stays), start.Add(after))
@@ -26,6 +26,6 @@
 	lost := gossip.Member{ID: "lost", Dead: true}
 	is.Equal(see(10*time.Second, stopped, lost, gossip.Member{ID: "restarts", Leaving: true, Dead: true}), []string{"lost", "restarts", "stays", "stops"})
 	is.Equal(see(40*time.Second, stopped, lost, gossip.Member{ID: "restarts"}), []string{"lost", "restarts", "stays"})
-	is.Equal(see(sendersKept-time.Second, gossip.Member{ID: "restarts"}), []string{"lost", "restarts", "stays"})
-	is.Equal(see(sendersKept+time.Minute, gossip.Member{ID: "restarts"}), []string{"restarts", "stays"})
+	is.Equal(see(senderRetention-time.Second, gossip.Member{ID: "restarts"}), []string{"lost", "restarts", "stays"})
+	is.Equal(see(senderRetention+time.Minute, gossip.Member{ID: "restarts"}), []string{"restarts", "stays"})
 }
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -17,11 +17,12 @@
 	"github.com/hickorybank/hickorybank/internal/gossip"
 )
 
-// Run serves until ctx ends, then stops gracefully. directory answers callers
-// that ask where to connect, and ready the platform's question.
+// Run serves until ctx ends, then stops gracefully within the settings' Grace. directory
+// answers callers that ask where to connect, ready answers the platform's readiness checks.
+// The error names a listen address that could not be opened.
 func (n *Node) Run(ctx context.Context, directory, ready http.Handler) error {
 	if n.settings.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(memoryPart * float64(n.settings.MemoryMB) * (1 << 20)))
+		debug.SetMemoryLimit(int64(memoryFraction * float64(n.settings.MemoryMB) * (1 << 20)))
 	}
 	front, err := n.listen(n.settings.Front)
 	if err != nil {
@@ -33,7 +34,7 @@
 	}
 	peers, err := gossip.NewServer(peer, n)
 	if err != nil {
-		return eris.Wrap(err, "peers")
+		return eris.Wrapf(err, "gossip server on %s", n.settings.Peer)
 	}
 	conns := &connections{node: n}
 	servers := []*http.Server{conns.server(http.HandlerFunc(n.ServeHTTP))}
@@ -52,40 +53,40 @@
 		servers = append(servers, &http.Server{Handler: extra.handler, ReadHeaderTimeout: sideHeaderTimeout, IdleTimeout: sideIdleTimeout, ErrorLog: discardLog})
 		listeners = append(listeners, l)
 	}
-	work, stopWork := context.WithCancel(context.Background())
-	defer stopWork()
-	var duties conc.WaitGroup
+	loopCtx, stopLoops := context.WithCancel(context.Background())
+	defer stopLoops()
+	var loops conc.WaitGroup
 	for i := range servers {
-		duties.Go(func() { _ = servers[i].Serve(listeners[i]) }) // ends when it is closed
+		loops.Go(func() { _ = servers[i].Serve(listeners[i]) }) // returns when the server is closed
 	}
-	duties.Go(peers.Serve)
-	duties.Go(func() { n.followTable(work) })
-	duties.Go(func() { n.followRollouts(work) })
-	duties.Go(func() { n.followSnapshots(work) })
-	duties.Go(func() { n.tellRollouts(work) })
-	duties.Go(func() { n.followPeers(work) })
-	duties.Go(func() { n.followFlights(work) })
-	duties.Go(func() { n.followConfig(work) })
-	duties.Go(func() { n.sweep(work) })
-	event.ForwardStarted.Log(n.log, slog.String("node", n.settings.ID), slog.String("addr", n.settings.Front), slog.String("peer", n.settings.Peer), slog.Int64("born", n.born))
+	loops.Go(peers.Serve)
+	loops.Go(func() { n.followTable(loopCtx) })
+	loops.Go(func() { n.followRollouts(loopCtx) })
+	loops.Go(func() { n.followSnapshots(loopCtx) })
+	loops.Go(func() { n.pushRollouts(loopCtx) })
+	loops.Go(func() { n.followPeers(loopCtx) })
+	loops.Go(func() { n.followFlights(loopCtx) })
+	loops.Go(func() { n.followConfig(loopCtx) })
+	loops.Go(func() { n.sweep(loopCtx) })
+	event.ForwardStarted.Log(n.log, slog.String("node", n.settings.ID), slog.String("addr", n.settings.Front), slog.String("peer", n.settings.Peer), slog.Int64("born", n.incarnation))
 	<-ctx.Done()
-	n.stop(work, servers[0], conns)
-	stopWork()
+	n.stop(loopCtx, servers[0], conns)
+	stopLoops()
 	for _, s := range servers {
-		_ = s.Close() // what could be finished has been
+		_ = s.Close() // what could finish has finished
 	}
 	peers.Close()
-	n.peers.Close()
-	n.contents.Close()
+	n.gossipClient.Close()
+	n.transferClient.Close()
 	n.pool.Close()
-	duties.Wait()
+	loops.Wait()
 	event.ForwardStopped.Log(n.log, slog.String("node", n.settings.ID))
 	return nil
 }
 
 const (
-	// sideHeaderTimeout and sideIdleTimeout bound callers of the directory,
-	// readiness and metrics, who ask every second or so.
+	// sideHeaderTimeout and sideIdleTimeout bound connections to the directory, readiness
+	// and metrics servers, whose clients call about once a second.
 	sideHeaderTimeout = 5 * time.Second
 	sideIdleTimeout   = 30 * time.Second
 )
@@ -93,7 +94,7 @@
 func (n *Node) listen(addr string) (net.Listener, error) {
 	l, err := n.network.Listen(addr)
 	if err != nil {
-		return nil, eris.Wrap(err, "listen")
+		return nil, eris.Wrapf(err, "listen on %s", addr)
 	}
 	return l, nil
 }
@@ -104,26 +105,27 @@
 	return r
 }
 
+// sweep reports dropped log lines, closes idle connections and removes old notices, at
+// intervals.
 func (n *Node) sweep(ctx context.Context) {
-	told := int64(0)
-	for pause(ctx, sweepEvery) {
-		if dropped := n.dropped(); dropped > told {
-			event.LogLinesDropped.Log(n.log, slog.Int64("lines", dropped-told))
-			told = dropped
+	reported := int64(0)
+	for pause(ctx, sweepInterval) {
+		if dropped := n.droppedLogLines(); dropped > reported {
+			event.LogLinesDropped.Log(n.log, slog.Int64("lines", dropped-reported))
+			reported = dropped
 		}
 		n.pool.Sweep(time.Now())
 		n.sweepNotices()
 	}
 }
 
-// stop lets callers move away, and the work that is under way end.
+// stop drains the node.
 //
-// Callers go on with an old answer of the directory for a while. A node that
-// closed at once would break their requests; so it first serves them as
-// before, and says on each answer that the connection ends. After the
-// directory's time to live it takes no new connections and closes idle ones:
-// a request that came later could not end within the grace. It goes when no
-// work is left or its grace is over.
+// Callers keep using an old answer of the directory for a while, and a node that closed at
+// once would break their requests. So the node first keeps serving, and announces on each
+// answer that the connection closes. After the directory's time to live it accepts no new
+// connections and closes idle ones, as a later request could not finish within the grace.
+// It returns when all requests have finished or the grace is over.
 func (n *Node) stop(ctx context.Context, front *http.Server, conns *connections) {
 	began := time.Now()
 	n.stopping.Store(true)
@@ -131,21 +133,21 @@
 	n.roster.SetSelf(false, true)
 	n.mu.Unlock()
 	event.ForwardStopping.Log(n.log, slog.Int64("active", n.active.Load()), slog.Int64("connections", conns.open.Load()))
-	n.exchangeAll(ctx)
+	n.exchangeUrgently(ctx)
 	closeAt := min(n.settings.AddressTTL+stopMargin, n.settings.Grace/3)
 	for time.Since(began) < closeAt && (time.Since(began) < n.settings.AddressTTL || conns.open.Load() > 0) {
-		if !pause(ctx, waitStep) {
+		if !pause(ctx, waitPollInterval) {
 			return
 		}
 	}
-	over, cancel := context.WithTimeout(ctx, n.settings.Grace-stopQuiet-time.Since(began))
+	shutdownCtx, cancel := context.WithTimeout(ctx, n.settings.Grace-stopReserve-time.Since(began))
 	defer cancel()
-	if err := front.Shutdown(over); err != nil {
+	if err := front.Shutdown(shutdownCtx); err != nil {
 		event.ForwardCut.Log(n.log, slog.Int64("active", n.active.Load()), slog.String("err", err.Error()))
 	}
 }
 
-// connections counts callers' connections and bounds their idle time.
+// connections counts callers' connections and configures their server.
 type connections struct {
 	node *Node
 	open atomic.Int64
@@ -155,7 +157,7 @@
 	return &http.Server{
 		Handler:           h,
 		ReadHeaderTimeout: headerTimeout,
-		IdleTimeout:       idleMark,
+		IdleTimeout:       idleSentinel,
 		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog:          discardLog,
 		ConnState: func(_ net.Conn, s http.ConnState) {
@@ -170,14 +172,13 @@
 }
 
 const (
-	// headerTimeout bounds the reading of a request's head; callers stay well
-	// within it.
+	// headerTimeout bounds the reading of a request's header, far above what callers need.
 	headerTimeout = 10 * time.Second
-	// idleMark stands for the configuration's idle time in the server; it is
-	// longer than any deadline of a request.
-	idleMark = 1000 * time.Hour
-	// defaultIdle is the idle time where the configuration gives none.
-	defaultIdle = 60 * time.Second
-	// maxHeaderBytes bounds a request's head.
+	// idleSentinel marks the idle timeout in the server's deadlines, for idleConn to
+	// replace. It is longer than any deadline of a request.
+	idleSentinel = 1000 * time.Hour
+	// defaultIdleTimeout is the idle timeout if the configuration sets none.
+	defaultIdleTimeout = 60 * time.Second
+	// maxHeaderBytes bounds a request's header.
 	maxHeaderBytes = 64 << 10
 )
--- a/internal/gateway/door.go
+++ b/internal/gateway/serve_request.go
@@ -11,20 +11,20 @@
 	"github.com/hickorybank/hickorybank/internal/event"
 )
 
-// ServeHTTP serves one forwarded request.
+// ServeHTTP forwards one request and writes its final answer.
 func (n *Node) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	n.active.Add(1)
 	defer n.active.Add(-1)
-	w.Header()["Content-Type"] = nil // an upstream's answer is passed on as it is
+	w.Header()["Content-Type"] = nil // the upstream's content type is passed on unchanged
 	if n.stopping.Load() || len(r.TransferEncoding) > 0 {
-		// A body in chunks may hide a second request where a length is given
-		// too: nothing that follows it on the connection is taken as one.
+		// A chunked body may hide a second request if it also has a length. Bytes that
+		// follow it on the connection are therefore never read as a request.
 		w.Header().Set("Connection", "close")
 	}
 	j := &job{node: n, w: w, r: r, start: time.Now()}
-	defer func() { n.bodies.Add(-int64(len(j.body))) }()
+	defer func() { n.bodyBytes.Add(-int64(len(j.body))) }()
 	ref := j.admit()
-	if ref == notYet {
+	if ref == notReady {
 		ref = j.waitForConfig()
 	}
 	if ref == nil {
@@ -41,34 +41,34 @@
 	defer cancel()
 	rc := http.NewResponseController(w)
 	if err := rc.SetWriteDeadline(j.deadline.Add(writeSlack)); err != nil {
-		n.log.Debug("no write deadline", slog.Any("err", err))
+		n.log.Debug("cannot set write deadline", slog.Any("err", err))
 	}
-	defer func() { _ = rc.SetWriteDeadline(time.Time{}) }() // the connection may be gone
+	defer func() { _ = rc.SetWriteDeadline(time.Time{}) }() // the connection may be closed already
 	j.run()
 }
 
-// writeSlack is how long after a request's deadline its caller may take to
-// read the answer before the connection is given up.
+// writeSlack is how long after the deadline a caller may take to read the answer before its
+// connection is closed.
 const writeSlack = time.Second
 
-// admit checks all that can be checked before the body is read.
+// admit checks everything that does not depend on the body; it returns nil for a valid
+// request.
 func (j *job) admit() *refusal {
 	n := j.node
-	// The caller's ID is known before anything is decided: whoever looks into a
-	// refusal afterwards has nothing else to go by.
-	ask, unsound := n.dialect.Read(j.r.Header)
-	j.ask = ask
+	// The headers are read first, so that the logs of refusals carry the caller's ID.
+	ask, headerErr := n.dialect.Read(j.r.Header)
+	j.headers = ask
 	j.table = n.config.Load()
 	if j.table == nil || !n.knowsUpstreams() {
-		return notYet
+		return notReady
 	}
 	path, _ := rawTarget(j.r)
 	j.route = j.table.Match(j.r.Host, path)
 	if j.route == nil {
 		return unknownRoute
 	}
-	if unsound != nil {
-		return &refusal{status: http.StatusBadRequest, reason: "bad_request", text: unsound.Error()}
+	if headerErr != nil {
+		return &refusal{status: http.StatusBadRequest, reason: "bad_request", text: headerErr.Error()}
 	}
 	if ref := j.authorise(); ref != nil {
 		return ref
@@ -85,35 +85,37 @@
 	return nil
 }
 
+// knowsUpstreams reports whether the node has read or received a list of upstreams.
 func (n *Node) knowsUpstreams() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.list.revision > 0
+	return n.view.listRevision > 0
 }
 
+// authorise sets the request's organisation and priority; it refuses an unknown key.
 func (j *job) authorise() *refusal {
 	j.priority = j.route.Priority
 	if !j.table.Keyed {
 		return nil
 	}
-	org := j.table.Holder(j.ask.Key)
+	org := j.table.Holder(j.headers.Key)
 	if org == nil {
 		if j.route.Public {
 			return nil
 		}
 		return unknownKey
 	}
-	j.org, j.holder = org.Name, org
+	j.org, j.organisation = org.Name, org
 	if org.HasPriority {
 		j.priority = org.Priority
 	}
 	return nil
 }
 
-// readBody reads the whole body, once, within the limits of the configuration
-// and of the process's memory.
+// readBody reads the whole body, once, within the limits of the configuration and of the
+// process's memory.
 func (j *job) readBody() *refusal {
-	limit := j.mostBody()
+	limit := j.maxBodyBytes()
 	if j.bodyRead {
 		if int64(len(j.body)) > limit {
 			return bodyTooLarge
@@ -121,45 +123,45 @@
 		return nil
 	}
 	n := j.node
-	if n.overfull(j.r.ContentLength) {
+	if n.bodyMemoryExceeded(j.r.ContentLength) {
 		return tooManyBodies
 	}
 	rc := http.NewResponseController(j.w)
 	if err := rc.SetReadDeadline(j.deadline); err != nil {
-		n.log.Debug("no read deadline", slog.Any("err", err))
+		n.log.Debug("cannot set read deadline", slog.Any("err", err))
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(j.w, j.r.Body, limit))
-	_ = rc.SetReadDeadline(time.Time{}) // the connection may be gone
+	_ = rc.SetReadDeadline(time.Time{}) // the connection may be closed already
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
 		return bodyTooLarge
 	case err != nil:
-		n.event(event.ForwardLeft, j, slog.String("at", "body"), slog.String("err", err.Error()))
-		panic(http.ErrAbortHandler) // the request never arrived whole: there is nobody to answer
+		n.logEvent(event.ForwardLeft, j, slog.String("at", "body"), slog.String("err", err.Error()))
+		panic(http.ErrAbortHandler) // the body is incomplete, so no answer is possible
 	}
 	j.body, j.bodyRead = body, true
-	n.bodies.Add(int64(len(body)))
+	n.bodyBytes.Add(int64(len(body)))
 	return nil
 }
 
-// mostBody is the largest body that is read.
-func (j *job) mostBody() int64 {
+// maxBodyBytes returns the size of the largest body that is read, in bytes.
+func (j *job) maxBodyBytes() int64 {
 	if j.table == nil || j.table.Limits.BodyBytes <= 0 {
 		return defaultBodyBytes
 	}
 	return j.table.Limits.BodyBytes
 }
 
-// defaultBodyBytes bounds a body where the configuration does not.
+// defaultBodyBytes bounds a body if the configuration does not.
 const defaultBodyBytes = 4 << 20
 
-// overfull tells whether another body of this length would take too much of
-// the process's memory.
-func (n *Node) overfull(length int64) bool {
+// bodyMemoryExceeded reports whether another body of this length would exceed the memory
+// for bodies.
+func (n *Node) bodyMemoryExceeded(length int64) bool {
 	if n.settings.MemoryMB <= 0 {
 		return false
 	}
-	most := int64(bodiesPart * float64(n.settings.MemoryMB) * (1 << 20))
-	return n.bodies.Load()+max(length, 0) > most
+	limit := int64(bodiesFraction * float64(n.settings.MemoryMB) * (1 << 20))
+	return n.bodyBytes.Load()+max(length, 0) > limit
 }
--- a/internal/gateway/session_version_test.go
+++ b/internal/gateway/session_version_test.go
@@ -12,27 +12,27 @@
 	"github.com/hickorybank/hickorybank/internal/route"
 )
 
-// TestSessionKeepsItsVersionWhileThatRests guards against a session that goes on at another
-// version, since the upstreams of its own have asked for a few seconds of rest.
-func TestSessionKeepsItsVersionWhileThatRests(t *testing.T) {
+// Guards against a session that continues at another version because all upstreams of its
+// own version have asked for a few seconds of rest.
+func TestSessionKeepsItsVersionWhileUpstreamsRest(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	n := newGroupNode(true)
 	for _, version := range []string{"v1", "v2"} {
 		n.fleet.Put(fleet.Record{ID: "u-" + version, Service: "engine", Addr: "10.0.0.1:1", Version: version, Slots: 1}, now)
-		n.known[versionKey("engine", version)] = true
+		n.allowedVersions[versionKey("engine", version)] = true
 	}
 	n.canary.Take(canary.Order{Service: "engine", Target: "v2", Limit: time.Minute, Revision: 1}, now.Add(-time.Minute))
 	n.canary.Decide("engine", 1, canary.Completed, true)
 	n.fleet.Answered(n.fleet.Get("u-v2"), notice.Answer{Rest: 3 * time.Second}, now, now)
 	config := &configuration{Table: &route.Table{}}
 	job := func(session string) *job {
-		return &job{node: n, service: "engine", route: &route.Route{}, table: config, ask: Ask{Session: session}}
+		return &job{node: n, service: "engine", route: &route.Route{}, table: config, headers: Ask{Session: session}}
 	}
-	a, room := n.choose(job("s1"))
+	a, room := n.newAttempt(job("s1"))
 	is.True(a == nil)
 	is.True(room.Sub(now) >= 3*time.Second)
-	a, _ = n.choose(job(""))
+	a, _ = n.newAttempt(job(""))
 	is.True(a != nil)
 	is.Equal(a.version, "v1")
 }
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -2,136 +2,135 @@
 
 import "time"
 
-// Settings of a node.
+// Settings are the settings of a node.
 type Settings struct {
-	// ID is the node's name; Domain and Region are where it is.
+	// ID is the node's name, Domain its failure domain and Region its region.
 	ID, Domain, Region string
-	// Regions are the regions of all failure domains, by their names.
+	// Regions are the regions of all failure domains, by the domains' names.
 	Regions map[string]string
-	// Front, Ready, Directory, Peer and Metrics are the addresses to listen
-	// on; empty for none.
+	// Front, Ready, Directory, Peer and Metrics are the addresses to listen on, as
+	// host:port. Empty ones are not served.
 	Front, Ready, Directory, Peer, Metrics string
-	// Seeds are peers' addresses to begin with; they may be stale.
+	// Seeds are the addresses of peers to contact first; some may be out of date.
 	Seeds []string
 	// Founding is set while the whole deployment starts for the first time.
 	Founding bool
-	// MemoryMB is the process's memory; 0 for no bound.
+	// MemoryMB is the memory of the process in MiB; 0 for no bound.
 	MemoryMB int
-	// Link is the bandwidth of the machine's link in bytes a second, each way; 0 if
-	// it is not known.
+	// Link is the bandwidth of the machine's link in bytes per second, each way; 0 if
+	// unknown.
 	Link float64
 
-	// Apply is how soon a change must be in force.
+	// Apply is the time within which a change must take effect.
 	Apply time.Duration
-	// Drain is how soon a leaving upstream must get nothing more.
+	// Drain is the time within which a leaving upstream must stop receiving requests.
 	Drain time.Duration
-	// Evacuate is how soon an evacuated failure domain must get nothing more; 0 for no
-	// bound of its own.
+	// Evacuate is the time within which an evacuated failure domain must stop receiving
+	// requests; 0 if only the other bounds apply.
 	Evacuate time.Duration
-	// Grace is how long a stop may take.
+	// Grace is the time within which a stop must finish.
 	Grace time.Duration
-	// AddressTTL is how long callers may keep an answer of the directory.
+	// AddressTTL is how long callers may cache an answer of the directory.
 	AddressTTL time.Duration
-	// RetryRatio and RetrySlack bound further attempts over all nodes, as a
-	// share of the requests and a number in RetryWindow.
+	// RetryRatio and RetrySlack bound the further attempts of all nodes in RetryWindow: the
+	// ratio times the requests, plus the slack.
 	RetryRatio, RetrySlack float64
 	RetryWindow            time.Duration
-	// ExposeShare and ExposeSlack bound the requests that a version in doubt
-	// may get.
+	// ExposeShare and ExposeSlack bound the requests that an unproven version may get: a
+	// share of the requests, plus a number.
 	ExposeShare, ExposeSlack float64
-	// Session is how long requests of a session may be apart.
+	// Session is the longest pause between two requests of a session.
 	Session time.Duration
-	// WarmUpOver times its rate, and WarmUpSlack, are what may reach an upstream that
-	// warms up within any second, from all nodes together.
+	// WarmUpOver times its rate plus WarmUpSlack bounds the requests that may reach an
+	// upstream that is warming up within any second, from all nodes together.
 	WarmUpOver, WarmUpSlack float64
-	// Accept is the confidence from which a small model's answer is taken,
-	// AcceptBusy what is enough where upstreams have no room for a larger one.
+	// Accept is the lowest confidence at which a small model's answer is accepted.
+	// AcceptBusy is the lowest if upstreams have no capacity for a larger model.
 	Accept, AcceptBusy int
 }
 
-// readEvery is the pause between a reader's readings of the table.
-func (s *Settings) readEvery() time.Duration {
+// readInterval returns the pause between a reader's readings of the table.
+func (s *Settings) readInterval() time.Duration {
 	bound := min(s.Drain, s.Apply)
 	if s.Evacuate > 0 {
 		bound = min(bound, s.Evacuate)
 	}
-	return time.Duration(readPart * float64(bound))
+	return time.Duration(readFraction * float64(bound))
 }
 
 const (
-	// readPart is the part of the bounds on changes at which a group's reader
-	// reads the table: two readings fit in, should one be lost.
-	readPart = 0.45
-	// orderLag is how late a node usually learns of an order: the reader's call
-	// answers at once, and it tells its group.
+	// readFraction is the read interval as a fraction of the bounds on changes. Two
+	// readings fit into a bound, in case one is lost.
+	readFraction = 0.45
+	// orderLag is how late a node usually learns of an order. The reader's call returns at
+	// once, and the reader then informs its group.
 	orderLag = 300 * time.Millisecond
-	// callTimeout bounds the table's first bytes, which come within some
-	// milliseconds, and each pause after them; connections may fall silent without a
+	// tableCallTimeout bounds the wait for the table's first bytes, which take some
+	// milliseconds, and each pause after them. Connections may stop responding without a
 	// reset.
-	callTimeout = 600 * time.Millisecond
-	// mostTransfer bounds the transfer of an answer of the table: 16 MB over 10 Mbit/s.
-	mostTransfer = 14 * time.Second
-	// mostRetryCall bounds it for other calls.
-	mostRetryCall = time.Second
-	// feedWidth is how many of its group a reader tells at the same time.
-	feedWidth = 8
-	// settlingEvery is the pause between a reader's news to its group while a
-	// roll-out begins.
-	settlingEvery = 350 * time.Millisecond
-	// lapseGrace is how long upstreams that vanished while the table was away
-	// are kept from the first reading on: those that live are listed again
-	// within two seconds of the table's return, which was before the reading.
+	tableCallTimeout = 600 * time.Millisecond
+	// maxTableTransfer bounds the transfer of a table's answer: 16 MB over 10 Mbit/s.
+	maxTableTransfer = 14 * time.Second
+	// maxRetryDelay is the pause after a failed call to join or to write a rollout's state.
+	maxRetryDelay = time.Second
+	// maxParallelExchanges bounds the peers that a node calls at the same time.
+	maxParallelExchanges = 8
+	// settlingPushInterval is the pause between a leader's pushes to its group while a
+	// rollout begins.
+	settlingPushInterval = 350 * time.Millisecond
+	// lapseGrace is how long upstreams that vanished during an outage of the table are
+	// retained after the first reading. Live upstreams are listed again within two seconds
+	// of the table's return, which was before the reading.
 	lapseGrace = 1800 * time.Millisecond
-	// returnWatch is how long the list is read each returnEvery after the table was away:
-	// until all entries that lapsed are back.
-	returnWatch = 2400 * time.Millisecond
-	returnEvery = 300 * time.Millisecond
-	// gossipEvery is the pause between exchanges with peers.
-	gossipEvery = 600 * time.Millisecond
-	// tickEvery is the pause between looks at roll-outs.
-	tickEvery = 250 * time.Millisecond
-	// sweepEvery is the pause between looks at idle connections.
-	sweepEvery = 300 * time.Millisecond
-	// eventStall is how long a stream may stay silent before it goes on at
-	// another upstream, as a multiple of the pause that is on time.
-	eventStall = 2.5
-	// firstStall bounds the wait for a stream's first event, as a multiple of
-	// the route's goal, where the stream can go on at another upstream.
-	firstStall = 1.5
-	// waitPart is the part of the route's goal that a request waits for an
-	// upstream when none is to be had.
-	waitPart = 0.12
-	// waitStep is the pause between looks for an upstream.
-	waitStep = 25 * time.Millisecond
-	// waitMost is the longest pause between looks where the time is known at which there is
-	// room: another upstream may be listed before.
-	waitMost = 250 * time.Millisecond
-	// refusedRetryAfter is when a refused caller should come back: a full
-	// upstream has room within a second, and callers try only a few times.
+	// recoveryWindow is how long the list is read every recoveryInterval after an outage of
+	// the table, until all entries that lapsed are back.
+	recoveryWindow   = 2400 * time.Millisecond
+	recoveryInterval = 300 * time.Millisecond
+	// gossipInterval is the pause between exchanges with peers.
+	gossipInterval = 600 * time.Millisecond
+	// rolloutTickInterval is the pause between evaluations of rollouts.
+	rolloutTickInterval = 250 * time.Millisecond
+	// sweepInterval is the pause between sweeps of idle connections.
+	sweepInterval = 300 * time.Millisecond
+	// eventStallFactor is how long a stream may stay silent before it resumes at another
+	// upstream, as a multiple of the goal for pauses.
+	eventStallFactor = 2.5
+	// firstEventStallFactor bounds the wait for a stream's first event, as a multiple of
+	// the route's goal, if the stream can resume at another upstream.
+	firstEventStallFactor = 1.5
+	// upstreamWaitFraction is how long a request waits for an upstream when none is
+	// available, as a fraction of the route's goal.
+	upstreamWaitFraction = 0.12
+	// waitPollInterval is the pause between checks in a wait.
+	waitPollInterval = 25 * time.Millisecond
+	// maxWaitPollInterval bounds the pause between checks when it is known when an upstream
+	// has capacity: another one may be listed before.
+	maxWaitPollInterval = 250 * time.Millisecond
+	// refusedRetryAfter is when a refused caller should retry. A full upstream has capacity
+	// within a second, and callers try only a few times.
 	refusedRetryAfter = 600 * time.Millisecond
-	// unknownRetryAfter is when to come back to a node that does not know the
-	// configuration yet: it is read within a second of the table's return.
-	unknownRetryAfter = 1200 * time.Millisecond
-	// onceMaxIdle bounds the idle time of a kept connection that carries work
-	// which is not idempotent.
-	onceMaxIdle = time.Second
-	// wholeMost is the largest answer that is held until it is whole; a longer
-	// one is passed on as it comes.
-	wholeMost = 512 << 10
-	// defaultTimeout bounds requests of routes without a time limit.
+	// notReadyRetryAfter is when to retry at a node without a configuration, which it reads
+	// within a second of the table's return.
+	notReadyRetryAfter = 1200 * time.Millisecond
+	// nonIdempotentMaxIdle bounds the idle time of a reused connection for requests that
+	// are not idempotent.
+	nonIdempotentMaxIdle = time.Second
+	// maxBufferedBytes is the largest answer that is buffered; a larger one is streamed.
+	maxBufferedBytes = 512 << 10
+	// defaultTimeout bounds requests of routes without a timeout.
 	defaultTimeout = 30 * time.Second
-	// stopQuiet is how long before the end of the grace a stopping node lets
-	// go of the work that is left.
-	stopQuiet = 300 * time.Millisecond
-	// stopMargin is added to the directory's time to live before a stopping
-	// node takes no more connections.
+	// stopReserve is how long before the end of the grace a stopping node abandons the
+	// remaining requests.
+	stopReserve = 300 * time.Millisecond
+	// stopMargin is added to the directory's time to live before a stopping node stops
+	// accepting connections.
 	stopMargin = 600 * time.Millisecond
-	// memoryPart is the part of the process's memory that the runtime may use
-	// before it collects garbage harder.
-	memoryPart = 0.7
-	// bodiesPart is the part of the memory that bodies in flight may use.
-	bodiesPart = 0.25
-	// newVersionHold is how long upstreams of a version that nobody ordered
-	// are left alone: the order may be on its way.
+	// memoryFraction is the fraction of the process's memory that is set as the runtime's
+	// soft memory limit.
+	memoryFraction = 0.7
+	// bodiesFraction is the fraction of the memory that bodies in progress may use.
+	bodiesFraction = 0.25
+	// newVersionHold is how long upstreams of a version that no order names get no
+	// requests: the order may be on its way.
 	newVersionHold = 3 * time.Second
 )
--- a/internal/gateway/source.go
+++ b/internal/gateway/source.go
@@ -12,74 +12,83 @@
 	"github.com/hickorybank/hickorybank/internal/route"
 )
 
-// ErrCompacted says that the history of a feed since a revision is gone: the
-// whole has to be read.
+// ErrCompacted reports that a feed's history since a revision is gone. The caller has to
+// read the whole feed.
 var ErrCompacted = errors.New("history is gone")
 
-// FleetChange is what has changed in the list of upstreams.
+// FleetChange is a change of the list of upstreams.
 type FleetChange struct {
-	// Whole is set when Put is the complete list.
-	Whole    bool
-	Put      []fleet.Record
-	Drop     []string
+	// Whole is set if Put is the complete list.
+	Whole bool
+	// Put are upstreams that were added or changed.
+	Put []fleet.Record
+	// Drop are the IDs of upstreams that were removed.
+	Drop []string
+	// Revision is the table's revision up to which the change leads.
 	Revision uint64
-	// Clock is the table's own steady clock at this answer.
+	// Clock is the table's own monotonic clock at this answer.
 	Clock time.Duration
-	// Unreadable are entries that name no upstream to use.
+	// Unreadable are entries that describe no usable upstream.
 	Unreadable []Unreadable
 }
 
-// Unreadable is a row that can't be read: another writer may have left it.
+// Unreadable is a row of the table that can't be read; another program may have written it.
+// Its key in a list of upstreams is the upstream's ID.
 type Unreadable struct {
 	Key string
 	Err error
 }
 
-// OrdersChange is what operators have changed.
+// OrdersChange is a change of the operator orders: configuration, rollouts and evacuations.
 type OrdersChange struct {
-	// Whole is set when these are all orders that stand.
+	// Whole is set if these are all orders that stand.
 	Whole bool
 	// Config is the new configuration as the table holds it; nil if unchanged.
-	Config   []byte
+	Config []byte
+	// Rollouts are new or changed orders to roll out a version.
 	Rollouts []canary.Order
-	// Evacuations are orders to evacuate failure domains, ended ones too.
+	// Evacuations are orders to evacuate failure domains, including ended ones.
 	Evacuations []evacuation.Order
-	Revision    uint64
-	// Clock is the table's own steady clock at this answer.
+	// Revision is the table's revision up to which the change leads.
+	Revision uint64
+	// Clock is the table's own monotonic clock at this answer.
 	Clock time.Duration
-	// Unreadable are orders that can't be read; they order nothing.
+	// Unreadable are orders that can't be read; they have no effect.
 	Unreadable []Unreadable
 }
 
-// RolloutState is what the table says of a roll-out.
+// RolloutState is the recorded state of a rollout.
 type RolloutState struct {
 	Order   canary.Order
 	Verdict canary.Verdict
-	// Age is how long ago it began.
+	// Age is how long ago the rollout began.
 	Age time.Duration
 }
 
-// Source is the platform's table as the gateway needs it.
+// Source gives access to the platform's table. Its methods return the errors of failed
+// calls.
 type Source interface {
-	// Fleet returns the changes of the upstreams' list after a revision; 0
-	// returns the whole list.
+	// Fleet returns the changes of the list of upstreams after a revision; 0 returns the
+	// whole list. The error is [ErrCompacted] if the history since the revision is gone.
 	Fleet(ctx context.Context, after uint64) (FleetChange, error)
-	// Orders waits up to wait for operators' changes after a revision; 0 returns
-	// everything at once.
+	// Orders returns the operator orders that changed after a revision, and waits up to
+	// wait for a change; 0 returns all orders at once. The error is [ErrCompacted] as for
+	// Fleet.
 	Orders(ctx context.Context, after uint64, wait time.Duration) (OrdersChange, error)
-	// Rollouts returns the recorded states of roll-outs.
+	// Rollouts returns the recorded states of rollouts.
 	Rollouts(ctx context.Context) ([]RolloutState, error)
-	// Record writes a roll-out's state if nobody has ended the order before;
-	// it returns the state that then stands.
+	// Record writes a rollout's state unless the order has a final one already; it returns
+	// the state that then stands.
 	Record(ctx context.Context, o canary.Order, v canary.Verdict) (canary.Verdict, error)
-	// Join records a member, so that others find it, and returns those that
-	// are recorded.
+	// Join records a member, so that others find it, and returns the members recorded so
+	// far.
 	Join(ctx context.Context, m gossip.Member) ([]gossip.Member, error)
-	// SaveSnapshot keeps the list of upstreams beyond their own entries, LoadSnapshot
-	// returns it; nothing where there is none. Bytes may follow what was saved.
+	// SaveSnapshot stores the list of upstreams apart from their own entries. LoadSnapshot
+	// returns it, or nothing if none was stored. Additional bytes may follow the stored
+	// ones.
 	SaveSnapshot(ctx context.Context, data []byte) error
 	LoadSnapshot(ctx context.Context) ([]byte, error)
-	// Decode reads a configuration, compact JSON that is known to be sound. What an
-	// earlier table was read from alike is not read again; nil for none.
+	// Decode decodes a configuration, which is valid compact JSON. It reuses the parts of
+	// the earlier table whose input is unchanged; earlier may be nil.
 	Decode(config []byte, earlier *route.Table) (*route.Table, error)
 }
--- a/internal/gateway/source_state.go
+++ b/internal/gateway/source_state.go
@@ -7,20 +7,20 @@
 	"github.com/hickorybank/hickorybank/internal/event"
 )
 
-// sourceState is what the node knows of the table's health.
-type sourceState struct {
+// sourceHealth records whether calls of the table succeed.
+type sourceHealth struct {
 	down bool
 	// since is when the present state began.
 	since time.Time
 }
 
-// sourceResult notes how a call of the table went.
+// sourceResult records the result of a call of the table and logs when the state changes.
 func (n *Node) sourceResult(call string, err error) {
 	now := time.Now()
 	n.mu.Lock()
-	was := n.sources
+	was := n.sourceHealth
 	if was.down != (err != nil) {
-		n.sources = sourceState{down: err != nil, since: now}
+		n.sourceHealth = sourceHealth{down: err != nil, since: now}
 	}
 	n.mu.Unlock()
 	switch {
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -15,43 +15,42 @@
 )
 
 const (
-	// eventBuffer is what is read of a stream at a time.
-	eventBuffer = 4 << 10
-	// mostEvent bounds one event.
-	mostEvent = 1 << 20
+	// readBufferBytes is the size of the reads from a stream.
+	readBufferBytes = 4 << 10
+	// maxEventBytes bounds one event.
+	maxEventBytes = 1 << 20
 )
 
-// paceEvents is after how many events a stream's pace is told to the roll-out.
+// paceEvents is the number of events after which a stream's pace is reported to the
+// rollout.
 //
-// It guards against a version that is slow: its streams take many times as
-// long, and told only at their end, they would convict it when all sessions
-// had long moved to it.
+// It guards against a slow version, whose streams take many times as long. Reported only at
+// their end, the streams would convict the version after all sessions had moved to it.
 const paceEvents = 6
 
 // streamEnd is how the reading of a stream ended.
 type streamEnd int
 
 const (
-	endWhole streamEnd = iota
+	endComplete streamEnd = iota
 	endBroken
-	endCaller
+	endCallerGone
 )
 
-// stream passes a stream's events on as they come, whole ones only. It returns
-// true when the request has its final answer, false when the stream should go
-// on at another upstream.
-func (j *job) stream(a *attempt, resp *exchange.Response, reply Reply) bool {
+// forwardStream forwards a stream's complete events as they arrive. It returns true if the
+// request has its final answer, false if the stream should resume at another upstream.
+func (j *job) forwardStream(a *attempt, resp *exchange.Response, reply Reply) bool {
 	defer resp.Close()
 	if next := j.escalate(a, reply); next != "" {
-		a.end(fleet.Served)
+		a.finish(fleet.Served)
 		j.model = next
 		return false
 	}
 	s := &eventReader{from: resp}
 	first, last, count := time.Time{}, time.Time{}, 0
-	end, err := endWhole, error(nil)
+	end, err := endComplete, error(nil)
 	for {
-		if e := resp.Deadline(j.stallAt(count)); e != nil {
+		if e := resp.Deadline(j.stallDeadline(count)); e != nil {
 			end, err = endBroken, e
 			break
 		}
@@ -65,11 +64,11 @@
 			}
 			last = now
 			count += n
-			if count >= paceEvents && !a.told {
-				a.answered(false, pace(first, last, count))
+			if count >= paceEvents && !a.reported {
+				a.reportOutcome(false, meanPause(first, last, count))
 			}
-			if e := j.send(resp, chunk, id); e != nil {
-				end, err = endCaller, e
+			if e := j.sendEvents(resp, chunk, id); e != nil {
+				end, err = endCallerGone, e
 				break
 			}
 		}
@@ -81,20 +80,20 @@
 			break
 		}
 	}
-	return j.streamed(a, resp, reply, end, err, pace(first, last, count))
+	return j.finishStream(a, resp, reply, end, err, meanPause(first, last, count))
 }
 
-// pace is the mean pause between a stream's events; 0 where there were few.
-func pace(first, last time.Time, count int) time.Duration {
+// meanPause returns the mean pause between a stream's events; 0 for fewer than four events.
+func meanPause(first, last time.Time, count int) time.Duration {
 	if count < 4 {
 		return 0
 	}
 	return last.Sub(first) / time.Duration(count-1)
 }
 
-// escalate returns the model that should answer in place of this one, if any.
+// escalate returns the larger model that should answer instead of this one, if any.
 func (j *job) escalate(a *attempt, reply Reply) string {
-	if j.model == "" || j.begun || !reply.HasConfidence {
+	if j.model == "" || j.answerStarted || !reply.HasConfidence {
 		return ""
 	}
 	state := j.cascadeState(a)
@@ -109,68 +108,67 @@
 		slog.Int64("largest_ms", state.Largest.Milliseconds()), slog.Int64("left_ms", state.Left.Milliseconds()),
 	}
 	if !j.node.allowRetry(j.service, cascade.Reserve(reply.Confidence)) {
-		// Without a further attempt the small model's answer is all there is.
-		j.node.event(event.ForwardUnsure, j, attrs...)
+		// Without a further attempt the small model's answer is the only one.
+		j.node.logEvent(event.ForwardUnsure, j, attrs...)
 		return ""
 	}
-	j.node.event(event.ForwardEscalated, j, attrs...)
-	j.paid = true
+	j.node.logEvent(event.ForwardEscalated, j, attrs...)
+	j.retryReserved = true
 	return next
 }
 
-// firstState is where the request stands before its first attempt.
-func (j *job) firstState() cascade.State {
+// initialCascadeState returns the input of the model choice before the first attempt.
+func (j *job) initialCascadeState() cascade.State {
 	n := j.node
 	now := time.Now()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	models := j.route.Models
-	smallest, largest := j.want(canary.Rule{}), j.want(canary.Rule{})
+	smallest, largest := j.attemptSpec(canary.Rule{}), j.attemptSpec(canary.Rule{})
 	smallest.Model, largest.Model = models[0], models[len(models)-1]
 	return cascade.State{
-		Models: models, Attempts: j.left(), Resumed: j.lastEvent != "", Left: j.route.Goal - now.Sub(j.start),
+		Models: models, Attempts: j.attemptsLeft(), Resumed: j.lastEvent != "", Left: j.route.Goal - now.Sub(j.start),
 		Smallest: n.fleet.FirstEvent(&smallest, now), Largest: n.fleet.FirstEvent(&largest, now),
 	}
 }
 
-// cascadeState is where the request stands for the choice of its model, after an
-// attempt that ran.
+// cascadeState returns the input of the model choice after an attempt that ran.
 func (j *job) cascadeState(a *attempt) cascade.State {
 	n := j.node
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	load := n.fleet.ServiceLoad(j.service, a.version, time.Now())
-	largest := a.want
+	largest := a.spec
 	largest.Model = j.route.Models[len(j.route.Models)-1]
 	return cascade.State{
-		Models: j.route.Models, Attempts: j.left(), Load: load,
+		Models: j.route.Models, Attempts: j.attemptsLeft(), Load: load,
 		Left: j.route.Goal - time.Since(j.start), Largest: n.fleet.FirstEvent(&largest, time.Now()),
 	}
 }
 
-// stallAt is when a silent stream is given up for another upstream; the zero
-// time where there is no other way.
-func (j *job) stallAt(events int) time.Time {
-	if !j.route.Resumable || j.left() < 1 {
+// stallDeadline returns when a silent stream is abandoned for another upstream; the zero
+// time if no other attempt is possible.
+func (j *job) stallDeadline(events int) time.Time {
+	if !j.route.Resumable || j.attemptsLeft() < 1 {
 		return time.Time{}
 	}
-	if events == 0 && !j.begun {
-		return time.Now().Add(time.Duration(firstStall * float64(j.route.Goal)))
+	if events == 0 && !j.answerStarted {
+		return time.Now().Add(time.Duration(firstEventStallFactor * float64(j.route.Goal)))
 	}
 	gap := j.route.GapGoal
 	if gap <= 0 {
 		gap = j.route.Goal
 	}
-	return time.Now().Add(time.Duration(eventStall * float64(gap)))
+	return time.Now().Add(time.Duration(eventStallFactor * float64(gap)))
 }
 
-// send passes whole events on to the caller.
-func (j *job) send(resp *exchange.Response, events []byte, id string) error {
-	if !j.begun {
+// sendEvents sends complete events to the caller.
+func (j *job) sendEvents(resp *exchange.Response, events []byte, id string) error {
+	if !j.answerStarted {
 		copyHeader(j.w.Header(), resp.Header)
 		j.w.WriteHeader(resp.Status)
-		j.begun = true
-		j.firstAfter = time.Since(j.start)
+		j.answerStarted = true
+		j.firstPartAfter = time.Since(j.start)
 	}
 	if _, err := j.w.Write(events); err != nil {
 		return err
@@ -181,47 +179,48 @@
 	return http.NewResponseController(j.w).Flush()
 }
 
-// streamed ends an attempt at a stream.
-func (j *job) streamed(a *attempt, resp *exchange.Response, reply Reply, end streamEnd, err error, p time.Duration) bool {
+// finishStream ends an attempt at a stream. It returns true if the request has its final
+// answer.
+func (j *job) finishStream(a *attempt, resp *exchange.Response, reply Reply, end streamEnd, err error, pause time.Duration) bool {
 	switch {
-	case end == endWhole:
-		a.end(fleet.Served)
-		if !a.told {
-			a.answered(false, p)
+	case end == endComplete:
+		a.finish(fleet.Served)
+		if !a.reported {
+			a.reportOutcome(false, pause)
 		}
-		if !j.begun {
+		if !j.answerStarted {
 			copyHeader(j.w.Header(), resp.Header)
 			j.w.WriteHeader(resp.Status)
 		}
 		j.outcome = "answered"
-		j.node.event(event.ForwardAnswered, j, slog.Int("status", resp.Status), slog.String("upstream", a.id),
+		j.node.logEvent(event.ForwardAnswered, j, slog.Int("status", resp.Status), slog.String("upstream", a.id),
 			slog.String("model", j.model), slog.String("last_event", j.lastEvent),
-			slog.Int64("first_ms", j.firstAfter.Milliseconds()), slog.Int64("pause_ms", j.longestPause.Milliseconds()), slog.Int("tokens_in", j.ask.TokensIn), slog.Int("confidence", reply.Confidence))
+			slog.Int64("first_ms", j.firstPartAfter.Milliseconds()), slog.Int64("pause_ms", j.longestPause.Milliseconds()), slog.Int("tokens_in", j.headers.TokensIn), slog.Int("confidence", reply.Confidence))
 		j.observe(resp.Status)
 		return true
-	case end == endCaller || j.r.Context().Err() != nil:
-		a.end(fleet.Abandoned)
+	case end == endCallerGone || j.r.Context().Err() != nil:
+		a.finish(fleet.Abandoned)
 		j.callerLeft()
 	case context.Cause(j.ctx) != nil:
-		a.end(fleet.Abandoned)
-		if j.begun {
+		a.finish(fleet.Abandoned)
+		if j.answerStarted {
 			j.breakOff("time_over")
 		}
 		return false
 	}
-	a.end(fleet.Failed)
-	a.answered(true, p)
+	a.finish(fleet.Failed)
+	a.reportOutcome(true, pause)
 	reason := "broke"
 	if isTimeout(err) {
 		reason = "silent"
 	}
 	resp.Close()
-	j.node.event(event.ForwardResumed, j, slog.String("upstream", a.id), slog.String("reason", reason),
+	j.node.logEvent(event.ForwardResumed, j, slog.String("upstream", a.id), slog.String("reason", reason),
 		slog.String("err", err.Error()), slog.String("last_event", j.lastEvent))
 	if reason == "broke" {
 		j.node.suspectCrash(j, a)
 	}
-	if j.begun && (!j.route.Resumable || j.left() < 1) {
+	if j.answerStarted && (!j.route.Resumable || j.attemptsLeft() < 1) {
 		j.breakOff(reason)
 	}
 	return false
--- a/internal/gateway/versions.go
+++ b/internal/gateway/versions.go
@@ -2,43 +2,43 @@
 
 import "time"
 
-// versionKey names a version of a service.
+// versionKey returns the key of a service's version in maps.
 func versionKey(service, version string) string { return service + "\x00" + version }
 
-// meetVersion notes that upstreams of a version are listed; the caller holds
-// mu. The first versions of a service may serve at once, a later one only
-// after a while, unless it was ordered.
+// noteVersion records that upstreams of a version are listed; the caller holds mu. The
+// first versions of a service may serve at once, a later one only after newVersionHold,
+// unless it was ordered.
 //
-// Upstreams of a new version are listed when its roll-out is ordered, and the
-// order may reach this node later than the list. Without the wait a version in
-// doubt would get its full part of the requests meanwhile.
-func (n *Node) meetVersion(service, version string, now time.Time) {
+// Upstreams of a new version are listed when its rollout is ordered, and the order may
+// reach this node later than the list. Without the hold an unproven version would meanwhile
+// get its full share of the requests.
+func (n *Node) noteVersion(service, version string, now time.Time) {
 	key := versionKey(service, version)
-	if n.known[key] || !n.held[key].IsZero() {
+	if n.allowedVersions[key] || !n.heldVersions[key].IsZero() {
 		return
 	}
-	if n.served[service].IsZero() {
-		n.served[service] = now
+	if n.firstListedAt[service].IsZero() {
+		n.firstListedAt[service] = now
 	}
-	if now.Sub(n.served[service]) < newVersionHold {
-		n.known[key] = true
+	if now.Sub(n.firstListedAt[service]) < newVersionHold {
+		n.allowedVersions[key] = true
 		return
 	}
-	n.held[key] = now
+	n.heldVersions[key] = now
 }
 
-// unorderedVersion returns a version of the service that may not serve yet.
-// The caller holds mu.
-func (n *Node) unorderedVersion(service string, now time.Time) string {
+// heldVersion returns a version of the service that may not serve yet; empty for none. The
+// caller holds mu.
+func (n *Node) heldVersion(service string, now time.Time) string {
 	for _, v := range n.fleet.Versions(service) {
 		key := versionKey(service, v)
-		if n.known[key] {
+		if n.allowedVersions[key] {
 			continue
 		}
-		if n.canary.Target(service) != v && now.Sub(n.held[key]) < newVersionHold {
+		if n.canary.Target(service) != v && now.Sub(n.heldVersions[key]) < newVersionHold {
 			return v
 		}
-		n.known[key] = true
+		n.allowedVersions[key] = true
 	}
 	return ""
 }
--- a/internal/gateway/wait_for_config.go
+++ b/internal/gateway/wait_for_config.go
@@ -3,33 +3,33 @@
 import "time"
 
 const (
-	// awaitPart is the part of a caller's time that its request waits for a
-	// node which has just started to learn its configuration.
-	awaitPart = 0.1
-	// awaitMost bounds that wait, also where the caller names no time.
-	awaitMost = 2 * time.Second
+	// configWaitFraction is how long a request waits for a node that has just started to
+	// get its configuration, as a fraction of the caller's timeout.
+	configWaitFraction = 0.1
+	// maxConfigWait bounds that wait, also if the caller sets no timeout.
+	maxConfigWait = 2 * time.Second
 )
 
-// waitForConfig lets a request wait for a node that knows nothing yet. It returns
-// nil when the request may go on.
+// waitForConfig waits until a node without state can admit the request. It returns nil if
+// the request may proceed.
 //
-// It guards against restarts of many nodes while the table is away: callers
-// whose requests were cut come back at once, try only once or twice, and would
-// be turned away for good by nodes that know all they need a moment later. The
-// request is read first: a caller gives one up that is not read.
+// It guards against restarts of many nodes while the table is unavailable. Callers whose
+// requests were cut retry at once and only once or twice. Nodes that are ready a moment
+// later would refuse them for good. The body is read before the wait, as a caller abandons
+// a request that is not read.
 func (j *job) waitForConfig() *refusal {
-	until := j.start.Add(awaitMost)
-	if j.ask.Time > 0 {
-		until = j.start.Add(min(time.Duration(awaitPart*float64(j.ask.Time)), awaitMost))
+	until := j.start.Add(maxConfigWait)
+	if j.headers.Time > 0 {
+		until = j.start.Add(min(time.Duration(configWaitFraction*float64(j.headers.Time)), maxConfigWait))
 	}
 	j.deadline = until
 	if ref := j.readBody(); ref != nil {
 		return ref
 	}
-	for time.Now().Before(until) && pause(j.r.Context(), waitStep) {
-		if ref := j.admit(); ref != notYet {
+	for time.Now().Before(until) && pause(j.r.Context(), waitPollInterval) {
+		if ref := j.admit(); ref != notReady {
 			return ref
 		}
 	}
-	return notYet
+	return notReady
 }
--- a/internal/gateway/wait_for_config_test.go
+++ b/internal/gateway/wait_for_config_test.go
@@ -17,7 +17,7 @@
 	"github.com/hickorybank/hickorybank/internal/telemetry"
 )
 
-// fixedDialect reads the same from every request.
+// fixedDialect reads the same values from every request.
 type fixedDialect struct {
 	Dialect
 	ask Ask
@@ -34,8 +34,7 @@
 	return route.New(1, route.Limits{}, []*route.Route{r}, nil, nil), nil
 }
 
-// newUnconfiguredNode returns a node that knows nothing yet and whose callers
-// give it a time.
+// newUnconfiguredNode returns a node without state, whose callers set a timeout.
 func newUnconfiguredNode(callersTime time.Duration) *Node {
 	return New(Settings{ID: "n1"}, Deps{
 		Dialect: fixedDialect{ask: Ask{ID: "req-1", Time: callersTime}}, Source: oneRoute{},
@@ -43,57 +42,56 @@
 	})
 }
 
-// served is a request's answer and when it came.
-type served struct {
+// response is a request's answer and its delay.
+type response struct {
 	*httptest.ResponseRecorder
 	after time.Duration
 }
 
-func serve(n *Node) <-chan served {
-	done := make(chan served, 1)
+func serve(n *Node) <-chan response {
+	done := make(chan response, 1)
 	began := time.Now()
 	go func() {
 		w := httptest.NewRecorder()
 		r := httptest.NewRequest(http.MethodPost, "http://h/a", strings.NewReader("a body"))
 		n.ServeHTTP(w, r.WithContext(context.Background()))
-		done <- served{w, time.Since(began)}
+		done <- response{w, time.Since(began)}
 	}()
 	return done
 }
 
-// All nodes were killed while the table was away. A caller whose request had
-// been cut comes back at once, to a node that has just started: it would be
-// turned away, and callers try only a few times. The table is back within a
-// moment; the request waits for it, and goes on.
-func TestRequestWaitsForANodeThatHasJustStarted(t *testing.T) {
+// Guards against refusals by a node that has just started, after all nodes were killed
+// while the table was unavailable. Callers whose requests were cut retry at once and only a
+// few times. The request must wait until the node has read the table.
+func TestRequestWaitsForNodeToLearnItsConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		n := newUnconfiguredNode(time.Minute)
 		done := serve(n)
-		time.Sleep(awaitMost / 2)
+		time.Sleep(maxConfigWait / 2)
 		synctest.Wait()
-		is.Equal(n.Active(), int64(1)) // it waits
+		is.Equal(n.Active(), int64(1)) // the request waits
 		n.applyConfig([]byte("{}"))
 		n.applyFleet(FleetChange{Whole: true, Revision: 1, Put: []fleet.Record{{ID: "u", Service: "other"}}}, time.Now())
 		r := <-done
-		is.True(strings.Contains(r.Body.String(), noUpstream.reason)) // it was admitted, and no upstream is there
-		is.True(r.after < awaitMost)
+		is.True(strings.Contains(r.Body.String(), noUpstream.reason)) // it was admitted, and there is no upstream
+		is.True(r.after < maxConfigWait)
 	})
 }
 
-// The table stays away. The caller is told so, true to its time: after a tenth
-// of it, and two seconds at most.
-func TestRequestWaitsNoLongerThanItsPart(t *testing.T) {
+// Guards against requests that wait too long for a table that stays unavailable. They are
+// refused after a tenth of the caller's timeout, and after two seconds at most.
+func TestConfigurationWaitIsBounded(t *testing.T) {
 	for _, c := range []struct{ callers, waits time.Duration }{
-		{time.Second, 100 * time.Millisecond}, {time.Minute, awaitMost}, {0, awaitMost},
+		{time.Second, 100 * time.Millisecond}, {time.Minute, maxConfigWait}, {0, maxConfigWait},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			r := <-serve(newUnconfiguredNode(c.callers))
 			is.Equal(r.Code, http.StatusServiceUnavailable)
-			is.True(strings.Contains(r.Body.String(), notYet.reason))
+			is.True(strings.Contains(r.Body.String(), notReady.reason))
 			is.True(r.Header().Get("Retry-After") != "")
-			is.True(r.after >= c.waits && r.after <= c.waits+waitStep)
+			is.True(r.after >= c.waits && r.after <= c.waits+waitPollInterval)
 		})
 	}
 }
