--- a/internal/gateway/follow_config.go
+++ b/internal/gateway/follow_config.go
@@ -32,7 +32,7 @@
 // reader that sent the whole configuration to all of its group would fill its link, and
 // gossip, in-flight reports and freshness proofs would queue behind it.
 func (n *Node) followConfig(ctx context.Context) {
-	f := &configFetcher{node: n, receiver: transfer.NewReceiver(n.settings.ID), backoffUntil: map[string]time.Time{}}
+	f := &configFetch{node: n, receiver: transfer.NewReceiver(n.settings.ID), retryAt: map[string]time.Time{}}
 	for {
 		select {
 		case <-ctx.Done():
@@ -63,12 +63,12 @@
 // service.
 func (n *Node) Piece(in transfer.Ask) transfer.Piece { return n.configSender.Answer(in, time.Now()) }
 
-// configFetcher is the state of followConfig.
-type configFetcher struct {
+// configFetch is the state of followConfig.
+type configFetch struct {
 	node     *Node
 	receiver *transfer.Receiver
-	// backoffUntil is when peers may be asked again, by peer ID.
-	backoffUntil map[string]time.Time
+	// retryAt is when peers may be asked again, by peer ID.
+	retryAt map[string]time.Time
 	// suggestedPeers are the IDs of peers that busy peers have named.
 	suggestedPeers []string
 	// rejectedVersion is the latest version that this node could not read, and rejectedAt
@@ -78,8 +78,8 @@
 }
 
 // catchUp fetches newer configurations as long as any peer has one.
-func (f *configFetcher) catchUp(ctx context.Context) {
-	clear(f.backoffUntil)
+func (f *configFetch) catchUp(ctx context.Context) {
+	clear(f.retryAt)
 	f.suggestedPeers = nil
 	for ctx.Err() == nil && !f.backingOffRejected(time.Now()) {
 		peer, wait := f.nextPeer(time.Now())
@@ -98,13 +98,13 @@
 //
 // It guards against a configuration that a node of an older release can't read. The node
 // would fetch it from one peer after another for as long as the upgrade lasts.
-func (f *configFetcher) backingOffRejected(now time.Time) bool {
+func (f *configFetch) backingOffRejected(now time.Time) bool {
 	return f.node.newestPeerVersion.Load() <= f.rejectedVersion && now.Sub(f.rejectedAt) < rejectedBackoff
 }
 
 // nextPeer returns the peer to ask, or how long to wait for one. Both are zero if no peer
 // has a newer version.
-func (f *configFetcher) nextPeer(now time.Time) (gossip.Member, time.Duration) {
+func (f *configFetch) nextPeer(now time.Time) (gossip.Member, time.Duration) {
 	n := f.node
 	own := n.configVersion()
 	n.mu.Lock()
@@ -116,7 +116,7 @@
 	slices.SortStableFunc(candidates, func(a, b gossip.Member) int { return f.preference(a) - f.preference(b) })
 	wait := time.Duration(0)
 	for _, m := range candidates {
-		left := f.backoffUntil[m.ID].Sub(now)
+		left := f.retryAt[m.ID].Sub(now)
 		if left <= 0 {
 			return m, 0
 		}
@@ -129,7 +129,7 @@
 
 // preference ranks peers, lowest first: peers that others named, as nobody else may be
 // fetching from them yet, then peers in this node's failure domain.
-func (f *configFetcher) preference(m gossip.Member) int {
+func (f *configFetch) preference(m gossip.Member) int {
 	switch {
 	case slices.Contains(f.suggestedPeers, m.ID):
 		return 0
@@ -141,7 +141,7 @@
 }
 
 // fetchFrom fetches a peer's newer configuration piece by piece.
-func (f *configFetcher) fetchFrom(ctx context.Context, peer gossip.Member) {
+func (f *configFetch) fetchFrom(ctx context.Context, peer gossip.Member) {
 	n := f.node
 	began := time.Now()
 	for ctx.Err() == nil {
@@ -174,7 +174,7 @@
 }
 
 // finish tells the sender that the transfer is complete, and applies the version.
-func (f *configFetcher) finish(peer gossip.Member, version int64, began time.Time) {
+func (f *configFetch) finish(peer gossip.Member, version int64, began time.Time) {
 	n := f.node
 	if _, err := n.transferClient.Piece(peer.Peer, f.receiver.Ask()); err != nil {
 		f.backOff(peer, failedBackoff) // the sender's record of this transfer expires by itself
@@ -189,12 +189,10 @@
 }
 
 // backOff leaves a peer alone for a time.
-func (f *configFetcher) backOff(peer gossip.Member, d time.Duration) {
-	f.backoffUntil[peer.ID] = time.Now().Add(d)
-}
+func (f *configFetch) backOff(m gossip.Member, d time.Duration) { f.retryAt[m.ID] = time.Now().Add(d) }
 
 // abort logs a transfer that failed and leaves its peer alone for a while.
-func (f *configFetcher) abort(peer gossip.Member, began time.Time, err error) {
+func (f *configFetch) abort(peer gossip.Member, began time.Time, err error) {
 	f.backOff(peer, failedBackoff)
 	event.TableCut.Log(f.node.log, slog.String("peer", peer.ID), slog.Int64("version", f.node.configVersion()),
 		slog.Int64("heard", f.node.newestPeerVersion.Load()), slog.Int("received", f.receiver.Received()),
@@ -202,7 +200,7 @@
 }
 
 // countPiece counts a call for a piece by its result.
-func (f *configFetcher) countPiece(p transfer.Piece, err error) {
+func (f *configFetch) countPiece(p transfer.Piece, err error) {
 	result := "ok"
 	switch {
 	case err != nil:
