--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -94,7 +94,7 @@
 // modelWeight returns the requested model's work per token as a fraction of the most
 // expensive model's. Costs stand for the work.
 func (j *job) modelWeight() float64 {
-	s := j.table.Service(j.service)
+	s := j.config.Service(j.service)
 	if s == nil || s.Engine == nil {
 		return 1
 	}
@@ -182,7 +182,7 @@
 func (n *Node) blocked(print uint64) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.guard.Blocked(print)
+	return n.crashGuard.Blocked(print)
 }
 
 // countRequest adds a request to its service's retry budget.
@@ -217,8 +217,8 @@
 	}
 	now := time.Now()
 	n.mu.Lock()
-	fresh := n.guard.Add(crashguard.Strike{Fingerprint: j.fingerprint, Upstream: a.up.Start()}, now)
-	strikes := n.guard.Strikes(j.fingerprint)
+	fresh := n.crashGuard.Add(crashguard.Strike{Fingerprint: j.fingerprint, Upstream: a.up.Start()}, now)
+	strikes := n.crashGuard.Strikes(j.fingerprint)
 	n.mu.Unlock()
 	n.pool.Forget(a.addr)
 	if fresh {
--- a/internal/gateway/call_meter.go
+++ b/internal/gateway/call_meter.go
@@ -18,7 +18,8 @@
 const (
 	// CauseStart marks readings by a node that has no state yet.
 	CauseStart CallCause = "start"
-	// CauseReader marks readings by the reader of a circle.
+	// CauseReader marks readings by the reader of a circle, the node that reads the table
+	// for the leaders of several groups.
 	CauseReader CallCause = "reader"
 	// CauseMember marks readings by a node that receives nothing from its reader.
 	CauseMember CallCause = "member"
@@ -55,7 +56,7 @@
 // RoundTrip sends the request through the next transport and counts the call by its result.
 func (m *CallMeter) RoundTrip(r *http.Request) (*http.Response, error) {
 	cause, _ := r.Context().Value(causeKey{}).(CallCause)
-	began := time.Now()
+	start := time.Now()
 	resp, err := m.next.RoundTrip(r)
 	status, result := 0, "unanswered"
 	if err == nil {
@@ -66,6 +67,6 @@
 	}
 	m.metrics.Counter("hickorybank_table_calls_total", "cause", string(cause), "result", result).Inc()
 	event.SourceCalled.Log(m.log, slog.String("cause", string(cause)), slog.String("path", r.URL.Path), slog.String("query", r.URL.RawQuery),
-		slog.Int("status", status), slog.Duration("after", time.Since(began)))
+		slog.Int("status", status), slog.Duration("after", time.Since(start)))
 	return resp, err
 }
--- a/internal/gateway/event_reader_test.go
+++ b/internal/gateway/event_reader_test.go
@@ -46,7 +46,7 @@
 		for way, r := range map[string]io.Reader{"at once": strings.NewReader(test.in), "byte by byte": iotest.OneByteReader(strings.NewReader(test.in))} {
 			text, id, count, err := readAll(r)
 			if text != test.text || id != test.id || count != test.count || !errors.Is(err, test.err) {
-				t.Errorf("%s, %s: %q %q %d %v", test.name, way, text, id, count, err)
+				t.Errorf("%s, %s: got text %q, id %q, count %d, err %v", test.name, way, text, id, count, err)
 			}
 		}
 	}
@@ -83,10 +83,10 @@
 			}
 		}
 		if !bytes.Equal(append(out, s.pending...), in) {
-			t.Fatalf("%q and %q of %q", out, s.pending, in)
+			t.Fatalf("events %q and pending %q do not make up the input %q", out, s.pending, in)
 		}
 		if end, _ := completeEvents(s.pending); end > 0 && len(in) < maxEventBytes {
-			t.Fatalf("%q was left", s.pending)
+			t.Fatalf("pending bytes %q hold a complete event", s.pending)
 		}
 	})
 }
--- a/internal/gateway/follow_config.go
+++ b/internal/gateway/follow_config.go
@@ -48,8 +48,8 @@
 	if version <= n.configVersion() {
 		return
 	}
-	for heard := n.newestPeerVersion.Load(); version > heard; heard = n.newestPeerVersion.Load() {
-		if n.newestPeerVersion.CompareAndSwap(heard, version) {
+	for known := n.newestPeerVersion.Load(); version > known; known = n.newestPeerVersion.Load() {
+		if n.newestPeerVersion.CompareAndSwap(known, version) {
 			break
 		}
 	}
--- a/internal/gateway/follow_config_test.go
+++ b/internal/gateway/follow_config_test.go
@@ -74,7 +74,7 @@
 type rejectingSource struct{ Source }
 
 func (rejectingSource) Decode([]byte, *route.Table) (*route.Table, error) {
-	return nil, errors.New("a kind that is not known here")
+	return nil, errors.New("unknown kind of route")
 }
 
 // Guards against repeated transfers of a configuration that an older release can't read,
--- a/internal/gateway/follow_rollouts.go
+++ b/internal/gateway/follow_rollouts.go
@@ -48,9 +48,9 @@
 		n.requestPush()
 	}
 	now := time.Now()
-	again, tried := retryAt[d.Order.Service]
+	retry, tried := retryAt[d.Order.Service]
 	turn := n.verdictTurn(d.Order)
-	if now.Before(again) || tried && n.tableUnavailable() || !d.Made && now.Before(turn) {
+	if now.Before(retry) || tried && n.tableUnavailable() || !d.Made && now.Before(turn) {
 		return
 	}
 	if !n.recordVerdict(ctx, d.Order, d.Verdict) {
--- a/internal/gateway/follow_rollouts_test.go
+++ b/internal/gateway/follow_rollouts_test.go
@@ -65,7 +65,7 @@
 	is.Equal(<-source.recorded, canary.Completed)
 	select {
 	case <-called:
-		t.Fatal("a peer was told before the verdict was recorded")
+		t.Fatal("a peer was notified before the verdict was recorded")
 	default:
 	}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -89,7 +89,7 @@
 func (s *unavailableSource) Record(_ context.Context, _ canary.Order, v canary.Verdict) (canary.Verdict, error) {
 	s.tries++
 	if !s.available {
-		return canary.Open, errors.New("the table is away")
+		return canary.Open, errors.New("table unavailable")
 	}
 	return v, nil
 }
--- a/internal/gateway/follow_table.go
+++ b/internal/gateway/follow_table.go
@@ -145,7 +145,7 @@
 	defer n.mu.Unlock()
 	p := readingPlan{
 		interval:  n.listInterval(),
-		startedAt: n.startedAt, peerAsked: n.peerAsked, informedAt: n.informedAt, founding: n.founding(),
+		startedAt: n.startedAt, peerAsked: n.peerAsked, informedAt: n.informedAt, bootstrapping: n.bootstrapping(),
 		listAsOf: n.view.listAsOf, ordersAsOf: n.view.ordersAsOf, ordersPendingAt: n.view.ordersPendingAt,
 		readAt: n.lastReadAt, failures: failures, empty: !n.view.ordersAsOf.IsZero() && n.view.ordersRevision == 0,
 		outage:     n.view.outageAt.After(n.view.listAsOf),
@@ -157,7 +157,7 @@
 
 // readTurn returns this node's place in its group, or a leader's in its circle, as an index
 // and as a fraction from 0 to 1; the caller holds mu.
-func (n *Node) readTurn() (place int, part float64) {
+func (n *Node) readTurn() (place int, fraction float64) {
 	group := n.roster.Group()
 	if n.leadsGroup() {
 		group = n.roster.Circle()
@@ -166,9 +166,9 @@
 	return place, float64(place) / float64(max(len(group), 1))
 }
 
-// founding reports whether the deployment starts for the first time and this node is not
-// one of its seeds.
-func (n *Node) founding() bool {
+// bootstrapping reports whether the whole deployment starts for the first time and this
+// node is not one of its seeds.
+func (n *Node) bootstrapping() bool {
 	return n.settings.Founding && len(n.settings.Seeds) > 0 && !slices.Contains(n.settings.Seeds, n.settings.Peer)
 }
 
@@ -241,12 +241,12 @@
 	group, circle := n.roster.Group(), n.roster.Circle()
 	leads, reads := n.leadsGroup(), n.readsTable()
 	n.mu.Unlock()
-	standsIn := cause == CauseMember || cause == CauseRetry
+	substitutes := cause == CauseMember || cause == CauseRetry
 	var pushes conc.WaitGroup
-	if reads || leads && standsIn {
+	if reads || leads && substitutes {
 		pushes.Go(func() { n.exchangeWith(ctx, n.withoutSelf(circle), n.pushMessage) })
 	}
-	if leads || standsIn {
+	if leads || substitutes {
 		pushes.Go(func() { n.exchangeWith(ctx, n.withoutSelf(group), n.pushMessage) })
 	}
 	pushes.Wait()
@@ -267,9 +267,9 @@
 	return slices.DeleteFunc(slices.Clone(members), func(m gossip.Member) bool { return m.ID == n.settings.ID })
 }
 
-// pushToLeaders pushes the group's state to the leaders of other groups. During a rollout it
-// calls all of them, as they need the group's counts. Otherwise it calls only some: each receives
-// the state anyway, and the push only speeds that up.
+// pushToLeaders pushes the group's state to the leaders of other groups. During a rollout
+// it calls all of them, as they need the group's counts. Otherwise it calls only some: each
+// receives the state anyway, and the push only speeds that up.
 func (n *Node) pushToLeaders(ctx context.Context) {
 	n.mu.Lock()
 	groups := n.roster.Groups()
--- a/internal/gateway/follow_table_test.go
+++ b/internal/gateway/follow_table_test.go
@@ -55,7 +55,7 @@
 	is := is.New(t)
 	const outage = 10 * time.Second
 	reader, member, fresh := countTableCalls(newGroupNode(true), true, outage), countTableCalls(newGroupNode(false), true, outage), countTableCalls(newGroupNode(false), false, outage)
-	t.Logf("calls in %v: reader %d, member %d, member that knows nothing %d", outage, reader, member, fresh)
+	t.Logf("calls in %v: reader %d, member %d, member without state %d", outage, reader, member, fresh)
 	is.True(3*member <= reader)
 	is.True(member >= 3) // members do not rely on the reader alone
 	is.True(fresh >= reader)
--- a/internal/gateway/job.go
+++ b/internal/gateway/job.go
@@ -19,10 +19,10 @@
 	w       http.ResponseWriter
 	r       *http.Request
 	ctx     context.Context
-	table   *configuration
+	config  *configuration
 	route   *route.Route
 	service string
-	org     string
+	orgName string
 	// organisation is the request's organisation; nil if the request needs none.
 	organisation *route.Organisation
 	headers      Ask
@@ -154,5 +154,5 @@
 	}
 	j.affinityHash = xxhash.Sum64String(key)
 	j.service = pickService(j.route, j.affinityHash)
-	j.fingerprint = crashguard.Fingerprint(j.org, path, j.body)
+	j.fingerprint = crashguard.Fingerprint(j.orgName, path, j.body)
 }
--- a/internal/gateway/join.go
+++ b/internal/gateway/join.go
@@ -14,7 +14,7 @@
 	// table.
 	aloneAfter = time.Second
 	// leaderSettleTime is how long a node leads its group before it is recorded in the
-	// table. Right after a start each node takes itself for a leader, as it does not know
+	// table. Right after a start each node considers itself a leader, as it does not know
 	// all others yet.
 	leaderSettleTime = 3 * time.Second
 )
@@ -26,7 +26,7 @@
 // It compares rosters only once. While hundreds of nodes start, each comparison would find
 // new members, and transfer all that this node knows.
 func (n *Node) contactSeeds(ctx context.Context) {
-	tries := maxExchangeCalls
+	calls := maxExchangeCalls
 	for ctx.Err() == nil && time.Since(n.startedAt) < aloneAfter && !n.learnedFromSeeds() {
 		n.mu.Lock()
 		seed, ok := n.seed()
@@ -34,9 +34,9 @@
 		if !ok {
 			return
 		}
-		n.exchangeUpTo(ctx, tries, seed, n.newMessage)
+		n.exchangeUpTo(ctx, calls, seed, n.newMessage)
 		if n.receivedAny() {
-			tries = 1
+			calls = 1
 		}
 		n.notePeerAsked()
 		if n.learnedFromSeeds() || !pause(ctx, seedCallInterval) {
@@ -49,7 +49,7 @@
 func (n *Node) learnedFromSeeds() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return !n.informedAt.IsZero() || len(n.peerStates) > 0 && !n.founding()
+	return !n.informedAt.IsZero() || len(n.peerStates) > 0 && !n.bootstrapping()
 }
 
 // receivedAny reports whether this node has received a message from any peer.
--- a/internal/gateway/log.go
+++ b/internal/gateway/log.go
@@ -15,11 +15,11 @@
 	if j.route != nil {
 		all = append(all, slog.String("route", j.route.Name))
 	}
-	if j.org != "" {
-		all = append(all, slog.String("organisation", j.org))
+	if j.orgName != "" {
+		all = append(all, slog.String("organisation", j.orgName))
 	}
-	if j.table != nil {
-		all = append(all, slog.Int64("config", j.table.Version))
+	if j.config != nil {
+		all = append(all, slog.Int64("config", j.config.Version))
 	}
 	all = append(all,
 		slog.Int64("after_ms", time.Since(j.start).Milliseconds()),
@@ -35,7 +35,7 @@
 	if j.route != nil {
 		kind = j.route.Kind.String()
 	}
-	org := j.org
+	org := j.orgName
 	if org == "" {
 		org = "none"
 	}
--- a/internal/gateway/messages.go
+++ b/internal/gateway/messages.go
@@ -54,23 +54,23 @@
 		RosterHash:  n.roster.Hash(),
 		Pins:        n.canary.Pins(now),
 		Evacuations: n.evacuations.All(),
-		Strikes:     n.guard.Known(now),
+		Strikes:     n.crashGuard.Known(now),
 		Proof:       gossip.Proof{Age: noProof, OrdersAge: noProof, FleetHash: n.fleet.Hash()},
 	}
-	if proven := n.view.listAsOf; !proven.IsZero() {
-		m.Proof.Age = now.Sub(proven)
+	if asOf := n.view.listAsOf; !asOf.IsZero() {
+		m.Proof.Age = now.Sub(asOf)
 		m.Proof.Steady = now.Sub(n.view.gaplessSince)
 		m.Proof.ListClock = n.view.listClock
 		m.Proof.FleetRevision = n.view.listRevision
 	}
-	if away := n.view.outageAt; away.After(n.view.listAsOf) {
-		m.Proof.Away = now.Sub(away)
+	if outageAt := n.view.outageAt; outageAt.After(n.view.listAsOf) {
+		m.Proof.Away = now.Sub(outageAt)
 	}
-	if proven := n.view.ordersAsOf; !proven.IsZero() {
-		m.Proof.OrdersAge = now.Sub(proven)
+	if asOf := n.view.ordersAsOf; !asOf.IsZero() {
+		m.Proof.OrdersAge = now.Sub(asOf)
 		m.Proof.OrdersRevision = n.view.ordersRevision
 		m.Proof.OrdersClock = n.view.ordersClock
-		m.Proof.OrdersPending = (n.leadsGroup() || n.view.transferring) && n.view.ordersPendingAt.After(proven)
+		m.Proof.OrdersPending = (n.leadsGroup() || n.view.transferring) && n.view.ordersPendingAt.After(asOf)
 	}
 	_, known := n.peerStates[to]
 	m.Notices = n.fleet.Notices(now, !known)
@@ -147,7 +147,7 @@
 		}
 	}
 	for _, s := range in.Strikes {
-		n.guard.Add(s, now)
+		n.crashGuard.Add(s, now)
 	}
 	n.mergeOutage(in, now)
 	n.mergeListProof(in, now)
@@ -189,8 +189,8 @@
 	if in.Proof.Age < 0 || in.Proof.FleetRevision == 0 {
 		return
 	}
-	steadySince := now.Add(-in.Proof.Steady)
-	if steadySince.Before(n.view.gapStart) {
+	peerGaplessSince := now.Add(-in.Proof.Steady)
+	if peerGaplessSince.Before(n.view.gapStart) {
 		n.dropRetained()
 	}
 	at := now.Add(-in.Proof.Age)
@@ -199,7 +199,7 @@
 	}
 	wasEmpty := n.view.listRevision == 0
 	if in.Proof.FleetRevision >= n.view.listRevision {
-		n.mergeFleet(in, at, n.missedReadings(at) && !steadySince.Before(n.view.listAsOf))
+		n.mergeFleet(in, at, n.missedReadings(at) && !peerGaplessSince.Before(n.view.listAsOf))
 	}
 	if n.fleet.Hash() != in.Proof.FleetHash {
 		return
@@ -210,7 +210,7 @@
 	first := n.view.listAsOf.IsZero()
 	n.advanceList(at, in.Proof.ListClock)
 	if first {
-		n.view.gaplessSince = earlier(n.view.gaplessSince, steadySince)
+		n.view.gaplessSince = earlier(n.view.gaplessSince, peerGaplessSince)
 	}
 	n.noteRemoteReading(in.From)
 	n.view.listRevision = max(n.view.listRevision, in.Proof.FleetRevision)
--- a/internal/gateway/node.go
+++ b/internal/gateway/node.go
@@ -43,7 +43,7 @@
 	newerConfig chan struct{}
 	// applying is a semaphore of one place for reading and activating a configuration.
 	applying        chan struct{}
-	policy          *cascade.Policy
+	cascadePolicy   *cascade.Policy
 	droppedLogLines func() int64
 	incarnation     int64
 
@@ -60,7 +60,7 @@
 	mu          sync.Mutex
 	fleet       *fleet.Fleet
 	canary      *canary.Canary
-	guard       *crashguard.Guard
+	crashGuard  *crashguard.Guard
 	roster      *gossip.Roster
 	flights     *gossip.FlightSums
 	evacuations *evacuation.Orders
@@ -185,12 +185,12 @@
 		configSender:   transfer.NewSender(s.Link),
 		newerConfig:    make(chan struct{}, 1),
 		applying:       make(chan struct{}, 1),
-		policy:         cascade.New(cascade.Settings{Accept: s.Accept, AcceptBusy: s.AcceptBusy}),
+		cascadePolicy:  cascade.New(cascade.Settings{Accept: s.Accept, AcceptBusy: s.AcceptBusy}),
 		incarnation:    began.UnixNano(), startedAt: began,
 		stopped:         make(chan struct{}),
 		fleet:           fleet.New(fleet.Settings{Domain: s.Domain, Regions: s.Regions, Origin: originOf(s.ID, began.UnixNano())}),
 		canary:          canary.New(canary.Settings{ShareBound: s.ExposeShare, Slack: s.ExposeSlack, Session: s.Session, Lag: orderLag}, s.ID, began.UnixNano()),
-		guard:           crashguard.New(),
+		crashGuard:      crashguard.New(),
 		roster:          gossip.NewRoster(gossip.Member{ID: s.ID, Born: began.UnixNano(), Front: s.Front, Peer: s.Peer, Domain: s.Domain, Region: s.Region, Link: s.Link}),
 		flights:         gossip.NewFlightSums(),
 		evacuations:     evacuation.New(),
--- a/internal/gateway/orders.go
+++ b/internal/gateway/orders.go
@@ -30,8 +30,8 @@
 		n.endMissingEvacuations(c)
 	}
 	for _, o := range c.Rollouts {
-		if proven := n.view.ordersAsOf; !waited && !proven.IsZero() {
-			o.Late = min(time.Since(proven), maxOrderDelay)
+		if asOf := n.view.ordersAsOf; !waited && !asOf.IsZero() {
+			o.Late = min(time.Since(asOf), maxOrderDelay)
 		}
 		n.applyRollout(o, 0, fromTable)
 	}
--- a/internal/gateway/reading_plan.go
+++ b/internal/gateway/reading_plan.go
@@ -23,10 +23,12 @@
 	outageTurnDelay = 0.08
 	outageTurns     = 6
 	maxOutageDelay  = 6
-	// firstRetryDelay is the pause after the first failed call of the table.
+	// firstRetryDelay is the pause after the first failed call of the table, and between a
+	// reader's readings of an empty table.
 	firstRetryDelay = 250 * time.Millisecond
-	// maxReaderRetryDelay bounds that pause for readers and for nodes without state. A node
-	// must see the table's return early enough to meet all bounds on changes.
+	// maxReaderRetryDelay bounds the pause after failed calls for readers and for nodes
+	// without state. A node must see the table's return early enough to meet all bounds on
+	// changes.
 	maxReaderRetryDelay = 400 * time.Millisecond
 	// memberRetryReads is the pause between failed readings of a node that is not a reader,
 	// in read intervals. Nodes that can read inform it meanwhile.
@@ -35,31 +37,31 @@
 	// informedWait is how long it then waits for that peer's state.
 	peerWait     = 100 * time.Millisecond
 	informedWait = 800 * time.Millisecond
-	// foundingWait is how long the nodes of a deployment that starts for the first time
+	// bootstrapWait is how long the nodes of a deployment that starts for the first time
 	// leave the table to their seeds. There are no callers yet.
-	foundingWait = 2 * time.Second
+	bootstrapWait = 2 * time.Second
 )
 
 // readingPlan holds the inputs that decide when a node next reads the table.
 //
 // It covers three situations:
 //
-//   - Normal operation: one node reads for the leaders of its circle's groups, and each leader
-//     informs its group.
-//   - A reader is lost, cut off or refused by the table: its members miss its messages at the same
-//     moment. They take turns, and the first that can read informs the others. A third of the
-//     nodes refused thus costs a few calls and not the readings of all nodes.
-//   - The table is unavailable to all: readers keep checking for its return and report the outage.
-//     A few other nodes try in turns with growing delays.
+//   - Normal operation: one node reads for the leaders of its circle's groups, and each
+//     leader informs its group.
+//   - A reader is lost, cut off or refused by the table: its members miss its messages at
+//     the same moment. They take turns, and the first that can read informs the others. A
+//     third of the nodes refused thus costs a few calls and not the readings of all nodes.
+//   - The table is unavailable to all: readers keep checking for its return and report the
+//     outage. A few other nodes try in turns with growing delays.
 type readingPlan struct {
 	// interval is the pause between a reader's readings.
 	interval time.Duration
 	// startedAt is when the node started; informedAt is when a peer that knows what the
 	// table holds first answered. peerAsked is set once a peer has answered or could not be
-	// reached. founding is set while a deployment starts for the first time and this node
-	// is none of its seeds.
-	startedAt, informedAt time.Time
-	peerAsked, founding   bool
+	// reached. bootstrapping is set while the whole deployment starts for the first time
+	// and this node is none of its seeds.
+	startedAt, informedAt    time.Time
+	peerAsked, bootstrapping bool
 	// listAsOf and ordersAsOf are the times as of which the node knows the list and
 	// operator orders. ordersPendingAt is when orders were last known to be in transfer.
 	listAsOf, ordersAsOf, ordersPendingAt time.Time
@@ -106,8 +108,8 @@
 	switch {
 	case !p.informedAt.IsZero():
 		return p.informedAt.Add(informedWait)
-	case p.founding:
-		return p.startedAt.Add(foundingWait)
+	case p.bootstrapping:
+		return p.startedAt.Add(bootstrapWait)
 	case p.peerAsked:
 		return p.startedAt
 	default:
--- a/internal/gateway/record_change_test.go
+++ b/internal/gateway/record_change_test.go
@@ -53,7 +53,7 @@
 		j := &job{
 			node: n, w: httptest.NewRecorder(), r: r, ctx: context.Background(), service: "s",
 			route: &route.Route{MaxAttempts: 1}, deadline: time.Now().Add(time.Minute), start: time.Now(),
-			table: &configuration{Table: &route.Table{}},
+			config: &configuration{Table: &route.Table{}},
 		}
 		if a, _ := n.newAttempt(j); a != nil {
 			j.runAttempt(a)
--- a/internal/gateway/refusal.go
+++ b/internal/gateway/refusal.go
@@ -46,7 +46,8 @@
 	}
 }
 
-// crashingRetryAfter is long, as the verdict on such a request does not change soon.
+// crashingRetryAfter is long, as a request that crashed upstreams stays blocked for a
+// while.
 const crashingRetryAfter = 30 * time.Second
 
 // promisesNotRun reports whether a status states that the request has not run.
--- a/internal/gateway/retained_upstreams_test.go
+++ b/internal/gateway/retained_upstreams_test.go
@@ -17,24 +17,24 @@
 	peer *fleet.Fleet
 }
 
-func newListNode(at time.Time) *listTestNode {
+func newListNode(knownAt time.Time) *listTestNode {
 	n := &listTestNode{Node: newGroupNode(false), peer: fleet.New(fleet.Settings{})}
 	for _, id := range []string{"u1", "u2"} {
 		r := fleet.Record{ID: id, Service: "s", Addr: "10.0.0.1:1", Version: "v1", Slots: 1}
-		n.fleet.Put(r, at)
-		n.peer.Put(r, at)
+		n.fleet.Put(r, knownAt)
+		n.peer.Put(r, knownAt)
 	}
-	n.view.listAsOf, n.view.gaplessSince, n.view.listRevision = at, at, 10
+	n.view.listAsOf, n.view.gaplessSince, n.view.listRevision = knownAt, knownAt, 10
 	return n
 }
 
 // receiveReading delivers a peer's reading of the table that began at the time at; the peer
 // has read the table without a gap for steady.
-func (n *listTestNode) receiveReading(now, at time.Time, steady time.Duration, revision uint64) {
+func (n *listTestNode) receiveReading(now, at time.Time, gapless time.Duration, revision uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	in := gossip.Message{From: "n1", Fleet: n.peer.Records(time.Now()), Proof: gossip.Proof{
-		Age: now.Sub(at), Steady: steady, FleetRevision: revision, FleetHash: n.peer.Hash(),
+		Age: now.Sub(at), Steady: gapless, FleetRevision: revision, FleetHash: n.peer.Hash(),
 		ListClock: at.Sub(n.startedAt),
 	}}
 	n.mergeListProof(in, now)
--- a/internal/gateway/retry_after_test.go
+++ b/internal/gateway/retry_after_test.go
@@ -25,7 +25,7 @@
 	is.True(latestUrgent < earliestLeast)
 	for tenth, count := range perTenth {
 		if count > 201 {
-			t.Errorf("%d callers return within the same tenth of a second (%d)", count, tenth)
+			t.Errorf("%d callers return within the same tenth of a second (number %d)", count, tenth)
 		}
 	}
 	is.True(retryAfterOf(usual, 100, 1) <= 3*usual)
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -24,7 +24,7 @@
 	}
 	j.node.countRequest(j.service)
 	if len(j.route.Models) > 0 && j.headers.AnyModel {
-		j.model = j.node.policy.First(j.initialCascadeState())
+		j.model = j.node.cascadePolicy.First(j.initialCascadeState())
 	}
 	for {
 		a := j.nextAttempt()
@@ -189,7 +189,7 @@
 func (j *job) upstreamRequest(a *attempt) *exchange.Request {
 	_, target := rawTarget(j.r)
 	order := Order{
-		Instance: a.id, Organisation: j.org, Left: time.Until(j.deadline),
+		Instance: a.id, Organisation: j.orgName, Left: time.Until(j.deadline),
 		Model: j.model, LastEvent: j.lastEvent, Rank: a.rank,
 	}
 	if j.route.Kind != route.Stream {
--- a/internal/gateway/serve_request.go
+++ b/internal/gateway/serve_request.go
@@ -56,14 +56,14 @@
 func (j *job) admit() *refusal {
 	n := j.node
 	// The headers are read first, so that the logs of refusals carry the caller's ID.
-	ask, headerErr := n.dialect.Read(j.r.Header)
-	j.headers = ask
-	j.table = n.config.Load()
-	if j.table == nil || !n.knowsUpstreams() {
+	headers, headerErr := n.dialect.Read(j.r.Header)
+	j.headers = headers
+	j.config = n.config.Load()
+	if j.config == nil || !n.knowsUpstreams() {
 		return notReady
 	}
 	path, _ := rawTarget(j.r)
-	j.route = j.table.Match(j.r.Host, path)
+	j.route = j.config.Match(j.r.Host, path)
 	if j.route == nil {
 		return unknownRoute
 	}
@@ -77,11 +77,11 @@
 	if limit <= 0 {
 		limit = defaultTimeout
 	}
-	if ask.Time > 0 {
-		limit = min(limit, ask.Time)
+	if headers.Time > 0 {
+		limit = min(limit, headers.Time)
 	}
 	j.deadline = j.start.Add(limit)
-	j.lastEvent = ask.LastEvent
+	j.lastEvent = headers.LastEvent
 	return nil
 }
 
@@ -95,17 +95,17 @@
 // authorise sets the request's organisation and priority; it refuses an unknown key.
 func (j *job) authorise() *refusal {
 	j.priority = j.route.Priority
-	if !j.table.Keyed {
+	if !j.config.Keyed {
 		return nil
 	}
-	org := j.table.Holder(j.headers.Key)
+	org := j.config.Holder(j.headers.Key)
 	if org == nil {
 		if j.route.Public {
 			return nil
 		}
 		return unknownKey
 	}
-	j.org, j.organisation = org.Name, org
+	j.orgName, j.organisation = org.Name, org
 	if org.HasPriority {
 		j.priority = org.Priority
 	}
@@ -147,10 +147,10 @@
 
 // maxBodyBytes returns the size of the largest body that is read, in bytes.
 func (j *job) maxBodyBytes() int64 {
-	if j.table == nil || j.table.Limits.BodyBytes <= 0 {
+	if j.config == nil || j.config.Limits.BodyBytes <= 0 {
 		return defaultBodyBytes
 	}
-	return j.table.Limits.BodyBytes
+	return j.config.Limits.BodyBytes
 }
 
 // defaultBodyBytes bounds a body if the configuration does not.
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -25,7 +25,7 @@
 // rollout.
 //
 // It guards against a slow version, whose streams take many times as long. Reported only at
-// their end, the streams would convict the version after all sessions had moved to it.
+// their end, they would show the fault after all sessions had moved to the version.
 const paceEvents = 6
 
 // streamEnd is how the reading of a stream ended.
@@ -97,13 +97,13 @@
 		return ""
 	}
 	state := j.cascadeState(a)
-	next := j.node.policy.Next(state, j.model, reply.Confidence)
+	next := j.node.cascadePolicy.Next(state, j.model, reply.Confidence)
 	if next == "" {
 		return ""
 	}
 	attrs := []slog.Attr{
 		slog.String("upstream", a.id), slog.String("model", j.model), slog.String("next", next),
-		slog.Int("confidence", reply.Confidence), slog.Int("asked", j.node.policy.Accept(state)),
+		slog.Int("confidence", reply.Confidence), slog.Int("asked", j.node.cascadePolicy.Accept(state)),
 		slog.Int("slots_in_use_percent", int(100*state.Load)),
 		slog.Int64("largest_ms", state.Largest.Milliseconds()), slog.Int64("left_ms", state.Left.Milliseconds()),
 	}
--- a/internal/gateway/table_reader.go
+++ b/internal/gateway/table_reader.go
@@ -47,11 +47,11 @@
 	}
 	// The first list waits for the first orders. Otherwise a version without a known order
 	// would count as one that may serve.
-	ok, came := r.awaitOrders(first)
+	ok, finished := r.awaitOrders(first)
 	switch {
-	case came && !ok:
+	case finished && !ok:
 		return false
-	case came && n.listIsFresh():
+	case finished && n.listIsFresh():
 		return true
 	}
 	return n.readUpstreams(ctx)
@@ -78,14 +78,14 @@
 // awaitOrders waits for the reading of operator orders, but no longer than until the list
 // is due unless required is set. came reports whether the reading ended, ok whether it
 // succeeded.
-func (r *tableReader) awaitOrders(required bool) (ok, came bool) {
+func (r *tableReader) awaitOrders(required bool) (ok, finished bool) {
 	n := r.node
 	n.mu.Lock()
 	due := later(time.Now(), n.view.listAsOf.Add(n.readerInterval())).Add(pendingAfter)
 	n.mu.Unlock()
-	over := time.NewTimer(time.Until(due))
-	defer over.Stop()
-	expired := over.C
+	timer := time.NewTimer(time.Until(due))
+	defer timer.Stop()
+	expired := timer.C
 	if required {
 		expired = nil
 	}
