--- a/internal/gateway/retained_upstreams_test.go
+++ b/internal/gateway/kept_upstreams_test.go
@@ -29,7 +29,7 @@
 }
 
 // receiveReading delivers a peer's reading of the table that began at the time at; the peer
-// has read the table without a gap for steady.
+// has read the table without a gap for the time gapless.
 func (n *listTestNode) receiveReading(now, at time.Time, gapless time.Duration, revision uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
