--- a/internal/gateway/dialect.go
+++ b/internal/gateway/dialect.go
@@ -38,7 +38,7 @@
 	Parts []Part
 }
 
-// Order holds the values of the headers that the gateway sets on a request to an upstream.
+// Order holds the values of headers that the gateway sets on upstream requests.
 type Order struct {
 	// Instance is the ID of the only upstream that may run the request.
 	Instance string
@@ -77,7 +77,7 @@
 	Read(h http.Header) (Ask, error)
 	// Forward returns the header fields to send to an upstream: the caller's, less those
 	// that only the gateway may set, and the gateway's own.
-	Forward(h http.Header, ask *Ask, o *Order) []exchange.Field
+	Forward(h http.Header, caller *Ask, forward *Order) []exchange.Field
 	// Reply decodes the headers of an upstream's answer.
 	Reply(status int, h http.Header) Reply
 	// IDField is the name of the header that carries a request's ID in both directions.
--- a/internal/gateway/node.go
+++ b/internal/gateway/node.go
@@ -162,7 +162,7 @@
 	// Network is where the node listens and reaches its peers; nil for the operating
 	// system's. Upstreams are always reached over the operating system's network.
 	Network network.Network
-	// Dropped returns how many log lines have been dropped so far; nil if none ever are.
+	// Dropped returns how many log lines have been dropped; nil if none ever are.
 	Dropped func() int64
 }
 
--- a/internal/gateway/record_change_test.go
+++ b/internal/gateway/record_change_test.go
@@ -18,20 +18,20 @@
 	"github.com/hickorybank/hickorybank/internal/telemetry"
 )
 
-// plainDialect has no headers of its own.
-type plainDialect struct{}
+// nopDialect reads and writes no headers.
+type nopDialect struct{}
 
-func (plainDialect) Read(http.Header) (Ask, error)                      { return Ask{}, nil }
-func (plainDialect) Forward(http.Header, *Ask, *Order) []exchange.Field { return nil }
-func (plainDialect) Reply(int, http.Header) Reply                       { return Reply{} }
-func (plainDialect) IDField() string                                    { return "" }
+func (nopDialect) Read(http.Header) (Ask, error)                      { return Ask{}, nil }
+func (nopDialect) Forward(http.Header, *Ask, *Order) []exchange.Field { return nil }
+func (nopDialect) Reply(int, http.Header) Reply                       { return Reply{} }
+func (nopDialect) IDField() string                                    { return "" }
 
 // Guards against an attempt that reads its upstream's ID and address while a newer record
 // of the upstream is applied. The race detector shows it.
 func TestRecordChangesDuringAnAttempt(t *testing.T) {
 	const attempts = 300
 	n := New(Settings{ID: "n", Drain: time.Second, Apply: time.Second}, Deps{
-		Dialect: plainDialect{}, Log: slog.New(slog.DiscardHandler), Metrics: telemetry.New(telemetry.Bounds{}),
+		Dialect: nopDialect{}, Log: slog.New(slog.DiscardHandler), Metrics: telemetry.New(telemetry.Bounds{}),
 	})
 	n.allowedVersions[versionKey("s", "v1")] = true
 	put := func(id string, slots int) {
--- a/internal/gateway/source.go
+++ b/internal/gateway/source.go
@@ -32,8 +32,8 @@
 	Unreadable []Unreadable
 }
 
-// Unreadable is a row of the table that can't be read; another program may have written it.
-// Its key in a list of upstreams is the upstream's ID.
+// Unreadable is a row of the table that can't be read; another program may have
+// written it. Its key in a list of upstreams is the upstream's ID.
 type Unreadable struct {
 	Key string
 	Err error
