--- a/internal/gateway/dialect.go
+++ b/internal/gateway/dialect.go
@@ -14,8 +14,8 @@
 	Tokens int
 }
 
-// Ask holds the values of a caller's request headers.
-type Ask struct {
+// CallerHeaders holds the values of a caller's request headers.
+type CallerHeaders struct {
 	// ID identifies the caller's attempt.
 	ID string
 	// Key is the organisation's key.
@@ -74,10 +74,10 @@
 // Dialect reads and writes the headers of callers and upstreams.
 type Dialect interface {
 	// Read decodes a caller's headers. The text of its error is sent to the caller.
-	Read(h http.Header) (Ask, error)
+	Read(h http.Header) (CallerHeaders, error)
 	// Forward returns the header fields to send to an upstream: the caller's, less those
 	// that only the gateway may set, and the gateway's own.
-	Forward(h http.Header, caller *Ask, forward *Order) []exchange.Field
+	Forward(h http.Header, caller *CallerHeaders, forward *Order) []exchange.Field
 	// Reply decodes the headers of an upstream's answer.
 	Reply(status int, h http.Header) Reply
 	// IDField is the name of the header that carries a request's ID in both directions.
--- a/internal/gateway/job.go
+++ b/internal/gateway/job.go
@@ -25,7 +25,7 @@
 	orgName string
 	// organisation is the request's organisation; nil if the request needs none.
 	organisation *route.Organisation
-	headers      Ask
+	headers      CallerHeaders
 	body         []byte
 	bodyRead     bool
 	start        time.Time
--- a/internal/gateway/session_version_test.go
+++ b/internal/gateway/session_version_test.go
@@ -27,7 +27,7 @@
 	n.fleet.Answered(n.fleet.Get("u-v2"), notice.Answer{Rest: 3 * time.Second}, now, now)
 	config := &configuration{Table: &route.Table{}}
 	job := func(session string) *job {
-		return &job{node: n, service: "engine", route: &route.Route{}, config: config, headers: Ask{Session: session}}
+		return &job{node: n, service: "engine", route: &route.Route{}, config: config, headers: CallerHeaders{Session: session}}
 	}
 	a, room := n.newAttempt(job("s1"))
 	is.True(a == nil)
--- a/internal/gateway/wait_for_config_test.go
+++ b/internal/gateway/wait_for_config_test.go
@@ -20,11 +20,11 @@
 // fixedDialect reads the same values from every request.
 type fixedDialect struct {
 	Dialect
-	ask Ask
+	ask CallerHeaders
 }
 
-func (d fixedDialect) Read(http.Header) (Ask, error) { return d.ask, nil }
-func (d fixedDialect) IDField() string               { return "Id" }
+func (d fixedDialect) Read(http.Header) (CallerHeaders, error) { return d.ask, nil }
+func (d fixedDialect) IDField() string                         { return "Id" }
 
 // oneRoute decodes every configuration as one route to a service.
 type oneRoute struct{ Source }
@@ -37,7 +37,7 @@
 // newUnconfiguredNode returns a node without state, whose callers set a timeout.
 func newUnconfiguredNode(callersTime time.Duration) *Node {
 	return New(Settings{ID: "n1"}, Deps{
-		Dialect: fixedDialect{ask: Ask{ID: "req-1", Time: callersTime}}, Source: oneRoute{},
+		Dialect: fixedDialect{ask: CallerHeaders{ID: "req-1", Time: callersTime}}, Source: oneRoute{},
 		Log: slog.New(slog.DiscardHandler), Metrics: telemetry.New(telemetry.Bounds{}),
 	})
 }
