--- a/internal/gateway/dialect.go
+++ b/internal/gateway/dialect.go
@@ -20,8 +20,8 @@
 	ID string
 	// Key is the organisation's key.
 	Key string
-	// Time is how long the caller waits for the answer; 0 if unknown.
-	Time time.Duration
+	// Timeout is how long the caller waits for the answer; 0 if unknown.
+	Timeout time.Duration
 	// LastEvent is the ID of the event after which a stream resumes; empty for its start.
 	LastEvent string
 	// Session is the session that the request belongs to; empty for none.
--- a/internal/gateway/serve_request.go
+++ b/internal/gateway/serve_request.go
@@ -77,8 +77,8 @@
 	if limit <= 0 {
 		limit = defaultTimeout
 	}
-	if headers.Time > 0 {
-		limit = min(limit, headers.Time)
+	if headers.Timeout > 0 {
+		limit = min(limit, headers.Timeout)
 	}
 	j.deadline = j.start.Add(limit)
 	j.lastEvent = headers.LastEvent
--- a/internal/gateway/wait_for_config.go
+++ b/internal/gateway/wait_for_config.go
@@ -19,8 +19,8 @@
 // a request that is not read.
 func (j *job) waitForConfig() *refusal {
 	until := j.start.Add(maxConfigWait)
-	if j.headers.Time > 0 {
-		until = j.start.Add(min(time.Duration(configWaitFraction*float64(j.headers.Time)), maxConfigWait))
+	if j.headers.Timeout > 0 {
+		until = j.start.Add(min(time.Duration(configWaitFraction*float64(j.headers.Timeout)), maxConfigWait))
 	}
 	j.deadline = until
 	if ref := j.readBody(); ref != nil {
--- a/internal/gateway/wait_for_config_test.go
+++ b/internal/gateway/wait_for_config_test.go
@@ -37,7 +37,7 @@
 // newUnconfiguredNode returns a node without state, whose callers set a timeout.
 func newUnconfiguredNode(callersTime time.Duration) *Node {
 	return New(Settings{ID: "n1"}, Deps{
-		Dialect: fixedDialect{ask: CallerHeaders{ID: "req-1", Time: callersTime}}, Source: oneRoute{},
+		Dialect: fixedDialect{ask: CallerHeaders{ID: "req-1", Timeout: callersTime}}, Source: oneRoute{},
 		Log: slog.New(slog.DiscardHandler), Metrics: telemetry.New(telemetry.Bounds{}),
 	})
 }
