--- a/internal/gateway/dialect.go
+++ b/internal/gateway/dialect.go
@@ -38,8 +38,8 @@
 	Parts []Part
 }
 
-// Order holds the values of headers that the gateway sets on upstream requests.
-type Order struct {
+// ForwardHeaders holds the values of headers that the gateway sets on upstream requests.
+type ForwardHeaders struct {
 	// Instance is the ID of the only upstream that may run the request.
 	Instance string
 	// Organisation is the caller's organisation; empty for none.
@@ -77,7 +77,7 @@
 	Read(h http.Header) (CallerHeaders, error)
 	// Forward returns the header fields to send to an upstream: the caller's, less those
 	// that only the gateway may set, and the gateway's own.
-	Forward(h http.Header, caller *CallerHeaders, forward *Order) []exchange.Field
+	Forward(h http.Header, caller *CallerHeaders, forward *ForwardHeaders) []exchange.Field
 	// Reply decodes the headers of an upstream's answer.
 	Reply(status int, h http.Header) Reply
 	// IDField is the name of the header that carries a request's ID in both directions.
--- a/internal/gateway/record_change_test.go
+++ b/internal/gateway/record_change_test.go
@@ -21,10 +21,10 @@
 // nopDialect reads and writes no headers.
 type nopDialect struct{}
 
-func (nopDialect) Read(http.Header) (CallerHeaders, error)                      { return CallerHeaders{}, nil }
-func (nopDialect) Forward(http.Header, *CallerHeaders, *Order) []exchange.Field { return nil }
-func (nopDialect) Reply(int, http.Header) Reply                                 { return Reply{} }
-func (nopDialect) IDField() string                                              { return "" }
+func (nopDialect) Read(http.Header) (CallerHeaders, error)                               { return CallerHeaders{}, nil }
+func (nopDialect) Forward(http.Header, *CallerHeaders, *ForwardHeaders) []exchange.Field { return nil }
+func (nopDialect) Reply(int, http.Header) Reply                                          { return Reply{} }
+func (nopDialect) IDField() string                                                       { return "" }
 
 // Guards against an attempt that reads its upstream's ID and address while a newer record
 // of the upstream is applied. The race detector shows it.
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -188,7 +188,7 @@
 // upstreamRequest returns the request that is sent to an upstream.
 func (j *job) upstreamRequest(a *attempt) *exchange.Request {
 	_, target := rawTarget(j.r)
-	order := Order{
+	order := ForwardHeaders{
 		Instance: a.id, Organisation: j.orgName, Left: time.Until(j.deadline),
 		Model: j.model, LastEvent: j.lastEvent, Rank: a.rank,
 	}
