--- a/internal/gateway/whole.go
+++ b/internal/gateway/whole.go
@@ -106,9 +106,9 @@
 	"Content-Length": true,
 }
 
-// ConnectionOnly reports whether a header field, by its canonical name, is hop-by-hop and
+// IsHopByHop reports whether a header field, by its canonical name, is hop-by-hop and
 // is never forwarded.
-func ConnectionOnly(name string) bool { return hopByHop[name] }
+func IsHopByHop(name string) bool { return hopByHop[name] }
 
 // copyHeader copies an upstream's header fields, less the hop-by-hop ones, to the caller's
 // answer.
