--- a/internal/gateway/fleet_changes.go
+++ b/internal/gateway/fleet_changes.go
@@ -25,7 +25,7 @@
 	}
 	n.dropUnreadable(c.Unreadable)
 	drop := c.Drop
-	if c.Whole {
+	if c.Complete {
 		drop = append(drop, n.unlisted(c.Put)...)
 	}
 	n.dropUpstreams(drop, at, mayHaveLapsed)
--- a/internal/gateway/source.go
+++ b/internal/gateway/source.go
@@ -18,8 +18,8 @@
 
 // FleetChange is a change of the list of upstreams.
 type FleetChange struct {
-	// Whole is set if Put is the complete list.
-	Whole bool
+	// Complete is set if Put is the complete list.
+	Complete bool
 	// Put are upstreams that were added or changed.
 	Put []fleet.Record
 	// Drop are the IDs of upstreams that were removed.
--- a/internal/gateway/table_reader.go
+++ b/internal/gateway/table_reader.go
@@ -164,7 +164,7 @@
 		return false
 	}
 	var listed []fleet.Record
-	if change.Whole && after == 0 {
+	if change.Complete && after == 0 {
 		listed = n.loadSnapshot(ctx)
 	}
 	n.applyFleet(change, began)
--- a/internal/gateway/wait_for_config_test.go
+++ b/internal/gateway/wait_for_config_test.go
@@ -72,7 +72,7 @@
 		synctest.Wait()
 		is.Equal(n.Active(), int64(1)) // the request waits
 		n.applyConfig([]byte("{}"))
-		n.applyFleet(FleetChange{Whole: true, Revision: 1, Put: []fleet.Record{{ID: "u", Service: "other"}}}, time.Now())
+		n.applyFleet(FleetChange{Complete: true, Revision: 1, Put: []fleet.Record{{ID: "u", Service: "other"}}}, time.Now())
 		r := <-done
 		is.True(strings.Contains(r.Body.String(), noUpstream.reason)) // it was admitted, and there is no upstream
 		is.True(r.after < maxConfigWait)
