--- a/internal/gateway/orders.go
+++ b/internal/gateway/orders.go
@@ -26,7 +26,7 @@
 		n.noteUnreadable(r)
 	}
 	n.applyEvacuations(c.Evacuations, fromTable)
-	if c.Whole {
+	if c.Complete {
 		n.endMissingEvacuations(c)
 	}
 	for _, o := range c.Rollouts {
--- a/internal/gateway/source.go
+++ b/internal/gateway/source.go
@@ -41,8 +41,8 @@
 
 // OrdersChange is a change of the operator orders: configuration, rollouts and evacuations.
 type OrdersChange struct {
-	// Whole is set if these are all orders that stand.
-	Whole bool
+	// Complete is set if these are all orders that stand.
+	Complete bool
 	// Config is the new configuration as the table holds it; nil if unchanged.
 	Config []byte
 	// Rollouts are new or changed orders to roll out a version.
