--- a/internal/gateway/fleet_changes.go
+++ b/internal/gateway/fleet_changes.go
@@ -102,7 +102,7 @@
 // dropUnreadable drops the upstreams whose entries can't be read, at once. The earlier
 // entry has been overwritten, so it no longer describes the upstream. Other upstreams are
 // unaffected.
-func (n *Node) dropUnreadable(rows []Unreadable) {
+func (n *Node) dropUnreadable(rows []UnreadableRow) {
 	for _, r := range rows {
 		n.noteUnreadable(r)
 		n.dropUpstream(r.Key)
@@ -110,7 +110,7 @@
 }
 
 // noteUnreadable counts and logs a row that can't be read.
-func (n *Node) noteUnreadable(r Unreadable) {
+func (n *Node) noteUnreadable(r UnreadableRow) {
 	n.metrics.Counter("hickorybank_unreadable_rows_total").Inc()
 	event.RowUnreadable.Log(n.log, slog.String("key", r.Key), slog.String("err", r.Err.Error()))
 }
--- a/internal/gateway/source.go
+++ b/internal/gateway/source.go
@@ -29,12 +29,12 @@
 	// Clock is the table's own monotonic clock at this answer.
 	Clock time.Duration
 	// Unreadable are entries that describe no usable upstream.
-	Unreadable []Unreadable
+	Unreadable []UnreadableRow
 }
 
-// Unreadable is a row of the table that can't be read; another program may have
+// UnreadableRow is a row of the table that can't be read; another program may have
 // written it. Its key in a list of upstreams is the upstream's ID.
-type Unreadable struct {
+type UnreadableRow struct {
 	Key string
 	Err error
 }
@@ -54,7 +54,7 @@
 	// Clock is the table's own monotonic clock at this answer.
 	Clock time.Duration
 	// Unreadable are orders that can't be read; they have no effect.
-	Unreadable []Unreadable
+	Unreadable []UnreadableRow
 }
 
 // RolloutState is the recorded state of a rollout.
