--- a/internal/gateway/follow_table.go
+++ b/internal/gateway/follow_table.go
@@ -169,7 +169,7 @@
 // bootstrapping reports whether the whole deployment starts for the first time and this
 // node is not one of its seeds.
 func (n *Node) bootstrapping() bool {
-	return n.settings.Founding && len(n.settings.Seeds) > 0 && !slices.Contains(n.settings.Seeds, n.settings.Peer)
+	return n.settings.Bootstrap && len(n.settings.Seeds) > 0 && !slices.Contains(n.settings.Seeds, n.settings.Peer)
 }
 
 // leadsGroup reports whether this node leads its group; the caller holds mu.
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -13,8 +13,8 @@
 	Front, Ready, Directory, Peer, Metrics string
 	// Seeds are the addresses of peers to contact first; some may be out of date.
 	Seeds []string
-	// Founding is set while the whole deployment starts for the first time.
-	Founding bool
+	// Bootstrap is set while the whole deployment starts for the first time.
+	Bootstrap bool
 	// MemoryMB is the memory of the process in MiB; 0 for no bound.
 	MemoryMB int
 	// Link is the bandwidth of the machine's link in bytes per second, each way; 0 if
