--- a/internal/gateway/node.go
+++ b/internal/gateway/node.go
@@ -162,8 +162,8 @@
 	// Network is where the node listens and reaches its peers; nil for the operating
 	// system's. Upstreams are always reached over the operating system's network.
 	Network network.Network
-	// Dropped returns how many log lines have been dropped; nil if none ever are.
-	Dropped func() int64
+	// DroppedLogLines returns how many log lines have been dropped; nil if none ever are.
+	DroppedLogLines func() int64
 }
 
 // New returns a node that is not running yet; call [Node.Run] to run it.
@@ -172,11 +172,11 @@
 	if d.Network == nil {
 		d.Network = &network.OS{}
 	}
-	if d.Dropped == nil {
-		d.Dropped = func() int64 { return 0 }
+	if d.DroppedLogLines == nil {
+		d.DroppedLogLines = func() int64 { return 0 }
 	}
 	n := &Node{
-		droppedLogLines: d.Dropped,
+		droppedLogLines: d.DroppedLogLines,
 		settings:        s, dialect: d.Dialect, source: d.Source, log: d.Log, metrics: d.Metrics,
 		pool:           exchange.NewPool(exchange.Settings{}),
 		network:        d.Network,
