--- a/internal/pacing/bound.go
+++ b/internal/pacing/bound.go
@@ -6,41 +6,44 @@
 	"golang.org/x/time/rate"
 )
 
-// Bound is what an upstream bears from all nodes together.
+// Bound limits the requests that an upstream receives from all nodes together.
 type Bound struct {
-	// Rate is how many requests a second it bears; 0 for no bound.
+	// Rate is the sustained rate in requests per second; 0 for no bound.
 	Rate float64
-	// Most is how many may arrive within any Window.
+	// Most is the maximum number of requests that arrive within any Window.
 	Most   float64
 	Window time.Duration
 }
 
 const (
-	// senderSpare divides what may arrive within a window beyond the rate: one half is
-	// for the bursts of those that send, the other for nodes that do not know yet that
-	// others send in their place.
-	senderSpare = 2
-	// mostSenders bounds the nodes that share an upstream's rate.
-	mostSenders = 16
+	// burstDivisor divides the arrivals that a window allows beyond the sustained rate. One
+	// half is for the senders' bursts. The other half is for nodes with an outdated member
+	// list, which still send although others now send in their place.
+	burstDivisor = 2
+	// maxSenders is the maximum number of nodes that share an upstream's rate.
+	maxSenders = 16
 )
 
-// usual is how many requests the rate allows within a window.
-func (b *Bound) usual() float64 { return b.Rate * b.Window.Seconds() }
+// steadyArrivals returns the number of requests that the rate allows within a window.
+func (b *Bound) steadyArrivals() float64 { return b.Rate * b.Window.Seconds() }
 
-// bursts is how many requests beside the usual ones all senders together may send at once.
-func (b *Bound) bursts() float64 {
-	return max((b.Most-b.usual())/senderSpare, 1)
+// totalBurst returns the number of requests that all senders together may send at once, in
+// addition to the steady arrivals.
+func (b *Bound) totalBurst() float64 {
+	return max((b.Most-b.steadyArrivals())/burstDivisor, 1)
 }
 
-// senderCount returns how many nodes share an upstream's rate.
-func (b *Bound) senderCount() int { return int(min(b.bursts(), mostSenders)) }
+// senderCount returns the number of nodes that share an upstream's rate.
+func (b *Bound) senderCount() int { return int(min(b.totalBurst(), maxSenders)) }
 
-// burst is how many requests each sender may send at once. It does not grow where there are
-// few of them: a node that joins takes its part before the others know of it.
-func (b *Bound) burst() int { return max(int(b.bursts())/mostSenders, 1) }
+// burstPerSender returns the number of requests that each sender may send at once. It does
+// not grow when there are few senders: a node that joins starts to send before the others
+// know of it.
+func (b *Bound) burstPerSender() int { return max(int(b.totalBurst())/maxSenders, 1) }
 
-// perSender is how many requests a second each of some senders may send beside its burst.
-func (b *Bound) perSender(count int) rate.Limit {
-	most := (b.Most - float64(count*b.burst())) / b.Window.Seconds()
-	return rate.Limit(max(min(b.Rate, most), 0) / float64(count))
+// ratePerSender returns the rate in requests per second of each of count senders, without
+// its burst.
+func (b *Bound) ratePerSender(count int) rate.Limit {
+	maxRate := (b.Most - float64(count*b.burstPerSender())) / b.Window.Seconds()
+	return rate.Limit(max(min(b.Rate, maxRate), 0) / float64(count))
 }
--- a/internal/pacing/doc.go
+++ b/internal/pacing/doc.go
@@ -1,3 +1,4 @@
-// Package pacing shares what an upstream bears among nodes that agree without talking: a few
-// of them by rendezvous hashing send, each its part of the rate. It does no I/O.
+// Package pacing divides the request rate that an upstream accepts among the nodes, without
+// coordination: for each upstream, rendezvous hashing selects a few nodes that send, each
+// with an equal part of the rate. It does no I/O.
 package pacing
--- a/internal/pacing/senders.go
+++ b/internal/pacing/senders.go
@@ -6,38 +6,40 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Senders are the nodes among which the rates of upstreams are shared.
+// Senders is the set of nodes that share the upstreams' rates.
 type Senders struct {
-	self string
-	all  []string
-	// generation changes with them.
+	self  string
+	nodes []string
+	// generation increases each time the set changes.
 	generation int
 }
 
-// Set names this node and all that may send to upstreams, those that are not known to live
-// included. With none, this node sends nothing to upstreams with a bound on their rate: it
-// has just started, and does not know who else does.
-func (s *Senders) Set(self string, all []string) {
-	if s.self == self && slices.Equal(s.all, all) {
+// Set sets the ID of this node and the IDs of all nodes that may send to upstreams,
+// including those whose liveness is unknown. With an empty list, this node sends nothing to
+// upstreams with a bound on their rate: it has just started and does not know the other
+// senders yet.
+func (s *Senders) Set(self string, nodes []string) {
+	if s.self == self && slices.Equal(s.nodes, nodes) {
 		return
 	}
-	*s = Senders{self, slices.Clone(all), s.generation + 1}
+	*s = Senders{self, slices.Clone(nodes), s.generation + 1}
 }
 
-// amongFirst tells whether this node is one of the first few for an upstream by rendezvous
-// hashing: all nodes agree on them without talking.
-func (s *Senders) amongFirst(upstream string, few int) bool {
-	if len(s.all) == 0 {
+// isSender reports whether this node is among the first count nodes of an upstream by
+// rendezvous hashing. All nodes compute the same senders without communication.
+func (s *Senders) isSender(upstream string, count int) bool {
+	if len(s.nodes) == 0 {
 		return false
 	}
-	own := rank(s.self, upstream)
+	ownScore := score(s.self, upstream)
 	ahead := 0
-	for _, id := range s.all {
-		if id != s.self && rank(id, upstream) > own {
+	for _, id := range s.nodes {
+		if id != s.self && score(id, upstream) > ownScore {
 			ahead++
 		}
 	}
-	return ahead < few
+	return ahead < count
 }
 
-func rank(node, upstream string) uint64 { return xxhash.Sum64String(node + "/" + upstream) }
+// score is the rendezvous hashing weight of a node for an upstream.
+func score(node, upstream string) uint64 { return xxhash.Sum64String(node + "/" + upstream) }
--- a/internal/pacing/share.go
+++ b/internal/pacing/share.go
@@ -6,50 +6,51 @@
 	"golang.org/x/time/rate"
 )
 
-// Share is this node's share of one rate bound of an upstream.
+// Share is this node's share of one bound of an upstream.
 type Share struct {
-	// limit is nil where other nodes send.
-	limit      *rate.Limiter
-	bound      Bound
-	generation int
-	known      bool
+	// limiter is nil if other nodes send to the upstream.
+	limiter     *rate.Limiter
+	bound       Bound
+	generation  int
+	initialized bool
 }
 
-// Limiter returns this node's part of an upstream's bound; nil where others send. The upstream
-// is named as on all nodes.
-func (s *Share) Limiter(upstream string, b Bound, all *Senders, now time.Time) *rate.Limiter {
-	if s.known && s.generation == all.generation && s.bound == b {
-		return s.limit
+// Limiter returns the limiter for this node's share of an upstream's bound, or nil if other
+// nodes send. The upstream's name must be the same on all nodes.
+func (s *Share) Limiter(upstream string, b Bound, senders *Senders, now time.Time) *rate.Limiter {
+	if s.initialized && s.generation == senders.generation && s.bound == b {
+		return s.limiter
 	}
-	had := s.limit
-	s.known, s.generation, s.bound, s.limit = true, all.generation, b, nil
-	count := min(b.senderCount(), max(len(all.all), 1))
-	if !all.amongFirst(upstream, count) {
+	previous := s.limiter
+	s.initialized, s.generation, s.bound, s.limiter = true, senders.generation, b, nil
+	count := min(b.senderCount(), max(len(senders.nodes), 1))
+	if !senders.isSender(upstream, count) {
 		return nil
 	}
-	s.limit = had
-	if s.limit == nil {
-		s.limit = rate.NewLimiter(b.perSender(count), b.burst())
+	s.limiter = previous
+	if s.limiter == nil {
+		s.limiter = rate.NewLimiter(b.ratePerSender(count), b.burstPerSender())
 	}
-	s.limit.SetLimitAt(now, b.perSender(count))
-	s.limit.SetBurstAt(now, b.burst()) // what was saved up beyond it is lost
-	return s.limit
+	s.limiter.SetLimitAt(now, b.ratePerSender(count))
+	s.limiter.SetBurstAt(now, b.burstPerSender()) // tokens beyond the burst are dropped
+	return s.limiter
 }
 
-// Rate is how many requests a second all nodes together may send.
+// Rate returns the rate in requests per second of all nodes together.
 func (s *Share) Rate() float64 { return s.bound.Rate }
 
-// NextToken is when a limiter has room for a request, seen from now.
-func NextToken(limit *rate.Limiter, now time.Time) time.Time {
-	missing := 1 - limit.TokensAt(now)
+// NextToken returns the time at which a limiter allows a request, at most [MostPause] after
+// now.
+func NextToken(limiter *rate.Limiter, now time.Time) time.Time {
+	missing := 1 - limiter.TokensAt(now)
 	if missing <= 0 {
 		return now
 	}
-	if limit.Limit() <= 0 {
+	if limiter.Limit() <= 0 {
 		return now.Add(MostPause)
 	}
-	return now.Add(min(time.Duration(missing/float64(limit.Limit())*float64(time.Second)), MostPause))
+	return now.Add(min(time.Duration(missing/float64(limiter.Limit())*float64(time.Second)), MostPause))
 }
 
-// MostPause bounds how far ahead room is foreseen.
+// MostPause is the maximum time ahead for which [NextToken] predicts a token.
 const MostPause = time.Minute
