--- a/internal/notice/answer.go
+++ b/internal/notice/answer.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Answer is what one answer says of its upstream.
+// Answer is what the header fields of one response announce about its upstream.
 type Answer struct {
-	// Limit is the rate limit that it names. It says nothing where LimitUnsound is set.
+	// Limit is the advertised rate limit. It is not valid if LimitUnsound is set.
 	Limit        Limit
 	LimitUnsound bool
-	// Leaving is set where the upstream says that it leaves.
+	// Leaving is set if the upstream announces that it shuts down.
 	Leaving bool
-	// Rest is how long the upstream wants nothing from the node that it has turned away; 0
-	// where it asks for none.
+	// Rest is the requested back-off: how long the upstream wants no requests from the node
+	// that it rejected. It is 0 if the response requests none.
 	Rest time.Duration
-	// Unsound are the header fields that make no sense.
+	// Unsound lists the names of the header fields with invalid values.
 	Unsound []string
 }
--- a/internal/notice/change.go
+++ b/internal/notice/change.go
@@ -2,15 +2,17 @@
 
 import "time"
 
-// Change is what a statement changed at this node.
+// Change is a change of an upstream's state at this node.
 type Change struct {
 	Kind ChangeKind
-	// Before is the limit until now, Lasted how long one was in force at this node.
+	// Before and Now are the limits before and after the change. Lasted is how long a limit
+	// that ended was in force at this node.
 	Before, Now Limit
 	Lasted      time.Duration
-	// Until is the end of a rest.
+	// Until is the end of a back-off.
 	Until time.Time
-	// Repeated is set where a change of the same upstream was reported a moment ago.
+	// Repeated is set if a change of the same upstream was reported less than a second
+	// before.
 	Repeated bool
 }
 
@@ -18,19 +20,19 @@
 type ChangeKind int
 
 const (
-	// None: nothing that matters has changed.
+	// None means that no relevant state changed.
 	None ChangeKind = iota
-	// LimitBegan, LimitChanged and LimitEnded: the upstream's rate limit.
+	// LimitBegan, LimitChanged and LimitEnded are changes of the advertised rate limit.
 	LimitBegan
 	LimitChanged
 	LimitEnded
-	// Leaving: the upstream says that it leaves, for good.
+	// Leaving means that the upstream announced its shutdown, which is final.
 	Leaving
-	// RestBegan: the upstream wants nothing from this node until a time.
+	// RestBegan means that the upstream requested a back-off from this node.
 	RestBegan
 )
 
-// String names the kind in metrics.
+// String returns the kind's label value in metrics.
 func (k ChangeKind) String() string {
 	switch k {
 	case LimitBegan:
--- a/internal/notice/doc.go
+++ b/internal/notice/doc.go
@@ -1,3 +1,4 @@
-// Package notice keeps what upstreams say of themselves in their answers, by start, and
-// decides which of two statements is the later. It does no I/O.
+// Package notice holds the state that upstreams announce in their responses: rate limits,
+// back-off periods and shutdowns. It orders announcements of one incarnation that reach a
+// node directly and through peers. It does no I/O.
 package notice
--- a/internal/notice/limit.go
+++ b/internal/notice/limit.go
@@ -1,9 +1,10 @@
 package notice
 
-// Limit is the rate that an upstream takes from all nodes together, as an answer says.
+// Limit is the rate that an upstream accepts from all nodes together, as advertised in a
+// response.
 type Limit struct {
-	// Named is false where the answer names no limit.
+	// Named is false if the response advertises no limit.
 	Named bool
-	// PerSecond is how many requests a second; 0 for none.
+	// PerSecond is the limit in requests per second; 0 if the upstream accepts no requests.
 	PerSecond float64
 }
--- a/internal/notice/parse.go
+++ b/internal/notice/parse.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// mostLimit is the largest rate limit in requests a second that makes sense.
-const mostLimit = 1e6
+// maxLimit is the largest valid rate limit in requests per second.
+const maxLimit = 1e6
 
-// mostRest bounds the rest that an upstream may ask for.
-const mostRest = 10 * time.Minute
+// maxBackoff caps the back-off that an upstream can request.
+const maxBackoff = 10 * time.Minute
 
-// ReadLeaving reads whether an upstream leaves from the text of a header field.
+// ReadLeaving parses the value of the header field that announces a shutdown.
 func (a *Answer) ReadLeaving(field, text string) {
 	switch text {
 	case "", "0", "false":
@@ -24,8 +24,9 @@
 	}
 }
 
-// ReadRest reads how long an upstream wants nothing from the text of a header field: seconds,
-// with fractions, or a date, which counts from the answer's own where it has one.
+// ReadRest parses the value of the header field that requests a back-off: seconds with an
+// optional fraction, or an HTTP date. A date is relative to the response's own date, or to
+// the local clock if the response has none.
 func (a *Answer) ReadRest(field, text, date string) {
 	if text == "" {
 		return
@@ -35,7 +36,7 @@
 			a.Unsound = append(a.Unsound, field)
 			return
 		}
-		a.Rest = time.Duration(min(seconds, mostRest.Seconds()) * float64(time.Second))
+		a.Rest = time.Duration(min(seconds, maxBackoff.Seconds()) * float64(time.Second))
 		return
 	}
 	until, err := http.ParseTime(text)
@@ -47,22 +48,23 @@
 	if err != nil {
 		from = time.Now()
 	}
-	a.Rest = min(max(until.Sub(from), 0), mostRest)
+	a.Rest = min(max(until.Sub(from), 0), maxBackoff)
 }
 
-// ReadLimit reads a rate limit from the text of a header field; none where that is empty.
+// ReadLimit parses the value of the header field that advertises a rate limit. An empty
+// value means no limit.
 func (a *Answer) ReadLimit(field, text string) {
 	if text == "" {
 		return
 	}
 	v, err := strconv.ParseFloat(text, 64)
-	if err != nil || math.IsNaN(v) || v < 0 || v > mostLimit {
+	if err != nil || math.IsNaN(v) || v < 0 || v > maxLimit {
 		a.LimitUnsound = true
 		a.Unsound = append(a.Unsound, field)
 		return
 	}
 	a.Limit = Limit{Named: true, PerSecond: v}
 	if v == 0 {
-		a.Unsound = append(a.Unsound, field) // it takes nothing, for as long as it says so
+		a.Unsound = append(a.Unsound, field) // the upstream accepts no requests while it advertises 0
 	}
 }
--- a/internal/notice/register.go
+++ b/internal/notice/register.go
@@ -8,162 +8,167 @@
 )
 
 const (
-	// mostFresh bounds the changes in one message, mostRepeated what else is told beside
-	// them, by turns: news must not grow with the upstreams that are in need.
-	mostFresh    = 16
-	mostRepeated = 4
-	// mostFirst bounds what is told to a peer that was not heard of before.
-	mostFirst = 256
-	// leavingToldFor is how long peers are told that an upstream leaves: the table's list
-	// says so by then, or no longer has it.
-	leavingToldFor = 2 * time.Minute
-	// forgetAfter is how long the state of a start is kept that is no longer listed.
+	// maxFresh caps the recent changes in one message. maxRepeated caps the unchanged
+	// states that the message repeats in turn. The size of messages must not grow with the
+	// number of upstreams that advertise limits.
+	maxFresh    = 16
+	maxRepeated = 4
+	// maxToNewPeer caps each of both kinds in the first message to a peer.
+	maxToNewPeer = 256
+	// leavingReportedFor is how long a shutdown is reported to peers. By then the table
+	// marks the upstream as draining or no longer lists it.
+	leavingReportedFor = 2 * time.Minute
+	// forgetAfter is how long the state of an unlisted incarnation is kept.
 	forgetAfter = 10 * time.Minute
 )
 
-// Register holds the states of all starts of upstreams that this node knows.
+// Register holds the states of all incarnations of upstreams that this node knows.
 type Register struct {
-	// origin names this run of the node.
+	// origin identifies this run of the node.
 	origin uint64
-	base   time.Time
-	states map[string]*State
-	// active are those of which peers may have to be told; last is the one that was
-	// repeated last.
-	active map[string]*State
-	last   string
+	// clockBase is the zero of the sequence numbers of this run: the time of its first
+	// response.
+	clockBase time.Time
+	states    map[string]*State
+	// reportable holds the states that may have to be reported to peers. lastRepeated is
+	// the incarnation that was repeated last.
+	reportable   map[string]*State
+	lastRepeated string
 }
 
-// NewRegister returns an empty register of a run of a node, which has a number of its own.
+// NewRegister returns an empty register. The origin identifies this run of the node and
+// must differ from that of all other runs.
 func NewRegister(origin uint64) *Register {
-	return &Register{origin: origin, states: map[string]*State{}, active: map[string]*State{}}
+	return &Register{origin: origin, states: map[string]*State{}, reportable: map[string]*State{}}
 }
 
-// Of returns the state of a start.
-func (r *Register) Of(start string) *State {
-	s := r.states[start]
+// Of returns the state of an incarnation and creates it if it is unknown.
+func (r *Register) Of(incarnation string) *State {
+	s := r.states[incarnation]
 	if s == nil {
-		s = &State{start: start}
-		r.states[start] = s
+		s = &State{incarnation: incarnation}
+		r.states[incarnation] = s
 	}
 	return s
 }
 
-// Answer takes what an answer that this node read at a time says; it returns what that has
-// changed here.
+// Answer applies a response that this node read at the time at. It returns the resulting
+// changes at this node.
 func (r *Register) Answer(s *State, a Answer, at, now time.Time) (changes []Change) {
-	if a.Leaving && s.leave(now) {
-		changes = append(changes, r.note(s, Change{Kind: Leaving}))
+	if a.Leaving && s.setLeaving(now) {
+		changes = append(changes, r.markReportable(s, Change{Kind: Leaving}))
 	}
-	if a.Rest > 0 && s.rest(a.Rest, at, now) {
-		changes = append(changes, Change{Kind: RestBegan, Until: s.restUntil})
+	if a.Rest > 0 && s.setBackoff(a.Rest, at, now) {
+		changes = append(changes, Change{Kind: RestBegan, Until: s.backoffUntil})
 	}
 	if a.LimitUnsound {
 		return changes
 	}
-	if c := r.answerLimit(s, a.Limit, at, now); c.Kind != None {
+	if c := r.applyResponseLimit(s, a.Limit, at, now); c.Kind != None {
 		changes = append(changes, c)
 	}
 	return changes
 }
 
-func (r *Register) answerLimit(s *State, l Limit, at, now time.Time) Change {
-	if r.base.IsZero() {
-		r.base = at
+func (r *Register) applyResponseLimit(s *State, l Limit, at, now time.Time) Change {
+	if r.clockBase.IsZero() {
+		r.clockBase = at
 	}
-	seq := int64(at.Sub(r.base))
-	if !s.later(r.origin, seq, at) {
+	seq := int64(at.Sub(r.clockBase))
+	if !s.isOlderThan(r.origin, seq, at) {
 		return Change{}
 	}
-	return r.note(s, s.set(l, r.origin, seq, at, now))
+	return r.markReportable(s, s.setLimit(l, r.origin, seq, at, now))
 }
 
-// Take takes a peer's report; it returns what that has changed here. Where this node knows
-// better, peers are told.
+// Take applies a peer's report and returns the resulting changes at this node. If this
+// node's limit state is newer and differs, it is reported to the peers again.
 func (r *Register) Take(p Report, now time.Time) (changes []Change) {
 	s := r.Of(p.Start)
-	if p.Leaving && s.leave(now) {
-		changes = append(changes, r.note(s, Change{Kind: Leaving}))
+	if p.Leaving && s.setLeaving(now) {
+		changes = append(changes, r.markReportable(s, Change{Kind: Leaving}))
 	}
-	if c := r.takeLimit(s, p, now); c.Kind != None {
+	if c := r.applyReportLimit(s, p, now); c.Kind != None {
 		changes = append(changes, c)
 	}
 	return changes
 }
 
-func (r *Register) takeLimit(s *State, p Report, now time.Time) Change {
+func (r *Register) applyReportLimit(s *State, p Report, now time.Time) Change {
 	if p.Age < 0 {
 		return Change{}
 	}
 	at := now.Add(-p.Age)
-	if s.later(p.Origin, p.Seq, at) {
-		return r.note(s, s.set(p.Limit, p.Origin, p.Seq, at, now))
+	if s.isOlderThan(p.Origin, p.Seq, at) {
+		return r.markReportable(s, s.setLimit(p.Limit, p.Origin, p.Seq, at, now))
 	}
 	if p.Limit.Named != s.limit.Named {
-		s.tellUntil = now.Add(tellFor)
-		r.active[s.start] = s
+		s.freshUntil = now.Add(freshFor)
+		r.reportable[s.incarnation] = s
 	}
 	return Change{}
 }
 
-func (r *Register) note(s *State, c Change) Change {
+func (r *Register) markReportable(s *State, c Change) Change {
 	if c.Kind != None {
-		r.active[s.start] = s
+		r.reportable[s.incarnation] = s
 	}
 	return c
 }
 
-// Reports returns what a peer is told: changes, and some of what is in force; nearly all
-// where the peer was not heard of before.
-func (r *Register) Reports(now time.Time, first bool) []Report {
-	var fresh, standing []*State
-	for start, s := range r.active {
+// Reports returns the reports for a peer: recent changes, and some of the unchanged states
+// in force. A new peer, one without an earlier message, gets nearly all of them.
+func (r *Register) Reports(now time.Time, newPeer bool) []Report {
+	var fresh, unchanged []*State
+	for incarnation, s := range r.reportable {
 		switch {
-		case now.Before(s.tellUntil):
+		case now.Before(s.freshUntil):
 			fresh = append(fresh, s)
-		case s.limit.Named || s.leaving && now.Sub(s.touched) < leavingToldFor:
-			standing = append(standing, s)
+		case s.limit.Named || s.leaving && now.Sub(s.updatedAt) < leavingReportedFor:
+			unchanged = append(unchanged, s)
 		default:
-			delete(r.active, start)
+			delete(r.reportable, incarnation)
 		}
 	}
 	slices.SortFunc(fresh, func(a, b *State) int {
-		return cmp.Or(b.tellUntil.Compare(a.tellUntil), cmp.Compare(a.start, b.start))
+		return cmp.Or(b.freshUntil.Compare(a.freshUntil), cmp.Compare(a.incarnation, b.incarnation))
 	})
-	mostChanges, mostStanding := mostFresh, mostRepeated
-	if first {
-		mostChanges, mostStanding = mostFirst, mostFirst
+	maxChanges, maxUnchanged := maxFresh, maxRepeated
+	if newPeer {
+		maxChanges, maxUnchanged = maxToNewPeer, maxToNewPeer
 	}
 	var all []Report
-	for _, s := range fresh[:min(len(fresh), mostChanges)] {
+	for _, s := range fresh[:min(len(fresh), maxChanges)] {
 		all = append(all, s.report(now))
 	}
-	for _, s := range r.turn(standing, mostStanding) {
+	for _, s := range r.nextInTurn(unchanged, maxUnchanged) {
 		all = append(all, s.report(now))
 	}
 	return all
 }
 
-// turn returns some states, those that follow the ones of the last time.
-func (r *Register) turn(all []*State, most int) []*State {
-	if len(all) <= most {
+// nextInTurn returns up to limit states: those that follow the ones returned last, in order
+// of their incarnations.
+func (r *Register) nextInTurn(all []*State, limit int) []*State {
+	if len(all) <= limit {
 		return all
 	}
-	slices.SortFunc(all, func(a, b *State) int { return cmp.Compare(a.start, b.start) })
-	first, found := slices.BinarySearchFunc(all, r.last, func(s *State, start string) int { return cmp.Compare(s.start, start) })
+	slices.SortFunc(all, func(a, b *State) int { return cmp.Compare(a.incarnation, b.incarnation) })
+	next, found := slices.BinarySearchFunc(all, r.lastRepeated, func(s *State, incarnation string) int { return cmp.Compare(s.incarnation, incarnation) })
 	if found {
-		first++
+		next++
 	}
-	var some []*State
-	for i := range most {
-		some = append(some, all[(first+i)%len(all)])
+	var batch []*State
+	for i := range limit {
+		batch = append(batch, all[(next+i)%len(all)])
 	}
-	r.last = some[len(some)-1].start
-	return some
+	r.lastRepeated = batch[len(batch)-1].incarnation
+	return batch
 }
 
-// Limited is how many starts have a rate limit in force.
+// Limited returns the number of incarnations with a rate limit in force.
 func (r *Register) Limited() (count int) {
-	for _, s := range r.active {
+	for _, s := range r.reportable {
 		if s.limit.Named {
 			count++
 		}
@@ -171,13 +176,14 @@
 	return count
 }
 
-// Sweep forgets starts that are not listed and of which nothing has been heard for long.
-func (r *Register) Sweep(now time.Time, listed func(start string) bool) {
-	maps.DeleteFunc(r.states, func(start string, s *State) bool {
-		old := now.Sub(s.touched) > forgetAfter && !listed(start)
-		if old {
-			delete(r.active, start)
+// Sweep removes the states of incarnations that are not listed and were not updated for
+// forgetAfter.
+func (r *Register) Sweep(now time.Time, listed func(incarnation string) bool) {
+	maps.DeleteFunc(r.states, func(incarnation string, s *State) bool {
+		expired := now.Sub(s.updatedAt) > forgetAfter && !listed(incarnation)
+		if expired {
+			delete(r.reportable, incarnation)
 		}
-		return old
+		return expired
 	})
 }
--- a/internal/notice/register_test.go
+++ b/internal/notice/register_test.go
@@ -8,15 +8,15 @@
 	"github.com/matryer/is"
 )
 
-var start = time.Unix(1000, 0)
+var epoch = time.Unix(1000, 0)
 
-func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
+func at(ms int) time.Time { return epoch.Add(time.Duration(ms) * time.Millisecond) }
 
-func named(perSecond float64) Limit { return Limit{Named: true, PerSecond: perSecond} }
+func limitOf(perSecond float64) Limit { return Limit{Named: true, PerSecond: perSecond} }
 
-// answer takes an answer that names a limit, or none, and returns what that has changed.
-func (r *Register) answer(start string, l Limit, read, now time.Time) ChangeKind {
-	return kindOf(r.Answer(r.Of(start), Answer{Limit: l}, read, now))
+// applyLimit applies a response with a limit, or none, and returns the resulting change.
+func (r *Register) applyLimit(incarnation string, l Limit, read, now time.Time) ChangeKind {
+	return kindOf(r.Answer(r.Of(incarnation), Answer{Limit: l}, read, now))
 }
 
 func kindOf(changes []Change) ChangeKind {
@@ -26,28 +26,28 @@
 	return changes[0].Kind
 }
 
-// TestLaterAnswerCounts guards against a limit that comes back with an answer that was given
-// before the one that ended it, and read after it.
-func TestLaterAnswerCounts(t *testing.T) {
+// TestOlderResponseDoesNotOverrideNewer guards against an ended limit that is restored by
+// an older response, which is processed after the response that ended it.
+func TestOlderResponseDoesNotOverrideNewer(t *testing.T) {
 	is := is.New(t)
 	r := NewRegister(1)
 	s := r.Of("u@1")
-	is.Equal(r.answer("u@1", named(2), at(0), at(0)), LimitBegan)
-	is.Equal(r.answer("u@1", Limit{}, at(200), at(200)), LimitEnded)
-	is.Equal(r.answer("u@1", named(2), at(100), at(300)), None)
+	is.Equal(r.applyLimit("u@1", limitOf(2), at(0), at(0)), LimitBegan)
+	is.Equal(r.applyLimit("u@1", Limit{}, at(200), at(200)), LimitEnded)
+	is.Equal(r.applyLimit("u@1", limitOf(2), at(100), at(300)), None)
 	is.True(!s.Limit().Named)
-	late := Report{Start: "u@1", Origin: 2, Seq: 1, Age: 250 * time.Millisecond, Limit: named(2)}
+	late := Report{Start: "u@1", Origin: 2, Seq: 1, Age: 250 * time.Millisecond, Limit: limitOf(2)}
 	is.Equal(kindOf(r.Take(late, at(400))), None) // read at 150 ms
 	is.True(!s.Limit().Named)
 }
 
-// TestReportThatTravelsStaysAsOld guards against a limit that two nodes tell each other and
-// that outlives its end, as it is younger each time by its way.
-func TestReportThatTravelsStaysAsOld(t *testing.T) {
+// TestRelayedReportKeepsItsAge guards against a limit that outlives its end because two
+// nodes relay it to each other and its age decreases with each hop.
+func TestRelayedReportKeepsItsAge(t *testing.T) {
 	is := is.New(t)
 	a, b := NewRegister(1), NewRegister(2)
-	a.answer("u@1", named(2), at(0), at(0))
-	for i := range 20 { // each way takes 100 ms
+	a.applyLimit("u@1", limitOf(2), at(0), at(0))
+	for i := range 20 { // each hop takes 100 ms
 		sent := at(i * 200)
 		b.Take(a.Reports(sent, true)[0], sent.Add(100*time.Millisecond))
 		a.Take(b.Reports(sent.Add(100*time.Millisecond), true)[0], sent.Add(200*time.Millisecond))
@@ -57,61 +57,61 @@
 	is.Equal(kindOf(b.Take(ended, at(4000))), LimitEnded)
 }
 
-// TestNodeThatMissedTheEndIsTold guards against a limit that stays for good at a node that
-// was cut off when it ended, and that it brings back to the others.
-func TestNodeThatMissedTheEndIsTold(t *testing.T) {
+// TestNodeThatMissedTheEndOfALimitIsCorrected guards against a limit that persists at a
+// node which was partitioned when the limit ended, and that this node spreads again.
+func TestNodeThatMissedTheEndOfALimitIsCorrected(t *testing.T) {
 	is := is.New(t)
-	knows, missed := NewRegister(1), NewRegister(2)
-	missed.answer("u@1", named(2), at(0), at(0))
-	knows.answer("u@1", Limit{}, at(60_000), at(60_000))
-	is.Equal(len(knows.Reports(at(70_000), true)), 0)
-	for _, p := range missed.Reports(at(70_000), false) {
-		is.Equal(kindOf(knows.Take(p, at(70_000))), None)
+	informed, outdated := NewRegister(1), NewRegister(2)
+	outdated.applyLimit("u@1", limitOf(2), at(0), at(0))
+	informed.applyLimit("u@1", Limit{}, at(60_000), at(60_000))
+	is.Equal(len(informed.Reports(at(70_000), true)), 0)
+	for _, p := range outdated.Reports(at(70_000), false) {
+		is.Equal(kindOf(informed.Take(p, at(70_000))), None)
 	}
-	for _, p := range knows.Reports(at(70_010), false) {
-		missed.Take(p, at(70_020))
+	for _, p := range informed.Reports(at(70_010), false) {
+		outdated.Take(p, at(70_020))
 	}
-	is.True(!missed.Of("u@1").Limit().Named)
+	is.True(!outdated.Of("u@1").Limit().Named)
 }
 
-// TestReportsAreBounded guards against news that grow with the upstreams in need, and
-// against some of them that are never told.
+// TestReportsAreBounded guards against messages that grow with the number of limited
+// upstreams, and against states that are never repeated.
 func TestReportsAreBounded(t *testing.T) {
 	is := is.New(t)
 	const count = 50
 	r := NewRegister(1)
 	for i := range count {
-		r.answer(fmt.Sprintf("u%02d@1", i), named(2), at(0), at(0))
+		r.applyLimit(fmt.Sprintf("u%02d@1", i), limitOf(2), at(0), at(0))
 	}
-	is.Equal(len(r.Reports(at(1), false)), mostFresh)
+	is.Equal(len(r.Reports(at(1), false)), maxFresh)
 	is.Equal(len(r.Reports(at(1), true)), count)
-	told := map[string]bool{}
-	for i := range count/mostRepeated + 1 {
-		some := r.Reports(at(10_000+i), false)
-		is.Equal(len(some), mostRepeated)
-		for _, p := range some {
-			told[p.Start] = true
+	reported := map[string]bool{}
+	for i := range count/maxRepeated + 1 {
+		batch := r.Reports(at(10_000+i), false)
+		is.Equal(len(batch), maxRepeated)
+		for _, p := range batch {
+			reported[p.Start] = true
 		}
 	}
-	is.Equal(len(told), count)
+	is.Equal(len(reported), count)
 }
 
-// TestStateOfAStartThatIsGone guards against states that pile up with the upstreams that
-// come and go, and against one that is forgotten while its upstream is listed.
-func TestStateOfAStartThatIsGone(t *testing.T) {
+// TestSweepForgetsOnlyUnlistedIncarnations guards against states that accumulate as
+// upstreams come and go, and against the loss of a state whose upstream is still listed.
+func TestSweepForgetsOnlyUnlistedIncarnations(t *testing.T) {
 	is := is.New(t)
 	r := NewRegister(1)
-	r.answer("gone@1", named(2), at(0), at(0))
-	r.answer("listed@1", named(2), at(0), at(0))
+	r.applyLimit("gone@1", limitOf(2), at(0), at(0))
+	r.applyLimit("listed@1", limitOf(2), at(0), at(0))
 	later := at(0).Add(forgetAfter + time.Second)
-	r.Sweep(later, func(start string) bool { return start == "listed@1" })
+	r.Sweep(later, func(incarnation string) bool { return incarnation == "listed@1" })
 	is.Equal(r.Limited(), 1)
 	is.Equal(len(r.states), 1)
 }
 
-// TestLeavingIsNotToldForGood guards against news that two nodes keep telling each other, as
-// each hears again what it has told.
-func TestLeavingIsNotToldForGood(t *testing.T) {
+// TestLeavingIsReportedForALimitedTime guards against an announced shutdown that two nodes
+// report to each other without end, because each report counts as an update.
+func TestLeavingIsReportedForALimitedTime(t *testing.T) {
 	is := is.New(t)
 	a, b := NewRegister(1), NewRegister(2)
 	a.Answer(a.Of("u@1"), Answer{Leaving: true}, at(0), at(0))
@@ -126,19 +126,20 @@
 		now = now.Add(time.Second)
 	}
 	is.Equal(len(a.Reports(now, true))+len(b.Reports(now, true)), 0)
-	is.True(b.Of("u@1").Leaving()) // it holds all the same
+	is.True(b.Of("u@1").Leaving()) // the state itself stays
 	b.Sweep(now.Add(forgetAfter), func(string) bool { return false })
 	is.Equal(len(b.states), 0)
 }
 
-// TestLeavingHeardOfSaysNothingOfALimit guards against a node that has only heard that an
-// upstream leaves, and tells as if it had read an answer without a limit.
-func TestLeavingHeardOfSaysNothingOfALimit(t *testing.T) {
+// TestReportWithoutResponseKeepsTheLimit guards against a node that knows of a shutdown
+// only through a report and relays it like a response without a limit, which would end the
+// limit at other nodes.
+func TestReportWithoutResponseKeepsTheLimit(t *testing.T) {
 	is := is.New(t)
 	a, b, c := NewRegister(1), NewRegister(2), NewRegister(3)
-	b.Take(Report{Start: "u@1", Origin: 1, Seq: 1, Age: noAnswer, Leaving: true}, at(0))
-	is.Equal(b.Reports(at(1), false)[0].Age, time.Duration(noAnswer))
-	c.answer("u@1", named(2), at(0), at(0))
+	b.Take(Report{Start: "u@1", Origin: 1, Seq: 1, Age: noResponse, Leaving: true}, at(0))
+	is.Equal(b.Reports(at(1), false)[0].Age, time.Duration(noResponse))
+	c.applyLimit("u@1", limitOf(2), at(0), at(0))
 	c.Take(b.Reports(at(2), false)[0], at(3))
 	is.True(c.Of("u@1").Limit().Named)
 	is.True(c.Of("u@1").Leaving())
--- a/internal/notice/report.go
+++ b/internal/notice/report.go
@@ -2,22 +2,23 @@
 
 import "time"
 
-// noAnswer is the age of an answer where none is known.
-const noAnswer = -time.Nanosecond
+// noResponse is the age in a report if the sender knows of no response.
+const noResponse = -time.Nanosecond
 
-// Report tells another node what an upstream's answer said.
+// Report carries an upstream's announced state to another node.
 type Report struct {
-	// Start is the upstream's start, as its record names it.
+	// Start identifies the incarnation of the upstream, as its record does.
 	Start string
-	// Origin is the run of the node that read the answer, and Seq when, in nanoseconds of
-	// a clock of its own: answers of one origin are in exact order.
+	// Origin identifies the run of the node that read the response. Seq is the time of
+	// reading in nanoseconds of that run's own clock, so that responses of one origin are
+	// ordered exactly.
 	Origin uint64
 	Seq    int64
-	// Age is how long ago the answer was read. It orders answers of different origins, with
-	// the error that its way here adds. It is negative where the sender knows of no answer:
-	// then nothing is said of a limit.
+	// Age is the time since the response was read. It orders responses of different
+	// origins, with an error of the message's delay. It is negative if the sender knows of
+	// no response: the report then says nothing about a limit.
 	Age   time.Duration
 	Limit Limit
-	// Leaving is set where the upstream has said that it leaves.
+	// Leaving is set if the upstream announced its shutdown.
 	Leaving bool
 }
--- a/internal/notice/state.go
+++ b/internal/notice/state.go
@@ -5,123 +5,127 @@
 	"time"
 )
 
-// State is what one start of an upstream last said of itself.
+// State is the latest announced state of one incarnation of an upstream.
 type State struct {
-	start string
-	limit Limit
-	// origin and seq name the answer behind it, at is when that was read, by this node's
-	// clock; zero before any.
+	incarnation string
+	limit       Limit
+	// origin and seq identify the response that set the limit. readAt is when it was read,
+	// by this node's clock. All are zero before the first response.
 	origin uint64
 	seq    int64
-	at     time.Time
-	// since is when the limit in force began here, reported when a change was last told,
-	// and told the limit then.
-	since, reported time.Time
-	told            Limit
-	// leaving is set once an answer has said so: it holds for this start for good.
+	readAt time.Time
+	// limitedSince is when the current limit began at this node. reportedAt is when a
+	// change was last reported as new, and reportedLimit the limit of the last change.
+	limitedSince, reportedAt time.Time
+	reportedLimit            Limit
+	// leaving is set once a response announces a shutdown. It stays set for this
+	// incarnation.
 	leaving bool
-	// restUntil is the latest end of the rests that it has asked this node for.
-	restUntil time.Time
-	// resting is the length of the rest that ends then.
-	resting time.Duration
-	// touched is when anything was last heard.
-	touched time.Time
-	// tellUntil is until when peers are told first.
-	tellUntil time.Time
+	// backoffUntil is the latest end of the back-offs requested from this node.
+	backoffUntil time.Time
+	// backoff is the length of the back-off that ends at backoffUntil.
+	backoff time.Duration
+	// updatedAt is when an announcement last arrived.
+	updatedAt time.Time
+	// freshUntil is the time until which the state is reported to peers as a recent change.
+	freshUntil time.Time
 }
 
 const (
-	// changeStep is the part by which a limit moves before that counts as a change.
-	changeStep = 0.1
-	// reportPause is the pause between changes of one upstream that are told as new.
-	reportPause = time.Second
-	// tellFor is how long a change is told to each peer: some rounds of news.
-	tellFor = 5 * time.Second
+	// minRelativeChange is the relative difference from which a new limit counts as
+	// changed.
+	minRelativeChange = 0.1
+	// repeatInterval is the minimum time between two changes of one upstream that are not
+	// marked as repeated.
+	repeatInterval = time.Second
+	// freshFor is how long a change is reported to each peer as recent: several message
+	// rounds.
+	freshFor = 5 * time.Second
 )
 
-// Start is the upstream's start.
-func (s *State) Start() string { return s.start }
+// Start identifies the incarnation.
+func (s *State) Start() string { return s.incarnation }
 
-// Limit is the rate limit in force.
+// Limit returns the rate limit in force.
 func (s *State) Limit() Limit { return s.limit }
 
-// Leaving tells whether the upstream has said that it leaves.
+// Leaving reports whether the upstream announced its shutdown.
 func (s *State) Leaving() bool { return s.leaving }
 
-// RestUntil is until when the upstream wants nothing from this node.
-func (s *State) RestUntil() time.Time { return s.restUntil }
+// RestUntil returns the end of the back-off that the upstream requested from this node.
+func (s *State) RestUntil() time.Time { return s.backoffUntil }
 
-// Rest is how long the rest is that ends last.
-func (s *State) Rest() time.Duration { return s.resting }
+// Rest returns the length of the back-off that ends at RestUntil.
+func (s *State) Rest() time.Duration { return s.backoff }
 
-// leave notes that the upstream leaves; it reports whether that is new.
-func (s *State) leave(now time.Time) bool {
+// setLeaving records an announced shutdown. It reports whether the state changed.
+func (s *State) setLeaving(now time.Time) bool {
 	if s.leaving {
 		return false
 	}
-	s.touched = now
+	s.updatedAt = now
 	s.leaving = true
-	s.tellUntil = now.Add(tellFor)
+	s.freshUntil = now.Add(freshFor)
 	return true
 }
 
-// rest notes a rest that was asked for in an answer read at a time; it reports whether this
-// node was free to send until now.
-func (s *State) rest(d time.Duration, at, now time.Time) bool {
-	s.touched = now
-	resting := now.Before(s.restUntil)
-	if until := at.Add(d); until.After(s.restUntil) {
-		s.restUntil, s.resting = until, d
+// setBackoff records a back-off of length d, requested in a response read at the time at.
+// It reports whether a back-off begins: there is one now, and there was none before.
+func (s *State) setBackoff(d time.Duration, at, now time.Time) bool {
+	s.updatedAt = now
+	wasBackingOff := now.Before(s.backoffUntil)
+	if until := at.Add(d); until.After(s.backoffUntil) {
+		s.backoffUntil, s.backoff = until, d
 	}
-	return !resting && now.Before(s.restUntil)
+	return !wasBackingOff && now.Before(s.backoffUntil)
 }
 
-// ReadAt is when the answer behind the state was read; zero before any.
-func (s *State) ReadAt() time.Time { return s.at }
+// ReadAt returns when the response that set the limit was read; zero before the first one.
+func (s *State) ReadAt() time.Time { return s.readAt }
 
-// later tells whether an answer was read after the one behind this state.
+// isOlderThan reports whether a response was read after the one that set this state.
 //
-// Ages are compared between different origins only: the same answer, told from node to
-// node, grows younger with each step.
-func (s *State) later(origin uint64, seq int64, at time.Time) bool {
-	if s.at.IsZero() {
+// Ages are compared only between different origins. A relayed report of the same response
+// has a smaller age after each hop, because the age does not include the message's delay.
+func (s *State) isOlderThan(origin uint64, seq int64, at time.Time) bool {
+	if s.readAt.IsZero() {
 		return true
 	}
 	if s.origin == origin {
 		return seq > s.seq
 	}
-	return at.After(s.at)
+	return at.After(s.readAt)
 }
 
-// set takes a later answer's limit.
-func (s *State) set(l Limit, origin uint64, seq int64, at, now time.Time) Change {
-	s.origin, s.seq, s.at, s.touched = origin, seq, at, now
+// setLimit applies the limit of a newer response.
+func (s *State) setLimit(l Limit, origin uint64, seq int64, at, now time.Time) Change {
+	s.origin, s.seq, s.readAt, s.updatedAt = origin, seq, at, now
 	before := s.limit
 	s.limit = l
 	c := Change{Before: before, Now: l}
 	switch {
 	case l.Named && !before.Named:
 		c.Kind = LimitBegan
-		s.since = now
+		s.limitedSince = now
 	case !l.Named && before.Named:
-		c.Kind, c.Lasted = LimitEnded, now.Sub(s.since)
-	case l.Named && math.Abs(l.PerSecond-s.told.PerSecond) > changeStep*s.told.PerSecond:
+		c.Kind, c.Lasted = LimitEnded, now.Sub(s.limitedSince)
+	case l.Named && math.Abs(l.PerSecond-s.reportedLimit.PerSecond) > minRelativeChange*s.reportedLimit.PerSecond:
 		c.Kind = LimitChanged
 	default:
 		return c
 	}
-	s.told = l
-	s.tellUntil = now.Add(tellFor)
-	c.Repeated = now.Sub(s.reported) < reportPause
+	s.reportedLimit = l
+	s.freshUntil = now.Add(freshFor)
+	c.Repeated = now.Sub(s.reportedAt) < repeatInterval
 	if !c.Repeated {
-		s.reported = now
+		s.reportedAt = now
 	}
 	return c
 }
 
 func (s *State) report(now time.Time) Report {
-	if s.at.IsZero() {
-		return Report{Start: s.start, Age: noAnswer, Leaving: s.leaving}
+	if s.readAt.IsZero() {
+		return Report{Start: s.incarnation, Age: noResponse, Leaving: s.leaving}
 	}
-	return Report{Start: s.start, Origin: s.origin, Seq: s.seq, Age: now.Sub(s.at), Limit: s.limit, Leaving: s.leaving}
+	return Report{Start: s.incarnation, Origin: s.origin, Seq: s.seq, Age: now.Sub(s.readAt), Limit: s.limit, Leaving: s.leaving}
 }
