--- a/internal/evacuation/doc.go
+++ b/internal/evacuation/doc.go
@@ -1,8 +1,7 @@
-// Package evacuation keeps which failure domains operators have ordered to be
-// evacuated: their upstreams get no new work until the order ends.
+// Package evacuation keeps the operators' evacuation orders for failure domains. The
+// upstreams of an evacuated domain get no new work until the order ends. It does no I/O.
 //
-// It is a core without I/O. Each order is a register of its domain in which the
-// greatest revision of the table wins, so that nodes agree whatever the order in
-// which they hear of changes, and the end of an order can't be undone by a late word
-// of its begin.
+// Each domain is a last-writer-wins register ordered by the table's revision. Nodes
+// therefore converge whatever the order of updates, and a delayed begin cannot undo the end
+// of an order.
 package evacuation
--- a/internal/evacuation/order.go
+++ b/internal/evacuation/order.go
@@ -2,16 +2,17 @@
 
 // Order is the state of one failure domain's evacuation.
 type Order struct {
+	// Domain is the name of the failure domain.
 	Domain string
-	// Revision is the table's revision at the change that led to this state.
+	// Revision is the table's revision of the change that led to this state.
 	Revision uint64
-	// Ended is set once the order has been taken back.
+	// Ended is set once the order has been withdrawn.
 	Ended bool
 }
 
-// newer tells whether o supersedes known. A begin and an end of one revision are the
-// same row's: the end came later.
-func (o *Order) newer(known *Order) bool {
+// supersedes reports whether o replaces known. A begin and an end with equal revisions
+// belong to the same row, which was deleted after it was written: the end wins.
+func (o *Order) supersedes(known *Order) bool {
 	if o.Revision != known.Revision {
 		return o.Revision > known.Revision
 	}
--- a/internal/evacuation/orders.go
+++ b/internal/evacuation/orders.go
@@ -6,17 +6,18 @@
 	"strings"
 )
 
-// Orders are the orders that a node knows, ended ones too: without those, a peer that
-// has been cut off would bring an old order back.
+// Orders holds the orders that a node knows. It includes ended ones: without them, a peer
+// that was partitioned would restore an order that has ended.
 type Orders struct{ byDomain map[string]Order }
 
-// New returns no orders.
+// New returns an empty set of orders.
 func New() *Orders { return &Orders{byDomain: map[string]Order{}} }
 
-// Take takes an order; it reports whether its domain's state is another now.
+// Take applies an order. It reports whether the domain's evacuation began or ended by it.
+// An order without a domain is ignored.
 func (s *Orders) Take(o Order) (changed bool) {
 	known, ok := s.byDomain[o.Domain]
-	if o.Domain == "" || ok && !o.newer(&known) {
+	if o.Domain == "" || ok && !o.supersedes(&known) {
 		return false
 	}
 	s.byDomain[o.Domain] = o
@@ -24,8 +25,8 @@
 	return wasActive == o.Ended
 }
 
-// EndOthers ends the orders that a complete reading of the table at a revision does not
-// list; it returns those that were active.
+// EndOthers ends the orders that a full read of the table at a revision does not list. It
+// returns the ended states of those that were active.
 func (s *Orders) EndOthers(listed []Order, revision uint64) (ended []Order) {
 	for _, o := range s.All() {
 		if o.Ended || slices.ContainsFunc(listed, func(l Order) bool { return l.Domain == o.Domain }) {
@@ -39,13 +40,13 @@
 	return ended
 }
 
-// Active tells whether a domain is to be evacuated.
+// Active reports whether a domain is under evacuation.
 func (s *Orders) Active(domain string) bool {
 	o, ok := s.byDomain[domain]
 	return ok && !o.Ended
 }
 
-// All returns the state of each domain that had an order, by its name.
+// All returns the state of each domain that ever had an order, sorted by domain name.
 func (s *Orders) All() []Order {
 	return slices.SortedFunc(maps.Values(s.byDomain), func(a, b Order) int { return strings.Compare(a.Domain, b.Domain) })
 }
--- a/internal/evacuation/orders_test.go
+++ b/internal/evacuation/orders_test.go
@@ -9,8 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestEndIsNotUndone guards against a late word of an order's begin that brings it back.
-func TestEndIsNotUndone(t *testing.T) {
+// TestLateBeginDoesNotUndoEnd guards against the begin of an order that arrives after its
+// end and starts the evacuation again.
+func TestLateBeginDoesNotUndoEnd(t *testing.T) {
 	is := is.New(t)
 	s := New()
 	is.True(s.Take(Order{Domain: "a", Revision: 5}))
@@ -21,9 +22,9 @@
 	is.True(s.Active("a"))
 }
 
-// TestEndOfTheSameRevision guards against a deleted row that still bears the revision of
-// its last write.
-func TestEndOfTheSameRevision(t *testing.T) {
+// TestEndWinsAtEqualRevision guards against a deleted row that still carries the revision
+// of its last write.
+func TestEndWinsAtEqualRevision(t *testing.T) {
 	is := is.New(t)
 	s := New()
 	is.True(s.Take(Order{Domain: "a", Revision: 5}))
@@ -32,31 +33,32 @@
 	is.True(!s.Active("a"))
 }
 
-// TestReadingEndsWhatItLacks guards against an end that an outage hid.
-func TestReadingEndsWhatItLacks(t *testing.T) {
+// TestFullReadEndsUnlistedOrders guards against an order that stays active because its end
+// was missed during an outage.
+func TestFullReadEndsUnlistedOrders(t *testing.T) {
 	is := is.New(t)
 	s := New()
 	s.Take(Order{Domain: "a", Revision: 5})
 	s.Take(Order{Domain: "b", Revision: 6})
-	s.Take(Order{Domain: "c", Revision: 20}) // a peer has read more than this reading
+	s.Take(Order{Domain: "c", Revision: 20}) // a peer has read a later revision
 	ended := s.EndOthers([]Order{{Domain: "b", Revision: 6}}, 12)
 	is.Equal(ended, []Order{{Domain: "a", Revision: 12, Ended: true}})
 	is.True(s.Active("b"))
 	is.True(s.Active("c"))
 }
 
-// TestUnknownDomainOrdersNothing guards against an order without a name.
-func TestUnknownDomainOrdersNothing(t *testing.T) {
+// TestOrderWithoutDomainIsIgnored guards against an order with an empty domain name.
+func TestOrderWithoutDomainIsIgnored(t *testing.T) {
 	is := is.New(t)
 	s := New()
 	is.True(!s.Take(Order{Revision: 5}))
 	is.Equal(len(s.All()), 0)
 }
 
-// TestNodesAgreeWhateverTheyHearFirst guards against nodes that go on differing after
-// they have heard the same changes in different orders, some of them twice or out of an
-// exchange with each other.
-func TestNodesAgreeWhateverTheyHearFirst(t *testing.T) {
+// TestNodesConvergeForAnyOrderOfUpdates guards against nodes that stay in different states
+// after they received the same changes in different orders, some of them repeatedly or
+// through each other.
+func TestNodesConvergeForAnyOrderOfUpdates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var history []Order
 		active := map[string]bool{}
@@ -66,7 +68,7 @@
 			active[domain] = !active[domain]
 		}
 		nodes := []*Orders{New(), New(), New()}
-		for range rapid.IntRange(0, 60).Draw(t, "words") {
+		for range rapid.IntRange(0, 60).Draw(t, "updates") {
 			to := rapid.SampledFrom(nodes).Draw(t, "to")
 			if rapid.Bool().Draw(t, "from a peer") {
 				for _, o := range rapid.SampledFrom(nodes).Draw(t, "from").All() {
@@ -77,16 +79,16 @@
 			to.Take(rapid.SampledFrom(history).Draw(t, "change"))
 		}
 		for _, n := range nodes {
-			for _, i := range rapid.Permutation(indices(len(history))).Draw(t, "rest") {
+			for _, i := range rapid.Permutation(indices(len(history))).Draw(t, "remaining") {
 				n.Take(history[i])
 			}
 			for domain, want := range active {
 				if n.Active(domain) != want {
-					t.Fatalf("%s: active %t, ordered %t", domain, n.Active(domain), want)
+					t.Fatalf("domain %s: active is %t, want %t", domain, n.Active(domain), want)
 				}
 			}
 			if !slices.Equal(n.All(), nodes[0].All()) {
-				t.Fatalf("%v and %v", n.All(), nodes[0].All())
+				t.Fatalf("nodes differ after the same changes: %v and %v", n.All(), nodes[0].All())
 			}
 		}
 	})
