--- a/internal/fleet/choose.go
+++ b/internal/fleet/choose.go
@@ -36,7 +36,9 @@
 
 // Part is one block of a prompt's prefix.
 type Part struct {
-	ID     string
+	// ID identifies the block's content.
+	ID string
+	// Tokens is the block's length.
 	Tokens int
 }
 
@@ -63,13 +65,13 @@
 // candidates returns the upstreams that may take the attempt now.
 func (f *Fleet) candidates(spec *AttemptSpec, now time.Time) []*Upstream {
 	var candidates []*Upstream
-	seen := 0
+	usable := 0
 	for _, u := range f.services[spec.Service] {
 		if !f.matches(u, spec) || !f.usable(u, now) {
 			continue
 		}
-		seen++
-		if spec.Most > 0 && seen > spec.Most {
+		usable++
+		if spec.Most > 0 && usable > spec.Most {
 			break
 		}
 		if !slices.Contains(spec.Tried, u.ID) && f.withinRate(u, now) {
--- a/internal/fleet/evacuate.go
+++ b/internal/fleet/evacuate.go
@@ -50,8 +50,8 @@
 	return !f.evacuated[u.Domain] && !u.isLeaving() && !now.Before(u.backoffUntil())
 }
 
-// Stranded returns, sorted, the services whose upstreams that are ready for new work are
-// all in evacuated failure domains.
+// Stranded returns the services that have upstreams ready for new work, but only in
+// evacuated failure domains. They are sorted by name.
 func (f *Fleet) Stranded(now time.Time) (services []string) {
 	for service, ups := range f.services {
 		ready := func(u *Upstream) bool { return u.ready(now) }
--- a/internal/fleet/notices.go
+++ b/internal/fleet/notices.go
@@ -18,10 +18,10 @@
 	return f.notices.Take(r, now)
 }
 
-// Notices returns the reports for a peer. first is set if the peer has not been in contact
-// before.
-func (f *Fleet) Notices(now time.Time, first bool) []notice.Report {
-	return f.notices.Reports(now, first)
+// Notices returns the reports for a peer. newPeer is set if there was no earlier exchange
+// with it.
+func (f *Fleet) Notices(now time.Time, newPeer bool) []notice.Report {
+	return f.notices.Reports(now, newPeer)
 }
 
 // LeavingUpstreams returns the number of listed upstreams that announced their shutdown and
@@ -54,5 +54,5 @@
 	for _, u := range f.byID {
 		listed[u.announced.Start()] = true
 	}
-	f.notices.Sweep(now, func(start string) bool { return listed[start] })
+	f.notices.Sweep(now, func(incarnation string) bool { return listed[incarnation] })
 }
--- a/internal/fleet/rate_limit.go
+++ b/internal/fleet/rate_limit.go
@@ -18,7 +18,7 @@
 // forEachLimiter calls visit for each share of the upstream's bounds that applies to this
 // node now. The limiter is nil if other nodes send in its place. If an upstream warms up
 // and advertises a limit, both bounds apply.
-func (f *Fleet) forEachLimiter(u *Upstream, now time.Time, visit func(s *pacing.Share, limit *rate.Limiter)) {
+func (f *Fleet) forEachLimiter(u *Upstream, now time.Time, visit func(s *pacing.Share, limiter *rate.Limiter)) {
 	if w := f.warmUps[u.Service]; w.Rate > 0 && u.warmingUp(now) {
 		visit(&u.warmUpShare, u.warmUpShare.Limiter(u.announced.Start(), w.bound(), &f.senders, now))
 	}
@@ -37,17 +37,17 @@
 		return true
 	}
 	allowed := true
-	f.forEachLimiter(u, now, func(_ *pacing.Share, limit *rate.Limiter) {
-		allowed = allowed && limit != nil && limit.TokensAt(now) >= 1
+	f.forEachLimiter(u, now, func(_ *pacing.Share, limiter *rate.Limiter) {
+		allowed = allowed && limiter != nil && limiter.TokensAt(now) >= 1
 	})
 	return allowed
 }
 
 // takeTokens takes one token from each of this node's limiters for the upstream.
 func (f *Fleet) takeTokens(u *Upstream, now time.Time) {
-	f.forEachLimiter(u, now, func(_ *pacing.Share, limit *rate.Limiter) {
-		if limit != nil {
-			limit.AllowN(now, 1)
+	f.forEachLimiter(u, now, func(_ *pacing.Share, limiter *rate.Limiter) {
+		if limiter != nil {
+			limiter.AllowN(now, 1)
 		}
 	})
 }
--- a/internal/fleet/reading.go
+++ b/internal/fleet/reading.go
@@ -28,22 +28,22 @@
 
 // observe adds the time until the response to a prompt with the given uncached tokens
 // started.
-func (r *prefillEstimate) observe(took time.Duration, tokens float64) {
+func (e *prefillEstimate) observe(took time.Duration, tokens float64) {
 	if tokens < minPrefillTokens {
 		return
 	}
-	r.count++
-	step := max(prefillStep, 1/float64(r.count))
+	e.count++
+	step := max(prefillStep, 1/float64(e.count))
 	sample := took.Seconds() / effectiveTokens(tokens)
 	switch {
-	case r.perToken == 0:
-		r.perToken = sample
-	case sample > r.perToken:
-		r.perToken = min(r.perToken*(1+step*prefillQuantile), sample)
+	case e.perToken == 0:
+		e.perToken = sample
+	case sample > e.perToken:
+		e.perToken = min(e.perToken*(1+step*prefillQuantile), sample)
 	default:
-		r.perToken = max(r.perToken/(1+step*(1-prefillQuantile)), sample)
+		e.perToken = max(e.perToken/(1+step*(1-prefillQuantile)), sample)
 	}
-	r.extraWait += step * (max(took.Seconds()-r.perToken*effectiveTokens(tokens), 0) - r.extraWait)
+	e.extraWait += step * (max(took.Seconds()-e.perToken*effectiveTokens(tokens), 0) - e.extraWait)
 }
 
 // effectiveTokens returns the number of a short prompt's tokens that take the same time to
@@ -72,10 +72,10 @@
 
 // observePrefill records the time until an attempt's response started.
 func (f *Fleet) observePrefill(w *Work, now time.Time) {
-	r := f.prefillEstimates[w.key]
-	if r == nil {
-		r = &prefillEstimate{}
-		f.prefillEstimates[w.key] = r
+	e := f.prefillEstimates[w.key]
+	if e == nil {
+		e = &prefillEstimate{}
+		f.prefillEstimates[w.key] = e
 	}
-	r.observe(now.Sub(w.sentAt), w.uncachedTokens)
+	e.observe(now.Sub(w.sentAt), w.uncachedTokens)
 }
--- a/internal/fleet/restart_test.go
+++ b/internal/fleet/restart_test.go
@@ -27,7 +27,7 @@
 	f.Misdirected(old)
 	is.True(f.Choose(spec, now) == nil)
 	listed := f.Hash()
-	told := f.Flight()
+	oldFlight := f.Flight()
 
 	again := first
 	again.Born = 2
@@ -46,7 +46,7 @@
 	f.Report(old, 8, 8, now)
 	f.End(old, running, Unreached, now)
 	f.Misdirected(old)
-	f.TakeFlight(told, Flight{}, now)
+	f.TakeFlight(oldFlight, Flight{}, now)
 	is.True(f.Choose(spec, now) == u) // late results of the old incarnation change nothing
 	is.Equal(u.load(now), 0.0)
 	is.Equal(u.inFlight, 0)
--- a/internal/fleet/warm_up.go
+++ b/internal/fleet/warm_up.go
@@ -29,7 +29,7 @@
 
 // SetSenders sets the ID of this node and the IDs of all nodes that share the upstreams'
 // rates; none if they are not known yet.
-func (f *Fleet) SetSenders(self string, all []string) { f.senders.Set(self, all) }
+func (f *Fleet) SetSenders(self string, nodes []string) { f.senders.Set(self, nodes) }
 
 // Returning records that a connection to the upstream's address was refused. The upstream
 // may restart under its ID, and warm up, before the table shows it.
--- a/internal/fleet/warm_up_test.go
+++ b/internal/fleet/warm_up_test.go
@@ -32,16 +32,16 @@
 }
 
 // maxPerSecond returns the maximum number of the times that lie within any second.
-func maxPerSecond(sent []time.Time) (most int) {
+func maxPerSecond(sent []time.Time) (peak int) {
 	slices.SortFunc(sent, time.Time.Compare)
 	for i, first := range sent {
 		n := 0
 		for n+i < len(sent) && sent[i+n].Sub(first) < time.Second {
 			n++
 		}
-		most = max(most, n)
+		peak = max(peak, n)
 	}
-	return most
+	return peak
 }
 
 // TestWarmUpBoundHoldsAcrossNodes guards against nodes that each send little to an upstream
