--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -58,7 +58,7 @@
 		u := &Upstream{Record: r, firstSeen: now, announced: f.notices.Of(r.Start())}
 		u.backoffJitter = f.backoffJitter(u)
 		u.extendWarmUp(now.Add(r.Cold))
-		f.markReplaced(u)
+		f.markPredecessors(u)
 		f.byID[r.ID] = u
 		f.addToService(u)
 		f.updateListHash(u, true)
@@ -82,14 +82,14 @@
 	return true
 }
 
-// markReplaced marks the upstream whose address a newer one has taken over.
+// markPredecessors marks the upstreams whose address u has taken over as replaced.
 //
 // Crashed upstreams stay listed until their entries expire, beside their successors with
 // new IDs. Without the mark, each node would be rejected once by each such address, at the
 // cost of the retry budget. If two upstreams were first listed together, either may be the
 // newer one. An entry of another service marks none: its address may be wrong, and an
 // address with a new owner reports that itself.
-func (f *Fleet) markReplaced(u *Upstream) {
+func (f *Fleet) markPredecessors(u *Upstream) {
 	for _, old := range f.byID {
 		if old.Addr == u.Addr && old.Service == u.Service && old.firstSeen.Before(u.firstSeen) {
 			old.replaced = true
