--- a/internal/fleet/choose.go
+++ b/internal/fleet/choose.go
@@ -21,8 +21,8 @@
 	Weight float64
 	// Tokens is the prompt's length; 0 for plain services.
 	Tokens int
-	// Parts are the blocks of the prompt's prefix that other requests may share, in order.
-	Parts []Part
+	// PrefixBlocks are the blocks of the prompt's prefix that other requests may share, in order.
+	PrefixBlocks []Part
 	// Tried are the IDs of the upstreams that this request was already sent to.
 	Tried []string
 	// Most is the maximum number of usable upstreams of the service that are considered, in
@@ -145,10 +145,10 @@
 // advertised rate limit are left out, because most requests with the block could not go
 // there.
 func affinityUpstreams(spec *AttemptSpec, candidates []*Upstream) []*Upstream {
-	if len(spec.Parts) == 0 {
+	if len(spec.PrefixBlocks) == 0 {
 		return nil
 	}
-	block := spec.Parts[len(spec.Parts)-1].ID
+	block := spec.PrefixBlocks[len(spec.PrefixBlocks)-1].ID
 	type ranked struct {
 		u    *Upstream
 		rank uint64
@@ -227,7 +227,7 @@
 // prefixTokens returns the length of the prompt's shared prefix.
 func prefixTokens(spec *AttemptSpec) int {
 	n := 0
-	for _, p := range spec.Parts {
+	for _, p := range spec.PrefixBlocks {
 		n += p.Tokens
 	}
 	return n
--- a/internal/fleet/work.go
+++ b/internal/fleet/work.go
@@ -70,7 +70,7 @@
 // sent to u for the same model.
 func (u *Upstream) cachedPrefix(spec *AttemptSpec, now time.Time) int {
 	n := 0
-	for _, p := range spec.Parts {
+	for _, p := range spec.PrefixBlocks {
 		at, ok := u.sentBlocks[blockKey{spec.Model, p.ID}]
 		if !ok || now.Sub(at) > blockMemory {
 			break
@@ -85,13 +85,13 @@
 
 // recordBlocks records that u prefills and caches the prompt's prefix blocks.
 func (u *Upstream) recordBlocks(spec *AttemptSpec, now time.Time) {
-	if len(spec.Parts) == 0 {
+	if len(spec.PrefixBlocks) == 0 {
 		return
 	}
 	if u.sentBlocks == nil || len(u.sentBlocks) > maxBlocks {
 		u.sentBlocks = map[blockKey]time.Time{}
 	}
-	for _, p := range spec.Parts {
+	for _, p := range spec.PrefixBlocks {
 		u.sentBlocks[blockKey{spec.Model, p.ID}] = now
 	}
 }
