--- a/internal/fleet/choose.go
+++ b/internal/fleet/choose.go
@@ -22,7 +22,7 @@
 	// Tokens is the prompt's length; 0 for plain services.
 	Tokens int
 	// PrefixBlocks are the blocks of the prompt's prefix that other requests may share, in order.
-	PrefixBlocks []Part
+	PrefixBlocks []PrefixBlock
 	// Tried are the IDs of the upstreams that this request was already sent to.
 	Tried []string
 	// Most is the maximum number of usable upstreams of the service that are considered, in
@@ -34,8 +34,8 @@
 	Seed uint64
 }
 
-// Part is one block of a prompt's prefix.
-type Part struct {
+// PrefixBlock is one block of a prompt's prefix.
+type PrefixBlock struct {
 	// ID identifies the block's content.
 	ID string
 	// Tokens is the block's length.
--- a/internal/fleet/choose_bench_test.go
+++ b/internal/fleet/choose_bench_test.go
@@ -12,7 +12,7 @@
 	for _, count := range []int{112, 1000, 10000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
 			f, now := newTestFleet(count), time.Unix(1000, 0)
-			spec := AttemptSpec{Service: "s", Model: "m", Weight: 1, Tokens: 9000, PrefixBlocks: []Part{{"a", 500}, {"b", 4500}}}
+			spec := AttemptSpec{Service: "s", Model: "m", Weight: 1, Tokens: 9000, PrefixBlocks: []PrefixBlock{{"a", 500}, {"b", 4500}}}
 			for b.Loop() {
 				spec.Seed++
 				f.Choose(spec, now)
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -126,7 +126,7 @@
 func TestRequestsWithASharedPrefixUseFewUpstreams(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	spec := AttemptSpec{Service: "s", Model: "m", Weight: 1, Tokens: 8000, PrefixBlocks: []Part{{"p1", 500}, {"p2", 5000}}}
+	spec := AttemptSpec{Service: "s", Model: "m", Weight: 1, Tokens: 8000, PrefixBlocks: []PrefixBlock{{"p1", 500}, {"p2", 5000}}}
 	chosen := map[string]bool{}
 	for node := range uint64(6) {
 		f := newTestFleet(18)
@@ -157,7 +157,7 @@
 	now := time.Unix(1000, 0)
 	plain := AttemptSpec{Service: "s", Model: "small", Weight: 0.07, Tokens: 1500}
 	shared := plain
-	shared.Tokens, shared.PrefixBlocks = 12000, []Part{{ID: "p", Tokens: 5000}}
+	shared.Tokens, shared.PrefixBlocks = 12000, []PrefixBlock{{ID: "p", Tokens: 5000}}
 	first := f.Choose(shared, now)
 	f.Begin(first, &shared, now)
 	for range 2 { // more than the others have
--- a/internal/fleet/replay_world_test.go
+++ b/internal/fleet/replay_world_test.go
@@ -191,7 +191,7 @@
 	f := s.nodes[node]
 	spec := AttemptSpec{Service: "s", Model: "m", Weight: request.weight, Tokens: request.tokens, Seed: s.rnd.Uint64(), Tried: tried}
 	if request.block != "" {
-		spec.PrefixBlocks = []Part{{ID: request.block, Tokens: request.blockTokens}}
+		spec.PrefixBlocks = []PrefixBlock{{ID: request.block, Tokens: request.blockTokens}}
 	}
 	u := s.choose(s, node, spec)
 	if u == nil {
--- a/internal/fleet/restart_test.go
+++ b/internal/fleet/restart_test.go
@@ -19,7 +19,7 @@
 	first := testRecord("u0")
 	first.Born = 1
 	f.Put(first, now)
-	spec := AttemptSpec{Service: "s", Model: "m", Weight: 1, Tokens: 1000, PrefixBlocks: []Part{{ID: "p", Tokens: 900}}}
+	spec := AttemptSpec{Service: "s", Model: "m", Weight: 1, Tokens: 1000, PrefixBlocks: []PrefixBlock{{ID: "p", Tokens: 900}}}
 	old := f.Get("u0")
 	running := f.Begin(old, &spec, now)
 	f.End(old, f.Begin(old, &spec, now), Unreached, now)
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -86,7 +86,7 @@
 	}
 	// The last part belongs to this request alone.
 	for _, p := range j.headers.Parts[:max(len(j.headers.Parts)-1, 0)] {
-		spec.PrefixBlocks = append(spec.PrefixBlocks, fleet.Part{ID: p.ID, Tokens: p.Tokens})
+		spec.PrefixBlocks = append(spec.PrefixBlocks, fleet.PrefixBlock{ID: p.ID, Tokens: p.Tokens})
 	}
 	return spec
 }
