--- a/internal/fleet/choose.go
+++ b/internal/fleet/choose.go
@@ -25,9 +25,9 @@
 	PrefixBlocks []PrefixBlock
 	// Tried are the IDs of the upstreams that this request was already sent to.
 	Tried []string
-	// Most is the maximum number of usable upstreams of the service that are considered, in
+	// MaxUpstreams is the maximum number of usable upstreams of the service that are considered, in
 	// order of their IDs; 0 for all.
-	Most int
+	MaxUpstreams int
 	// Regions are the regions that may run the request; nil for all.
 	Regions []string
 	// Seed makes ties resolve differently on each node and request.
@@ -71,7 +71,7 @@
 			continue
 		}
 		usable++
-		if spec.Most > 0 && usable > spec.Most {
+		if spec.MaxUpstreams > 0 && usable > spec.MaxUpstreams {
 			break
 		}
 		if !slices.Contains(spec.Tried, u.ID) && f.withinRate(u, now) {
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -52,7 +52,7 @@
 	}
 	if rule.Part > 0 {
 		ofVersion, _ := n.fleet.Count(j.service, rule.Version, now)
-		spec.Most = max(1, int(rule.Part*float64(ofVersion)+0.5))
+		spec.MaxUpstreams = max(1, int(rule.Part*float64(ofVersion)+0.5))
 	}
 	up := n.fleet.Choose(spec, now)
 	if up == nil {
@@ -62,7 +62,7 @@
 		// No upstream of the version can run the request, so any other allowed version is
 		// used. A session waits instead when its own version is known to have capacity
 		// later.
-		spec.Version, spec.Most = "", 0
+		spec.Version, spec.MaxUpstreams = "", 0
 		up = n.fleet.Choose(spec, now)
 	}
 	if up == nil {
