--- a/internal/fleet/choose.go
+++ b/internal/fleet/choose.go
@@ -13,8 +13,8 @@
 	Service string
 	// Version is the version that may serve; empty for any.
 	Version string
-	// NotVersions are versions that may not serve.
-	NotVersions []string
+	// ExcludedVersions are versions that may not serve.
+	ExcludedVersions []string
 	// Model is the model to run; empty for plain services.
 	Model string
 	// Weight is the model's work per token, relative to the largest model (1).
@@ -133,7 +133,7 @@
 	if spec.Version != "" && u.Version != spec.Version {
 		return false
 	}
-	if slices.Contains(spec.NotVersions, u.Version) {
+	if slices.Contains(spec.ExcludedVersions, u.Version) {
 		return false
 	}
 	return spec.Model == "" || len(u.Models) == 0 || slices.Contains(u.Models, spec.Model)
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -52,7 +52,7 @@
 				f.Keep(name)
 			case 3:
 				spec := AttemptSpec{Service: "s", Model: "m", Weight: 1, Tokens: rapid.IntRange(0, 9000).Draw(t, "tokens"), Seed: rapid.Uint64().Draw(t, "seed"),
-					Tried: []string{"u0"}, NotVersions: []string{"v2"}}
+					Tried: []string{"u0"}, ExcludedVersions: []string{"v2"}}
 				u := f.Choose(spec, now)
 				if u == nil {
 					continue
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -48,7 +48,7 @@
 	rule := n.canary.Rule(j.service, canary.Caller{Hash: j.affinityHash, Session: j.headers.Session != ""}, now)
 	spec := j.attemptSpec(rule)
 	if v := n.heldVersion(j.service, now); v != "" && rule.Version != v {
-		spec.NotVersions = append(spec.NotVersions, v)
+		spec.ExcludedVersions = append(spec.ExcludedVersions, v)
 	}
 	if rule.Part > 0 {
 		ofVersion, _ := n.fleet.Count(j.service, rule.Version, now)
@@ -79,7 +79,7 @@
 // attemptSpec returns what the job's next attempt requires of an upstream.
 func (j *job) attemptSpec(rule canary.Rule) fleet.AttemptSpec {
 	spec := fleet.AttemptSpec{
-		Service: j.service, Version: rule.Version, NotVersions: rule.Not, Model: j.requestedModel(),
+		Service: j.service, Version: rule.Version, ExcludedVersions: rule.Not, Model: j.requestedModel(),
 		Weight: j.modelWeight(), Tokens: j.headers.TokensIn, Tried: j.tried,
 		Regions: j.regions(),
 		Seed:    j.affinityHash ^ uint64(j.node.incarnation) ^ uint64(j.start.UnixNano()) ^ uint64(len(j.tried)),
