--- a/internal/fleet/flight.go
+++ b/internal/fleet/flight.go
@@ -23,7 +23,7 @@
 }
 
 // flightKey identifies an incarnation of an upstream in a [Flight].
-func flightKey(r *Record) uint32 { return uint32(xxhash.Sum64String(r.Start())) }
+func flightKey(r *Record) uint32 { return uint32(xxhash.Sum64String(r.Incarnation())) }
 
 // Sum adds the flights of different nodes.
 func Sum(flights ...Flight) Flight {
--- a/internal/fleet/hash.go
+++ b/internal/fleet/hash.go
@@ -29,5 +29,5 @@
 	if u.Cold > 0 {
 		warmingUp = " cold"
 	}
-	return xxhash.Sum64String(u.Start() + " " + u.Addr + " " + u.Service + " " + u.Version + " " + draining + warmingUp)
+	return xxhash.Sum64String(u.Incarnation() + " " + u.Addr + " " + u.Service + " " + u.Version + " " + draining + warmingUp)
 }
--- a/internal/fleet/record.go
+++ b/internal/fleet/record.go
@@ -30,8 +30,8 @@
 	Models []string
 }
 
-// Start identifies the incarnation among all upstreams: ID and start time.
-func (r *Record) Start() string { return r.ID + "@" + strconv.FormatInt(r.Born, 10) }
+// Incarnation identifies the incarnation among all upstreams: ID and start time.
+func (r *Record) Incarnation() string { return r.ID + "@" + strconv.FormatInt(r.Born, 10) }
 
 // sameRouting reports whether two records are equal in all fields that routing uses.
 func (r *Record) sameRouting(other *Record) bool {
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -217,7 +217,7 @@
 	}
 	now := time.Now()
 	n.mu.Lock()
-	fresh := n.crashGuard.Add(crashguard.Strike{Fingerprint: j.fingerprint, Upstream: a.up.Start()}, now)
+	fresh := n.crashGuard.Add(crashguard.Strike{Fingerprint: j.fingerprint, Upstream: a.up.Incarnation()}, now)
 	strikes := n.crashGuard.Strikes(j.fingerprint)
 	n.mu.Unlock()
 	n.pool.Forget(a.addr)
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -26,7 +26,7 @@
 		n.noteMalformed(up, field, now)
 	}
 	for _, change := range n.fleet.Answered(up, r.Notice, at, now) {
-		n.noteChange(up.Start(), change, fromAnswer, now.Sub(at))
+		n.noteChange(up.Incarnation(), change, fromAnswer, now.Sub(at))
 		n.pushNotice(change, now)
 	}
 }
@@ -59,7 +59,7 @@
 // the caller holds mu.
 func (n *Node) noteMalformed(up *fleet.Upstream, field string, now time.Time) {
 	n.metrics.Counter("hickorybank_unsound_answer_fields_total", "field", field).Inc()
-	key := up.Start() + " " + field
+	key := up.Incarnation() + " " + field
 	if last, known := n.malformedLoggedAt[key]; known && now.Sub(last) < malformedLogInterval {
 		return
 	}
