--- a/internal/fleet/edits_test.go
+++ b/internal/fleet/edits_test.go
@@ -26,7 +26,7 @@
 			case 3:
 				f.Drop(name)
 			case 4:
-				f.Keep(name)
+				f.MarkUnlisted(name)
 			}
 		}
 		for range rapid.IntRange(0, 20).Draw(t, "before") {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -117,9 +117,9 @@
 	return true
 }
 
-// Keep marks an upstream as unlisted: the table does not list it now but may list it again.
-// The upstream continues to serve. Keep reports whether the upstream was listed before.
-func (f *Fleet) Keep(id string) bool {
+// MarkUnlisted marks an upstream as unlisted: the table does not list it now but may list it again.
+// The upstream continues to serve. MarkUnlisted reports whether the upstream was listed before.
+func (f *Fleet) MarkUnlisted(id string) bool {
 	u := f.byID[id]
 	if u == nil || u.unlisted {
 		return false
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -49,7 +49,7 @@
 			case 1:
 				f.Drop(name)
 			case 2:
-				f.Keep(name)
+				f.MarkUnlisted(name)
 			case 3:
 				spec := AttemptSpec{Service: "s", Model: "m", Weight: 1, Tokens: rapid.IntRange(0, 9000).Draw(t, "tokens"), Seed: rapid.Uint64().Draw(t, "seed"),
 					Tried: []string{"u0"}, ExcludedVersions: []string{"v2"}}
@@ -179,9 +179,9 @@
 	is := is.New(t)
 	a, b := newTestFleet(4), newTestFleet(3)
 	is.True(a.Hash() != b.Hash())
-	is.True(a.Keep("u3"))
-	is.True(!a.Keep("u3"))
-	is.True(!a.Keep("u9"))
+	is.True(a.MarkUnlisted("u3"))
+	is.True(!a.MarkUnlisted("u3"))
+	is.True(!a.MarkUnlisted("u9"))
 	is.Equal(a.Hash(), b.Hash())
 	is.Equal(len(a.Records(time.Unix(1000, 0))), 3)
 	spec := AttemptSpec{Service: "s", Tried: []string{"u0", "u1", "u2"}}
--- a/internal/fleet/leaving_test.go
+++ b/internal/fleet/leaving_test.go
@@ -27,7 +27,7 @@
 				f.Drop("u0")
 				f.Put(testRecord("u0"), now)
 			case 2:
-				f.Keep("u0")
+				f.MarkUnlisted("u0")
 			case 3:
 				if u := f.Get("u0"); u != nil {
 					f.Answered(u, notice.Answer{}, now, now)
--- a/internal/gateway/fleet_changes.go
+++ b/internal/gateway/fleet_changes.go
@@ -89,7 +89,7 @@
 			n.dropUpstream(id)
 			continue
 		}
-		if n.fleet.Keep(id) {
+		if n.fleet.MarkUnlisted(id) {
 			n.view.retained[id] = until
 			kept++
 		}
--- a/internal/gateway/snapshot.go
+++ b/internal/gateway/snapshot.go
@@ -107,7 +107,7 @@
 	for _, r := range records {
 		if n.fleet.Get(r.ID) == nil {
 			n.putUpstream(r, now)
-			n.fleet.Keep(r.ID)
+			n.fleet.MarkUnlisted(r.ID)
 			n.view.retained[r.ID] = until
 		}
 	}
