--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -97,10 +97,10 @@
 	}
 }
 
-// Misdirected marks an upstream whose address responded that it belongs to another one. The
+// MarkReplaced marks an upstream whose address responded that it belongs to another one. The
 // upstream has ended, but it stays listed until its entry expires. It is not removed here,
 // so that all nodes agree on the list.
-func (f *Fleet) Misdirected(u *Upstream) { u.replaced = true }
+func (f *Fleet) MarkReplaced(u *Upstream) { u.replaced = true }
 
 // Drop removes an upstream that the table no longer lists. It reports whether the upstream
 // was known.
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -222,7 +222,7 @@
 	both.Put(recordWithID("two"), listedAt)
 	listed := both.Hash()
 	is.True(both.Choose(spec, listedAt) != nil)
-	both.Misdirected(both.Get("one"))
+	both.MarkReplaced(both.Get("one"))
 	for seed := range uint64(20) {
 		spec.Seed = seed
 		is.Equal(both.Choose(spec, listedAt).ID, "two")
--- a/internal/fleet/precedence_test.go
+++ b/internal/fleet/precedence_test.go
@@ -20,7 +20,7 @@
 		r.Draining = true
 		f.Put(r, now)
 	}
-	replaced := func(f *Fleet, u *Upstream) { f.Misdirected(u) }
+	replaced := func(f *Fleet, u *Upstream) { f.MarkReplaced(u) }
 	ejected := func(_ *Fleet, u *Upstream) { u.ejectedUntil = now.Add(time.Second) }
 	backingOff := func(f *Fleet, u *Upstream) { f.Answered(u, notice.Answer{Rest: backoff}, now, now) }
 	limited := func(f *Fleet, u *Upstream) {
--- a/internal/fleet/restart_test.go
+++ b/internal/fleet/restart_test.go
@@ -24,7 +24,7 @@
 	running := f.Begin(old, &spec, now)
 	f.End(old, f.Begin(old, &spec, now), Unreached, now)
 	f.Report(old, 7, 5, now)
-	f.Misdirected(old)
+	f.MarkReplaced(old)
 	is.True(f.Choose(spec, now) == nil)
 	listed := f.Hash()
 	oldFlight := f.Flight()
@@ -45,7 +45,7 @@
 	f.Started(old, running, now)
 	f.Report(old, 8, 8, now)
 	f.End(old, running, Unreached, now)
-	f.Misdirected(old)
+	f.MarkReplaced(old)
 	f.TakeFlight(oldFlight, Flight{}, now)
 	is.True(f.Choose(spec, now) == u) // late results of the old incarnation change nothing
 	is.Equal(u.load(now), 0.0)
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -174,7 +174,7 @@
 	n.pool.Forget(a.addr)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.fleet.Misdirected(a.up)
+	n.fleet.MarkReplaced(a.up)
 }
 
 // blocked reports whether requests with this fingerprint are blocked for crashing
