--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -141,9 +141,9 @@
 	return all
 }
 
-// StandingRecords returns the records that the table lists, sorted by ID, with Draining set
+// EffectiveRecords returns the records that the table lists, sorted by ID, with Draining set
 // for all upstreams that are leaving by their own responses.
-func (f *Fleet) StandingRecords(now time.Time) []Record {
+func (f *Fleet) EffectiveRecords(now time.Time) []Record {
 	all := f.Records(now)
 	for i := range all {
 		all[i].Draining = f.byID[all[i].ID].isLeaving()
@@ -151,7 +151,7 @@
 	return all
 }
 
-// StandingHash returns a hash of StandingRecords.
+// StandingHash returns a hash of EffectiveRecords.
 func (f *Fleet) StandingHash() uint64 {
 	hash := f.listHash
 	for _, u := range f.byID {
--- a/internal/fleet/leaving_test.go
+++ b/internal/fleet/leaving_test.go
@@ -59,7 +59,7 @@
 	before := f.StandingHash()
 	f.Answered(f.Get("u0"), notice.Answer{Leaving: true}, now, now)
 	is.True(f.StandingHash() != before) // the snapshot has to be written again
-	is.True(f.StandingRecords(now)[0].Draining)
-	is.True(!f.StandingRecords(now)[1].Draining)
+	is.True(f.EffectiveRecords(now)[0].Draining)
+	is.True(!f.EffectiveRecords(now)[1].Draining)
 	is.True(!f.Records(now)[0].Draining) // peers compare only what the table lists
 }
--- a/internal/gateway/snapshot.go
+++ b/internal/gateway/snapshot.go
@@ -48,7 +48,7 @@
 	if hash == saved || first != n.settings.ID || !complete {
 		return nil, hash
 	}
-	return n.fleet.StandingRecords(now), hash
+	return n.fleet.EffectiveRecords(now), hash
 }
 
 // saveSnapshot writes the snapshot to the table; it reports whether the call succeeded.
