--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -151,8 +151,8 @@
 	return all
 }
 
-// StandingHash returns a hash of EffectiveRecords.
-func (f *Fleet) StandingHash() uint64 {
+// EffectiveHash returns a hash of EffectiveRecords.
+func (f *Fleet) EffectiveHash() uint64 {
 	hash := f.listHash
 	for _, u := range f.byID {
 		if !u.unlisted && u.announced.Leaving() && !u.Draining {
--- a/internal/fleet/leaving_test.go
+++ b/internal/fleet/leaving_test.go
@@ -56,9 +56,9 @@
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	f := newTestFleet(2)
-	before := f.StandingHash()
+	before := f.EffectiveHash()
 	f.Answered(f.Get("u0"), notice.Answer{Leaving: true}, now, now)
-	is.True(f.StandingHash() != before) // the snapshot has to be written again
+	is.True(f.EffectiveHash() != before) // the snapshot has to be written again
 	is.True(f.EffectiveRecords(now)[0].Draining)
 	is.True(!f.EffectiveRecords(now)[1].Draining)
 	is.True(!f.Records(now)[0].Draining) // peers compare only what the table lists
