--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -190,8 +190,8 @@
 	}
 }
 
-// Report records the load that an upstream reported: its running and waiting requests.
-func (f *Fleet) Report(u *Upstream, running, waiting int, now time.Time) {
+// ReportLoad records the load that an upstream reported: its running and waiting requests.
+func (f *Fleet) ReportLoad(u *Upstream, running, waiting int, now time.Time) {
 	u.setReportedLoad(running, waiting, now)
 }
 
--- a/internal/fleet/flight_test.go
+++ b/internal/fleet/flight_test.go
@@ -80,7 +80,7 @@
 	all := Sum(sent, there.Flight(), Flight{})
 	here.Begin(own, &spec, now) // after its flight was sent
 
-	here.Report(here.Get("u1"), 8, 0, now)
+	here.ReportLoad(here.Get("u1"), 8, 0, now)
 	here.TakeFlight(all, sent, now)
 	is.Equal(own.load(now), 4.0/8)                    // two of its own and two of the other node
 	is.Equal(own.queuedWork(0, now), 3000.0)          // one of which has started
--- a/internal/fleet/restart_test.go
+++ b/internal/fleet/restart_test.go
@@ -23,7 +23,7 @@
 	old := f.Get("u0")
 	running := f.Begin(old, &spec, now)
 	f.End(old, f.Begin(old, &spec, now), Unreached, now)
-	f.Report(old, 7, 5, now)
+	f.ReportLoad(old, 7, 5, now)
 	f.MarkReplaced(old)
 	is.True(f.Choose(spec, now) == nil)
 	listed := f.Hash()
@@ -43,7 +43,7 @@
 	is.Equal(len(f.Versions("s")), 1)
 
 	f.Started(old, running, now)
-	f.Report(old, 8, 8, now)
+	f.ReportLoad(old, 8, 8, now)
 	f.End(old, running, Unreached, now)
 	f.MarkReplaced(old)
 	f.TakeFlight(oldFlight, Flight{}, now)
@@ -51,7 +51,7 @@
 	is.Equal(u.load(now), 0.0)
 	is.Equal(u.inFlight, 0)
 
-	f.Report(u, 2, 0, now)
+	f.ReportLoad(u, 2, 0, now)
 	is.True(!f.Put(again, now)) // the same record again is no change
 	is.Equal(f.Get("u0"), u)
 }
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -20,7 +20,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if r.HasLoad {
-		n.fleet.Report(up, r.Running, r.Waiting, now)
+		n.fleet.ReportLoad(up, r.Running, r.Waiting, now)
 	}
 	for _, field := range r.Notice.Unsound {
 		n.noteMalformed(up, field, now)
