--- a/internal/fleet/warm_up.go
+++ b/internal/fleet/warm_up.go
@@ -31,9 +31,9 @@
 // rates; none if they are not known yet.
 func (f *Fleet) SetSenders(self string, nodes []string) { f.senders.Set(self, nodes) }
 
-// Returning records that a connection to the upstream's address was refused. The upstream
+// ConnectionRefused records that a connection to the upstream's address was refused. The upstream
 // may restart under its ID, and warm up, before the table shows it.
-func (f *Fleet) Returning(u *Upstream, now time.Time) {
+func (f *Fleet) ConnectionRefused(u *Upstream, now time.Time) {
 	if w := f.warmUps[u.Service]; w.Rate > 0 {
 		u.extendWarmUp(now.Add(w.Time))
 	}
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -166,7 +166,7 @@
 func (n *Node) noteNotConnected(up *fleet.Upstream) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.fleet.Returning(up, time.Now())
+	n.fleet.ConnectionRefused(up, time.Now())
 }
 
 // noteMisdirected drops an upstream whose address now belongs to another upstream.
