--- a/internal/fleet/evacuate.go
+++ b/internal/fleet/evacuate.go
@@ -44,9 +44,9 @@
 // Leaves reports whether an upstream has permanently stopped taking new work.
 func (f *Fleet) Leaves(u *Upstream) bool { return u.isLeaving() }
 
-// Takes reports whether an attempt may still be sent to the upstream that was chosen for
+// StillAccepts reports whether an attempt may still be sent to the upstream that was chosen for
 // it. It may not if the upstream is leaving, in back-off or evacuated by now.
-func (f *Fleet) Takes(u *Upstream, now time.Time) bool {
+func (f *Fleet) StillAccepts(u *Upstream, now time.Time) bool {
 	return !f.evacuated[u.Domain] && !u.isLeaving() && !now.Before(u.backoffUntil())
 }
 
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -124,7 +124,7 @@
 	n := a.job.node
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.fleet.Takes(a.up, time.Now())
+	return n.fleet.StillAccepts(a.up, time.Now())
 }
 
 // markStarted records that the attempt's answer has begun.
