--- a/internal/fleet/evacuate.go
+++ b/internal/fleet/evacuate.go
@@ -41,8 +41,8 @@
 	return maxBackoffJitter * float64(draw>>11) / (1 << 53)
 }
 
-// Leaves reports whether an upstream has permanently stopped taking new work.
-func (f *Fleet) Leaves(u *Upstream) bool { return u.isLeaving() }
+// IsLeaving reports whether an upstream has permanently stopped taking new work.
+func (f *Fleet) IsLeaving(u *Upstream) bool { return u.isLeaving() }
 
 // StillAccepts reports whether an attempt may still be sent to the upstream that was chosen for
 // it. It may not if the upstream is leaving, in back-off or evacuated by now.
--- a/internal/gateway/snapshot.go
+++ b/internal/gateway/snapshot.go
@@ -118,7 +118,7 @@
 func (n *Node) retainedRecords() []fleet.Record {
 	var kept []fleet.Record
 	for id := range n.view.retained {
-		if u := n.fleet.Get(id); u != nil && !n.fleet.Leaves(u) {
+		if u := n.fleet.Get(id); u != nil && !n.fleet.IsLeaving(u) {
 			kept = append(kept, u.Record)
 		}
 	}
