--- a/internal/fleet/evacuate.go
+++ b/internal/fleet/evacuate.go
@@ -50,9 +50,9 @@
 	return !f.evacuated[u.Domain] && !u.isLeaving() && !now.Before(u.backoffUntil())
 }
 
-// Stranded returns the services that have upstreams ready for new work, but only in
+// FullyEvacuatedServices returns the services that have upstreams ready for new work, but only in
 // evacuated failure domains. They are sorted by name.
-func (f *Fleet) Stranded(now time.Time) (services []string) {
+func (f *Fleet) FullyEvacuatedServices(now time.Time) (services []string) {
 	for service, ups := range f.services {
 		ready := func(u *Upstream) bool { return u.ready(now) }
 		usable := func(u *Upstream) bool { return f.usable(u, now) }
--- a/internal/fleet/warm_up_test.go
+++ b/internal/fleet/warm_up_test.go
@@ -143,7 +143,7 @@
 	f.SetSenders("n", []string{"n"})
 	f.SetEvacuated("d0", true, now)
 	is.Equal(f.Choose(AttemptSpec{Service: "s"}, now), nil)
-	is.Equal(f.Stranded(now), []string{"s"})
+	is.Equal(f.FullyEvacuatedServices(now), []string{"s"})
 	f.SetEvacuated("d0", false, now)
 	is.True(f.Get("u0").warmingUp(now.Add(2 * time.Second)))
 	is.True(!f.Get("u0").warmingUp(now.Add(4 * time.Second)))
--- a/internal/gateway/evacuations.go
+++ b/internal/gateway/evacuations.go
@@ -48,7 +48,7 @@
 	if _, known := n.settings.Regions[o.Domain]; !known && len(n.settings.Regions) > 0 {
 		event.EvacuationUnknown.Log(n.log, slog.String("domain", o.Domain))
 	}
-	for _, service := range n.fleet.Stranded(now) {
+	for _, service := range n.fleet.FullyEvacuatedServices(now) {
 		event.EvacuationStrands.Log(n.log, slog.String("domain", o.Domain), slog.String("service", service))
 	}
 }
