--- a/internal/fleet/flight.go
+++ b/internal/fleet/flight.go
@@ -37,8 +37,8 @@
 	return newFlight(sum)
 }
 
-// Less subtracts part from all, entry by entry; no entry falls below 0.
-func Less(all, part Flight) Flight {
+// Subtract subtracts part from all, entry by entry; no entry falls below 0.
+func Subtract(all, part Flight) Flight {
 	remaining := map[uint32]flightEntry{}
 	for i, key := range all.Keys[:all.size()] {
 		remaining[key] = flightEntry{all.Counts[i], all.Work[i]}
@@ -87,7 +87,7 @@
 // with a full batch reports nothing. They are also about a second old when they reach most
 // nodes.
 func (f *Fleet) TakeFlight(all, sent Flight, now time.Time) {
-	remaining := Less(all, sent)
+	remaining := Subtract(all, sent)
 	others := make(map[uint32]flightEntry, len(remaining.Keys))
 	for i, key := range remaining.Keys {
 		others[key] = flightEntry{remaining.Counts[i], remaining.Work[i]}
--- a/internal/gossip/flight_sums.go
+++ b/internal/gossip/flight_sums.go
@@ -55,7 +55,7 @@
 // TakeRest takes the sum over all nodes from the one to which this one reports, less what
 // was reported.
 func (s *FlightSums) TakeRest(all, reported fleet.Flight, now time.Time) {
-	s.rest = received{fleet.Less(all, reported), now}
+	s.rest = received{fleet.Subtract(all, reported), now}
 }
 
 // Answer takes a report and returns its answer: the sum over this failure domain to another
