--- a/internal/fleet/choose_bench_test.go
+++ b/internal/fleet/choose_bench_test.go
@@ -30,6 +30,6 @@
 	}
 	for b.Loop() {
 		own := f.Flight()
-		f.TakeFlight(own, own, now)
+		f.ApplyFlight(own, own, now)
 	}
 }
--- a/internal/fleet/flight.go
+++ b/internal/fleet/flight.go
@@ -79,14 +79,14 @@
 	return newFlight(own)
 }
 
-// TakeFlight sets the in-flight attempts of other nodes: all, which sums over all nodes,
+// ApplyFlight sets the in-flight attempts of other nodes: all, which sums over all nodes,
 // less sent, this node's own part in that sum.
 //
 // Each node sends only a small part of the load, and an upstream's own reports are not
 // enough. They come with the start of a response, so that an upstream in a long prefill or
 // with a full batch reports nothing. They are also about a second old when they reach most
 // nodes.
-func (f *Fleet) TakeFlight(all, sent Flight, now time.Time) {
+func (f *Fleet) ApplyFlight(all, sent Flight, now time.Time) {
 	remaining := Subtract(all, sent)
 	others := make(map[uint32]flightEntry, len(remaining.Keys))
 	for i, key := range remaining.Keys {
--- a/internal/fleet/flight_test.go
+++ b/internal/fleet/flight_test.go
@@ -81,7 +81,7 @@
 	here.Begin(own, &spec, now) // after its flight was sent
 
 	here.ReportLoad(here.Get("u1"), 8, 0, now)
-	here.TakeFlight(all, sent, now)
+	here.ApplyFlight(all, sent, now)
 	is.Equal(own.load(now), 4.0/8)                    // two of its own and two of the other node
 	is.Equal(own.queuedWork(0, now), 3000.0)          // one of which has started
 	is.Equal(here.Get("u1").load(now), 0.0)           // no node has attempts there
@@ -92,7 +92,7 @@
 	again := testRecord("u0")
 	again.Born = 7
 	here.Put(again, now)
-	here.TakeFlight(all, sent, now)
+	here.ApplyFlight(all, sent, now)
 	is.Equal(here.Get("u0").load(now), 0.0) // the attempts are at the old incarnation
 }
 
@@ -105,7 +105,7 @@
 	spec := AttemptSpec{Service: "s"}
 	f.Begin(f.Get("u0"), &spec, now)
 	sent := f.Flight()
-	f.TakeFlight(Flight{Keys: sent.Keys}, sent, now)
+	f.ApplyFlight(Flight{Keys: sent.Keys}, sent, now)
 	is.Equal(f.Get("u0").load(now), 1.0/8)
 	is.Equal(Sum(Flight{Keys: []uint32{1, 2}, Counts: []uint16{1}, Work: []uint32{1, 2}}).Keys, []uint32{1})
 }
--- a/internal/fleet/replay_world_test.go
+++ b/internal/fleet/replay_world_test.go
@@ -159,7 +159,7 @@
 	sum := Sum(all...)
 	s.after(s.cluster.flightInterval/2, func() {
 		for i, f := range s.nodes {
-			f.TakeFlight(sum, all[i], s.now)
+			f.ApplyFlight(sum, all[i], s.now)
 		}
 	})
 	s.after(s.cluster.flightInterval, s.shareFlights)
--- a/internal/fleet/restart_test.go
+++ b/internal/fleet/restart_test.go
@@ -46,7 +46,7 @@
 	f.ReportLoad(old, 8, 8, now)
 	f.End(old, running, Unreached, now)
 	f.MarkReplaced(old)
-	f.TakeFlight(oldFlight, Flight{}, now)
+	f.ApplyFlight(oldFlight, Flight{}, now)
 	is.True(f.Choose(spec, now) == u) // late results of the old incarnation change nothing
 	is.Equal(u.load(now), 0.0)
 	is.Equal(u.inFlight, 0)
--- a/internal/gateway/follow_flights.go
+++ b/internal/gateway/follow_flights.go
@@ -32,7 +32,7 @@
 			continue // gossip detects the loss of the leader
 		}
 		n.mu.Lock()
-		n.fleet.TakeFlight(n.flights.All(time.Now()), own, time.Now())
+		n.fleet.ApplyFlight(n.flights.All(time.Now()), own, time.Now())
 		n.mu.Unlock()
 	}
 }
