--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -25,7 +25,7 @@
 	for _, field := range r.Notice.Unsound {
 		n.noteMalformed(up, field, now)
 	}
-	for _, change := range n.fleet.Answered(up, r.Notice, at, now) {
+	for _, change := range n.fleet.ApplyResponse(up, r.Notice, at, now) {
 		n.noteChange(up.Incarnation(), change, fromAnswer, now.Sub(at))
 		n.pushNotice(change, now)
 	}
