--- a/internal/fleet/notices.go
+++ b/internal/fleet/notices.go
@@ -12,9 +12,9 @@
 	return f.notices.Answer(u.announced, a, at, now)
 }
 
-// TakeNotice applies a peer's report of an upstream's response. It returns the resulting
+// ApplyNotice applies a peer's report of an upstream's response. It returns the resulting
 // changes at this node.
-func (f *Fleet) TakeNotice(r notice.Report, now time.Time) []notice.Change {
+func (f *Fleet) ApplyNotice(r notice.Report, now time.Time) []notice.Change {
 	return f.notices.Take(r, now)
 }
 
