--- a/internal/fleet/notices.go
+++ b/internal/fleet/notices.go
@@ -35,8 +35,8 @@
 	return count
 }
 
-// RestingUpstreams returns the number of upstreams in back-off for this node.
-func (f *Fleet) RestingUpstreams(now time.Time) (count int) {
+// BackedOffUpstreams returns the number of upstreams in back-off for this node.
+func (f *Fleet) BackedOffUpstreams(now time.Time) (count int) {
 	for _, u := range f.byID {
 		if now.Before(u.backoffUntil()) {
 			count++
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -132,7 +132,7 @@
 func (n *Node) restingUpstreams() float64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return float64(n.fleet.RestingUpstreams(time.Now()))
+	return float64(n.fleet.BackedOffUpstreams(time.Now()))
 }
 
 // sweepNotices removes the notices of upstreams that are long gone, at intervals.
