--- a/internal/fleet/replay_world_test.go
+++ b/internal/fleet/replay_world_test.go
@@ -198,7 +198,7 @@
 		s.dropped++
 		return
 	}
-	expectedWait := f.Delay(&spec, s.now)
+	expectedWait := f.ExpectedWait(&spec, s.now)
 	job := &simJob{node: f, upstream: u, spec: spec, request: request, arrivedAt: arrivedAt, rank: s.rank(f, u, &spec)}
 	job.work = f.Begin(u, &spec, s.now)
 	sim := s.upstreams[u.ID]
