--- a/internal/fleet/reading_test.go
+++ b/internal/fleet/reading_test.go
@@ -30,14 +30,14 @@
 		f.End(u, work, Served, now)
 	}
 	for _, tokens := range []int{20000, 40000, 54000} {
-		got := f.FirstEvent(&AttemptSpec{Service: "s", Model: "large", Tokens: tokens}, now).Seconds()
+		got := f.TimeToFirstEvent(&AttemptSpec{Service: "s", Model: "large", Tokens: tokens}, now).Seconds()
 		want := perToken * effectiveTokens(float64(tokens))
 		t.Logf("%d tokens: predicted %.2f s, prefill takes %.2f s", tokens, got, want)
 		if math.Abs(got-want) > 0.2*want+0.2 {
 			t.Errorf("%d tokens: predicted %.2f s, prefill takes %.2f s", tokens, got, want)
 		}
 	}
-	if got := f.FirstEvent(&AttemptSpec{Service: "s", Model: "other", Tokens: 9000}, now); got != 0 {
+	if got := f.TimeToFirstEvent(&AttemptSpec{Service: "s", Model: "other", Tokens: 9000}, now); got != 0 {
 		t.Errorf("predicted %v for a model without attempts, want 0", got)
 	}
 }
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -128,7 +128,7 @@
 	smallest.Model, largest.Model = models[0], models[len(models)-1]
 	return cascade.State{
 		Models: models, Attempts: j.attemptsLeft(), Resumed: j.lastEvent != "", Left: j.route.Goal - now.Sub(j.start),
-		Smallest: n.fleet.FirstEvent(&smallest, now), Largest: n.fleet.FirstEvent(&largest, now),
+		Smallest: n.fleet.TimeToFirstEvent(&smallest, now), Largest: n.fleet.TimeToFirstEvent(&largest, now),
 	}
 }
 
@@ -142,7 +142,7 @@
 	largest.Model = j.route.Models[len(j.route.Models)-1]
 	return cascade.State{
 		Models: j.route.Models, Attempts: j.attemptsLeft(), Load: load,
-		Left: j.route.Goal - time.Since(j.start), Largest: n.fleet.FirstEvent(&largest, time.Now()),
+		Left: j.route.Goal - time.Since(j.start), Largest: n.fleet.TimeToFirstEvent(&largest, time.Now()),
 	}
 }
 
