--- a/internal/fleet/precedence_test.go
+++ b/internal/fleet/precedence_test.go
@@ -68,7 +68,7 @@
 			if got := f.Choose(spec, now) != nil; got != c.chosen {
 				t.Errorf("chosen is %t, want the opposite", got)
 			}
-			at, known := f.RoomAt(&spec, now)
+			at, known := f.NextAvailable(&spec, now)
 			if c.chosen {
 				return
 			}
--- a/internal/fleet/rest_test.go
+++ b/internal/fleet/rest_test.go
@@ -22,7 +22,7 @@
 	f.ApplyResponse(u, notice.Answer{}, at(200), at(200))
 	spec := AttemptSpec{Service: "s"}
 	is.Equal(f.Choose(spec, at(2900)), nil)
-	until, ok := f.RoomAt(&spec, at(500))
+	until, ok := f.NextAvailable(&spec, at(500))
 	is.True(ok)
 	is.True(!until.Before(at(3000)))
 	is.True(f.Choose(spec, until) != nil)
--- a/internal/fleet/room_test.go
+++ b/internal/fleet/room_test.go
@@ -24,15 +24,15 @@
 		f.Begin(u, &spec, now)
 	}
 	is.Equal(f.Choose(spec, now), nil)
-	at, ok := f.RoomAt(&spec, now)
+	at, ok := f.NextAvailable(&spec, now)
 	is.True(ok)
 	is.Equal(at, now.Add(500*time.Millisecond))
 	is.True(f.Choose(spec, at) != nil)
 	f.Get("u1").ejectedUntil = now.Add(time.Second)
-	_, ok = f.RoomAt(&spec, now)
+	_, ok = f.NextAvailable(&spec, now)
 	is.True(!ok) // it may be back at any moment
 	f.Drop("u1")
 	f.Get("u0").Draining = true
-	_, ok = f.RoomAt(&spec, now)
+	_, ok = f.NextAvailable(&spec, now)
 	is.True(!ok) // no upstream is left
 }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -56,7 +56,7 @@
 	}
 	up := n.fleet.Choose(spec, now)
 	if up == nil {
-		roomAt, _ = n.fleet.RoomAt(&spec, now)
+		roomAt, _ = n.fleet.NextAvailable(&spec, now)
 	}
 	if up == nil && rule.Version != "" && (roomAt.IsZero() || j.headers.Session == "") {
 		// No upstream of the version can run the request, so any other allowed version is
