--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -65,7 +65,7 @@
 				if len(running) > 0 {
 					o := running[0]
 					running = running[1:]
-					f.Started(o.upstream, o.work, now)
+					f.ResponseStarted(o.upstream, o.work, now)
 					f.End(o.upstream, o.work, Result(rapid.IntRange(0, 4).Draw(t, "result")), now)
 				}
 			}
--- a/internal/fleet/flight_test.go
+++ b/internal/fleet/flight_test.go
@@ -75,7 +75,7 @@
 	here.Begin(own, &spec, now)
 	there.Begin(other, &spec, now)
 	begun := there.Begin(other, &spec, now)
-	there.Started(other, begun, now)
+	there.ResponseStarted(other, begun, now)
 	sent := here.Flight()
 	all := Sum(sent, there.Flight(), Flight{})
 	here.Begin(own, &spec, now) // after its flight was sent
--- a/internal/fleet/reading_test.go
+++ b/internal/fleet/reading_test.go
@@ -26,7 +26,7 @@
 			queued = rnd.ExpFloat64() * 0.4
 		}
 		now = now.Add(time.Duration((prefill + queued) * float64(time.Second)))
-		f.Started(u, work, now)
+		f.ResponseStarted(u, work, now)
 		f.End(u, work, Served, now)
 	}
 	for _, tokens := range []int{20000, 40000, 54000} {
--- a/internal/fleet/replay_world_test.go
+++ b/internal/fleet/replay_world_test.go
@@ -292,7 +292,7 @@
 func (s *simulation) startResponse(sim *simUpstream, job *simJob) {
 	sim.prefilling = nil
 	sim.running++
-	job.node.Started(job.upstream, job.work, s.now)
+	job.node.ResponseStarted(job.upstream, job.work, s.now)
 	job.node.ReportLoad(job.upstream, sim.running, sim.waiting(), s.now)
 	if job.run == 0 {
 		s.waits = append(s.waits, waitSample{job.arrivedAt, s.now.Sub(job.arrivedAt), job.request})
--- a/internal/fleet/restart_test.go
+++ b/internal/fleet/restart_test.go
@@ -42,7 +42,7 @@
 	is.True(f.Hash() != listed)                     // nodes that list the old incarnation differ
 	is.Equal(len(f.Versions("s")), 1)
 
-	f.Started(old, running, now)
+	f.ResponseStarted(old, running, now)
 	f.ReportLoad(old, 8, 8, now)
 	f.End(old, running, Unreached, now)
 	f.MarkReplaced(old)
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -132,7 +132,7 @@
 	n := a.job.node
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.fleet.Started(a.up, a.work, time.Now())
+	n.fleet.ResponseStarted(a.up, a.work, time.Now())
 }
 
 // finish records the attempt's result; only the first call counts.
