--- a/internal/fleet/evacuate.go
+++ b/internal/fleet/evacuate.go
@@ -22,7 +22,7 @@
 	}
 	for _, u := range f.byID {
 		if u.Domain == domain {
-			u.extendWarmUp(now.Add(f.warmUps[u.Service].Time))
+			u.extendWarmUp(now.Add(f.warmUps[u.Service].Duration))
 		}
 	}
 }
--- a/internal/fleet/warm_up.go
+++ b/internal/fleet/warm_up.go
@@ -8,8 +8,8 @@
 
 // WarmUp bounds the requests to an upstream of a service right after its start.
 type WarmUp struct {
-	// Time is the duration of the warm-up.
-	Time time.Duration
+	// Duration is the duration of the warm-up.
+	Duration time.Duration
 	// Rate is the sustained rate in requests per second from all nodes together; 0 for no
 	// bound.
 	Rate float64
@@ -35,7 +35,7 @@
 // may restart under its ID, and warm up, before the table shows it.
 func (f *Fleet) ConnectionRefused(u *Upstream, now time.Time) {
 	if w := f.warmUps[u.Service]; w.Rate > 0 {
-		u.extendWarmUp(now.Add(w.Time))
+		u.extendWarmUp(now.Add(w.Duration))
 	}
 }
 
--- a/internal/fleet/warm_up_test.go
+++ b/internal/fleet/warm_up_test.go
@@ -12,7 +12,7 @@
 
 // testWarmUp is the warm-up of a service with a rate of 7.6 requests per second and a bound
 // of 1.5 times that plus 5.
-var testWarmUp = WarmUp{Time: 3 * time.Second, Rate: 7.6, Most: 16.4}
+var testWarmUp = WarmUp{Duration: 3 * time.Second, Rate: 7.6, Most: 16.4}
 
 // newWarmUpNodes returns nodes that know one upstream, which warms up.
 func newWarmUpNodes(count int, w WarmUp, now time.Time) (nodes []*Fleet, ids []string) {
@@ -24,7 +24,7 @@
 		f.SetWarmUp("s", w)
 		f.SetSenders(id, ids)
 		cold := testRecord("cold")
-		cold.Cold = w.Time
+		cold.Cold = w.Duration
 		f.Put(cold, now)
 		nodes = append(nodes, f)
 	}
@@ -61,7 +61,7 @@
 		}
 		var sent []time.Time
 		now := start
-		for now.Before(start.Add(w.Time)) {
+		for now.Before(start.Add(w.Duration)) {
 			for _, f := range nodes {
 				for range rapid.IntRange(0, 3).Draw(t, "attempts") {
 					spec := AttemptSpec{Service: "s", Seed: uint64(len(sent))}
@@ -107,7 +107,7 @@
 	nodes, _ := newWarmUpNodes(1, testWarmUp, now)
 	nodes[0].SetSenders("n00", nil)
 	is.Equal(nodes[0].Choose(AttemptSpec{Service: "s"}, now), nil)
-	is.True(nodes[0].Choose(AttemptSpec{Service: "s"}, now.Add(testWarmUp.Time)) != nil) // the warm-up is over
+	is.True(nodes[0].Choose(AttemptSpec{Service: "s"}, now.Add(testWarmUp.Duration)) != nil) // the warm-up is over
 }
 
 // TestWarmUpEndsAndCanBeginAgain guards against a warm-up that never ends or is extended by
