--- a/internal/fleet/precedence_test.go
+++ b/internal/fleet/precedence_test.go
@@ -31,7 +31,7 @@
 		f.Begin(u, &AttemptSpec{Service: "s"}, now)
 	}
 	warmingUp := func(f *Fleet, u *Upstream) {
-		f.SetWarmUp("s", WarmUp{Duration: 10 * time.Second, Rate: 4, Most: 11})
+		f.SetWarmUp("s", WarmUp{Duration: 10 * time.Second, Rate: 4, MaxPerSecond: 11})
 		u.extendWarmUp(now.Add(10 * time.Second))
 	}
 	type state = func(f *Fleet, u *Upstream)
--- a/internal/fleet/warm_up.go
+++ b/internal/fleet/warm_up.go
@@ -13,13 +13,13 @@
 	// Rate is the sustained rate in requests per second from all nodes together; 0 for no
 	// bound.
 	Rate float64
-	// Most is the maximum number of requests that arrive within any second.
-	Most float64
+	// MaxPerSecond is the maximum number of requests that arrive within any second.
+	MaxPerSecond float64
 }
 
 // bound returns the bound that applies while an upstream warms up.
 func (w *WarmUp) bound() pacing.Bound {
-	return pacing.Bound{Rate: w.Rate, Most: w.Most, Window: time.Second}
+	return pacing.Bound{Rate: w.Rate, Most: w.MaxPerSecond, Window: time.Second}
 }
 
 // SetWarmUp sets the warm-up of a service's upstreams.
--- a/internal/fleet/warm_up_test.go
+++ b/internal/fleet/warm_up_test.go
@@ -12,7 +12,7 @@
 
 // testWarmUp is the warm-up of a service with a rate of 7.6 requests per second and a bound
 // of 1.5 times that plus 5.
-var testWarmUp = WarmUp{Duration: 3 * time.Second, Rate: 7.6, Most: 16.4}
+var testWarmUp = WarmUp{Duration: 3 * time.Second, Rate: 7.6, MaxPerSecond: 16.4}
 
 // newWarmUpNodes returns nodes that know one upstream, which warms up.
 func newWarmUpNodes(count int, w WarmUp, now time.Time) (nodes []*Fleet, ids []string) {
@@ -52,7 +52,7 @@
 		start := time.Unix(1000, 0)
 		w := testWarmUp
 		w.Rate = rapid.Float64Range(1, 30).Draw(t, "rate")
-		w.Most = w.Rate*1.5 + 5
+		w.MaxPerSecond = w.Rate*1.5 + 5
 		count := rapid.IntRange(1, 40).Draw(t, "nodes")
 		nodes, ids := newWarmUpNodes(count, w, start)
 		outdated := rapid.IntRange(0, min(count-1, 1)).Draw(t, "some do not know the last node")
@@ -73,8 +73,8 @@
 			}
 			now = now.Add(time.Duration(rapid.IntRange(1, 300).Draw(t, "pause")) * time.Millisecond)
 		}
-		if peak := maxPerSecond(sent); float64(peak) > w.Most {
-			t.Fatalf("%d requests arrive within a second, the bound is %.1f", peak, w.Most)
+		if peak := maxPerSecond(sent); float64(peak) > w.MaxPerSecond {
+			t.Fatalf("%d requests arrive within a second, the bound is %.1f", peak, w.MaxPerSecond)
 		}
 	})
 }
--- a/internal/gateway/warm_ups.go
+++ b/internal/gateway/warm_ups.go
@@ -33,6 +33,6 @@
 		if n.settings.WarmUpOver > 0 {
 			limit = s.WarmUpRate*n.settings.WarmUpOver + n.settings.WarmUpSlack
 		}
-		n.fleet.SetWarmUp(s.Name, fleet.WarmUp{Duration: s.WarmUp, Rate: s.WarmUpRate, Most: limit})
+		n.fleet.SetWarmUp(s.Name, fleet.WarmUp{Duration: s.WarmUp, Rate: s.WarmUpRate, MaxPerSecond: limit})
 	}
 }
