--- a/internal/balance/noticed.go
+++ b/internal/balance/noticed.go
@@ -23,7 +23,7 @@
 	if a.Leaving {
 		b.MarkLeaving(vmID, at)
 	}
-	b.backOff(h, a.Rest, b.since(at))
+	b.backOff(h, a.Backoff, b.since(at))
 	if !a.LimitUnsound && b.since(at) >= h.rateLimitAt { // an answer read earlier does not override a later one
 		b.setRateLimit(h, a.Limit, b.since(at))
 	}
--- a/internal/balance/noticed_test.go
+++ b/internal/balance/noticed_test.go
@@ -83,8 +83,8 @@
 	vms := engines(1)
 	b.SetMembers(vms, NodeRank{Count: 1}, epoch)
 	reportAll(b, vms, epoch, "v@1")
-	b.ApplyNotice("eng-0", notice.Answer{Rest: 10 * time.Second}, at(0))
-	b.ApplyNotice("eng-0", notice.Answer{Rest: time.Second}, at(1))
+	b.ApplyNotice("eng-0", notice.Answer{Backoff: 10 * time.Second}, at(0))
+	b.ApplyNotice("eng-0", notice.Answer{Backoff: time.Second}, at(1))
 	b.ApplyNotice("eng-0", notice.Answer{}, at(2))
 	pick, ok := b.Pick(Request{Version: "v@1", Now: at(9)})
 	is.True(!ok)
@@ -115,7 +115,7 @@
 func TestRestartEndsBackoff(t *testing.T) {
 	is := is.New(t)
 	b := rateLimitedNodes(1, 0)[0]
-	b.ApplyNotice("eng-0", notice.Answer{Rest: 10 * time.Minute}, epoch)
+	b.ApplyNotice("eng-0", notice.Answer{Backoff: 10 * time.Minute}, epoch)
 	b.Restarted("eng-0")
 	_, ok := b.Pick(Request{Version: "v@1", Now: epoch.Add(time.Second)})
 	is.True(ok)
--- a/internal/fleet/precedence_test.go
+++ b/internal/fleet/precedence_test.go
@@ -22,7 +22,7 @@
 	}
 	replaced := func(f *Fleet, u *Upstream) { f.MarkReplaced(u) }
 	ejected := func(_ *Fleet, u *Upstream) { u.ejectedUntil = now.Add(time.Second) }
-	backingOff := func(f *Fleet, u *Upstream) { f.ApplyResponse(u, notice.Answer{Rest: backoff}, now, now) }
+	backingOff := func(f *Fleet, u *Upstream) { f.ApplyResponse(u, notice.Answer{Backoff: backoff}, now, now) }
 	limited := func(f *Fleet, u *Upstream) {
 		f.ApplyResponse(u, notice.Answer{Limit: notice.Limit{Named: true, PerSecond: 0.5}}, now, now)
 	}
--- a/internal/fleet/rest_test.go
+++ b/internal/fleet/rest_test.go
@@ -17,8 +17,8 @@
 	at := func(ms int) time.Time { return now.Add(time.Duration(ms) * time.Millisecond) }
 	f := newTestFleet(1)
 	u := f.Get("u0")
-	f.ApplyResponse(u, notice.Answer{Rest: 3 * time.Second}, at(0), at(0))
-	f.ApplyResponse(u, notice.Answer{Rest: time.Second}, at(100), at(100))
+	f.ApplyResponse(u, notice.Answer{Backoff: 3 * time.Second}, at(0), at(0))
+	f.ApplyResponse(u, notice.Answer{Backoff: time.Second}, at(100), at(100))
 	f.ApplyResponse(u, notice.Answer{}, at(200), at(200))
 	spec := AttemptSpec{Service: "s"}
 	is.Equal(f.Choose(spec, at(2900)), nil)
--- a/internal/notice/answer.go
+++ b/internal/notice/answer.go
@@ -9,9 +9,9 @@
 	LimitUnsound bool
 	// Leaving is set if the upstream announces that it shuts down.
 	Leaving bool
-	// Rest is the requested back-off: how long the upstream wants no requests from the node
+	// Backoff is the requested back-off: how long the upstream wants no requests from the node
 	// that it rejected. It is 0 if the response requests none.
-	Rest time.Duration
+	Backoff time.Duration
 	// Unsound lists the names of the header fields with invalid values.
 	Unsound []string
 }
--- a/internal/notice/parse.go
+++ b/internal/notice/parse.go
@@ -36,7 +36,7 @@
 			a.Unsound = append(a.Unsound, field)
 			return
 		}
-		a.Rest = time.Duration(min(seconds, maxBackoff.Seconds()) * float64(time.Second))
+		a.Backoff = time.Duration(min(seconds, maxBackoff.Seconds()) * float64(time.Second))
 		return
 	}
 	until, err := http.ParseTime(text)
@@ -48,7 +48,7 @@
 	if err != nil {
 		from = time.Now()
 	}
-	a.Rest = min(max(until.Sub(from), 0), maxBackoff)
+	a.Backoff = min(max(until.Sub(from), 0), maxBackoff)
 }
 
 // ReadLimit parses the value of the header field that advertises a rate limit. An empty
--- a/internal/notice/register.go
+++ b/internal/notice/register.go
@@ -58,7 +58,7 @@
 	if a.Leaving && s.setLeaving(now) {
 		changes = append(changes, r.markReportable(s, Change{Kind: Leaving}))
 	}
-	if a.Rest > 0 && s.setBackoff(a.Rest, at, now) {
+	if a.Backoff > 0 && s.setBackoff(a.Backoff, at, now) {
 		changes = append(changes, Change{Kind: RestBegan, Until: s.backoffUntil})
 	}
 	if a.LimitUnsound {
--- a/internal/upstream/client/announced_test.go
+++ b/internal/upstream/client/announced_test.go
@@ -41,6 +41,6 @@
 		is.Equal(a.Limit, notice.Limit{Named: true, PerSecond: 2.5})
 		is.True(a.Leaving)
 		refused := i == 2 || i == 3
-		is.Equal(a.Rest > 0, refused)
+		is.Equal(a.Backoff > 0, refused)
 	}
 }
