--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -22,7 +22,7 @@
 	if r.HasLoad {
 		n.fleet.ReportLoad(up, r.Running, r.Waiting, now)
 	}
-	for _, field := range r.Notice.Unsound {
+	for _, field := range r.Notice.InvalidFields {
 		n.noteMalformed(up, field, now)
 	}
 	for _, change := range n.fleet.ApplyResponse(up, r.Notice, at, now) {
--- a/internal/node/heard.go
+++ b/internal/node/heard.go
@@ -34,7 +34,7 @@
 
 // noticed takes what an upstream said of itself in an answer.
 func (u *upstreams) noticed(vm platform.VM, a notice.Answer, at time.Time) {
-	for _, field := range a.Unsound {
+	for _, field := range a.InvalidFields {
 		u.node.metrics.Counter("hickorybank_unsound_answer_fields_total", "field", field).Inc()
 	}
 	u.mu.Lock()
--- a/internal/notice/answer.go
+++ b/internal/notice/answer.go
@@ -12,6 +12,6 @@
 	// Backoff is the requested back-off: how long the upstream wants no requests from the node
 	// that it rejected. It is 0 if the response requests none.
 	Backoff time.Duration
-	// Unsound lists the names of the header fields with invalid values.
-	Unsound []string
+	// InvalidFields lists the names of the header fields with invalid values.
+	InvalidFields []string
 }
--- a/internal/notice/parse.go
+++ b/internal/notice/parse.go
@@ -20,7 +20,7 @@
 	case "1", "true":
 		a.Leaving = true
 	default:
-		a.Unsound = append(a.Unsound, field)
+		a.InvalidFields = append(a.InvalidFields, field)
 	}
 }
 
@@ -33,7 +33,7 @@
 	}
 	if seconds, err := strconv.ParseFloat(text, 64); err == nil {
 		if math.IsNaN(seconds) || seconds < 0 {
-			a.Unsound = append(a.Unsound, field)
+			a.InvalidFields = append(a.InvalidFields, field)
 			return
 		}
 		a.Backoff = time.Duration(min(seconds, maxBackoff.Seconds()) * float64(time.Second))
@@ -41,7 +41,7 @@
 	}
 	until, err := http.ParseTime(text)
 	if err != nil {
-		a.Unsound = append(a.Unsound, field)
+		a.InvalidFields = append(a.InvalidFields, field)
 		return
 	}
 	from, err := http.ParseTime(date)
@@ -60,11 +60,11 @@
 	v, err := strconv.ParseFloat(text, 64)
 	if err != nil || math.IsNaN(v) || v < 0 || v > maxLimit {
 		a.LimitUnsound = true
-		a.Unsound = append(a.Unsound, field)
+		a.InvalidFields = append(a.InvalidFields, field)
 		return
 	}
 	a.Limit = Limit{Named: true, PerSecond: v}
 	if v == 0 {
-		a.Unsound = append(a.Unsound, field) // the upstream accepts no requests while it advertises 0
+		a.InvalidFields = append(a.InvalidFields, field) // the upstream accepts no requests while it advertises 0
 	}
 }
