--- a/internal/balance/noticed.go
+++ b/internal/balance/noticed.go
@@ -24,7 +24,7 @@
 		b.MarkLeaving(vmID, at)
 	}
 	b.backOff(h, a.Backoff, b.since(at))
-	if !a.LimitUnsound && b.since(at) >= h.rateLimitAt { // an answer read earlier does not override a later one
+	if !a.LimitInvalid && b.since(at) >= h.rateLimitAt { // an answer read earlier does not override a later one
 		b.setRateLimit(h, a.Limit, b.since(at))
 	}
 }
--- a/internal/notice/answer.go
+++ b/internal/notice/answer.go
@@ -6,7 +6,7 @@
 type Answer struct {
 	// Limit is the advertised rate limit. It is not valid if LimitUnsound is set.
 	Limit        Limit
-	LimitUnsound bool
+	LimitInvalid bool
 	// Leaving is set if the upstream announces that it shuts down.
 	Leaving bool
 	// Backoff is the requested back-off: how long the upstream wants no requests from the node
--- a/internal/notice/parse.go
+++ b/internal/notice/parse.go
@@ -59,7 +59,7 @@
 	}
 	v, err := strconv.ParseFloat(text, 64)
 	if err != nil || math.IsNaN(v) || v < 0 || v > maxLimit {
-		a.LimitUnsound = true
+		a.LimitInvalid = true
 		a.InvalidFields = append(a.InvalidFields, field)
 		return
 	}
--- a/internal/notice/register.go
+++ b/internal/notice/register.go
@@ -61,7 +61,7 @@
 	if a.Backoff > 0 && s.setBackoff(a.Backoff, at, now) {
 		changes = append(changes, Change{Kind: RestBegan, Until: s.backoffUntil})
 	}
-	if a.LimitUnsound {
+	if a.LimitInvalid {
 		return changes
 	}
 	if c := r.applyResponseLimit(s, a.Limit, at, now); c.Kind != None {
