--- a/internal/notice/parse.go
+++ b/internal/notice/parse.go
@@ -13,8 +13,8 @@
 // maxBackoff caps the back-off that an upstream can request.
 const maxBackoff = 10 * time.Minute
 
-// ReadLeaving parses the value of the header field that announces a shutdown.
-func (a *Answer) ReadLeaving(field, text string) {
+// ParseLeaving parses the value of the header field that announces a shutdown.
+func (a *Answer) ParseLeaving(field, text string) {
 	switch text {
 	case "", "0", "false":
 	case "1", "true":
--- a/internal/upstream/client/announced.go
+++ b/internal/upstream/client/announced.go
@@ -11,7 +11,7 @@
 func announced(status int, h http.Header) notice.Answer {
 	a := notice.Answer{}
 	a.ReadLimit(upstream.HeaderRateLimit, h.Get(upstream.HeaderRateLimit))
-	a.ReadLeaving(upstream.HeaderLeaving, h.Get(upstream.HeaderLeaving))
+	a.ParseLeaving(upstream.HeaderLeaving, h.Get(upstream.HeaderLeaving))
 	if status == http.StatusServiceUnavailable {
 		a.ReadRest(upstream.HeaderRetryAfter, h.Get(upstream.HeaderRetryAfter), h.Get("Date"))
 	}
