--- a/internal/notice/parse.go
+++ b/internal/notice/parse.go
@@ -24,10 +24,10 @@
 	}
 }
 
-// ReadRest parses the value of the header field that requests a back-off: seconds with an
+// ParseBackoff parses the value of the header field that requests a back-off: seconds with an
 // optional fraction, or an HTTP date. A date is relative to the response's own date, or to
 // the local clock if the response has none.
-func (a *Answer) ReadRest(field, text, date string) {
+func (a *Answer) ParseBackoff(field, text, date string) {
 	if text == "" {
 		return
 	}
--- a/internal/upstream/client/announced.go
+++ b/internal/upstream/client/announced.go
@@ -13,7 +13,7 @@
 	a.ReadLimit(upstream.HeaderRateLimit, h.Get(upstream.HeaderRateLimit))
 	a.ParseLeaving(upstream.HeaderLeaving, h.Get(upstream.HeaderLeaving))
 	if status == http.StatusServiceUnavailable {
-		a.ReadRest(upstream.HeaderRetryAfter, h.Get(upstream.HeaderRetryAfter), h.Get("Date"))
+		a.ParseBackoff(upstream.HeaderRetryAfter, h.Get(upstream.HeaderRetryAfter), h.Get("Date"))
 	}
 	return a
 }
