--- a/internal/notice/parse.go
+++ b/internal/notice/parse.go
@@ -51,9 +51,9 @@
 	a.Backoff = min(max(until.Sub(from), 0), maxBackoff)
 }
 
-// ReadLimit parses the value of the header field that advertises a rate limit. An empty
+// ParseLimit parses the value of the header field that advertises a rate limit. An empty
 // value means no limit.
-func (a *Answer) ReadLimit(field, text string) {
+func (a *Answer) ParseLimit(field, text string) {
 	if text == "" {
 		return
 	}
--- a/internal/upstream/client/announced.go
+++ b/internal/upstream/client/announced.go
@@ -10,7 +10,7 @@
 // announced decodes what an upstream says of itself in an answer's headers.
 func announced(status int, h http.Header) notice.Answer {
 	a := notice.Answer{}
-	a.ReadLimit(upstream.HeaderRateLimit, h.Get(upstream.HeaderRateLimit))
+	a.ParseLimit(upstream.HeaderRateLimit, h.Get(upstream.HeaderRateLimit))
 	a.ParseLeaving(upstream.HeaderLeaving, h.Get(upstream.HeaderLeaving))
 	if status == http.StatusServiceUnavailable {
 		a.ParseBackoff(upstream.HeaderRetryAfter, h.Get(upstream.HeaderRetryAfter), h.Get("Date"))
