--- a/internal/balance/noticed.go
+++ b/internal/balance/noticed.go
@@ -15,7 +15,7 @@
 
 // ApplyNotice records what an upstream stated about itself in an answer that was read at the
 // given time.
-func (b *Balancer) ApplyNotice(vmID string, a notice.Answer, at time.Time) {
+func (b *Balancer) ApplyNotice(vmID string, a notice.Response, at time.Time) {
 	h := b.hosts[vmID]
 	if h == nil {
 		return
--- a/internal/fleet/leaving_test.go
+++ b/internal/fleet/leaving_test.go
@@ -17,7 +17,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		f := newTestFleet(2)
-		f.ApplyResponse(f.Get("u0"), notice.Answer{Leaving: true}, now, now)
+		f.ApplyResponse(f.Get("u0"), notice.Response{Leaving: true}, now, now)
 		for range rapid.IntRange(1, 20).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "pause")) * time.Millisecond)
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
@@ -30,7 +30,7 @@
 				f.MarkUnlisted("u0")
 			case 3:
 				if u := f.Get("u0"); u != nil {
-					f.ApplyResponse(u, notice.Answer{}, now, now)
+					f.ApplyResponse(u, notice.Response{}, now, now)
 				}
 			case 4:
 				f.ApplyNotice(notice.Report{Start: "u0@0", Origin: 9, Seq: int64(now.Unix())}, now)
@@ -57,7 +57,7 @@
 	now := time.Unix(1000, 0)
 	f := newTestFleet(2)
 	before := f.EffectiveHash()
-	f.ApplyResponse(f.Get("u0"), notice.Answer{Leaving: true}, now, now)
+	f.ApplyResponse(f.Get("u0"), notice.Response{Leaving: true}, now, now)
 	is.True(f.EffectiveHash() != before) // the snapshot has to be written again
 	is.True(f.EffectiveRecords(now)[0].Draining)
 	is.True(!f.EffectiveRecords(now)[1].Draining)
--- a/internal/fleet/limit_spread_test.go
+++ b/internal/fleet/limit_spread_test.go
@@ -18,7 +18,7 @@
 		start := time.Unix(1000, 0)
 		s := newGossipSimulation(count, 0, start)
 		first := s.nodes[0]
-		first.ApplyResponse(first.Get("needy"), notice.Answer{Limit: notice.Limit{Named: true, PerSecond: 2}}, start, start)
+		first.ApplyResponse(first.Get("needy"), notice.Response{Limit: notice.Limit{Named: true, PerSecond: 2}}, start, start)
 		now := start
 		for ; s.informedNodes() < count && now.Sub(start) < most; now = now.Add(step) {
 			s.exchangeWith(now, rnd.IntN, func() time.Duration { return time.Duration(rnd.Int64N(int64(maxGossipDelay))) })
--- a/internal/fleet/precedence_test.go
+++ b/internal/fleet/precedence_test.go
@@ -14,7 +14,7 @@
 	now := time.Unix(1000, 0)
 	const backoff = 3 * time.Second
 	evacuated := func(f *Fleet, _ *Upstream) { f.SetEvacuated("d0", true, now) }
-	leaving := func(f *Fleet, u *Upstream) { f.ApplyResponse(u, notice.Answer{Leaving: true}, now, now) }
+	leaving := func(f *Fleet, u *Upstream) { f.ApplyResponse(u, notice.Response{Leaving: true}, now, now) }
 	draining := func(f *Fleet, u *Upstream) {
 		r := u.Record
 		r.Draining = true
@@ -22,9 +22,9 @@
 	}
 	replaced := func(f *Fleet, u *Upstream) { f.MarkReplaced(u) }
 	ejected := func(_ *Fleet, u *Upstream) { u.ejectedUntil = now.Add(time.Second) }
-	backingOff := func(f *Fleet, u *Upstream) { f.ApplyResponse(u, notice.Answer{Backoff: backoff}, now, now) }
+	backingOff := func(f *Fleet, u *Upstream) { f.ApplyResponse(u, notice.Response{Backoff: backoff}, now, now) }
 	limited := func(f *Fleet, u *Upstream) {
-		f.ApplyResponse(u, notice.Answer{Limit: notice.Limit{Named: true, PerSecond: 0.5}}, now, now)
+		f.ApplyResponse(u, notice.Response{Limit: notice.Limit{Named: true, PerSecond: 0.5}}, now, now)
 	}
 	limitUsedUp := func(f *Fleet, u *Upstream) {
 		limited(f, u)
--- a/internal/fleet/rate_limit_test.go
+++ b/internal/fleet/rate_limit_test.go
@@ -74,7 +74,7 @@
 	if readAt := s.limitReadAt[i]; !readAt.IsZero() && now.Sub(readAt) >= limitGrace {
 		s.countedArrivals = append(s.countedArrivals, now)
 	}
-	f.ApplyResponse(u, notice.Answer{Limit: limit}, now, now)
+	f.ApplyResponse(u, notice.Response{Limit: limit}, now, now)
 	if limit.Named && s.limitReadAt[i].IsZero() {
 		s.limitReadAt[i] = now
 	}
--- a/internal/fleet/rest_test.go
+++ b/internal/fleet/rest_test.go
@@ -17,9 +17,9 @@
 	at := func(ms int) time.Time { return now.Add(time.Duration(ms) * time.Millisecond) }
 	f := newTestFleet(1)
 	u := f.Get("u0")
-	f.ApplyResponse(u, notice.Answer{Backoff: 3 * time.Second}, at(0), at(0))
-	f.ApplyResponse(u, notice.Answer{Backoff: time.Second}, at(100), at(100))
-	f.ApplyResponse(u, notice.Answer{}, at(200), at(200))
+	f.ApplyResponse(u, notice.Response{Backoff: 3 * time.Second}, at(0), at(0))
+	f.ApplyResponse(u, notice.Response{Backoff: time.Second}, at(100), at(100))
+	f.ApplyResponse(u, notice.Response{}, at(200), at(200))
 	spec := AttemptSpec{Service: "s"}
 	is.Equal(f.Choose(spec, at(2900)), nil)
 	until, ok := f.NextAvailable(&spec, at(500))
--- a/internal/fleet/room_test.go
+++ b/internal/fleet/room_test.go
@@ -20,7 +20,7 @@
 	spec := AttemptSpec{Service: "s"}
 	for _, id := range []string{"u0", "u1"} {
 		u := f.Get(id)
-		f.ApplyResponse(u, notice.Answer{Limit: notice.Limit{Named: true, PerSecond: 2}}, now, now)
+		f.ApplyResponse(u, notice.Response{Limit: notice.Limit{Named: true, PerSecond: 2}}, now, now)
 		f.Begin(u, &spec, now)
 	}
 	is.Equal(f.Choose(spec, now), nil)
--- a/internal/gateway/dialect.go
+++ b/internal/gateway/dialect.go
@@ -68,7 +68,7 @@
 	// HasLoad is set if the answer carries the upstream's load.
 	HasLoad bool
 	// Notice is what the upstream announces about itself beside its load.
-	Notice notice.Answer
+	Notice notice.Response
 }
 
 // Dialect reads and writes the headers of callers and upstreams.
--- a/internal/gateway/session_version_test.go
+++ b/internal/gateway/session_version_test.go
@@ -24,7 +24,7 @@
 	}
 	n.canary.Take(canary.Order{Service: "engine", Target: "v2", Limit: time.Minute, Revision: 1}, now.Add(-time.Minute))
 	n.canary.Decide("engine", 1, canary.Completed, true)
-	n.fleet.ApplyResponse(n.fleet.Get("u-v2"), notice.Answer{Backoff: 3 * time.Second}, now, now)
+	n.fleet.ApplyResponse(n.fleet.Get("u-v2"), notice.Response{Backoff: 3 * time.Second}, now, now)
 	config := &configuration{Table: &route.Table{}}
 	job := func(session string) *job {
 		return &job{node: n, service: "engine", route: &route.Route{}, config: config, headers: CallerHeaders{Session: session}}
--- a/internal/node/heard.go
+++ b/internal/node/heard.go
@@ -29,11 +29,11 @@
 
 // hearing returns a context whose calls tell what the upstream's answers say of it.
 func (u *upstreams) hearing(ctx context.Context, vm platform.VM) context.Context {
-	return upstream.WithHeard(ctx, func(a notice.Answer, at time.Time) { u.noticed(vm, a, at) })
+	return upstream.WithHeard(ctx, func(a notice.Response, at time.Time) { u.noticed(vm, a, at) })
 }
 
 // noticed takes what an upstream said of itself in an answer.
-func (u *upstreams) noticed(vm platform.VM, a notice.Answer, at time.Time) {
+func (u *upstreams) noticed(vm platform.VM, a notice.Response, at time.Time) {
 	for _, field := range a.InvalidFields {
 		u.node.metrics.Counter("hickorybank_unsound_answer_fields_total", "field", field).Inc()
 	}
--- a/internal/notice/answer.go
+++ b/internal/notice/answer.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Answer is what the header fields of one response announce about its upstream.
-type Answer struct {
+// Response is what the header fields of one response announce about its upstream.
+type Response struct {
 	// Limit is the advertised rate limit. It is not valid if LimitUnsound is set.
 	Limit        Limit
 	LimitInvalid bool
--- a/internal/notice/parse.go
+++ b/internal/notice/parse.go
@@ -14,7 +14,7 @@
 const maxBackoff = 10 * time.Minute
 
 // ParseLeaving parses the value of the header field that announces a shutdown.
-func (a *Answer) ParseLeaving(field, text string) {
+func (a *Response) ParseLeaving(field, text string) {
 	switch text {
 	case "", "0", "false":
 	case "1", "true":
@@ -27,7 +27,7 @@
 // ParseBackoff parses the value of the header field that requests a back-off: seconds with an
 // optional fraction, or an HTTP date. A date is relative to the response's own date, or to
 // the local clock if the response has none.
-func (a *Answer) ParseBackoff(field, text, date string) {
+func (a *Response) ParseBackoff(field, text, date string) {
 	if text == "" {
 		return
 	}
@@ -53,7 +53,7 @@
 
 // ParseLimit parses the value of the header field that advertises a rate limit. An empty
 // value means no limit.
-func (a *Answer) ParseLimit(field, text string) {
+func (a *Response) ParseLimit(field, text string) {
 	if text == "" {
 		return
 	}
--- a/internal/notice/register.go
+++ b/internal/notice/register.go
@@ -54,7 +54,7 @@
 
 // Answer applies a response that this node read at the time at. It returns the resulting
 // changes at this node.
-func (r *Register) Answer(s *State, a Answer, at, now time.Time) (changes []Change) {
+func (r *Register) Answer(s *State, a Response, at, now time.Time) (changes []Change) {
 	if a.Leaving && s.setLeaving(now) {
 		changes = append(changes, r.markReportable(s, Change{Kind: Leaving}))
 	}
--- a/internal/upstream/client/announced.go
+++ b/internal/upstream/client/announced.go
@@ -8,8 +8,8 @@
 )
 
 // announced decodes what an upstream says of itself in an answer's headers.
-func announced(status int, h http.Header) notice.Answer {
-	a := notice.Answer{}
+func announced(status int, h http.Header) notice.Response {
+	a := notice.Response{}
 	a.ParseLimit(upstream.HeaderRateLimit, h.Get(upstream.HeaderRateLimit))
 	a.ParseLeaving(upstream.HeaderLeaving, h.Get(upstream.HeaderLeaving))
 	if status == http.StatusServiceUnavailable {
--- a/internal/upstream/client/announced_test.go
+++ b/internal/upstream/client/announced_test.go
@@ -27,8 +27,8 @@
 	}))
 	defer server.Close()
 	addr := server.Listener.Addr().String()
-	var heard []notice.Answer
-	ctx := upstream.WithHeard(context.Background(), func(a notice.Answer, _ time.Time) { heard = append(heard, a) })
+	var heard []notice.Response
+	ctx := upstream.WithHeard(context.Background(), func(a notice.Response, _ time.Time) { heard = append(heard, a) })
 	services, engines := NewServices(Options{}), NewEngines(Options{})
 	defer services.Close()
 	defer engines.Close()
--- a/internal/upstream/heard.go
+++ b/internal/upstream/heard.go
@@ -8,7 +8,7 @@
 )
 
 // Heard takes what an upstream says of itself in the headers of an answer, read at a time.
-type Heard func(a notice.Answer, at time.Time)
+type Heard func(a notice.Response, at time.Time)
 
 type heardKey struct{}
 
