--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -95,7 +95,7 @@
 		event.LimitEnded.Log(n.log, append(attrs, slog.Float64("before", c.Before.PerSecond), slog.Int64("lasted_ms", c.Lasted.Milliseconds()))...)
 	case notice.Leaving:
 		event.UpstreamLeaves.Log(n.log, attrs...)
-	case notice.RestBegan:
+	case notice.BackoffBegan:
 		event.RestBegan.Log(n.log, append(attrs, slog.Int64("for_ms", time.Until(c.Until).Milliseconds()))...)
 	}
 }
--- a/internal/notice/change.go
+++ b/internal/notice/change.go
@@ -28,8 +28,8 @@
 	LimitEnded
 	// Leaving means that the upstream announced its shutdown, which is final.
 	Leaving
-	// RestBegan means that the upstream requested a back-off from this node.
-	RestBegan
+	// BackoffBegan means that the upstream requested a back-off from this node.
+	BackoffBegan
 )
 
 // String returns the kind's label value in metrics.
@@ -43,7 +43,7 @@
 		return "limit_ended"
 	case Leaving:
 		return "leaving"
-	case RestBegan:
+	case BackoffBegan:
 		return "rest"
 	}
 	return "none"
--- a/internal/notice/register.go
+++ b/internal/notice/register.go
@@ -59,7 +59,7 @@
 		changes = append(changes, r.markReportable(s, Change{Kind: Leaving}))
 	}
 	if a.Backoff > 0 && s.setBackoff(a.Backoff, at, now) {
-		changes = append(changes, Change{Kind: RestBegan, Until: s.backoffUntil})
+		changes = append(changes, Change{Kind: BackoffBegan, Until: s.backoffUntil})
 	}
 	if a.LimitInvalid {
 		return changes
