--- a/internal/notice/register.go
+++ b/internal/notice/register.go
@@ -52,9 +52,9 @@
 	return s
 }
 
-// Answer applies a response that this node read at the time at. It returns the resulting
+// ApplyResponse applies a response that this node read at the time at. It returns the resulting
 // changes at this node.
-func (r *Register) Answer(s *State, a Response, at, now time.Time) (changes []Change) {
+func (r *Register) ApplyResponse(s *State, a Response, at, now time.Time) (changes []Change) {
 	if a.Leaving && s.setLeaving(now) {
 		changes = append(changes, r.markReportable(s, Change{Kind: Leaving}))
 	}
--- a/internal/notice/register_test.go
+++ b/internal/notice/register_test.go
@@ -16,7 +16,7 @@
 
 // applyLimit applies a response with a limit, or none, and returns the resulting change.
 func (r *Register) applyLimit(incarnation string, l Limit, read, now time.Time) ChangeKind {
-	return kindOf(r.Answer(r.Of(incarnation), Response{Limit: l}, read, now))
+	return kindOf(r.ApplyResponse(r.Of(incarnation), Response{Limit: l}, read, now))
 }
 
 func kindOf(changes []Change) ChangeKind {
@@ -114,7 +114,7 @@
 func TestLeavingIsReportedForALimitedTime(t *testing.T) {
 	is := is.New(t)
 	a, b := NewRegister(1), NewRegister(2)
-	a.Answer(a.Of("u@1"), Response{Leaving: true}, at(0), at(0))
+	a.ApplyResponse(a.Of("u@1"), Response{Leaving: true}, at(0), at(0))
 	now := at(0)
 	for range 600 { // ten minutes
 		for _, p := range a.Reports(now, false) {
