--- a/internal/fleet/notices.go
+++ b/internal/fleet/notices.go
@@ -15,7 +15,7 @@
 // ApplyNotice applies a peer's report of an upstream's response. It returns the resulting
 // changes at this node.
 func (f *Fleet) ApplyNotice(r notice.Report, now time.Time) []notice.Change {
-	return f.notices.Take(r, now)
+	return f.notices.ApplyReport(r, now)
 }
 
 // Notices returns the reports for a peer. newPeer is set if there was no earlier exchange
--- a/internal/notice/register.go
+++ b/internal/notice/register.go
@@ -81,9 +81,9 @@
 	return r.markReportable(s, s.setLimit(l, r.origin, seq, at, now))
 }
 
-// Take applies a peer's report and returns the resulting changes at this node. If this
+// ApplyReport applies a peer's report and returns the resulting changes at this node. If this
 // node's limit state is newer and differs, it is reported to the peers again.
-func (r *Register) Take(p Report, now time.Time) (changes []Change) {
+func (r *Register) ApplyReport(p Report, now time.Time) (changes []Change) {
 	s := r.Of(p.Start)
 	if p.Leaving && s.setLeaving(now) {
 		changes = append(changes, r.markReportable(s, Change{Kind: Leaving}))
--- a/internal/notice/register_test.go
+++ b/internal/notice/register_test.go
@@ -37,7 +37,7 @@
 	is.Equal(r.applyLimit("u@1", limitOf(2), at(100), at(300)), None)
 	is.True(!s.Limit().Named)
 	late := Report{Start: "u@1", Origin: 2, Seq: 1, Age: 250 * time.Millisecond, Limit: limitOf(2)}
-	is.Equal(kindOf(r.Take(late, at(400))), None) // read at 150 ms
+	is.Equal(kindOf(r.ApplyReport(late, at(400))), None) // read at 150 ms
 	is.True(!s.Limit().Named)
 }
 
@@ -49,12 +49,12 @@
 	a.applyLimit("u@1", limitOf(2), at(0), at(0))
 	for i := range 20 { // each hop takes 100 ms
 		sent := at(i * 200)
-		b.Take(a.Reports(sent, true)[0], sent.Add(100*time.Millisecond))
-		a.Take(b.Reports(sent.Add(100*time.Millisecond), true)[0], sent.Add(200*time.Millisecond))
+		b.ApplyReport(a.Reports(sent, true)[0], sent.Add(100*time.Millisecond))
+		a.ApplyReport(b.Reports(sent.Add(100*time.Millisecond), true)[0], sent.Add(200*time.Millisecond))
 	}
 	ended := Report{Start: "u@1", Origin: 3, Seq: 1, Age: 3500 * time.Millisecond}
-	is.Equal(kindOf(a.Take(ended, at(4000))), LimitEnded) // read at 500 ms
-	is.Equal(kindOf(b.Take(ended, at(4000))), LimitEnded)
+	is.Equal(kindOf(a.ApplyReport(ended, at(4000))), LimitEnded) // read at 500 ms
+	is.Equal(kindOf(b.ApplyReport(ended, at(4000))), LimitEnded)
 }
 
 // TestNodeThatMissedTheEndOfALimitIsCorrected guards against a limit that persists at a
@@ -66,10 +66,10 @@
 	informed.applyLimit("u@1", Limit{}, at(60_000), at(60_000))
 	is.Equal(len(informed.Reports(at(70_000), true)), 0)
 	for _, p := range outdated.Reports(at(70_000), false) {
-		is.Equal(kindOf(informed.Take(p, at(70_000))), None)
+		is.Equal(kindOf(informed.ApplyReport(p, at(70_000))), None)
 	}
 	for _, p := range informed.Reports(at(70_010), false) {
-		outdated.Take(p, at(70_020))
+		outdated.ApplyReport(p, at(70_020))
 	}
 	is.True(!outdated.Of("u@1").Limit().Named)
 }
@@ -118,10 +118,10 @@
 	now := at(0)
 	for range 600 { // ten minutes
 		for _, p := range a.Reports(now, false) {
-			b.Take(p, now)
+			b.ApplyReport(p, now)
 		}
 		for _, p := range b.Reports(now, false) {
-			a.Take(p, now)
+			a.ApplyReport(p, now)
 		}
 		now = now.Add(time.Second)
 	}
@@ -137,10 +137,10 @@
 func TestReportWithoutResponseKeepsTheLimit(t *testing.T) {
 	is := is.New(t)
 	a, b, c := NewRegister(1), NewRegister(2), NewRegister(3)
-	b.Take(Report{Start: "u@1", Origin: 1, Seq: 1, Age: noResponse, Leaving: true}, at(0))
+	b.ApplyReport(Report{Start: "u@1", Origin: 1, Seq: 1, Age: noResponse, Leaving: true}, at(0))
 	is.Equal(b.Reports(at(1), false)[0].Age, time.Duration(noResponse))
 	c.applyLimit("u@1", limitOf(2), at(0), at(0))
-	c.Take(b.Reports(at(2), false)[0], at(3))
+	c.ApplyReport(b.Reports(at(2), false)[0], at(3))
 	is.True(c.Of("u@1").Limit().Named)
 	is.True(c.Of("u@1").Leaving())
 	is.Equal(a.Limited(), 0)
