--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -55,7 +55,7 @@
 		known = nil
 	}
 	if known == nil {
-		u := &Upstream{Record: r, firstSeen: now, announced: f.notices.Of(r.Incarnation())}
+		u := &Upstream{Record: r, firstSeen: now, announced: f.notices.StateOf(r.Incarnation())}
 		u.backoffJitter = f.backoffJitter(u)
 		u.extendWarmUp(now.Add(r.Cold))
 		f.markPredecessors(u)
--- a/internal/notice/register.go
+++ b/internal/notice/register.go
@@ -42,8 +42,8 @@
 	return &Register{origin: origin, states: map[string]*State{}, reportable: map[string]*State{}}
 }
 
-// Of returns the state of an incarnation and creates it if it is unknown.
-func (r *Register) Of(incarnation string) *State {
+// StateOf returns the state of an incarnation and creates it if it is unknown.
+func (r *Register) StateOf(incarnation string) *State {
 	s := r.states[incarnation]
 	if s == nil {
 		s = &State{incarnation: incarnation}
@@ -84,7 +84,7 @@
 // ApplyReport applies a peer's report and returns the resulting changes at this node. If this
 // node's limit state is newer and differs, it is reported to the peers again.
 func (r *Register) ApplyReport(p Report, now time.Time) (changes []Change) {
-	s := r.Of(p.Start)
+	s := r.StateOf(p.Start)
 	if p.Leaving && s.setLeaving(now) {
 		changes = append(changes, r.markReportable(s, Change{Kind: Leaving}))
 	}
--- a/internal/notice/register_test.go
+++ b/internal/notice/register_test.go
@@ -16,7 +16,7 @@
 
 // applyLimit applies a response with a limit, or none, and returns the resulting change.
 func (r *Register) applyLimit(incarnation string, l Limit, read, now time.Time) ChangeKind {
-	return kindOf(r.ApplyResponse(r.Of(incarnation), Response{Limit: l}, read, now))
+	return kindOf(r.ApplyResponse(r.StateOf(incarnation), Response{Limit: l}, read, now))
 }
 
 func kindOf(changes []Change) ChangeKind {
@@ -31,7 +31,7 @@
 func TestOlderResponseDoesNotOverrideNewer(t *testing.T) {
 	is := is.New(t)
 	r := NewRegister(1)
-	s := r.Of("u@1")
+	s := r.StateOf("u@1")
 	is.Equal(r.applyLimit("u@1", limitOf(2), at(0), at(0)), LimitBegan)
 	is.Equal(r.applyLimit("u@1", Limit{}, at(200), at(200)), LimitEnded)
 	is.Equal(r.applyLimit("u@1", limitOf(2), at(100), at(300)), None)
@@ -71,7 +71,7 @@
 	for _, p := range informed.Reports(at(70_010), false) {
 		outdated.ApplyReport(p, at(70_020))
 	}
-	is.True(!outdated.Of("u@1").Limit().Named)
+	is.True(!outdated.StateOf("u@1").Limit().Named)
 }
 
 // TestReportsAreBounded guards against messages that grow with the number of limited
@@ -114,7 +114,7 @@
 func TestLeavingIsReportedForALimitedTime(t *testing.T) {
 	is := is.New(t)
 	a, b := NewRegister(1), NewRegister(2)
-	a.ApplyResponse(a.Of("u@1"), Response{Leaving: true}, at(0), at(0))
+	a.ApplyResponse(a.StateOf("u@1"), Response{Leaving: true}, at(0), at(0))
 	now := at(0)
 	for range 600 { // ten minutes
 		for _, p := range a.Reports(now, false) {
@@ -126,7 +126,7 @@
 		now = now.Add(time.Second)
 	}
 	is.Equal(len(a.Reports(now, true))+len(b.Reports(now, true)), 0)
-	is.True(b.Of("u@1").Leaving()) // the state itself stays
+	is.True(b.StateOf("u@1").Leaving()) // the state itself stays
 	b.Sweep(now.Add(forgetAfter), func(string) bool { return false })
 	is.Equal(len(b.states), 0)
 }
@@ -141,7 +141,7 @@
 	is.Equal(b.Reports(at(1), false)[0].Age, time.Duration(noResponse))
 	c.applyLimit("u@1", limitOf(2), at(0), at(0))
 	c.ApplyReport(b.Reports(at(2), false)[0], at(3))
-	is.True(c.Of("u@1").Limit().Named)
-	is.True(c.Of("u@1").Leaving())
+	is.True(c.StateOf("u@1").Limit().Named)
+	is.True(c.StateOf("u@1").Leaving())
 	is.Equal(a.Limited(), 0)
 }
