--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -156,7 +156,7 @@
 	hash := f.listHash
 	for _, u := range f.byID {
 		if !u.unlisted && u.announced.Leaving() && !u.Draining {
-			hash ^= xxhash.Sum64String(u.announced.Start())
+			hash ^= xxhash.Sum64String(u.announced.Incarnation())
 		}
 	}
 	return hash
--- a/internal/fleet/notices.go
+++ b/internal/fleet/notices.go
@@ -52,7 +52,7 @@
 func (f *Fleet) SweepNotices(now time.Time) {
 	listed := make(map[string]bool, len(f.byID))
 	for _, u := range f.byID {
-		listed[u.announced.Start()] = true
+		listed[u.announced.Incarnation()] = true
 	}
 	f.notices.Sweep(now, func(incarnation string) bool { return listed[incarnation] })
 }
--- a/internal/fleet/rate_limit.go
+++ b/internal/fleet/rate_limit.go
@@ -20,10 +20,10 @@
 // and advertises a limit, both bounds apply.
 func (f *Fleet) forEachLimiter(u *Upstream, now time.Time, visit func(s *pacing.Share, limiter *rate.Limiter)) {
 	if w := f.warmUps[u.Service]; w.Rate > 0 && u.warmingUp(now) {
-		visit(&u.warmUpShare, u.warmUpShare.Limiter(u.announced.Start(), w.bound(), &f.senders, now))
+		visit(&u.warmUpShare, u.warmUpShare.Limiter(u.announced.Incarnation(), w.bound(), &f.senders, now))
 	}
 	if u.limited() {
-		visit(&u.limitShare, u.limitShare.Limiter(u.announced.Start(), pacing.Named(u.announced.Limit().PerSecond), &f.senders, now))
+		visit(&u.limitShare, u.limitShare.Limiter(u.announced.Incarnation(), pacing.Named(u.announced.Limit().PerSecond), &f.senders, now))
 	}
 }
 
--- a/internal/notice/state.go
+++ b/internal/notice/state.go
@@ -43,8 +43,8 @@
 	freshFor = 5 * time.Second
 )
 
-// Start identifies the incarnation.
-func (s *State) Start() string { return s.incarnation }
+// Incarnation identifies the incarnation.
+func (s *State) Incarnation() string { return s.incarnation }
 
 // Limit returns the rate limit in force.
 func (s *State) Limit() Limit { return s.limit }
