--- a/internal/fleet/upstream.go
+++ b/internal/fleet/upstream.go
@@ -124,7 +124,7 @@
 // backoffUntil returns the end of the upstream's back-off for this node: the requested end
 // plus this node's jitter.
 func (u *Upstream) backoffUntil() time.Time {
-	until := u.announced.RestUntil()
+	until := u.announced.BackoffUntil()
 	return until.Add(time.Duration(u.backoffJitter * float64(u.announced.Rest())))
 }
 
--- a/internal/notice/state.go
+++ b/internal/notice/state.go
@@ -52,10 +52,10 @@
 // Leaving reports whether the upstream announced its shutdown.
 func (s *State) Leaving() bool { return s.leaving }
 
-// RestUntil returns the end of the back-off that the upstream requested from this node.
-func (s *State) RestUntil() time.Time { return s.backoffUntil }
+// BackoffUntil returns the end of the back-off that the upstream requested from this node.
+func (s *State) BackoffUntil() time.Time { return s.backoffUntil }
 
-// Rest returns the length of the back-off that ends at RestUntil.
+// Rest returns the length of the back-off that ends at BackoffUntil.
 func (s *State) Rest() time.Duration { return s.backoff }
 
 // setLeaving records an announced shutdown. It reports whether the state changed.
