--- a/internal/fleet/upstream.go
+++ b/internal/fleet/upstream.go
@@ -125,7 +125,7 @@
 // plus this node's jitter.
 func (u *Upstream) backoffUntil() time.Time {
 	until := u.announced.BackoffUntil()
-	return until.Add(time.Duration(u.backoffJitter * float64(u.announced.Rest())))
+	return until.Add(time.Duration(u.backoffJitter * float64(u.announced.Backoff())))
 }
 
 // isLeaving reports whether the upstream has permanently stopped taking new work, by the
--- a/internal/notice/state.go
+++ b/internal/notice/state.go
@@ -55,8 +55,8 @@
 // BackoffUntil returns the end of the back-off that the upstream requested from this node.
 func (s *State) BackoffUntil() time.Time { return s.backoffUntil }
 
-// Rest returns the length of the back-off that ends at BackoffUntil.
-func (s *State) Rest() time.Duration { return s.backoff }
+// Backoff returns the length of the back-off that ends at BackoffUntil.
+func (s *State) Backoff() time.Duration { return s.backoff }
 
 // setLeaving records an announced shutdown. It reports whether the state changed.
 func (s *State) setLeaving(now time.Time) bool {
