--- a/internal/fleet/warm_up.go
+++ b/internal/fleet/warm_up.go
@@ -19,7 +19,7 @@
 
 // bound returns the bound that applies while an upstream warms up.
 func (w *WarmUp) bound() pacing.Bound {
-	return pacing.Bound{Rate: w.Rate, Most: w.MaxPerSecond, Window: time.Second}
+	return pacing.Bound{Rate: w.Rate, MaxArrivals: w.MaxPerSecond, Window: time.Second}
 }
 
 // SetWarmUp sets the warm-up of a service's upstreams.
--- a/internal/pacing/bound.go
+++ b/internal/pacing/bound.go
@@ -10,9 +10,9 @@
 type Bound struct {
 	// Rate is the sustained rate in requests per second; 0 for no bound.
 	Rate float64
-	// Most is the maximum number of requests that arrive within any Window.
-	Most   float64
-	Window time.Duration
+	// MaxArrivals is the maximum number of requests that arrive within any Window.
+	MaxArrivals float64
+	Window      time.Duration
 }
 
 const (
@@ -30,7 +30,7 @@
 // totalBurst returns the number of requests that all senders together may send at once, in
 // addition to the steady arrivals.
 func (b *Bound) totalBurst() float64 {
-	return max((b.Most-b.steadyArrivals())/burstDivisor, 1)
+	return max((b.MaxArrivals-b.steadyArrivals())/burstDivisor, 1)
 }
 
 // senderCount returns the number of nodes that share an upstream's rate.
@@ -44,6 +44,6 @@
 // ratePerSender returns the rate in requests per second of each of count senders, without
 // its burst.
 func (b *Bound) ratePerSender(count int) rate.Limit {
-	maxRate := (b.Most - float64(count*b.burstPerSender())) / b.Window.Seconds()
+	maxRate := (b.MaxArrivals - float64(count*b.burstPerSender())) / b.Window.Seconds()
 	return rate.Limit(max(min(b.Rate, maxRate), 0) / float64(count))
 }
--- a/internal/pacing/named.go
+++ b/internal/pacing/named.go
@@ -17,5 +17,5 @@
 // second.
 func Named(perSecond float64) Bound {
 	maxArrivals := advertisedFactor*perSecond*advertisedWindow.Seconds() + advertisedSlack
-	return Bound{Rate: max(perSecond, minProbeRate), Most: maxArrivals, Window: advertisedWindow}
+	return Bound{Rate: max(perSecond, minProbeRate), MaxArrivals: maxArrivals, Window: advertisedWindow}
 }
--- a/internal/pacing/ways_test.go
+++ b/internal/pacing/ways_test.go
@@ -104,9 +104,9 @@
 			for _, s := range strategies() {
 				r := s.run(nodes, perSecond)
 				t.Logf("%4d nodes, limit %4.1f/s, %-11s: peak of %4d in 4 s (bound %.0f), utilization %.2f, %.2f without node 0, %.0f calls/s",
-					nodes, perSecond, s.name, r.peakArrivals, Named(perSecond).Most, r.utilization, r.utilizationWithoutNode, r.callsPerSecond)
-				if s.name == "few senders" && float64(r.peakArrivals) > Named(perSecond).Most {
-					t.Errorf("%d requests arrive within %s, the bound is %.0f", r.peakArrivals, advertisedWindow, Named(perSecond).Most)
+					nodes, perSecond, s.name, r.peakArrivals, Named(perSecond).MaxArrivals, r.utilization, r.utilizationWithoutNode, r.callsPerSecond)
+				if s.name == "few senders" && float64(r.peakArrivals) > Named(perSecond).MaxArrivals {
+					t.Errorf("%d requests arrive within %s, the bound is %.0f", r.peakArrivals, advertisedWindow, Named(perSecond).MaxArrivals)
 				}
 			}
 		}
