--- a/internal/balance/noticed.go
+++ b/internal/balance/noticed.go
@@ -69,7 +69,7 @@
 // rateLimiter returns the limiter for this node's share of the upstream's rate limit, or
 // nil when other nodes send in its place.
 func (b *Balancer) rateLimiter(h *host, now time.Duration) *rate.Limiter {
-	return h.rateShare.Limiter(h.vm.ID, pacing.Named(h.rateLimit.PerSecond), &b.senders, b.base.Add(now))
+	return h.rateShare.Limiter(h.vm.ID, pacing.AdvertisedBound(h.rateLimit.PerSecond), &b.senders, b.base.Add(now))
 }
 
 // maySend reports whether backoff and rate limit allow a request to the upstream now.
--- a/internal/fleet/rate_limit.go
+++ b/internal/fleet/rate_limit.go
@@ -23,7 +23,7 @@
 		visit(&u.warmUpShare, u.warmUpShare.Limiter(u.announced.Incarnation(), w.bound(), &f.senders, now))
 	}
 	if u.limited() {
-		visit(&u.limitShare, u.limitShare.Limiter(u.announced.Incarnation(), pacing.Named(u.announced.Limit().PerSecond), &f.senders, now))
+		visit(&u.limitShare, u.limitShare.Limiter(u.announced.Incarnation(), pacing.AdvertisedBound(u.announced.Limit().PerSecond), &f.senders, now))
 	}
 }
 
--- a/internal/pacing/named.go
+++ b/internal/pacing/named.go
@@ -13,9 +13,9 @@
 	minProbeRate = 0.25
 )
 
-// Named returns the bound of an upstream that advertises a rate limit in requests per
+// AdvertisedBound returns the bound of an upstream that advertises a rate limit in requests per
 // second.
-func Named(perSecond float64) Bound {
+func AdvertisedBound(perSecond float64) Bound {
 	maxArrivals := advertisedFactor*perSecond*advertisedWindow.Seconds() + advertisedSlack
 	return Bound{Rate: max(perSecond, minProbeRate), MaxArrivals: maxArrivals, Window: advertisedWindow}
 }
--- a/internal/pacing/ways_test.go
+++ b/internal/pacing/ways_test.go
@@ -66,7 +66,7 @@
 
 func (s strategy) run(nodes int, perSecond float64) strategyOutcome {
 	const duration = time.Minute
-	b := Named(perSecond)
+	b := AdvertisedBound(perSecond)
 	rnd := rand.New(rand.NewPCG(1, 2))
 	simulate := func(lostNode int) (sent []time.Time, calls int) {
 		limiters := make([]*rate.Limiter, nodes)
@@ -104,9 +104,9 @@
 			for _, s := range strategies() {
 				r := s.run(nodes, perSecond)
 				t.Logf("%4d nodes, limit %4.1f/s, %-11s: peak of %4d in 4 s (bound %.0f), utilization %.2f, %.2f without node 0, %.0f calls/s",
-					nodes, perSecond, s.name, r.peakArrivals, Named(perSecond).MaxArrivals, r.utilization, r.utilizationWithoutNode, r.callsPerSecond)
-				if s.name == "few senders" && float64(r.peakArrivals) > Named(perSecond).MaxArrivals {
-					t.Errorf("%d requests arrive within %s, the bound is %.0f", r.peakArrivals, advertisedWindow, Named(perSecond).MaxArrivals)
+					nodes, perSecond, s.name, r.peakArrivals, AdvertisedBound(perSecond).MaxArrivals, r.utilization, r.utilizationWithoutNode, r.callsPerSecond)
+				if s.name == "few senders" && float64(r.peakArrivals) > AdvertisedBound(perSecond).MaxArrivals {
+					t.Errorf("%d requests arrive within %s, the bound is %.0f", r.peakArrivals, advertisedWindow, AdvertisedBound(perSecond).MaxArrivals)
 				}
 			}
 		}
