--- a/internal/balance/noticed.go
+++ b/internal/balance/noticed.go
@@ -106,7 +106,7 @@
 	}
 	l := b.rateLimiter(h, now)
 	if l == nil {
-		return now + min(time.Duration(float64(time.Second)/h.rateShare.Rate()), pacing.MostPause)
+		return now + min(time.Duration(float64(time.Second)/h.rateShare.Rate()), pacing.MaxWait)
 	}
 	return b.since(pacing.NextToken(l, b.base.Add(now)))
 }
--- a/internal/fleet/room.go
+++ b/internal/fleet/room.go
@@ -40,7 +40,7 @@
 func (f *Fleet) nextAllowed(u *Upstream, now time.Time) time.Time {
 	next := latest(now, u.backoffUntil())
 	f.forEachLimiter(u, now, func(s *pacing.Share, limiter *rate.Limiter) {
-		allowed := now.Add(min(time.Duration(float64(time.Second)/s.Rate()), pacing.MostPause))
+		allowed := now.Add(min(time.Duration(float64(time.Second)/s.Rate()), pacing.MaxWait))
 		if limiter != nil {
 			allowed = pacing.NextToken(limiter, now)
 		}
--- a/internal/pacing/share.go
+++ b/internal/pacing/share.go
@@ -39,7 +39,7 @@
 // Rate returns the rate in requests per second of all nodes together.
 func (s *Share) Rate() float64 { return s.bound.Rate }
 
-// NextToken returns the time at which a limiter allows a request, at most [MostPause] after
+// NextToken returns the time at which a limiter allows a request, at most [MaxWait] after
 // now.
 func NextToken(limiter *rate.Limiter, now time.Time) time.Time {
 	missing := 1 - limiter.TokensAt(now)
@@ -47,10 +47,10 @@
 		return now
 	}
 	if limiter.Limit() <= 0 {
-		return now.Add(MostPause)
+		return now.Add(MaxWait)
 	}
-	return now.Add(min(time.Duration(missing/float64(limiter.Limit())*float64(time.Second)), MostPause))
+	return now.Add(min(time.Duration(missing/float64(limiter.Limit())*float64(time.Second)), MaxWait))
 }
 
-// MostPause is the maximum time ahead for which [NextToken] predicts a token.
-const MostPause = time.Minute
+// MaxWait is the maximum time ahead for which [NextToken] predicts a token.
+const MaxWait = time.Minute
