--- a/internal/evacuation/orders.go
+++ b/internal/evacuation/orders.go
@@ -13,9 +13,9 @@
 // New returns an empty set of orders.
 func New() *Orders { return &Orders{byDomain: map[string]Order{}} }
 
-// Take applies an order. It reports whether the domain's evacuation began or ended by it.
+// Apply applies an order. It reports whether the domain's evacuation began or ended by it.
 // An order without a domain is ignored.
-func (s *Orders) Take(o Order) (changed bool) {
+func (s *Orders) Apply(o Order) (changed bool) {
 	known, ok := s.byDomain[o.Domain]
 	if o.Domain == "" || ok && !o.supersedes(&known) {
 		return false
@@ -33,7 +33,7 @@
 			continue
 		}
 		end := Order{Domain: o.Domain, Revision: revision, Ended: true}
-		if s.Take(end) {
+		if s.Apply(end) {
 			ended = append(ended, end)
 		}
 	}
--- a/internal/evacuation/orders_test.go
+++ b/internal/evacuation/orders_test.go
@@ -14,11 +14,11 @@
 func TestLateBeginDoesNotUndoEnd(t *testing.T) {
 	is := is.New(t)
 	s := New()
-	is.True(s.Take(Order{Domain: "a", Revision: 5}))
-	is.True(s.Take(Order{Domain: "a", Revision: 9, Ended: true}))
-	is.True(!s.Take(Order{Domain: "a", Revision: 5}))
+	is.True(s.Apply(Order{Domain: "a", Revision: 5}))
+	is.True(s.Apply(Order{Domain: "a", Revision: 9, Ended: true}))
+	is.True(!s.Apply(Order{Domain: "a", Revision: 5}))
 	is.True(!s.Active("a"))
-	is.True(s.Take(Order{Domain: "a", Revision: 12}))
+	is.True(s.Apply(Order{Domain: "a", Revision: 12}))
 	is.True(s.Active("a"))
 }
 
@@ -27,9 +27,9 @@
 func TestEndWinsAtEqualRevision(t *testing.T) {
 	is := is.New(t)
 	s := New()
-	is.True(s.Take(Order{Domain: "a", Revision: 5}))
-	is.True(s.Take(Order{Domain: "a", Revision: 5, Ended: true}))
-	is.True(!s.Take(Order{Domain: "a", Revision: 5}))
+	is.True(s.Apply(Order{Domain: "a", Revision: 5}))
+	is.True(s.Apply(Order{Domain: "a", Revision: 5, Ended: true}))
+	is.True(!s.Apply(Order{Domain: "a", Revision: 5}))
 	is.True(!s.Active("a"))
 }
 
@@ -38,9 +38,9 @@
 func TestFullReadEndsUnlistedOrders(t *testing.T) {
 	is := is.New(t)
 	s := New()
-	s.Take(Order{Domain: "a", Revision: 5})
-	s.Take(Order{Domain: "b", Revision: 6})
-	s.Take(Order{Domain: "c", Revision: 20}) // a peer has read a later revision
+	s.Apply(Order{Domain: "a", Revision: 5})
+	s.Apply(Order{Domain: "b", Revision: 6})
+	s.Apply(Order{Domain: "c", Revision: 20}) // a peer has read a later revision
 	ended := s.EndOthers([]Order{{Domain: "b", Revision: 6}}, 12)
 	is.Equal(ended, []Order{{Domain: "a", Revision: 12, Ended: true}})
 	is.True(s.Active("b"))
@@ -51,7 +51,7 @@
 func TestOrderWithoutDomainIsIgnored(t *testing.T) {
 	is := is.New(t)
 	s := New()
-	is.True(!s.Take(Order{Revision: 5}))
+	is.True(!s.Apply(Order{Revision: 5}))
 	is.Equal(len(s.All()), 0)
 }
 
@@ -72,15 +72,15 @@
 			to := rapid.SampledFrom(nodes).Draw(t, "to")
 			if rapid.Bool().Draw(t, "from a peer") {
 				for _, o := range rapid.SampledFrom(nodes).Draw(t, "from").All() {
-					to.Take(o)
+					to.Apply(o)
 				}
 				continue
 			}
-			to.Take(rapid.SampledFrom(history).Draw(t, "change"))
+			to.Apply(rapid.SampledFrom(history).Draw(t, "change"))
 		}
 		for _, n := range nodes {
 			for _, i := range rapid.Permutation(indices(len(history))).Draw(t, "remaining") {
-				n.Take(history[i])
+				n.Apply(history[i])
 			}
 			for domain, want := range active {
 				if n.Active(domain) != want {
--- a/internal/gateway/evacuations.go
+++ b/internal/gateway/evacuations.go
@@ -11,7 +11,7 @@
 // applyEvacuations applies evacuation orders from the table or a peer; the caller holds mu.
 func (n *Node) applyEvacuations(orders []evacuation.Order, from string) {
 	for _, o := range orders {
-		if n.evacuations.Take(o) {
+		if n.evacuations.Apply(o) {
 			n.setEvacuation(o, from)
 		}
 	}
