--- a/internal/evacuation/orders.go
+++ b/internal/evacuation/orders.go
@@ -25,9 +25,9 @@
 	return wasActive == o.Ended
 }
 
-// EndOthers ends the orders that a full read of the table at a revision does not list. It
+// EndUnlisted ends the orders that a full read of the table at a revision does not list. It
 // returns the ended states of those that were active.
-func (s *Orders) EndOthers(listed []Order, revision uint64) (ended []Order) {
+func (s *Orders) EndUnlisted(listed []Order, revision uint64) (ended []Order) {
 	for _, o := range s.All() {
 		if o.Ended || slices.ContainsFunc(listed, func(l Order) bool { return l.Domain == o.Domain }) {
 			continue
--- a/internal/evacuation/orders_test.go
+++ b/internal/evacuation/orders_test.go
@@ -41,7 +41,7 @@
 	s.Apply(Order{Domain: "a", Revision: 5})
 	s.Apply(Order{Domain: "b", Revision: 6})
 	s.Apply(Order{Domain: "c", Revision: 20}) // a peer has read a later revision
-	ended := s.EndOthers([]Order{{Domain: "b", Revision: 6}}, 12)
+	ended := s.EndUnlisted([]Order{{Domain: "b", Revision: 6}}, 12)
 	is.Equal(ended, []Order{{Domain: "a", Revision: 12, Ended: true}})
 	is.True(s.Active("b"))
 	is.True(s.Active("c"))
--- a/internal/gateway/evacuations.go
+++ b/internal/gateway/evacuations.go
@@ -20,7 +20,7 @@
 // endMissingEvacuations ends the orders that a complete reading of the table lacks; the
 // caller holds mu.
 func (n *Node) endMissingEvacuations(c OrdersChange) {
-	for _, o := range n.evacuations.EndOthers(c.Evacuations, c.Revision) {
+	for _, o := range n.evacuations.EndUnlisted(c.Evacuations, c.Revision) {
 		n.setEvacuation(o, fromTable)
 	}
 }
