--- a/internal/gateway/fleet_changes.go
+++ b/internal/gateway/fleet_changes.go
@@ -65,7 +65,7 @@
 		return
 	}
 	if known != nil && known.Born != r.Born {
-		// The connections of the upstream's earlier start are closed.
+		// Pooled connections ended with the earlier start of the upstream.
 		n.pool.Forget(known.Addr)
 	}
 	n.noteVersion(r.Service, r.Version, now)
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -101,7 +101,8 @@
 	// upstreamWaitFraction is how long a request waits for an upstream when none is
 	// available, as a fraction of the route's goal.
 	upstreamWaitFraction = 0.12
-	// waitPollInterval is the pause between checks in a wait.
+	// waitPollInterval is the pause between checks of a request that waits for an upstream
+	// or a configuration, and of a node that stops.
 	waitPollInterval = 25 * time.Millisecond
 	// maxWaitPollInterval bounds the pause between checks when it is known when an upstream
 	// has capacity: another one may be listed before.
