--- a/internal/canary/canary.go
+++ b/internal/canary/canary.go
@@ -5,36 +5,37 @@
 	"time"
 )
 
-// Canary holds the orders of all services on one node.
+// Canary holds the newest order of each service on one node. It is not safe for
+// concurrent use.
 type Canary struct {
 	settings Settings
 	node     string
 	born     int64
 	rollouts map[string]*rollout
-	paces    map[paceKey]*pace
+	delays   map[delayKey]*delayMean
 	pins     pins
-	// bad are the versions that were rolled back, by service.
-	bad map[string][]string
+	// rolledBack lists the versions that were rolled back, by service.
+	rolledBack map[string][]string
 }
 
-// New returns a canary of one run of a node.
+// New returns the Canary of one run of a node; born tells the runs of a node apart.
 func New(s Settings, node string, born int64) *Canary {
-	return &Canary{settings: s, node: node, born: born, rollouts: map[string]*rollout{}, paces: map[paceKey]*pace{},
-		bad:  map[string][]string{},
-		pins: pins{keep: s.Session + pinNews, seen: map[uint64]time.Time{}}}
+	return &Canary{settings: s, node: node, born: born, rollouts: map[string]*rollout{}, delays: map[delayKey]*delayMean{},
+		rolledBack: map[string][]string{},
+		pins:       pins{ttl: s.Session + pinSpread, lastSeen: map[uint64]time.Time{}}}
 }
 
-// Take takes an order; started is when it began. It reports whether the order
-// is new.
+// Take adds an order that began at started. It reports whether the order is newer than
+// the known one.
 func (c *Canary) Take(o Order, started time.Time) bool {
-	known := c.rollouts[o.Service]
-	if known != nil && known.order.Revision >= o.Revision {
+	current := c.rollouts[o.Service]
+	if current != nil && current.order.Revision >= o.Revision {
 		return false
 	}
-	if known != nil && known.verdict == RolledBack {
-		c.bad[o.Service] = append(c.bad[o.Service], known.order.Target)
+	if current != nil && current.verdict == RolledBack {
+		c.rolledBack[o.Service] = append(c.rolledBack[o.Service], current.order.Target)
 	}
-	c.bad[o.Service] = slices.DeleteFunc(c.bad[o.Service], func(v string) bool { return v == o.Target })
+	c.rolledBack[o.Service] = slices.DeleteFunc(c.rolledBack[o.Service], func(v string) bool { return v == o.Target })
 	c.rollouts[o.Service] = &rollout{
 		order: o, started: started,
 		own:    Tally{Service: o.Service, Revision: o.Revision, Node: c.node, Born: c.born},
@@ -43,14 +44,15 @@
 	return true
 }
 
-// Decide takes a verdict that was read or made elsewhere.
+// Decide applies a verdict that was read from the table or reached elsewhere; written is
+// set if the table holds it. It reports whether the verdict differs from the known one.
 func (c *Canary) Decide(service string, revision uint64, v Verdict, written bool) bool {
 	r := c.rollouts[service]
 	if r == nil || r.order.Revision != revision || v == Open {
 		return false
 	}
 	changed := r.verdict != v
-	// A verdict in the table is final; one that is not yet there gives way.
+	// A verdict in the table is final. One that is not recorded yet is overridden by it.
 	if r.verdict == Open || written && !r.written {
 		r.verdict = v
 	}
@@ -58,7 +60,8 @@
 	return changed
 }
 
-// Sent counts an attempt that goes to an upstream of a version.
+// Sent counts an attempt that is sent to an upstream of a version; first is set for the
+// first attempt of a request.
 func (c *Canary) Sent(service, version string, first bool) {
 	r := c.rollouts[service]
 	if r == nil || r.verdict != Open {
@@ -74,7 +77,8 @@
 	}
 }
 
-// Ended counts an attempt that no longer runs.
+// Ended counts an attempt that no longer runs; revision is that of the order at the time
+// it was sent.
 func (c *Canary) Ended(service, version string, revision uint64) {
 	r := c.rollouts[service]
 	if r == nil || r.order.Revision != revision || version == r.order.Target {
@@ -83,7 +87,7 @@
 	r.own.OldInFlight = max(r.own.OldInFlight-1, 0)
 }
 
-// Revision returns the revision of the service's newest order, 0 for none.
+// Revision returns the revision of the service's newest order, 0 if there is none.
 func (c *Canary) Revision(service string) uint64 {
 	if r := c.rollouts[service]; r != nil {
 		return r.order.Revision
@@ -91,15 +95,16 @@
 	return 0
 }
 
-// Answered counts an answer.
+// Answered counts an answer as good or bad. An answer is bad if it failed or was far
+// slower than usual.
 func (c *Canary) Answered(a Answer) {
 	r := c.rollouts[a.Service]
 	onNew := r != nil && a.Version == r.order.Target
-	key := paceKey{a.Route, a.Model}
-	p := c.paces[key]
+	key := delayKey{a.Route, a.Model}
+	p := c.delays[key]
 	if p == nil {
-		p = &pace{}
-		c.paces[key] = p
+		p = &delayMean{}
+		c.delays[key] = p
 	}
 	slow := a.Pace > 0 && p.slow(a.Pace)
 	if a.Pace > 0 && !onNew && !a.Failed {
@@ -122,13 +127,14 @@
 	}
 }
 
-// Open tells whether the service has an order under way.
+// Open reports whether the service has an order without a verdict.
 func (c *Canary) Open(service string) bool {
 	r := c.rollouts[service]
 	return r != nil && r.verdict == Open
 }
 
-// Target returns the version that the newest order of a service names.
+// Target returns the version that the service's newest order names, empty if there is
+// none.
 func (c *Canary) Target(service string) string {
 	if r := c.rollouts[service]; r != nil {
 		return r.order.Target
--- a/internal/canary/canary_test.go
+++ b/internal/canary/canary_test.go
@@ -7,21 +7,23 @@
 	"github.com/matryer/is"
 )
 
-// seeds are played of each world.
+// seeds is the number of runs of each simulated scenario.
 const seeds = 60
 
+// always returns a share of bad answers that does not change with time.
 func always(share float64) func(time.Duration) float64 {
 	return func(time.Duration) float64 { return share }
 }
 
-// A good version is ordered. It is in use by the time limit, no session moves
-// in the first half, and until the end hardly any request was at stake.
+// Guards against a good version that is completed after its time limit, and against
+// sessions that change their version in the first half of it. The new version's requests
+// stay within the bound.
 func TestGoodVersionIsCompletedInTime(t *testing.T) {
 	completed := 0
 	for seed := range uint64(seeds) {
 		w := newWorld(seed, 6)
 		w.run()
-		if w.done == Completed && w.doneAt < limit {
+		if w.verdict == Completed && w.verdictAfter < limit {
 			completed++
 		}
 		if w.moved > 3 {
@@ -34,15 +36,14 @@
 	}
 }
 
-// A caller's session is served by the new version, and in the middle of it by
-// the old one again, although nothing is wrong with the new one. A few sessions
-// send many requests, and a good part of them is answered by two models: one
-// node alone saw more than its part of the new version's requests and turned
-// back, while over all nodes there were far fewer than allowed.
+// Guards against sessions that return to the old version although the new one is good. It
+// came about with a few large sessions and many second attempts. A single node saw more
+// than its part of the new version's requests and turned sessions back, while the total
+// was within the bound.
 func TestSessionsStayOnTheNewVersion(t *testing.T) {
 	for seed := range uint64(seeds) {
 		w := newWorld(seed, 6)
-		w.heavy, w.further = 0.4, 0.6
+		w.heavyShare, w.secondAttempts = 0.4, 0.6
 		w.run()
 		if w.movedBack > 3 {
 			t.Errorf("seed %d: %d requests moved back to the old version", seed, w.movedBack)
@@ -51,19 +52,19 @@
 	}
 }
 
-// The bound on a version that may be bad is tight, and answers by two models
-// use it up faster. A good version without any doubt was rolled back at its time
-// limit, because its requests fitted into the bound only at that moment.
+// Guards against the rollback of a good version whose requests fit into the bound only at
+// the deadline. The bound is tight, and second attempts at another model use it up
+// faster.
 func TestGoodVersionIsCompletedWhereTheBoundIsTight(t *testing.T) {
 	completed := 0
 	tight := testSettings
 	tight.ShareBound, tight.Slack = 0.0975, 10
 	for seed := range uint64(seeds) {
 		w := newWorld(seed, 6)
-		w.bound(tight)
-		w.further = 1.0
+		w.replaceNodes(tight)
+		w.secondAttempts = 1.0
 		w.run()
-		if w.done == Completed && w.doneAt < limit {
+		if w.verdict == Completed && w.verdictAfter < limit {
 			completed++
 		}
 		if allowed := tight.ShareBound*float64(w.requests) + tight.Slack; float64(w.exposed) > allowed {
@@ -76,20 +77,20 @@
 	}
 }
 
-// The table forgot its history just when the order came, so that nodes can't tell
-// by up to a second when it was given. A good version without any doubt was rolled
-// back that much before its time limit, although its requests fitted into the
-// bound a moment later: the duty was missed for fear of missing it.
+// Guards against the rollback of a good version because the start of its order is
+// uncertain. The table has lost its history, so the order may be up to a second older.
+// The version was rolled back that much before its time limit, although its requests
+// fitted into the bound a moment later.
 func TestGoodVersionIsCompletedWhereTheOrderMayBeOlder(t *testing.T) {
 	completed := 0
 	tight := testSettings
 	tight.ShareBound, tight.Slack = 0.0975, 10
 	for seed := range uint64(seeds) {
 		w := newWorld(seed, 6)
-		w.bound(tight)
-		w.further, w.late = 1.0, 1100*time.Millisecond
+		w.replaceNodes(tight)
+		w.secondAttempts, w.late = 1.0, 1100*time.Millisecond
 		w.run()
-		if w.done == Completed && w.doneAt < limit {
+		if w.verdict == Completed && w.verdictAfter < limit {
 			completed++
 		}
 		if allowed := tight.ShareBound*float64(w.requests) + tight.Slack; float64(w.exposed) > allowed {
@@ -102,13 +103,13 @@
 	}
 }
 
-// A small deployment gets 36 requests a second of which the new version may have one in
-// ten at most. Under a fixed share of the sessions it had given 14 answers at the end, too
-// few to trust it, and a good version was rolled back. A bad one stays within its bound,
-// and no session moves before its time.
+// Guards against the rollback of a good version in a small deployment: 36 requests a
+// second, of which at most one in ten may go to it. With a fixed share of the sessions it
+// had given 14 answers at the deadline, fewer than minAnswers. A bad version stays within
+// its bound, and no session changes its version early.
 func TestFewRequestsAreEnoughForAVerdict(t *testing.T) {
-	few := testSettings
-	few.ShareBound = 0.0975
+	settings := testSettings
+	settings.ShareBound = 0.0975
 	for _, c := range []struct {
 		name string
 		bad  float64
@@ -118,16 +119,16 @@
 			right := 0
 			for seed := range uint64(seeds) {
 				w := newWorld(seed, 18)
-				w.bound(few)
-				w.rate, w.further, w.bad = 36, 0.4, always(c.bad)
+				w.replaceNodes(settings)
+				w.rate, w.secondAttempts, w.badShare = 36, 0.4, always(c.bad)
 				w.run()
-				if w.done == c.want && w.doneAt < limit {
+				if w.verdict == c.want && w.verdictAfter < limit {
 					right++
 				}
 				if w.moved > 3 || w.movedBack > 3 {
 					t.Errorf("seed %d: %d requests moved between versions, %d back", seed, w.moved, w.movedBack)
 				}
-				if allowed := few.ShareBound*float64(w.requests) + few.Slack; float64(w.exposed) > allowed {
+				if allowed := settings.ShareBound*float64(w.requests) + settings.Slack; float64(w.exposed) > allowed {
 					t.Errorf("seed %d: %d of %d requests went to the new version, %.0f allowed", seed, w.exposed, w.requests, allowed)
 				}
 			}
@@ -139,7 +140,8 @@
 	}
 }
 
-// checkExposure holds a world to the bound on a version that may be bad.
+// checkExposure fails the test if the new version got more requests than the bound
+// allows.
 func checkExposure(t *testing.T, seed uint64, w *world) {
 	t.Helper()
 	allowed := testSettings.ShareBound*float64(w.requests) + testSettings.Slack
@@ -148,8 +150,8 @@
 	}
 }
 
-// Versions that fail a part of their answers, at once or late, are rolled back
-// within the bound on their requests.
+// Guards against a bad version that is completed or exceeds the bound on its requests. It
+// fails a part of its answers from the start or only later.
 func TestBadVersionIsRolledBack(t *testing.T) {
 	tests := map[string]func(time.Duration) float64{
 		"half":  always(0.5),
@@ -171,10 +173,10 @@
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(seeds) {
 				w := newWorld(seed, 6)
-				w.bad = bad
+				w.badShare = bad
 				w.run()
-				if w.done != RolledBack {
-					t.Errorf("seed %d: %v", seed, w.done)
+				if w.verdict != RolledBack {
+					t.Errorf("seed %d: %v", seed, w.verdict)
 				}
 				if w.badAnswers > 50 {
 					t.Errorf("seed %d: %d bad answers", seed, w.badAnswers)
@@ -185,16 +187,15 @@
 	}
 }
 
-// Trouble hits both versions: answers are lost everywhere. That is no evidence
-// against the new one.
-func TestTroubleOfBothVersionsConvictsNeither(t *testing.T) {
+// Guards against a rollback for failures that hit both versions alike.
+func TestFailuresOfBothVersionsCauseNoRollback(t *testing.T) {
 	rolledBack := 0
 	for seed := range uint64(seeds) {
 		w := newWorld(seed, 6)
-		w.base = 0.3
-		w.bad = always(0.3)
+		w.baseBadShare = 0.3
+		w.badShare = always(0.3)
 		w.run()
-		if w.done == RolledBack {
+		if w.verdict == RolledBack {
 			rolledBack++
 		}
 	}
@@ -203,7 +204,8 @@
 	}
 }
 
-// A version answers as usual but far slower.
+// Guards against a new version whose answers succeed but take far longer than the old
+// version's.
 func TestSlowVersionIsBad(t *testing.T) {
 	is := is.New(t)
 	c := New(testSettings, "n1", 1)
@@ -225,24 +227,25 @@
 	is.True(got[0].Made)
 }
 
-// A version was rolled back and another is ordered while the bad one's
-// upstreams still stand. Neither the bad one nor the one on trial serves the
-// old version's requests.
-func TestRolledBackVersionStaysAway(t *testing.T) {
+// Guards against requests that are sent to a version after its rollback. Another version
+// is ordered while the bad one's upstreams still run; the old version's requests go to
+// neither.
+func TestRolledBackVersionServesNoRequests(t *testing.T) {
 	is := is.New(t)
 	c := New(testSettings, "n1", 1)
 	now := time.Unix(1000, 0)
 	c.Take(Order{Service: serviceName, Target: "v2", Limit: limit, Revision: 1}, now)
 	is.True(c.Decide(serviceName, 1, RolledBack, true))
 	is.True(c.Take(Order{Service: serviceName, Target: "v3", Limit: limit, Revision: 2}, now))
-	is.True(!c.Take(Order{Service: serviceName, Target: "v2", Limit: limit, Revision: 1}, now)) // the older one again
+	is.True(!c.Take(Order{Service: serviceName, Target: "v2", Limit: limit, Revision: 1}, now)) // the older order again
 	rule := c.Rule(serviceName, Caller{Hash: shareScale - 1}, now.Add(10*time.Second))
 	is.Equal(rule.Not, []string{"v3", "v2"})
-	is.True(!c.Decide(serviceName, 1, Completed, true)) // a verdict on the older order
+	is.True(!c.Decide(serviceName, 1, Completed, true)) // a verdict of the older order
 }
 
-// Two nodes made different verdicts; the one that the table holds stands.
-func TestWrittenVerdictWins(t *testing.T) {
+// Guards against nodes that keep different verdicts: the one that the table holds is
+// final.
+func TestRecordedVerdictIsFinal(t *testing.T) {
 	is := is.New(t)
 	c := New(testSettings, "n1", 1)
 	now := time.Unix(1000, 0)
@@ -254,7 +257,8 @@
 	is.Equal(c.Rule(serviceName, Caller{}, now), Rule{Version: newVersion})
 }
 
-// A node's tallies arrive twice and out of order, and its earlier run's too.
+// Guards against answers that are counted twice: a node's tallies arrive twice and out of
+// order, and those of its earlier run are added to them.
 func TestTalliesCountOnce(t *testing.T) {
 	is := is.New(t)
 	c := New(testSettings, "n1", 1)
@@ -268,17 +272,16 @@
 	tally(1, 2, 20)
 	tally(2, 1, 5)
 	r := c.rollouts[serviceName]
-	is.Equal(r.answers(), int64(25))
+	is.Equal(r.newAnswers(), int64(25))
 	is.Equal(r.oldInFlight(), 4)
-	c.Forget(func(_ string, born int64) bool { return born == 2 }) // the earlier run is gone, with its work
+	c.Forget(func(_ string, born int64) bool { return born == 2 }) // the earlier run has ended, and its attempts with it
 	is.Equal(r.oldInFlight(), 2)
 }
 
-// A good version is turned away: its answers stall more often than the old
-// one's, because its sessions are confined to one or two upstreams, where a long
-// prompt holds up all of them. A version on trial has several times its share of
-// the upstreams, and all of them once all sessions come.
-func TestTrialLeavesAChoiceOfUpstreams(t *testing.T) {
+// Guards against the rollback of a good version because its trial uses only one or two
+// upstreams. A long prompt then delays all of its answers. A version on trial uses
+// several times its share of the upstreams, and all of them after the shift.
+func TestTrialUsesSeveralUpstreams(t *testing.T) {
 	is := is.New(t)
 	c := New(testSettings, "n1", 1)
 	now := time.Unix(1000, 0)
@@ -291,16 +294,15 @@
 	is.Equal(c.Rule(serviceName, Caller{Hash: 0}, now.Add(4*time.Second)).Part, 0.0)
 }
 
-// A caller's session moves to the version on trial and back. It is under way at
-// two nodes: one has just served it, and the other, which has not heard of that
-// yet, takes it for over because it last heard of it longer ago than a session's
-// longest pause.
-func TestSessionStaysPinnedUntilNewsOfIt(t *testing.T) {
+// Guards against a session that moves to the version on trial and back. One node has just
+// served it. The other one has not learned of that yet, and last saw the session longer
+// ago than its longest pause.
+func TestSessionStaysPinnedUntilPinsArrive(t *testing.T) {
 	is := is.New(t)
 	a, b := New(testSettings, "n1", 1), New(testSettings, "n2", 1)
 	began := time.Unix(1000, 0)
 	caller := Caller{Hash: 0, Session: true}
-	a.Rule(serviceName, caller, began) // under way before the order
+	a.Rule(serviceName, caller, began) // began before the order
 	order := Order{Service: serviceName, Target: newVersion, Limit: limit, Revision: 1}
 	is.True(a.Take(order, began))
 	is.True(b.Take(order, began))
@@ -310,13 +312,13 @@
 	is.Equal(b.Rule(serviceName, caller, nearly.Add(400*time.Millisecond)).Version, "")
 }
 
-// A quarter of all upstreams crashes, among them three of the seven that a good
-// version on trial uses. Their streams end at once, and the version was rolled
-// back for it. A version that goes on failing is still rolled back.
-func TestUpstreamsThatCrashConvictNoVersion(t *testing.T) {
+// Guards against the rollback of a good version because its upstreams crash. A quarter of
+// all upstreams crashes, among them three of the seven in the trial, and their streams
+// fail at once. A version that goes on failing is still rolled back.
+func TestCrashesOfUpstreamsCauseNoRollback(t *testing.T) {
 	for _, test := range []struct {
 		name    string
-		bad     bool // it fails a third from then on
+		bad     bool // fails a third of its answers after the crash
 		verdict Verdict
 	}{{"crash", false, Open}, {"crash, then failing", true, RolledBack}} {
 		t.Run(test.name, func(t *testing.T) {
@@ -337,7 +339,7 @@
 			now = now.Add(7 * time.Second)
 			c.Tick(now, view)
 			for i := range 12 { // three seconds
-				now = now.Add(tickOfTest)
+				now = now.Add(evaluationInterval)
 				for range 40 {
 					answer(oldVersion, false)
 				}
@@ -350,20 +352,20 @@
 	}
 }
 
-// tickOfTest is the pause between two looks at the evidence.
-const tickOfTest = 250 * time.Millisecond
+// evaluationInterval is the time between two evaluations.
+const evaluationInterval = 250 * time.Millisecond
 
-// TestVerdictFollowsALateShiftAtOnce guards against a good version that is recorded a moment
-// too late: all sessions could only move to it after the time kept for the record had begun,
-// and half of them were still held back for a look at cold caches.
-func TestVerdictFollowsALateShiftAtOnce(t *testing.T) {
+// Guards against a good version that is completed too late. The shift began only after
+// the deadline, within shiftGrace, and half of the sessions were still held back for cold
+// caches.
+func TestLateShiftIsCompletedAtOnce(t *testing.T) {
 	is := is.New(t)
 	start := time.Unix(1000, 0)
 	c := New(testSettings, "n1", 1)
 	c.Take(Order{Service: serviceName, Target: newVersion, Limit: limit, Revision: 1}, start)
 	r := c.rollouts[serviceName]
-	r.grown = r.end(testSettings).Add(200 * time.Millisecond)
-	decisions := c.Tick(r.grown.Add(100*time.Millisecond), View{Whole: true, Count: func(string, string) (int, int) { return 1, 2 }})
+	r.shiftedAt = r.deadline(testSettings).Add(200 * time.Millisecond)
+	decisions := c.Tick(r.shiftedAt.Add(100*time.Millisecond), View{Whole: true, Count: func(string, string) (int, int) { return 1, 2 }})
 	is.Equal(len(decisions), 1)
 	is.Equal(decisions[0].Verdict, Completed)
 }
--- a/internal/canary/doc.go
+++ b/internal/canary/doc.go
@@ -1,13 +1,13 @@
-// Package canary brings a new version of a service into use, or turns away
-// from it, by what its answers show.
+// Package canary decides whether a new version of a service replaces the old one, by
+// comparing the answers of both.
 //
-// An operator orders a version with a time limit. In the first half a fixed
-// small share of the sessions goes to it; every node counts its answers beside
-// the old version's and tells its peers. When the evidence says that the
-// version is bad, all nodes leave it. Else its share grows in steps, and the
-// roll-out is complete when the old version has no work left.
+// An operator orders a version with a time limit. In the first half of the limit a small
+// fixed share of the sessions goes to the new version. Every node counts the answers of
+// both versions and sends its counts to its peers. If the new version is worse, all nodes
+// return to the old one. Otherwise its share grows in steps, and the roll-out is complete
+// when the old version has no requests in flight.
 //
-// It is a core without I/O: orders, answers, peers' tallies and times go in,
-// versions and decisions come out. The decision itself is a conditional write
-// that its owner makes; the first writer wins.
+// The package does no I/O: orders, answers, peers' tallies and times go in, versions and
+// verdicts come out. The caller records the verdict by a conditional write; the first
+// writer wins.
 package canary
--- /dev/null
+++ b/internal/canary/evaluate.go
@@ -0,0 +1,112 @@
+package canary
+
+import (
+	"slices"
+	"strings"
+	"time"
+)
+
+// Decision is a step of a roll-out, or a verdict that has to be recorded.
+type Decision struct {
+	Order   Order
+	Verdict Verdict
+	// Made is set when this call reached the verdict.
+	Made bool
+	// Widened is set when this call let more sessions take part in the trial, Shift when
+	// it began to shift all.
+	Widened, Shift bool
+	// Likelihood is the log likelihood ratio against the version at Route, its worst
+	// route.
+	Likelihood float64
+	Route      string
+	// Counts are the answers of that route, Answers all answers of the new version.
+	Counts  RouteCount
+	Answers int64
+}
+
+// View is what a node knows beside the answers.
+type View struct {
+	// Count returns how many ready upstreams have the version, and how many there are in
+	// all.
+	Count func(service, version string) (ofVersion, all int)
+	// Whole is set if the node receives the tallies of all nodes. Only then does a count
+	// of no attempts in flight mean that there are none.
+	Whole bool
+}
+
+// Tick evaluates the evidence. It returns the steps that this call began, and the
+// verdicts that the platform's table does not hold yet.
+func (c *Canary) Tick(now time.Time, view View) []Decision {
+	var out []Decision
+	for _, r := range c.rollouts {
+		d := Decision{Order: r.order}
+		if r.verdict == Open {
+			d.Made = c.evaluate(r, &d, now, view)
+		}
+		d.Verdict = r.verdict
+		if r.verdict != Open && !r.written || d.Shift || d.Widened {
+			out = append(out, d)
+		}
+	}
+	slices.SortFunc(out, func(a, b Decision) int { return strings.Compare(a.Order.Service, b.Order.Service) })
+	return out
+}
+
+// evaluate updates the evidence, widens or shifts the trial when it is due, and reports
+// whether it reached a verdict. Only a node whose view is whole completes a roll-out.
+func (c *Canary) evaluate(r *rollout, d *Decision, now time.Time, view View) bool {
+	for route, sum := range r.total() {
+		test := r.tests[route]
+		if test == nil {
+			test = &evidence{}
+			r.tests[route] = test
+		}
+		test.add(sum, now)
+		if test.likelihood > d.Likelihood {
+			d.Likelihood, d.Route, d.Counts = test.likelihood, route, sum
+		}
+		if test.rejects(now, r.shiftedAt.IsZero()) {
+			r.verdict = RolledBack
+		}
+	}
+	d.Answers = r.newAnswers()
+	if r.verdict != Open {
+		return true
+	}
+	if !view.Whole {
+		return false
+	}
+	if r.shouldWiden(now, d.Answers) {
+		r.widenedAt = now
+		d.Widened = true
+	}
+	ofVersion, all := view.Count(r.order.Service, r.order.Target)
+	enough := d.Answers >= minAnswers && ofVersion > 0 && 3*ofVersion >= all
+	good := enough && d.Likelihood < doubtThreshold
+	deadline := r.deadline(c.settings)
+	if good {
+		// Only the bound on its requests delays the shift. The order's start is uncertain
+		// by Late; a good version is not rolled back for time that may not have passed.
+		deadline = deadline.Add(shiftGrace + r.order.Late)
+	}
+	switch {
+	case !r.shiftedAt.IsZero():
+	case good && r.mayShift(c.settings, now):
+		r.shiftedAt = now
+		d.Shift = true
+	case !now.Before(deadline):
+		// With doubt left or too few answers the old version stays. The operator can
+		// order the new one again.
+		r.verdict = RolledBack
+		return true
+	}
+	if r.shiftedAt.IsZero() {
+		return false
+	}
+	soaked := now.Sub(r.shiftedAt) >= soakTime && r.oldInFlight() == 0
+	if now.Before(r.deadline(c.settings)) && (r.share(c.settings, now) < 1 || !soaked) {
+		return false
+	}
+	r.verdict = Completed
+	return true
+}
--- a/internal/canary/evidence.go
+++ b/internal/canary/evidence.go
@@ -5,63 +5,65 @@
 	"time"
 )
 
-// evidence is a sequential test of one route's answers: it sums the log
-// likelihood of "worse by excess" against "as the old version", and never
-// falls below zero, so that a version that turns bad late is found as fast.
+// evidence is a sequential test (CUSUM) of one route's answers. It sums the log
+// likelihood ratio of "worse than the old version by excess" against "as good as the old
+// version". The sum never falls below zero, so that a version that turns bad late is
+// found as fast.
 type evidence struct {
-	seen       RouteCount
-	base, bad  float64 // the old version's recent answers
-	ratedAt    time.Time
-	likelihood float64
-	// overAt is when the likelihood last rose over the mark at which a version
-	// counts as bad; zero while it is below.
-	overAt time.Time
+	counted              RouteCount
+	baseAnswers, baseBad float64 // the old version's recent answers, decayed with baseHalfLife
+	decayedAt            time.Time
+	likelihood           float64
+	// aboveSince is when the likelihood last rose above rollbackThreshold; zero while it
+	// is below.
+	aboveSince time.Time
 }
 
-// add takes the counts so far and the time.
+// add takes the counts up to now.
 func (e *evidence) add(c RouteCount, now time.Time) {
-	if !e.ratedAt.IsZero() {
-		f := math.Exp2(-float64(now.Sub(e.ratedAt)) / float64(baseHalfLife))
-		e.base *= f
-		e.bad *= f
+	if !e.decayedAt.IsZero() {
+		decay := math.Exp2(-float64(now.Sub(e.decayedAt)) / float64(baseHalfLife))
+		e.baseAnswers *= decay
+		e.baseBad *= decay
 	}
-	e.ratedAt = now
-	e.base += float64(max(c.Base-e.seen.Base, 0))
-	e.bad += float64(max(c.BaseBad-e.seen.BaseBad, 0))
-	bad := float64(max(c.NewBad-e.seen.NewBad, 0))
-	good := max(float64(max(c.New-e.seen.New, 0))-bad, 0)
-	e.seen = c
-	usual := min(max((e.bad+usualAnswers*longRun(c))/(e.base+usualAnswers), leastBase), mostBase)
-	worse := usual + excess*(1-usual)
-	e.likelihood += bad*math.Log(worse/usual) + good*math.Log((1-worse)/(1-usual))
+	e.decayedAt = now
+	e.baseAnswers += float64(max(c.Base-e.counted.Base, 0))
+	e.baseBad += float64(max(c.BaseBad-e.counted.BaseBad, 0))
+	bad := float64(max(c.NewBad-e.counted.NewBad, 0))
+	good := max(float64(max(c.New-e.counted.New, 0))-bad, 0)
+	e.counted = c
+	baseline := min(max((e.baseBad+priorAnswers*longRunBadShare(c))/(e.baseAnswers+priorAnswers), minBaseBadShare), maxBaseBadShare)
+	worse := baseline + excess*(1-baseline)
+	e.likelihood += bad*math.Log(worse/baseline) + good*math.Log((1-worse)/(1-baseline))
 	e.likelihood = max(e.likelihood, 0)
 	switch {
-	case e.likelihood < convictAt:
-		e.overAt = time.Time{}
-	case e.overAt.IsZero():
-		e.overAt = now
+	case e.likelihood < rollbackThreshold:
+		e.aboveSince = time.Time{}
+	case e.aboveSince.IsZero():
+		e.aboveSince = now
 	}
 }
 
-// convicts tells whether the version counts as bad.
+// rejects reports whether the version counts as bad; trial is set until all sessions are
+// shifted.
 //
-// It guards against upstreams that crash: they take all their answers with them
-// in one moment, which is no evidence against their version. A bad version goes
-// on failing, so that the likelihood stays where it is; the good answers of a
-// second take it down again otherwise. Where most answers are bad, and once all
-// sessions go to the version, nothing is waited for.
-func (e *evidence) convicts(now time.Time, trial bool) bool {
-	if e.overAt.IsZero() {
+// It guards against upstreams that crash: all their running answers fail in one moment,
+// which is no evidence against their version. A bad version goes on failing and the
+// likelihood stays high; otherwise the good answers of the next second lower it again.
+// There is no wait once most answers are bad, or once all sessions go to the version.
+func (e *evidence) rejects(now time.Time, trial bool) bool {
+	if e.aboveSince.IsZero() {
 		return false
 	}
-	return !trial || 2*e.seen.NewBad > e.seen.New || now.Sub(e.overAt) >= persistFor
+	return !trial || 2*e.counted.NewBad > e.counted.New || now.Sub(e.aboveSince) >= persistTime
 }
 
-// longRun is the old version's share of bad answers since the order, pulled
-// towards a tenth while there are few.
-func longRun(c RouteCount) float64 {
+// longRunBadShare is the old version's share of bad answers since the order, pulled
+// towards one in ten while there are few answers.
+func longRunBadShare(c RouteCount) float64 {
 	return (float64(c.BaseBad) + 1) / (float64(c.Base) + 10)
 }
 
-// mostBase bounds what is taken for usual: beyond it nothing could be told.
-const mostBase = 0.7
+// maxBaseBadShare bounds the old version's share of bad answers in the test: above it the
+// two hypotheses can no longer be told apart.
+const maxBaseBadShare = 0.7
--- a/internal/canary/tell.go
+++ b/internal/canary/exchange.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// Tallies returns this node's counts of the orders under way, for its peers.
+// Tallies returns this node's own tallies, to be sent to its peers.
 func (c *Canary) Tallies(now time.Time) []Tally {
 	var all []Tally
 	for _, r := range c.rollouts {
-		if r.done(now) {
+		if r.expired(now) {
 			continue
 		}
 		r.own.Seq++
 		t := r.own
 		t.Verdict, t.Written = r.verdict, r.written
-		t.Widened = !r.widened.IsZero()
-		if !r.grown.IsZero() {
-			t.Shifted, t.ShiftAge = true, now.Sub(r.grown)
+		t.Widened = !r.widenedAt.IsZero()
+		if !r.shiftedAt.IsZero() {
+			t.Shifted, t.ShiftAge = true, now.Sub(r.shiftedAt)
 		}
 		for _, n := range r.counts {
 			t.Routes = append(t.Routes, *n)
@@ -30,19 +30,20 @@
 	return all
 }
 
-// Known returns this node's tallies, and for orders whose end is not recorded the newest
-// tally of every run of the nodes that of accepts: peers pass on what they have heard.
+// Known returns this node's tallies. For orders whose verdict is not recorded it adds the
+// newest tally of every node run that of accepts, so that peers pass on what they have
+// received.
 //
-// Once the end is recorded nothing is weighed any more, and it stands in each tally: in a
-// fleet of hundreds the counts of all nodes were told for the rest of the day.
-func (c *Canary) Known(now time.Time, of func(node string) bool) []Tally {
+// A recorded verdict stands in each tally and ends the evaluation. Passing on all nodes'
+// counts beyond it kept a fleet of hundreds sending them for the rest of the day.
+func (c *Canary) Known(now time.Time, accepts func(node string) bool) []Tally {
 	all := c.Tallies(now)
 	for _, r := range c.rollouts {
-		if r.written || r.done(now) {
+		if r.written || r.expired(now) {
 			continue
 		}
 		for _, t := range r.peers {
-			if of(t.Node) {
+			if accepts(t.Node) {
 				all = append(all, t)
 			}
 		}
@@ -50,8 +51,7 @@
 	return all
 }
 
-// Merge takes a peer's tally. It reports whether it brought a verdict that was
-// not known.
+// Merge adds a peer's tally. It reports whether the tally changed the verdict.
 func (c *Canary) Merge(t Tally, now time.Time) bool {
 	r := c.rollouts[t.Service]
 	if r == nil || r.order.Revision != t.Revision || t.Node == c.node && t.Born == c.born {
@@ -62,24 +62,24 @@
 		return false
 	}
 	r.peers[key] = t
-	if t.Widened && r.widened.IsZero() {
-		r.widened = now
+	if t.Widened && r.widenedAt.IsZero() {
+		r.widenedAt = now
 	}
-	if t.Shifted && r.grown.IsZero() {
-		r.grown = now.Add(-t.ShiftAge)
+	if t.Shifted && r.shiftedAt.IsZero() {
+		r.shiftedAt = now.Add(-t.ShiftAge)
 	}
 	if t.Verdict == Open {
 		return false
 	}
-	was := r.verdict
-	if was == Open || t.Written && !r.written {
+	before := r.verdict
+	if before == Open || t.Written && !r.written {
 		r.verdict = t.Verdict
 	}
 	r.written = r.written || t.Written
-	return was != r.verdict
+	return before != r.verdict
 }
 
-// Forget drops the work in flight of a node that is gone: it has none.
+// Forget clears the attempts in flight of node runs that alive reports as gone.
 func (c *Canary) Forget(alive func(node string, born int64) bool) {
 	for _, r := range c.rollouts {
 		for key, t := range r.peers {
--- a/internal/canary/tell_test.go
+++ b/internal/canary/exchange_test.go
@@ -7,10 +7,11 @@
 	"github.com/matryer/is"
 )
 
-// A roll-out in a fleet of hundreds: each reader told every other one what all nodes had
-// counted, and went on for the rest of the day after the verdict was recorded. A reader
-// tells the others of its own group, and of nobody else once the verdict stands.
-func TestCountsAreToldToWhoNeedsThem(t *testing.T) {
+// Guards against tallies that flood a fleet of hundreds. Each reader sent the counts of
+// all nodes to every other reader, for the rest of the day after the verdict was
+// recorded. A reader passes on those of its own group, and none once the verdict is
+// recorded.
+func TestTalliesArePassedOnOnlyWithinTheGroup(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	c := New(Settings{ShareBound: 0.1}, "reader", 1)
--- a/internal/canary/order.go
+++ b/internal/canary/order.go
@@ -2,27 +2,29 @@
 
 import "time"
 
-// Order is an operator's wish to move a service to a version.
+// Order is an operator's request to move a service to a version.
 type Order struct {
 	Service string
 	Target  string
-	Limit   time.Duration
-	// Late is how much earlier than it was learned of the order may have been
-	// given.
+	// Limit is the time from the start of the order within which a verdict must be
+	// recorded.
+	Limit time.Duration
+	// Late is the uncertainty of the start: the order may have been given this much
+	// earlier than the start that is passed to Take.
 	Late time.Duration
-	// Revision orders the orders of one service.
+	// Revision numbers the orders of one service; a higher one replaces a lower one.
 	Revision uint64
 }
 
-// Verdict is what became of an order.
+// Verdict is the outcome of an order.
 type Verdict int
 
 const (
-	// Open orders are under way.
+	// Open means that the order has no verdict yet.
 	Open Verdict = iota
-	// Completed orders left only the new version in use.
+	// Completed means that only the new version stays in use.
 	Completed
-	// RolledBack orders left only the old version in use.
+	// RolledBack means that only the old version stays in use.
 	RolledBack
 )
 
--- a/internal/canary/pins.go
+++ b/internal/canary/pins.go
@@ -2,87 +2,88 @@
 
 import "time"
 
-// Pin is a session that has lately been served by the old version and stays
-// there while the new one is on trial.
+// Pin is a session that was recently served by the old version and stays there during the
+// trial.
 type Pin struct {
+	// Session is the hash of the session.
 	Session uint64
-	// Age is how long ago its last request was.
+	// Age is the time since its last request.
 	Age time.Duration
 }
 
-// pins are the sessions of the canary's share that were seen lately.
+// pins are the recent sessions of the hash range that goes to the new version during a
+// trial.
 //
-// They guard against a session that changes its version in the middle: a
-// request of it may come to any node, so sessions that were under way before
-// the trial are told to all nodes before it begins.
+// They guard against a session that changes its version while it is under way. Any node
+// may get its next request, so all nodes learn of such sessions before the trial begins.
 type pins struct {
-	// keep is how long a session is remembered: the longest pause within one,
-	// and until a node has heard that another has just served it.
-	keep time.Duration
-	seen map[uint64]time.Time
+	// ttl is how long a session is kept: the longest pause within a session, plus the
+	// time until a node learns that another one has just served it.
+	ttl      time.Duration
+	lastSeen map[uint64]time.Time
 }
 
-// mostPins bounds the sessions remembered; beyond it the oldest are swept out.
-const mostPins = 20000
+// maxPins is the number of sessions beyond which expired ones are removed at once.
+const maxPins = 20000
 
-func (p *pins) note(session uint64, at time.Time) {
-	if at.After(p.seen[session]) {
-		p.seen[session] = at
+func (p *pins) add(session uint64, at time.Time) {
+	if at.After(p.lastSeen[session]) {
+		p.lastSeen[session] = at
 	}
-	if len(p.seen) > mostPins {
-		p.sweep(at)
+	if len(p.lastSeen) > maxPins {
+		p.removeExpired(at)
 	}
 }
 
-func (p *pins) has(session uint64, now time.Time) bool {
-	at, ok := p.seen[session]
-	return ok && now.Sub(at) <= p.keep
+func (p *pins) contains(session uint64, now time.Time) bool {
+	at, ok := p.lastSeen[session]
+	return ok && now.Sub(at) <= p.ttl
 }
 
-func (p *pins) sweep(now time.Time) {
-	for s, at := range p.seen {
-		if now.Sub(at) > p.keep {
-			delete(p.seen, s)
+func (p *pins) removeExpired(now time.Time) {
+	for s, at := range p.lastSeen {
+		if now.Sub(at) > p.ttl {
+			delete(p.lastSeen, s)
 		}
 	}
 }
 
-// Pins returns the sessions that stay on the old version, while an order is
-// under way.
+// Pins returns the sessions that stay on the old version, to be sent to peers. It returns
+// nil unless some service has a trial under way.
 func (c *Canary) Pins(now time.Time) []Pin {
-	if !c.trial() {
+	if !c.hasTrial() {
 		return nil
 	}
-	c.pins.sweep(now)
-	all := make([]Pin, 0, len(c.pins.seen))
-	for s, at := range c.pins.seen {
+	c.pins.removeExpired(now)
+	all := make([]Pin, 0, len(c.pins.lastSeen))
+	for s, at := range c.pins.lastSeen {
 		all = append(all, Pin{Session: s, Age: now.Sub(at)})
 	}
 	return all
 }
 
-// TakePins takes what a peer has seen.
-func (c *Canary) TakePins(told []Pin, now time.Time) {
-	for _, p := range told {
-		c.pins.note(p.Session, now.Add(-p.Age))
+// TakePins adds the sessions that a peer has seen.
+func (c *Canary) TakePins(received []Pin, now time.Time) {
+	for _, p := range received {
+		c.pins.add(p.Session, now.Add(-p.Age))
 	}
 }
 
-// trial tells whether some order is still in its watch.
-func (c *Canary) trial() bool {
+// hasTrial reports whether some order is open and its sessions are not shifted yet.
+func (c *Canary) hasTrial() bool {
 	for _, r := range c.rollouts {
-		if r.verdict == Open && r.grown.IsZero() {
+		if r.verdict == Open && r.shiftedAt.IsZero() {
 			return true
 		}
 	}
 	return false
 }
 
-// Settling tells whether some order has not begun its trial yet: nodes then
-// tell each other their sessions more often.
+// Settling reports whether some order was given so recently that nodes must exchange
+// their sessions more often: they learn of them before the trial begins.
 func (c *Canary) Settling(now time.Time) bool {
 	for _, r := range c.rollouts {
-		if r.verdict == Open && now.Sub(r.started) < 2*pinHold {
+		if r.verdict == Open && now.Sub(r.started) < 2*trialDelay {
 			return true
 		}
 	}
--- a/internal/canary/rollout.go
+++ b/internal/canary/rollout.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Answer is one ended attempt.
+// Answer is one attempt that succeeded or failed; a stream counts after its first events.
 type Answer struct {
 	Service, Version, Route, Model string
-	// Failed answers were failures of the upstream or broke off.
+	// Failed is set if the upstream failed or the answer broke off.
 	Failed bool
-	// Pace is the mean delay of the answer's parts; 0 if not known.
+	// Pace is the mean delay between the events of the stream; 0 if it is not known.
 	Pace time.Duration
 }
 
-// rollout is one order and its evidence.
+// rollout is one order and the evidence on its version.
 type rollout struct {
 	order   Order
 	started time.Time
@@ -22,18 +22,19 @@
 	verdict Verdict
 	// written is set when the platform's table holds the verdict.
 	written bool
-	// widened is when more sessions began to take part in the trial; zero before.
-	widened time.Time
-	// grown is when all sessions began to be shifted; zero in the watch.
-	grown time.Time
+	// widenedAt is when more sessions began to take part in the trial; zero before.
+	widenedAt time.Time
+	// shiftedAt is when the shift of all sessions began; zero before.
+	shiftedAt time.Time
 }
 
-// runKey names one run of a node.
+// runKey identifies one run of a node.
 type runKey struct {
 	node string
 	born int64
 }
 
+// count returns this node's counts of the route; it adds them if they are missing.
 func (r *rollout) count(route string) *RouteCount {
 	c := r.counts[route]
 	if c == nil {
@@ -73,60 +74,61 @@
 		return 1
 	case r.verdict == RolledBack:
 		return 0
-	case r.grown.IsZero() && r.widened.IsZero():
+	case r.shiftedAt.IsZero() && r.widenedAt.IsZero():
 		return s.ShareBound * canaryPart
-	case r.grown.IsZero():
-		return s.ShareBound * widePart
-	case now.Sub(r.grown) < halfFor:
+	case r.shiftedAt.IsZero():
+		return s.ShareBound * widenedPart
+	case now.Sub(r.shiftedAt) < halfTime:
 		return 0.5
 	default:
 		return 1
 	}
 }
 
-// end is when the verdict should be recorded.
-func (r *rollout) end(s Settings) time.Time {
-	return r.started.Add(r.order.Limit - r.order.Late - s.Lag - recordTime)
+// deadline is when the verdict has to be reached, so that it is recorded within the
+// limit.
+func (r *rollout) deadline(s Settings) time.Time {
+	return r.started.Add(r.order.Limit - r.order.Late - s.Lag - recordMargin)
 }
 
-// mayShift tells whether all sessions may go to the new version now: the watch
-// is over, and the requests that it will have had by the time limit stay
-// within the bound even if it turns out bad.
+// mayShift reports whether all sessions may go to the new version now. Sessions must be
+// free to change their version, and the requests that the version gets until the time
+// limit must stay within the bound even if it turns out bad.
 func (r *rollout) mayShift(s Settings, now time.Time) bool {
 	age := now.Sub(r.started)
-	if r.watched(now) || age <= 0 {
+	if r.sessionsFixed(now) || age <= 0 {
 		return false
 	}
 	requests, exposed := r.exposure()
 	rate := requests / age.Seconds()
-	left := max((r.order.Limit - age).Seconds(), 0)
+	remaining := max((r.order.Limit - age).Seconds(), 0)
 	bound := s.ShareBound*rate*r.order.Limit.Seconds() + s.Slack
-	return exposed+rate*left <= shiftPart*bound
+	return exposed+rate*remaining <= shiftPart*bound
 }
 
-// shouldWiden tells whether the trial is heading for too few answers for a verdict, and
-// more sessions may take part.
+// shouldWiden reports whether the trial is heading for too few answers for a verdict, so
+// that more sessions have to take part.
 //
-// It guards against deployments with few requests: a fixed small share gave too few
-// answers to trust a good version, and it was rolled back. No session may change its
-// version before the watch is over; afterwards the share only grows, so that none turns
-// back.
+// It guards deployments with few requests: a fixed small share gave too few answers to
+// trust a good version, and it was rolled back. The share grows only after sessions may
+// change their version. From then on it never shrinks, so that no session returns to the
+// old version.
 func (r *rollout) shouldWiden(now time.Time, answers int64) bool {
-	if !r.widened.IsZero() || !r.grown.IsZero() || now.Sub(r.started) < time.Duration(widenPart*float64(r.order.Limit)) {
+	if !r.widenedAt.IsZero() || !r.shiftedAt.IsZero() || now.Sub(r.started) < time.Duration(widenPart*float64(r.order.Limit)) {
 		return false
 	}
-	so := (now.Sub(r.started) - pinHold).Seconds()
-	whole := (r.order.Limit - pinHold).Seconds()
-	return float64(answers)*whole < leastAnswers*so
+	elapsed := (now.Sub(r.started) - trialDelay).Seconds()
+	duration := (r.order.Limit - trialDelay).Seconds()
+	return float64(answers)*duration < minAnswers*elapsed
 }
 
-// watched tells whether no session may change its version yet.
-func (r *rollout) watched(now time.Time) bool {
-	return now.Sub(r.started) < time.Duration(watchPart*float64(r.order.Limit))
+// sessionsFixed reports whether no session may change its version yet.
+func (r *rollout) sessionsFixed(now time.Time) bool {
+	return now.Sub(r.started) < time.Duration(fixedPart*float64(r.order.Limit))
 }
 
-// exposure sums the requests of all nodes since the order, and those that went
-// to the new version.
+// exposure sums the requests of all nodes since the order, and those that went to the new
+// version.
 func (r *rollout) exposure() (requests, exposed float64) {
 	requests, exposed = float64(r.own.Requests), float64(r.own.Exposed)
 	for _, t := range r.peers {
@@ -136,8 +138,8 @@
 	return requests, exposed
 }
 
-// answers is how many answers of the new version all nodes have seen.
-func (r *rollout) answers() int64 {
+// newAnswers is how many answers of the new version all nodes have seen.
+func (r *rollout) newAnswers() int64 {
 	var n int64
 	for _, c := range r.total() {
 		n += c.New
@@ -145,7 +147,7 @@
 	return n
 }
 
-// oldInFlight is how much work all nodes have on the old version.
+// oldInFlight is how many attempts run on the old version at all nodes.
 func (r *rollout) oldInFlight() int {
 	n := r.own.OldInFlight
 	for _, t := range r.peers {
@@ -154,7 +156,7 @@
 	return n
 }
 
-// done tells whether everybody has had time to hear of the verdict.
-func (r *rollout) done(now time.Time) bool {
-	return r.verdict != Open && r.written && now.Sub(r.started) > r.order.Limit+doneAfter
+// expired reports whether all nodes have had time to learn of the recorded verdict.
+func (r *rollout) expired(now time.Time) bool {
+	return r.verdict != Open && r.written && now.Sub(r.started) > r.order.Limit+reportTime
 }
--- a/internal/canary/rule.go
+++ b/internal/canary/rule.go
@@ -2,84 +2,84 @@
 
 import "time"
 
-// Rule is which versions may serve a request of a service.
+// Rule says which versions may serve a request of a service.
 type Rule struct {
 	// Version is the only version that may serve; empty for any.
 	Version string
-	// Not are versions that may not serve.
+	// Not lists versions that may not serve.
 	Not []string
-	// Part is the part of the version's upstreams to use; 0 for all.
+	// Part is the part of the version's upstreams to use, in (0,1); 0 means all.
 	Part float64
 }
 
-// Caller is who asks: a session, or a request of its own.
+// Caller identifies who sends a request: a session, or a request without one.
 type Caller struct {
-	// Hash places the session or the request.
+	// Hash decides whether the session or request takes part in a trial.
 	Hash uint64
-	// Session tells whether others with the same hash may follow.
+	// Session is set if more requests with the same hash may follow.
 	Session bool
 }
 
-// Rule returns the rule for a caller's request.
+// Rule returns the rule for a caller's request. It also notes sessions that stay on the
+// old version.
 func (c *Canary) Rule(service string, caller Caller, now time.Time) Rule {
 	inTrial := float64(caller.Hash%shareScale) < c.settings.ShareBound*canaryPart*shareScale
-	pinned := caller.Session && inTrial && c.pins.has(caller.Hash, now)
+	pinned := caller.Session && inTrial && c.pins.contains(caller.Hash, now)
 	r := c.rollouts[service]
-	old := r == nil || r.verdict == Open && (now.Sub(r.started) < pinHold || r.watched(now) && pinned)
-	if caller.Session && inTrial && old {
-		c.pins.note(caller.Hash, now)
+	onOld := r == nil || r.verdict == Open && (now.Sub(r.started) < trialDelay || r.sessionsFixed(now) && pinned)
+	if caller.Session && inTrial && onOld {
+		c.pins.add(caller.Hash, now)
 	}
 	switch {
 	case r == nil:
 		return Rule{}
-	case old:
-		return Rule{Not: c.without(service, r)}
+	case onOld:
+		return Rule{Not: c.excluded(service, r)}
 	case r.verdict == Completed:
 		return Rule{Version: r.order.Target}
 	}
 	share := r.share(c.settings, now)
 	if float64(caller.Hash%shareScale) >= share*shareScale || c.overexposed(r) {
-		return Rule{Not: c.without(service, r)}
+		return Rule{Not: c.excluded(service, r)}
 	}
-	return Rule{Version: r.order.Target, Part: partOf(share)}
+	return Rule{Version: r.order.Target, Part: upstreamPart(share)}
 }
 
-// partOf is the part of the new version's upstreams that serve a share of the
-// sessions.
+// upstreamPart is the part of the new version's upstreams that serve its share of the
+// sessions; 0 means all.
 //
-// As many as its share would be as busy as they will be later. But one or two
-// upstreams leave no choice where to place an attempt: their answers stall
-// behind long prompts more often than the old version's, and a good version
-// would be turned away for it. With more, they are calmer than later; what shows
-// only under load is watched for after the shift.
-func partOf(share float64) float64 {
+// In proportion to the share, the upstreams would be as busy as after the shift. But with
+// only one or two of them there is no choice where to place an attempt: answers stall
+// behind long prompts more often than the old version's, and a good version would be
+// rolled back for it. With more upstreams each is less busy than after the shift, so
+// faults that show only under load are looked for after it.
+func upstreamPart(share float64) float64 {
 	if part := trialSpread * share; part < 1 {
 		return part
 	}
 	return 0
 }
 
-// without returns the versions that the old version's requests keep away from:
-// the one on trial, and those that were rolled back before.
-func (c *Canary) without(service string, r *rollout) []string {
-	return append([]string{r.order.Target}, c.bad[service]...)
+// excluded returns the versions that do not serve the old version's requests: the one on
+// trial, and those that were rolled back before.
+func (c *Canary) excluded(service string, r *rollout) []string {
+	return append([]string{r.order.Target}, c.rolledBack[service]...)
 }
 
-// overexposed tells whether the new version's requests are near the bound, over
-// all nodes as far as this one has heard.
+// overexposed reports whether the new version's requests, over all nodes as far as known
+// here, are near the bound.
 //
-// It guards against a few large sessions that are hashed to the new version:
-// they would lift its share of the requests above its share of the sessions. A
-// single node sees too few requests to tell: where it went by its own alone, it
-// turned sessions back in the middle although all nodes together were well
-// within the bound.
+// It guards against a few large sessions whose hashes fall into the trial: they raise the
+// new version's share of the requests above its share of the sessions. The sum over all
+// nodes is needed: a node that used only its own few requests turned sessions back
+// although the total was well within the bound.
 func (c *Canary) overexposed(r *rollout) bool {
-	if !r.grown.IsZero() {
+	if !r.shiftedAt.IsZero() {
 		return false
 	}
 	share := capPart
-	if !r.widened.IsZero() {
-		share = wideCapPart
+	if !r.widenedAt.IsZero() {
+		share = widenedCapPart
 	}
 	requests, exposed := r.exposure()
 	return exposed > c.settings.ShareBound*share*requests+slackPart*c.settings.Slack
--- a/internal/canary/world_test.go
+++ b/internal/canary/simulation_test.go
@@ -8,39 +8,40 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// world is a few nodes that serve one service in virtual time.
+// world simulates a few nodes that serve one service in virtual time.
 type world struct {
 	nodes []*Canary
 	rnd   *rand.Rand
 	start time.Time
 	now   time.Time
-	// bad is the share of the new version's answers that fail at a time after
-	// the order; base is the old version's.
-	bad  func(after time.Duration) float64
-	base float64
-	// sessions are those under way; their requests come to any node.
+	// badShare is the share of the new version's answers that fail at a time after the
+	// order; baseBadShare is the old version's.
+	badShare     func(after time.Duration) float64
+	baseBadShare float64
+	// sessions are the open sessions; their requests go to any node.
 	sessions [120]int
 	newest   int
-	// last is the version of each session's last request, and when it was.
-	last map[int]servedBy
-	// moved counts requests whose session was on the other version before, in
-	// the watch.
+	// lastServed is the version of each session's last request, and its time.
+	lastServed map[int]servedBy
+	// moved counts requests whose session changed its version in the first half of the
+	// limit.
 	moved int
-	// movedBack counts requests that ran on the old version although their
-	// session was on the new one just before, while that counted as good.
+	// movedBack counts requests that ran on the old version although their session's last
+	// request ran on the new one, which was not rolled back.
 	movedBack int
-	// heavy is the part of the requests that one session in ten sends; further
-	// is the part of the requests that are asked for a second time.
-	heavy, further float64
-	// rate is the requests a second; 0 for perSecond.
+	// heavyShare is the part of the requests that one session in ten sends;
+	// secondAttempts is the part of the requests with a second attempt.
+	heavyShare, secondAttempts float64
+	// rate is the number of requests a second; 0 means perSecond.
 	rate int
-	// late is how late the nodes may have learned of the order, for all they know.
+	// late is Order.Late of the order.
 	late time.Duration
-	// requests, exposed, badAnswers count what the service saw since the order.
+	// requests, exposed and badAnswers count from the order on.
 	requests, exposed, badAnswers int
-	// done is the verdict that was recorded, doneAt when after the order.
-	done   Verdict
-	doneAt time.Duration
+	// verdict is the one that was recorded, verdictAfter the time from the order until
+	// then.
+	verdict      Verdict
+	verdictAfter time.Duration
 }
 
 type servedBy struct {
@@ -54,9 +55,9 @@
 	newVersion  = "v2"
 	limit       = 24 * time.Second
 	perSecond   = 80
-	// newsEvery is how often nodes tell each other.
-	newsEvery = 900 * time.Millisecond
-	// sessionLength is how many requests a session has on average.
+	// exchangeInterval is the time between two exchanges of tallies and pins.
+	exchangeInterval = 900 * time.Millisecond
+	// sessionLength is the mean number of requests of a session.
 	sessionLength = 5
 )
 
@@ -64,8 +65,8 @@
 
 func newWorld(seed uint64, nodes int) *world {
 	w := &world{
-		rnd: rand.New(rand.NewPCG(seed, 1)), start: time.Unix(1000, 0), last: map[int]servedBy{},
-		bad: func(time.Duration) float64 { return 0.01 }, base: 0.01,
+		rnd: rand.New(rand.NewPCG(seed, 1)), start: time.Unix(1000, 0), lastServed: map[int]servedBy{},
+		badShare: func(time.Duration) float64 { return 0.01 }, baseBadShare: 0.01,
 	}
 	for i := range w.sessions {
 		w.newest++
@@ -78,14 +79,14 @@
 	return w
 }
 
-// bound gives the nodes other settings.
-func (w *world) bound(s Settings) {
+// replaceNodes replaces the nodes by new ones with other settings.
+func (w *world) replaceNodes(s Settings) {
 	for i := range w.nodes {
 		w.nodes[i] = New(s, fmt.Sprintf("n%d", i), 1)
 	}
 }
 
-// run plays from before the order until after its time limit.
+// run simulates the time from before the order until after its limit.
 func (w *world) run() {
 	tick := time.Second / perSecond
 	if w.rate > 0 {
@@ -93,7 +94,7 @@
 	}
 	order := Order{Service: serviceName, Target: newVersion, Limit: limit, Revision: 1, Late: w.late}
 	taken := false
-	var told, weighed time.Time
+	var exchangedAt, evaluatedAt time.Time
 	for t := -6 * time.Second; t < limit+2*time.Second; t += tick {
 		w.now = w.start.Add(t)
 		if t >= 0 && !taken {
@@ -103,45 +104,45 @@
 			taken = true
 		}
 		w.request(t)
-		if w.now.Sub(told) >= newsEvery {
-			told = w.now
-			w.news()
+		if w.now.Sub(exchangedAt) >= exchangeInterval {
+			exchangedAt = w.now
+			w.exchange()
 		}
-		if w.now.Sub(weighed) >= 250*time.Millisecond {
-			weighed = w.now
-			w.weigh(t)
+		if w.now.Sub(evaluatedAt) >= 250*time.Millisecond {
+			evaluatedAt = w.now
+			w.evaluate(t)
 		}
 	}
 }
 
 func (w *world) request(t time.Duration) {
 	c := w.nodes[w.rnd.IntN(len(w.nodes))]
-	place := w.rnd.IntN(len(w.sessions))
-	if w.heavy > 0 && w.rnd.Float64() < w.heavy {
-		place /= 10
+	slot := w.rnd.IntN(len(w.sessions))
+	if w.heavyShare > 0 && w.rnd.Float64() < w.heavyShare {
+		slot /= 10
 	}
 	if w.rnd.IntN(sessionLength) == 0 {
 		w.newest++
-		w.sessions[place] = w.newest
+		w.sessions[slot] = w.newest
 	}
-	session := w.sessions[place]
+	session := w.sessions[slot]
 	caller := Caller{Hash: xxhash.Sum64String(fmt.Sprint("session", session)), Session: true}
 	rule := c.Rule(serviceName, caller, w.now)
 	version := oldVersion
 	if rule.Version != "" {
 		version = rule.Version
 	}
-	before, known := w.last[session]
+	before, known := w.lastServed[session]
 	if known && w.now.Sub(before.at) < testSettings.Session && before.version != version && t >= 0 && t < limit/2 {
 		w.moved++
 	}
-	if known && w.now.Sub(before.at) < testSettings.Session && before.version == newVersion && version == oldVersion && w.done != RolledBack {
+	if known && w.now.Sub(before.at) < testSettings.Session && before.version == newVersion && version == oldVersion && w.verdict != RolledBack {
 		w.movedBack++
 	}
-	w.last[session] = servedBy{version, w.now}
-	failed := w.rnd.Float64() < w.base
+	w.lastServed[session] = servedBy{version, w.now}
+	failed := w.rnd.Float64() < w.baseBadShare
 	if version == newVersion {
-		failed = w.rnd.Float64() < w.bad(t)
+		failed = w.rnd.Float64() < w.badShare(t)
 	}
 	if t >= 0 && t < limit {
 		w.requests++
@@ -153,7 +154,7 @@
 		w.badAnswers++
 	}
 	c.Sent(serviceName, version, true)
-	if w.further > 0 && w.rnd.Float64() < w.further {
+	if w.secondAttempts > 0 && w.rnd.Float64() < w.secondAttempts {
 		c.Ended(serviceName, version, c.Revision(serviceName))
 		c.Sent(serviceName, version, false)
 	}
@@ -161,8 +162,8 @@
 	c.Answered(Answer{Service: serviceName, Version: version, Route: "r", Model: "m", Failed: failed, Pace: 20 * time.Millisecond})
 }
 
-// news tells every node what the first, the reader, knows, and the reverse.
-func (w *world) news() {
+// exchange exchanges tallies and pins between the first node, the reader, and all others.
+func (w *world) exchange() {
 	reader := w.nodes[0]
 	for _, c := range w.nodes[1:] {
 		for _, t := range c.Tallies(w.now) {
@@ -178,19 +179,19 @@
 	}
 }
 
-func (w *world) weigh(t time.Duration) {
+func (w *world) evaluate(t time.Duration) {
 	for i, c := range w.nodes {
 		view := View{Count: func(string, string) (int, int) { return 18, 36 }, Whole: i == 0}
 		for _, d := range c.Tick(w.now, view) {
 			if d.Verdict == Open {
-				w.news() // a shift is told at once
+				w.exchange() // a shift is sent at once
 				continue
 			}
-			if w.done == Open {
-				w.done, w.doneAt = d.Verdict, t
+			if w.verdict == Open {
+				w.verdict, w.verdictAfter = d.Verdict, t
 			}
-			c.Decide(serviceName, d.Order.Revision, w.done, true)
-			w.news()
+			c.Decide(serviceName, d.Order.Revision, w.verdict, true)
+			w.exchange()
 		}
 	}
 }
--- a/internal/crashguard/guard.go
+++ b/internal/crashguard/guard.go
@@ -1,9 +1,9 @@
-// Package crashguard keeps a request that crashes the upstreams which run it
-// from being sent to one upstream after the other.
+// Package crashguard refuses requests that have crashed several upstreams, so that
+// retries of one request cannot crash the whole service.
 //
-// Callers send such a request again, to any node. A strike is a crash seen
-// while the request ran at an upstream; strikes are told to peers, and a
-// request with too many is refused. It is a core without I/O and without lock.
+// Callers retry such a request at any node. A strike records that an upstream crashed
+// while it ran the request. Nodes exchange strikes with their peers. A request with too
+// many strikes is refused. The package does no I/O and takes no locks.
 package crashguard
 
 import (
@@ -14,23 +14,23 @@
 )
 
 const (
-	// mostStrikes is how many upstreams one request may crash: a crash by
-	// chance strikes all requests that run there, three by chance strike
-	// hardly any of them.
-	mostStrikes = 3
-	// memory is how long a strike counts.
-	memory = 5 * time.Minute
-	// mostKept bounds the strikes kept; the oldest go first.
-	mostKept = 2048
-	// mostTold bounds the strikes in one message to a peer; the newest go.
-	mostTold = 128
+	// strikeLimit is the number of strikes at which a request is refused. One crash
+	// strikes every request that was running at the upstream. Three unrelated crashes
+	// hardly ever strike the same request.
+	strikeLimit = 3
+	// strikeTTL is how long a strike counts.
+	strikeTTL = 5 * time.Minute
+	// maxStored bounds the strikes in memory; the oldest are dropped first.
+	maxStored = 2048
+	// maxSent bounds the strikes in one message to a peer; the newest are sent.
+	maxSent = 128
 )
 
-// Fingerprint names requests that are the same work: organisation, path and
-// body are, whatever their IDs.
+// Fingerprint identifies requests with the same organisation, path and body, whatever
+// their IDs.
 func Fingerprint(organisation, path string, body []byte) uint64 {
 	d := xxhash.New()
-	_, _ = d.WriteString(organisation) // a hash's writes never fail
+	_, _ = d.WriteString(organisation) // hash writes never fail
 	_, _ = d.WriteString("\x00")
 	_, _ = d.WriteString(path)
 	_, _ = d.WriteString("\x00")
@@ -38,33 +38,34 @@
 	return d.Sum64()
 }
 
-// Strike is one crash of an upstream that ran the request.
+// Strike is one crash of an upstream that was running the request.
 type Strike struct {
 	Fingerprint uint64
-	// Upstream names the start of an upstream that crashed: one that is back
-	// under its ID can be crashed again.
+	// Upstream identifies one start of an upstream: after a restart under the same ID it
+	// can be crashed again.
 	Upstream string
-	// Age is how long ago it was, when it is told to a peer.
+	// Age is the time since the crash, set in messages to peers.
 	Age time.Duration
 }
 
-type kept struct {
+// storedStrike is a strike with the local time of the crash.
+type storedStrike struct {
 	Strike
 	at time.Time
 }
 
-// Guard keeps the strikes that a node knows of.
+// Guard stores the strikes that a node knows of. It is not safe for concurrent use.
 type Guard struct {
-	strikes []kept
+	strikes []storedStrike
 	counts  map[uint64]int
 }
 
-// New returns an empty guard.
+// New returns a guard without strikes.
 func New() *Guard { return &Guard{counts: map[uint64]int{}} }
 
-// Add takes a strike; it reports whether it is a new one.
+// Add stores a strike and reports whether it is new. Expired strikes are ignored.
 func (g *Guard) Add(s Strike, now time.Time) bool {
-	if s.Age > memory {
+	if s.Age > strikeTTL {
 		return false
 	}
 	for _, k := range g.strikes {
@@ -72,23 +73,23 @@
 			return false
 		}
 	}
-	g.strikes = append(g.strikes, kept{s, now.Add(-s.Age)})
+	g.strikes = append(g.strikes, storedStrike{s, now.Add(-s.Age)})
 	g.counts[s.Fingerprint]++
 	g.prune(now)
 	return true
 }
 
-// Blocked tells whether a request has crashed too many upstreams to be sent.
-func (g *Guard) Blocked(fingerprint uint64) bool { return g.counts[fingerprint] >= mostStrikes }
+// Blocked reports whether the request has reached the strike limit.
+func (g *Guard) Blocked(fingerprint uint64) bool { return g.counts[fingerprint] >= strikeLimit }
 
-// Strikes is how many upstreams the request has crashed.
+// Strikes returns the number of strikes of the request.
 func (g *Guard) Strikes(fingerprint uint64) int { return g.counts[fingerprint] }
 
-// Known returns the newest strikes, for a peer.
+// Known returns the newest strikes, to be sent to a peer.
 func (g *Guard) Known(now time.Time) []Strike {
 	g.prune(now)
 	var out []Strike
-	for _, k := range g.strikes[max(0, len(g.strikes)-mostTold):] {
+	for _, k := range g.strikes[max(0, len(g.strikes)-maxSent):] {
 		s := k.Strike
 		s.Age = now.Sub(k.at)
 		out = append(out, s)
@@ -96,21 +97,23 @@
 	return out
 }
 
+// prune drops expired strikes and the oldest ones beyond maxStored.
 func (g *Guard) prune(now time.Time) {
-	g.strikes = slices.DeleteFunc(g.strikes, func(k kept) bool {
-		old := now.Sub(k.at) > memory
+	g.strikes = slices.DeleteFunc(g.strikes, func(k storedStrike) bool {
+		old := now.Sub(k.at) > strikeTTL
 		if old {
-			g.forget(k.Fingerprint)
+			g.decrement(k.Fingerprint)
 		}
 		return old
 	})
-	for len(g.strikes) > mostKept {
-		g.forget(g.strikes[0].Fingerprint)
+	for len(g.strikes) > maxStored {
+		g.decrement(g.strikes[0].Fingerprint)
 		g.strikes = g.strikes[1:]
 	}
 }
 
-func (g *Guard) forget(fingerprint uint64) {
+// decrement lowers the request's count after one of its strikes was dropped.
+func (g *Guard) decrement(fingerprint uint64) {
 	g.counts[fingerprint]--
 	if g.counts[fingerprint] <= 0 {
 		delete(g.counts, fingerprint)
