--- a/internal/canary/exchange.go
+++ b/internal/canary/exchange.go
@@ -31,8 +31,8 @@
 }
 
 // Known returns this node's tallies. For orders whose verdict is not recorded it adds the
-// newest tally of every node run that of accepts, so that peers pass on what they have
-// received.
+// newest tally of every node run whose node accepts selects, so that peers pass on what
+// they have received.
 //
 // A recorded verdict stands in each tally and ends the evaluation. Passing on all nodes'
 // counts beyond it kept a fleet of hundreds sending them for the rest of the day.
