--- a/internal/rollout/bench_test.go
+++ b/internal/rollout/bench_test.go
@@ -10,17 +10,17 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// BenchmarkTick is a second of the node that drives, at 24 versions: one tick,
-// with all answers to the reads that it asks for. It reports the messages to
-// engines and the bytes of the row.
+// BenchmarkTick measures one second of the node that drives, with 24 versions: one tick
+// and the answers to all its reads. It reports the messages to engines and the bytes of
+// the row.
 func BenchmarkTick(b *testing.B) {
 	for _, engines := range []int{64, 1_000, 10_000} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
-			d := newBench(b, engines)
+			d := newSweptDriver(b, engines)
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
-				d.second()
+				d.runSecond()
 			}
 			seconds := float64(b.N)
 			b.ReportMetric(float64(d.reads)/seconds, "reads/s")
@@ -32,22 +32,22 @@
 
 // benchDriver answers a machine at once.
 type benchDriver struct {
-	m        *Machine
-	now      time.Time
-	tick     Tick
-	versions []string
-	version  uint64
-	reads    int
-	writes   int
-	rowBytes int
-	rowTotal int
-	row      []byte
-	// reply, if set, answers what it knows.
-	reply func(Action) (Event, bool)
+	m               *Machine
+	now             time.Time
+	tick            Tick
+	versions        []string
+	version         uint64
+	reads           int
+	writes          int
+	rowBytes        int
+	rowBytesWritten int
+	row             []byte
+	// override, if set, may answer an action in place of answer.
+	override func(Action) (Event, bool)
 }
 
-// newDriverOf is a driver before its first second.
-func newDriverOf(engines int, models ...string) *benchDriver {
+// newBenchDriver returns a driver before its first tick.
+func newBenchDriver(engines int, models ...string) *benchDriver {
 	d := &benchDriver{now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC), m: NewMachine(Settings{}, "n0", "run")}
 	v := &membership.View{}
 	for i := range engines {
@@ -59,37 +59,38 @@
 	return d
 }
 
-func newBench(b *testing.B, engines int) *benchDriver {
+// newSweptDriver returns a driver that has read all engines.
+func newSweptDriver(b *testing.B, engines int) *benchDriver {
 	b.Helper()
 	var models, versions []string
 	for i := range 12 {
 		models = append(models, fmt.Sprintf("m%d: m%d@1 serving, m%d@2 serving", i, i, i))
 		versions = append(versions, fmt.Sprintf("m%d@1", i), fmt.Sprintf("m%d@2", i))
 	}
-	d := newDriverOf(engines, models...)
+	d := newBenchDriver(engines, models...)
 	d.versions = versions
-	for range 2*engines/DefaultReadsPerSecond + 60 { // until all engines were read
-		d.second()
+	for range 2*engines/DefaultReadsPerSecond + 60 { // long enough to read all engines
+		d.runSecond()
 	}
-	if !d.m.tally.swept {
+	if !d.m.fleetCounts.swept {
 		b.Fatal("not all engines were read")
 	}
 	d.reads, d.writes = 0, 0
 	return d
 }
 
-func (d *benchDriver) second() {
+func (d *benchDriver) runSecond() {
 	d.now = d.now.Add(time.Second)
-	todo := d.m.Step(d.now, d.tick)
-	for len(todo) > 0 {
-		a := todo[0]
-		todo = append(todo[1:], d.m.Step(d.now, d.answer(a))...)
+	queue := d.m.Step(d.now, d.tick)
+	for len(queue) > 0 {
+		a := queue[0]
+		queue = append(queue[1:], d.m.Step(d.now, d.answer(a))...)
 	}
 }
 
 func (d *benchDriver) answer(a Action) Event {
-	if d.reply != nil {
-		if ev, ok := d.reply(a); ok {
+	if d.override != nil {
+		if ev, ok := d.override(a); ok {
 			return ev
 		}
 	}
@@ -101,10 +102,10 @@
 		d.writes++
 		d.version++
 		d.row, d.rowBytes = a.Value, len(a.Value)
-		d.rowTotal += len(a.Value)
+		d.rowBytesWritten += len(a.Value)
 		return RowWritten{Version: d.version}
 	case SendOrder:
-		return OrderAnswer{Engine: a.Engine, Began: a.Began, Result: OrderTaken}
+		return OrderAnswer{Engine: a.Engine, Began: a.Began, Result: OrderAccepted}
 	}
 	return RowAnswer{Version: d.version, Value: d.row}
 }
--- a/internal/rollout/calls.go
+++ b/internal/rollout/calls.go
@@ -10,7 +10,7 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// perform does an action in a goroutine of its own and posts its answer.
+// perform executes an action in a goroutine of its own and posts the answer.
 func (d *Driver) perform(a Action) {
 	d.calls.Go(func() {
 		ctx, cancel := context.WithTimeout(d.ctx, d.settings.CallTimeout)
@@ -25,8 +25,8 @@
 		case SendOrder:
 			d.post(OrderAnswer{Engine: a.Engine, Began: a.Began, Result: d.sendOrder(ctx, a)})
 		case AskInForce:
-			in, err := d.deps.InForce(ctx, a.Revision)
-			d.post(InForceAnswer{Revision: a.Revision, InForce: in && err == nil})
+			inForce, err := d.deps.InForce(ctx, a.Revision)
+			d.post(InForceAnswer{Revision: a.Revision, InForce: inForce && err == nil})
 		}
 	})
 }
@@ -46,8 +46,8 @@
 	}
 }
 
-// writeRow answers as failed also when the write was refused: the row is read
-// again in either case.
+// writeRow answers with Failed also if the write was refused without the row's value: in
+// both cases the row is read again.
 func (d *Driver) writeRow(ctx context.Context, w WriteRow) Event {
 	result, err := d.deps.Table.Commit(ctx, txn(w))
 	switch {
@@ -73,8 +73,8 @@
 	return answer
 }
 
-// sendOrder looks at the clock and the configuration once more: this goroutine
-// may have stood still since the machine decided.
+// sendOrder checks the time and the configuration once more: this goroutine may have been
+// paused since the machine decided.
 func (d *Driver) sendOrder(ctx context.Context, o SendOrder) OrderResult {
 	snapshot, fresh := d.deps.Snapshot()
 	if !fresh || snapshot.Revision != o.Revision || !time.Now().Before(o.Before) {
@@ -90,23 +90,23 @@
 	var failure *upstream.Error
 	switch {
 	case err == nil:
-		return OrderTaken
+		return OrderAccepted
 	case errors.Is(err, upstream.ErrStaleFence):
 		return OrderStale
 	case errors.As(err, &failure) && failure.Reach != upstream.MaybeRun:
 		return OrderNotSent
 	}
-	return OrderInDoubt
+	return OrderUnknown
 }
 
 func (d *Driver) logOrder(o SendOrder, result OrderResult, err error) {
 	attrs := []slog.Attr{slog.String("engine", o.Engine), slog.Any("order", o.Order)}
 	switch result {
-	case OrderTaken:
+	case OrderAccepted:
 		event.RolloutOrder.Log(d.deps.Log, attrs...)
 	case OrderStale:
 		event.RolloutStale.Log(d.deps.Log, attrs...)
-	case OrderNotSent, OrderInDoubt:
+	case OrderNotSent, OrderUnknown:
 		event.RolloutOrderFail.Log(d.deps.Log, append(attrs, slog.Any("error", err))...)
 	}
 }
--- a/internal/rollout/crash_test.go
+++ b/internal/rollout/crash_test.go
@@ -5,21 +5,20 @@
 	"testing"
 )
 
-// A roll-out is interrupted halfway: the node that drives ends just before, or
-// just after, one of its steps, and comes back ten seconds later. Whichever
-// step it was, another node goes on from the row and from what the engines say
-// they have.
-func TestInterruptedAtEveryStep(t *testing.T) {
+// Guards against a roll-out that stops or goes wrong when its driver crashes. The driver
+// crashes just before or just after each of its actions and restarts ten seconds later.
+// Another node continues from the row and the engines' states.
+func TestDriverCrashesAtEveryStep(t *testing.T) {
 	for _, slots := range []int{0, 2} {
 		for _, after := range []bool{false, true} {
 			last := 0
 			for step := 1; ; step += stepStride {
-				o, begun := runInterrupted(slots, step, after)
-				if begun < step {
+				o, performed := runWithCrash(slots, step, after)
+				if performed < step {
 					break
 				}
-				if o.broken != "" {
-					t.Errorf("slots %d, step %d, after it: %v: %s", slots, step, after, o.broken)
+				if o.violation != "" {
+					t.Errorf("slots %d, step %d, after it: %v: %s", slots, step, after, o.violation)
 				}
 				last = step
 			}
@@ -31,18 +30,18 @@
 	}
 }
 
-func runInterrupted(slots, step int, after bool) (outcome, int) {
-	w := newWorld(7, simSettings(slots), guards{})
+func runWithCrash(slots, step int, after bool) (outcome, int) {
+	w := newWorld(7, simSettings(slots), disabledRules{})
 	for i := range 8 {
 		w.addEngine(fmt.Sprintf("e%d", i), fmt.Sprintf("d%d", i%4), i%2 == 0, "a", "x")
 	}
-	w.look()
+	w.updateView()
 	for range 3 {
 		w.addNode()
 	}
 	n := w.nodes[0]
-	n.crashAfter, n.crashLate = step, after
+	n.crashAt, n.crashAfterAction = step, after
 	w.drawStages()
 	o := w.finish()
-	return o, n.begun
+	return o, n.performed
 }
--- a/internal/rollout/decide.go
+++ b/internal/rollout/decide.go
@@ -8,115 +8,119 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// round is one decision on new orders.
-type round struct {
+// decision is the working state of one call of decide.
+type decision struct {
 	record *Record
-	// taken are engines that got an order in this round.
-	taken map[*engine]bool
-	loads int
-	// unloads is how many more may be decided.
-	unloads int
+	// assigned are the engines that got an order in this decision.
+	assigned   map[*engine]bool
+	loadBudget int
+	// loadBudget and unloadBudget are how many more loads and unloads may be decided.
+	unloadBudget int
 }
 
-// decide adds new orders to the record. Loads go before unloads, so that what
-// replaces a version comes first.
+// decide adds new orders to the record. Loads go before unloads, so that a version's
+// successor is loaded first.
 func (m *Machine) decide(r *Record) bool {
 	before := len(r.Orders)
 	loads := r.loads()
-	d := &round{
-		record:  r,
-		taken:   map[*engine]bool{},
-		loads:   m.loadsAtOnce() - loads - m.tally.loadsSeen,
-		unloads: m.mostLoads() - (before - loads),
+	d := &decision{
+		record:       r,
+		assigned:     map[*engine]bool{},
+		loadBudget:   m.loadLimit() - loads - m.fleetCounts.untrackedLoads,
+		unloadBudget: m.maxLoads() - (before - loads),
 	}
-	for _, v := range m.short() {
+	for _, v := range m.underProvisioned() {
 		m.decideLoads(d, v)
 	}
 	m.decideWithdrawals(d)
 	return len(r.Orders) > before
 }
 
-// short are the versions on too few engines, the shortest first.
-func (m *Machine) short() []int {
+// underProvisioned returns the versions on too few engines, those with the lowest
+// coverage first.
+func (m *Machine) underProvisioned() []int {
 	var list []int
-	for v := range m.tally.versions {
-		if m.tally.versions[v].missing() > 0 {
+	for v := range m.fleetCounts.versions {
+		if m.fleetCounts.versions[v].missing() > 0 {
 			list = append(list, v)
 		}
 	}
 	slices.SortStableFunc(list, func(a, b int) int {
-		return cmp.Compare(m.tally.versions[a].met(), m.tally.versions[b].met())
+		return cmp.Compare(m.fleetCounts.versions[a].coverage(), m.fleetCounts.versions[b].coverage())
 	})
 	return list
 }
 
-// missing is how many engines still have to be told to load the version.
-func (c *count) missing() int { return c.demand - c.ready - c.coming }
+// missing is how many more engines have to load the version.
+func (c *versionCount) missing() int { return c.demand - c.ready - c.loading }
 
-// met is the part of the demand that is met; asked only of versions in demand.
-func (c *count) met() float64 { return float64(c.ready+c.coming) / float64(c.demand) }
+// coverage is the part of the demand that is met. The demand must not be zero.
+func (c *versionCount) coverage() float64 { return float64(c.ready+c.loading) / float64(c.demand) }
 
-func (m *Machine) decideLoads(d *round, v int) {
-	c := &m.tally.versions[v]
-	for d.loads > 0 && c.missing() > 0 {
+func (m *Machine) decideLoads(d *decision, v int) {
+	c := &m.fleetCounts.versions[v]
+	for d.loadBudget > 0 && c.missing() > 0 {
 		e := m.loadTarget(d, v)
 		if e == nil {
 			m.makeRoom(d, v)
 			return
 		}
-		m.add(d, e, upstream.LoadVersion, v)
-		d.loads--
-		c.come(e.domain)
+		m.addOrder(d, e, upstream.LoadVersion, v)
+		d.loadBudget--
+		c.addLoading(e.domain)
 	}
-	m.pace.round.full = m.pace.round.full || c.missing() > 0
+	m.limiter.round.saturated = m.limiter.round.saturated || c.missing() > 0
 }
 
-// add puts an order in hand.
-func (m *Machine) add(d *round, e *engine, action upstream.OrderAction, v int) {
-	d.taken[e] = true
-	p := Pending{Engine: e.id, Action: action, Version: m.plan.versions[v].name, Since: stamp(m.now)}
+// addOrder adds a pending order to the record.
+func (m *Machine) addOrder(d *decision, e *engine, action upstream.OrderAction, v int) {
+	d.assigned[e] = true
+	p := Pending{Engine: e.id, Action: action, Version: m.plan.versions[v].name, Since: rowTime(m.now)}
 	d.record.Orders = append(d.record.Orders, p)
 }
 
-// loadTarget is the engine to load the version: in the failure domain with the
-// fewest of it, and there the one with the fewest versions. Nil if none can.
-func (m *Machine) loadTarget(d *round, v int) *engine {
+// loadTarget returns the engine to load the version, or nil if there is none. It is in
+// the failure domain with the fewest engines that have or load the version, and has the
+// fewest versions there.
+func (m *Machine) loadTarget(d *decision, v int) *engine {
 	var best *engine
-	spread := m.tally.versions[v].spread
+	spread := m.fleetCounts.versions[v].perDomain
 	for _, e := range m.fleet.engines {
-		if !m.canLoad(d, e, v) || !e.room(m.settings.Slots) {
+		if !m.canLoad(d, e, v) || !e.hasRoom(m.settings.Slots) {
 			continue
 		}
-		if best == nil || e.before(best, spread) {
+		if best == nil || e.preferredOver(best, spread) {
 			best = e
 		}
 	}
 	return best
 }
 
-func (e *engine) before(o *engine, spread []int) bool {
+func (e *engine) preferredOver(o *engine, spread []int) bool {
 	if spread[e.domain] != spread[o.domain] {
 		return spread[e.domain] < spread[o.domain]
 	}
 	return len(e.state.Versions) < len(o.state.Versions)
 }
 
-func (m *Machine) canLoad(d *round, e *engine, v int) bool {
-	return m.free(d, e) && !m.now.Before(e.avoidUntil) && !slices.Contains(e.has, v) && !slices.Contains(e.loading, v)
+func (m *Machine) canLoad(d *decision, e *engine, v int) bool {
+	return m.available(d, e) && !m.now.Before(e.avoidUntil) && !slices.Contains(e.versions, v) && !slices.Contains(e.loading, v)
 }
 
-// free engines are live, were lately read and have nothing in hand.
-func (m *Machine) free(d *round, e *engine) bool {
-	return e.live && e.hand == nil && !d.taken[e] && !e.seen.IsZero() && e.seen.After(m.now.Add(-m.seenFor()))
+// available reports whether the engine is live, was read recently and has no pending
+// order.
+func (m *Machine) available(d *decision, e *engine) bool {
+	return e.live && e.order == nil && !d.assigned[e] && !e.stateAt.IsZero() && e.stateAt.After(m.now.Add(-m.stateTTL()))
 }
 
-// makeRoom unloads a version that can be spared where another one is needed.
-func (m *Machine) makeRoom(d *round, v int) {
-	spread := m.tally.versions[v].spread
-	for d.unloads > 0 && m.tally.versions[v].missing() > m.roomComing(d) {
+// makeRoom unloads versions that can be spared on engines that are needed for another
+// one.
+func (m *Machine) makeRoom(d *decision, v int) {
+	spread := m.fleetCounts.versions[v].perDomain
+	for d.unloadBudget > 0 && m.fleetCounts.versions[v].missing() > m.pendingUnloads(d) {
 		var best *engine
 		for _, e := range m.fleet.engines {
-			if !m.canLoad(d, e, v) || m.spare(e) < 0 {
+			if !m.canLoad(d, e, v) || m.spareVersion(e) < 0 {
 				continue
 			}
 			if best == nil || spread[e.domain] < spread[best.domain] {
@@ -126,36 +130,36 @@
 		if best == nil {
 			return
 		}
-		m.unload(d, best, m.spare(best))
+		m.unload(d, best, m.spareVersion(best))
 	}
 }
 
-// roomComing counts unloads in hand: each makes room for one version.
-func (m *Machine) roomComing(d *round) int { return len(d.record.Orders) - d.record.loads() }
+// pendingUnloads is the number of pending unloads; each makes room for one version.
+func (m *Machine) pendingUnloads(d *decision) int { return len(d.record.Orders) - d.record.loads() }
 
-// spare is a version that the engine may unload: one that is withdrawn if
-// there is one, else the one with the most to spare; -1 if there is none.
-func (m *Machine) spare(e *engine) int {
-	best, most := -1, 0
-	for _, v := range e.has {
+// spareVersion returns a version that the engine may unload: a withdrawn one if there is
+// any, else the one with the largest surplus. It returns -1 if there is none.
+func (m *Machine) spareVersion(e *engine) int {
+	best, mostSurplus := -1, 0
+	for _, v := range e.versions {
 		if !m.mayUnload(e, v) {
 			continue
 		}
 		if m.plan.versions[v].state == config.Withdrawn {
 			return v
 		}
-		c := &m.tally.versions[v]
-		if over := c.ready - c.demand; best < 0 || over > most {
-			best, most = v, over
+		c := &m.fleetCounts.versions[v]
+		if surplus := c.ready - c.demand; best < 0 || surplus > mostSurplus {
+			best, mostSurplus = v, surplus
 		}
 	}
 	return best
 }
 
-func (m *Machine) unload(d *round, e *engine, v int) {
-	m.add(d, e, upstream.UnloadVersion, v)
-	d.unloads--
-	if c := &m.tally.versions[v]; slices.Contains(e.has, v) {
+func (m *Machine) unload(d *decision, e *engine, v int) {
+	m.addOrder(d, e, upstream.UnloadVersion, v)
+	d.unloadBudget--
+	if c := &m.fleetCounts.versions[v]; slices.Contains(e.versions, v) {
 		c.ready--
 	}
 }
--- a/internal/rollout/deps.go
+++ b/internal/rollout/deps.go
@@ -10,19 +10,19 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// Deps are what a Driver needs. None may be nil.
+// Deps are the dependencies of a Driver. None may be nil.
 type Deps struct {
 	Table   platform.Table
 	Engines upstream.Engines
 	// View returns the VMs as this node sees them, or nil before the first list.
 	View func() *membership.View
-	// Snapshot returns the configuration applied here, and whether it is fresh
-	// enough to act on.
+	// Snapshot returns the configuration applied here, and whether it is fresh enough to
+	// act on.
 	Snapshot func() (snapshot *config.Snapshot, fresh bool)
-	// InForce says whether no node admits work under an older revision any more.
+	// InForce reports whether no node admits work under an older revision any more.
 	InForce func(ctx context.Context, revision uint64) (bool, error)
 	Self    platform.VM
-	// Members are the entry VMs, of which one drives.
+	// Members returns the entry VMs, one of which drives.
 	Members func() []platform.VM
 	Log     *slog.Logger
 }
--- a/internal/rollout/doc.go
+++ b/internal/rollout/doc.go
@@ -1,9 +1,9 @@
-// Package rollout brings the engines to what the configuration wants: each
-// version that may serve is loaded on as many engines as its share needs, and
-// a withdrawn version is unloaded once nothing of it runs.
+// Package rollout loads and unloads versions on the engines until they match the
+// configuration. Each version that may serve is loaded on as many engines as its share
+// needs. A withdrawn version is unloaded once none of its requests run.
 //
-// [Machine] decides and does no I/O. [Driver] is the shell around it: any entry
-// node may drive, and the one that does holds a row of the platform's table by
-// conditional writes. docs/design/rollouts.md gives the ways weighed and the
-// measurements.
+// [Machine] makes the decisions and does no I/O. [Driver] connects it to the table and
+// the engines. Any entry node may drive; the one that does holds a lease on a row of the
+// platform's table, taken and renewed by conditional writes. docs/design/rollouts.md
+// compares the alternatives and lists the measurements.
 package rollout
--- a/internal/rollout/driver.go
+++ b/internal/rollout/driver.go
@@ -11,12 +11,11 @@
 	"github.com/hickorybank/hickorybank/internal/platform"
 )
 
-// eventBuffer bounds the answers that wait for the machine.
+// eventBuffer is how many answers may wait for the machine.
 const eventBuffer = 256
 
-// Driver drives the roll-outs when it falls to this node. One goroutine owns
-// the machine; each call has its own, and the machine bounds how many there
-// are.
+// Driver drives the roll-outs while this node holds the lease. One goroutine owns the
+// machine. Each call runs in its own goroutine, and the machine bounds their number.
 type Driver struct {
 	settings Settings
 	deps     Deps
@@ -29,7 +28,7 @@
 	calls duty.Group
 }
 
-// New returns a Driver that is not yet started.
+// New returns a Driver that is not started.
 func New(s Settings, d Deps) *Driver {
 	s = s.WithDefaults()
 	ctx, stop := context.WithCancel(context.Background())
@@ -43,7 +42,7 @@
 	}
 }
 
-// Start begins to drive.
+// Start validates the settings and starts the driver.
 func (d *Driver) Start() error {
 	if err := d.settings.Validate(); err != nil {
 		return err
@@ -52,9 +51,8 @@
 	return nil
 }
 
-// Close ends the driving, gives the row up and waits for both, or for the end
-// of ctx. The engines stay as they are, and orders in hand stay in the row;
-// another node goes on with them.
+// Close stops the driver, waits for its calls and releases the row, or ends with ctx. The
+// engines keep their versions, and pending orders stay in the row for the next driver.
 func (d *Driver) Close(ctx context.Context) error {
 	d.stop()
 	done := make(chan struct{})
@@ -67,11 +65,11 @@
 	case <-done:
 		return d.release(ctx)
 	case <-ctx.Done():
-		return eris.Wrap(ctx.Err(), "close roll-outs")
+		return eris.Wrap(ctx.Err(), "close the roll-out driver")
 	}
 }
 
-// release saves the others the wait for the lease. If it fails they wait.
+// release gives the row up, so that other nodes need not wait for the lease to expire.
 func (d *Driver) release(ctx context.Context) error {
 	write, ok := d.machine.Release(time.Now())
 	if !ok {
@@ -80,10 +78,10 @@
 	ctx, cancel := context.WithTimeout(ctx, d.settings.CallTimeout)
 	defer cancel()
 	_, err := d.deps.Table.Commit(ctx, txn(write))
-	return eris.Wrap(err, "give up the roll-outs")
+	return eris.Wrap(err, "release the row of the roll-outs")
 }
 
-// Rollouts reads from the table how far the versions are.
+// Rollouts reads the state of all versions from the table.
 func (d *Driver) Rollouts(ctx context.Context) ([]Status, error) {
 	row, err := d.deps.Table.Get(ctx, RowKey)
 	if err != nil {
--- a/internal/rollout/engines_test.go
+++ b/internal/rollout/engines_test.go
@@ -20,10 +20,10 @@
 	"github.com/hickorybank/hickorybank/internal/upstream/client"
 )
 
-// ample is longer than anything a test waits for.
-const ample = 30 * time.Second
+// waitTimeout is longer than any condition in these tests takes.
+const waitTimeout = 30 * time.Second
 
-// rig is stand-in engines over loopback, a platform in memory, and drivers.
+// rig runs stand-in engines over loopback, a platform in memory, and drivers.
 type rig struct {
 	t        *testing.T
 	engines  *client.Engines
@@ -31,7 +31,7 @@
 	platform *memory.Platform
 	view     *membership.View
 	entries  []platform.VM
-	members  atomic.Pointer[[]platform.VM] // those that are left of entries
+	members  atomic.Pointer[[]platform.VM] // those of entries that are still members
 	snapshot atomic.Pointer[config.Snapshot]
 	inForce  atomic.Uint64
 }
@@ -68,9 +68,9 @@
 	}})
 }
 
-// start begins the driver of an entry node.
+// start starts the driver of an entry node.
 func (r *rig) start(node int) *rollout.Driver {
-	d := rollout.New(rollout.Settings{Lease: time.Second, ProofFor: 300 * time.Millisecond, Tick: 10 * time.Millisecond, SeenFor: 200 * time.Millisecond, ReadsPerSecond: 1000, DrainFor: time.Millisecond}, rollout.Deps{
+	d := rollout.New(rollout.Settings{Lease: time.Second, OwnershipTTL: 300 * time.Millisecond, Tick: 10 * time.Millisecond, StateTTL: 200 * time.Millisecond, ReadsPerSecond: 1000, DrainTimeout: time.Millisecond}, rollout.Deps{
 		Table:    r.platform,
 		Engines:  r.engines,
 		View:     func() *membership.View { return r.view },
@@ -88,7 +88,7 @@
 	return d
 }
 
-// configure brings a configuration in force of two versions.
+// configure applies a configuration with two versions.
 func (r *rig) configure(revision uint64, first, second config.Version) {
 	r.t.Helper()
 	doc := &config.Document{
@@ -104,8 +104,8 @@
 	r.snapshot.Store(s)
 }
 
-// having is how many engines have the version, by their own word.
-func (r *rig) having(version string) int {
+// enginesWith is the number of engines that report the version.
+func (r *rig) enginesWith(version string) int {
 	n := 0
 	for _, s := range r.servers {
 		state, err := r.engines.State(context.Background(), s.Addr())
@@ -121,12 +121,12 @@
 
 func (r *rig) waitFor(what string, holds func() bool) {
 	r.t.Helper()
-	for end := time.Now().Add(ample); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if holds() {
 			return
 		}
 	}
-	r.t.Fatal("in vain: " + what)
+	r.t.Fatal("timed out waiting until " + what)
 }
 
 func (r *rig) close(d *rollout.Driver) {
@@ -136,23 +136,23 @@
 	}
 }
 
-// Operators stage a version, widen it to serving and withdraw the old one. The
-// node that drives is stopped half way, and another one finishes. No engine
-// loses the old version before the withdrawal is in force.
-func TestRolloutMovesToAnotherDriver(t *testing.T) {
+// Guards against a roll-out that ends with its driver. Operators stage a version, widen
+// it to serving and withdraw the old one. The node that drives stops halfway, and another
+// one finishes. No engine loses the old version before the withdrawal is in force.
+func TestAnotherDriverFinishesTheRollout(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, 8)
-	one := config.Version{Name: "dues@1", State: config.Serving, InputCost: 1, OutputCost: 1, PriorQuality: 0.9}
-	two := config.Version{Name: "dues@2", State: config.Staged, Share: 0.5, ExposureCap: 10, InputCost: 1, OutputCost: 1, PriorQuality: 0.9}
-	r.configure(1, one, two)
+	oldVersion := config.Version{Name: "dues@1", State: config.Serving, InputCost: 1, OutputCost: 1, PriorQuality: 0.9}
+	newVersion := config.Version{Name: "dues@2", State: config.Staged, Share: 0.5, ExposureCap: 10, InputCost: 1, OutputCost: 1, PriorQuality: 0.9}
+	r.configure(1, oldVersion, newVersion)
 	var drivers []*rollout.Driver
 	for node := range r.entries {
 		drivers = append(drivers, r.start(node))
 	}
-	r.waitFor("two engines have the staged version", func() bool { return r.having("dues@2") == 2 })
+	r.waitFor("two engines have the staged version", func() bool { return r.enginesWith("dues@2") == 2 })
 	holder := r.holder(drivers[0])
-	two.State, two.Share, two.ExposureCap = config.Serving, 0, 0
-	r.configure(2, one, two)
+	newVersion.State, newVersion.Share, newVersion.ExposureCap = config.Serving, 0, 0
+	r.configure(2, oldVersion, newVersion)
 	for i, vm := range r.entries {
 		if vm.ID == holder {
 			r.close(drivers[i])
@@ -160,24 +160,24 @@
 			break
 		}
 	}
-	left := slices.DeleteFunc(slices.Clone(r.entries), func(vm platform.VM) bool { return vm.ID == holder })
-	r.members.Store(&left)
-	r.waitFor("four engines have the serving version", func() bool { return r.having("dues@2") == 4 })
+	remaining := slices.DeleteFunc(slices.Clone(r.entries), func(vm platform.VM) bool { return vm.ID == holder })
+	r.members.Store(&remaining)
+	r.waitFor("four engines have the serving version", func() bool { return r.enginesWith("dues@2") == 4 })
 	is.True(r.holder(drivers[0]) != holder)
-	one.State = config.Withdrawn
-	r.configure(3, one, two)
+	oldVersion.State = config.Withdrawn
+	r.configure(3, oldVersion, newVersion)
 	r.waitFor("the withdrawal is seen", func() bool { return r.stage(drivers[0], "dues@1") == rollout.Draining })
-	is.Equal(r.having("dues@1"), 8)
+	is.Equal(r.enginesWith("dues@1"), 8)
 	r.inForce.Store(3)
 	r.waitFor("the old version is gone", func() bool { return r.stage(drivers[0], "dues@1") == rollout.Gone })
-	is.Equal(r.having("dues@1"), 0)
-	is.Equal(r.having("dues@2"), 4)
+	is.Equal(r.enginesWith("dues@1"), 0)
+	is.Equal(r.enginesWith("dues@2"), 4)
 	for _, d := range drivers {
 		r.close(d)
 	}
 }
 
-// holder is who the row says drives.
+// holder is the node that holds the lease according to the row.
 func (r *rig) holder(d *rollout.Driver) string {
 	list, err := d.Rollouts(context.Background())
 	if err != nil || len(list) == 0 {
--- a/internal/rollout/event.go
+++ b/internal/rollout/event.go
@@ -8,17 +8,18 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// Event is what a [Machine] is told.
+// Event is an input of a [Machine].
 type Event interface{ event() }
 
-// Tick tells the time and the present surroundings.
+// Tick reports the time, the VMs and the configuration. It comes once every
+// Settings.Tick.
 type Tick struct {
 	View     *membership.View
 	Snapshot *config.Snapshot
-	// Fresh says that the snapshot may be acted on.
+	// Fresh is set if the snapshot may be acted on.
 	Fresh bool
-	// Rank is this node's place among those that should drive, from 0; negative
-	// when others do.
+	// Rank is this node's place among those that should drive, from 0; negative if it is
+	// not one of them.
 	Rank int
 }
 
@@ -26,44 +27,44 @@
 type RowAnswer struct {
 	Version uint64
 	Value   []byte
-	// Failed says that the row could not be read, or that a write may or may
-	// not have taken effect.
+	// Failed is set if the row could not be read, or if a write may or may not have taken
+	// effect.
 	Failed bool
 }
 
-// RowWritten says that a [WriteRow] was applied.
+// RowWritten reports that a [WriteRow] was applied; Version is the row's new version.
 type RowWritten struct{ Version uint64 }
 
 // EngineAnswer answers a [ReadEngine].
 type EngineAnswer struct {
 	Engine string
-	// Began is that of the action.
+	// Began is copied from the action.
 	Began time.Time
 	State upstream.EngineState
-	// Load is nil when it was not asked for or did not come.
+	// Load is nil when it was not asked for or could not be read.
 	Load   *upstream.LoadReport
 	Failed bool
 }
 
-// OrderResult is what became of an order on its way.
+// OrderResult is the outcome of sending an order.
 type OrderResult uint8
 
-// The results of orders.
+// Outcomes of orders.
 const (
-	// OrderTaken: the engine said that it has taken the order.
-	OrderTaken OrderResult = iota
-	// OrderNotSent: the engine cannot have taken it, or said that it did not.
+	// OrderAccepted means that the engine acknowledged the order.
+	OrderAccepted OrderResult = iota
+	// OrderNotSent means that the engine did not get the order, or refused it.
 	OrderNotSent
-	// OrderStale: the engine has seen a higher fencing number.
+	// OrderStale means that the engine has seen a higher fencing token.
 	OrderStale
-	// OrderInDoubt: it may have taken the order, or may still take it.
-	OrderInDoubt
+	// OrderUnknown means that the engine may have accepted the order, or may still do so.
+	OrderUnknown
 )
 
 // OrderAnswer answers a [SendOrder].
 type OrderAnswer struct {
 	Engine string
-	// Began is that of the action.
+	// Began is copied from the action.
 	Began  time.Time
 	Result OrderResult
 }
@@ -81,14 +82,13 @@
 func (OrderAnswer) event()   {}
 func (InForceAnswer) event() {}
 
-// Action is what a [Machine] wants done. Each is answered by one
-// event.
+// Action is an output of a [Machine]. Each one is answered by one event.
 type Action interface{ action() }
 
 // ReadRow reads the row.
 type ReadRow struct{}
 
-// WriteRow replaces the row if it still has the version.
+// WriteRow replaces the row's value if the row still has the version.
 type WriteRow struct {
 	Version uint64
 	Value   []byte
@@ -99,23 +99,23 @@
 	Engine string
 	Addr   string
 	Load   bool
-	// Began tells the answers of several reads apart.
+	// Began is the time of the action; it tells the answers of several reads apart.
 	Began time.Time
 }
 
-// SendOrder sends an order, unless it is Before or later by then or the
-// configuration in force here is no longer of the revision and fresh.
+// SendOrder sends an order. It is not sent at or after Before, nor if the configuration
+// applied here is stale or has another revision.
 type SendOrder struct {
 	Engine   string
 	Addr     string
 	Order    upstream.Order
 	Before   time.Time
 	Revision uint64
-	// Began tells the answers of several sends apart.
+	// Began is the time of the action; it tells the answers of several sends apart.
 	Began time.Time
 }
 
-// AskInForce asks whether a revision is in force everywhere.
+// AskInForce asks whether a revision is in force on all nodes.
 type AskInForce struct{ Revision uint64 }
 
 func (ReadRow) action()    {}
--- a/internal/rollout/fleet.go
+++ b/internal/rollout/fleet.go
@@ -12,77 +12,79 @@
 	id     string
 	addr   string
 	domain int
-	// live engines take orders; the others count only as wanted.
+	// live engines take orders; the others only count towards the demand.
 	live    bool
 	leaving bool
 
-	// asked is when the last read was begun; out says that it is not answered.
-	asked time.Time
-	out   bool
-	// tried is the start of the last read that was answered or failed, and seen
-	// of the last one that was answered; zero is never.
-	tried time.Time
-	seen  time.Time
-	state upstream.EngineState
-	// has and loading are the state's versions as indexes of the plan.
-	has     []int
-	loading []int
-	// idleAt is the youngest instant at which a report says that nothing ran.
+	// readStartedAt is when the last read began; readInFlight is set until it is
+	// answered.
+	readStartedAt time.Time
+	readInFlight  bool
+	// lastReadAt is the start of the last read that ended, stateAt that of the last one
+	// that succeeded; zero if there was none.
+	lastReadAt time.Time
+	stateAt    time.Time
+	state      upstream.EngineState
+	// versions and loading are the state's versions as indexes into the plan.
+	versions []int
+	loading  []int
+	// idleAt is the latest time at which the engine is known to have run nothing.
 	idleAt time.Time
-	// avoidUntil ends the time in which no load is tried here.
+	// avoidUntil is when a load may be tried here again.
 	avoidUntil time.Time
-	// hand is the order in hand here, or nil.
-	hand *hand
+	// order is the pending order of the engine, or nil.
+	order *orderState
 }
 
-// hand is this node's knowledge of an order in hand.
-type hand struct {
+// orderState is what this node knows of a pending order.
+type orderState struct {
 	pending Pending
 	version int
-	// since is when this node first knew of it.
-	since time.Time
-	// sentAt is when it was last sent from here; out says that it is not
-	// answered. taken is set by the engine's acknowledgement.
+	// knownSince is when this node first saw the order.
+	knownSince time.Time
+	// sentAt is when this node last sent it. inFlight is set until that is answered, and
+	// acknowledged once the engine has accepted it.
 	sentAt time.Time
-	// began is when the load that runs now was first ordered; noted says that its
-	// end was taken into the pace.
-	began time.Time
-	noted bool
-	out   bool
-	taken bool
+	// loadStartedAt is when the running load was first ordered; recorded is set once the
+	// limiter has counted its end.
+	loadStartedAt time.Time
+	recorded      bool
+	out           bool
+	acknowledged  bool
 }
 
-func (h *hand) loads() bool { return h.pending.Action == upstream.LoadVersion }
+func (o *orderState) isLoad() bool { return o.pending.Action == upstream.LoadVersion }
 
-func (e *engine) forget() {
-	e.seen, e.tried, e.idleAt = time.Time{}, time.Time{}, time.Time{}
-	e.asked, e.out = time.Time{}, false
-	e.has, e.loading = nil, nil
+// clearState discards what was read from the engine.
+func (e *engine) clearState() {
+	e.stateAt, e.lastReadAt, e.idleAt = time.Time{}, time.Time{}, time.Time{}
+	e.readStartedAt, e.readInFlight = time.Time{}, false
+	e.versions, e.loading = nil, nil
 	e.state = upstream.EngineState{}
 }
 
-// room says whether one more version fits.
-func (e *engine) room(slots int) bool {
+// hasRoom reports whether one more version fits on the engine.
+func (e *engine) hasRoom(slots int) bool {
 	return slots == 0 || len(e.state.Versions)+len(e.state.Loading) < slots
 }
 
-// fleet is the engines of the view, in its order.
+// fleet holds the engines of the view, in the view's order.
 type fleet struct {
 	view    *membership.View
 	engines []*engine
 	byID    map[string]*engine
 	domains map[string]int
-	// wantedOn is how many engines versions are wanted on: those that do not
-	// leave, also when they cannot be reached. A lost failure domain must not
+	// targetEngines is the number of engines that the demand is computed from: all that
+	// are not leaving, including unreachable ones. The loss of a failure domain must not
 	// lower the demand on the others.
-	wantedOn int
-	live     int
-	next     int // of the round of reads
-	nextHand int // of the round of reads of engines with an order in hand
+	targetEngines int
+	live          int
+	nextRead      int // of the round of reads
+	nextPending   int // of the round of reads of engines with an order in hand
 }
 
-// set takes a new view and keeps what is known of engines that stay.
-func (f *fleet) set(view *membership.View) {
+// update applies a new view and keeps the state of engines that stay.
+func (f *fleet) update(view *membership.View) {
 	if view == f.view || view == nil {
 		return
 	}
@@ -91,7 +93,7 @@
 	f.engines = make([]*engine, 0, len(view.Engines))
 	f.byID = make(map[string]*engine, len(view.Engines))
 	f.domains = map[string]int{}
-	f.wantedOn, f.live = 0, 0
+	f.targetEngines, f.live = 0, 0
 	for i := range view.Engines {
 		f.add(&view.Engines[i], old[view.Engines[i].ID])
 	}
@@ -110,7 +112,7 @@
 	e.live = m.State == membership.Live
 	e.leaving = m.State == membership.Leaving
 	if !e.leaving {
-		f.wantedOn++
+		f.targetEngines++
 	}
 	if e.live {
 		f.live++
--- a/internal/rollout/guards_test.go
+++ b/internal/rollout/guards_test.go
@@ -6,19 +6,20 @@
 	"github.com/matryer/is"
 )
 
-// Each rule is there for a failure that users would see. Without it some
-// seeds must break; the figures are in docs/design/rollouts.md.
-func TestMissingGuardsAreCaught(t *testing.T) {
-	for name, g := range map[string]guards{
+// Guards against simulations that no longer detect a missing rule. Each rule prevents a
+// failure that users would see, so some seeds must fail without it.
+// docs/design/rollouts.md lists the figures.
+func TestSeedsCatchDisabledRules(t *testing.T) {
+	for name, g := range map[string]disabledRules{
 		"done on acknowledgement":   {doneOnAck: true},
-		"unload before it was seen": {countComing: true},
-		"no proof before an order":  {noProof: true},
-		"no wait for in force":      {noInForce: true},
+		"unload before it was seen": {countLoading: true},
+		"no proof before an order":  {noOwnershipCheck: true},
+		"no wait for in force":      {noInForceCheck: true},
 		"decision before the sweep": {noSweep: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			failed, first, said := sweepSeeds(t, 1, guardSeeds, g)
-			t.Logf("%d of %d seeds; seed %d: %s", failed, guardSeeds, first, said)
+			failed, first, violation := sweepSeeds(t, 1, guardSeeds, g)
+			t.Logf("%d of %d seeds; seed %d: %s", failed, guardSeeds, first, violation)
 			is.New(t).True(failed > 0)
 		})
 	}
--- a/internal/rollout/loop.go
+++ b/internal/rollout/loop.go
@@ -10,8 +10,8 @@
 	"github.com/hickorybank/hickorybank/internal/platform"
 )
 
-// watchers is how many nodes watch the row, so that the reads do not grow with
-// the fleet.
+// watchers is how many nodes watch the row, so that the reads of it do not grow with the
+// fleet.
 const watchers = 3
 
 // run owns the machine until the driver is closed.
@@ -35,9 +35,8 @@
 	return Tick{View: d.deps.View(), Snapshot: snapshot, Fresh: fresh, Rank: d.rank()}
 }
 
-// rank is this node's place among those that watch, or -1. Nodes that see
-// different members may both think themselves first: the row's condition lets
-// one through.
+// rank is this node's place among the watchers, or -1. Nodes that see different members
+// may both take rank 0: the condition of their writes lets one succeed.
 func (d *Driver) rank() int {
 	first := rank.First(RowKey, d.deps.Members(), watchers)
 	return slices.IndexFunc(first, func(vm platform.VM) bool { return vm.ID == d.deps.Self.ID })
@@ -64,7 +63,7 @@
 }
 
 func (d *Driver) logStages(before, after []Progress) {
-	if !d.machine.holding() {
+	if !d.machine.holdsLease() {
 		return
 	}
 	for i := range after {
@@ -76,7 +75,7 @@
 	}
 }
 
-// post hands an answer to the machine, or drops it when the driver closes.
+// post passes an answer to the machine, or drops it when the driver closes.
 func (d *Driver) post(ev Event) {
 	select {
 	case d.events <- ev:
--- a/internal/rollout/machine.go
+++ b/internal/rollout/machine.go
@@ -2,109 +2,111 @@
 
 import "time"
 
-// Machine decides which engine loads or unloads which version next, and when
-// this node may say so. It does no I/O; it belongs to one goroutine.
+// Machine decides which engine loads or unloads which version next, and whether this node
+// may send the order. It does no I/O and is not safe for concurrent use.
 type Machine struct {
 	settings Settings
 	self     string
 	run      string
-	guards   guards
-	// few orders in hand are written at once; see waitsForRenewal.
-	few int
+	disabled disabledRules
+	// immediateOrders is maxImmediateOrders, or lower in tests; see waitsForRenewal.
+	immediateOrders int
 
-	now   time.Time
-	out   []Action
-	rank  int
-	plan  *plan
-	fresh bool
-	fleet fleet
-	tally tally
-	row   row
-	pace  pace
+	now         time.Time
+	actions     []Action
+	rank        int
+	plan        *plan
+	fresh       bool
+	fleet       fleet
+	fleetCounts counts
+	row         rowState
+	limiter     loadLimiter
 
-	// takenAt is when this node took the row, or woke from a pause. Nothing is
-	// decided until all live engines were asked since.
-	takenAt time.Time
-	// doubtAt is when an order was last left that may still be on its way though
-	// nobody waits for it; the next orders then get a higher fencing number.
-	doubtAt time.Time
-	// confirmed is the revision known to be in force everywhere, since
+	// sweepStart is when this node took the row, or resumed after a pause. Nothing is
+	// decided until all live engines were read since.
+	sweepStart time.Time
+	// abandonedAt is when an order was last given up that may still arrive at its engine.
+	// The next orders then get a higher fencing token.
+	abandonedAt time.Time
+	// confirmedRevision is the revision known to be in force everywhere, since
 	// confirmedAt.
-	confirmed   uint64
-	confirmedAt time.Time
-	askedForce  time.Time
-	asking      bool
-	credit      float64
-	ticked      time.Time
+	confirmedRevision uint64
+	confirmedAt       time.Time
+	inForceAskedAt    time.Time
+	inForceAskPending bool
+	readCredit        float64
+	tickedAt          time.Time
 }
 
-// guards switch single rules off, so that tests show that each is needed.
-type guards struct {
-	// doneOnAck takes an order for done when the engine acknowledged it.
+// disabledRules switch single rules off, so that tests can show that each is needed.
+type disabledRules struct {
+	// doneOnAck treats an order as done when the engine acknowledged it.
 	doneOnAck bool
-	// countComing takes versions for ready on engines that only load them.
-	countComing bool
-	// noProof sends orders without having seen the row lately.
-	noProof bool
-	// noInForce unloads a withdrawn version before the withdrawal is in force.
-	noInForce bool
-	// noRevision sends orders decided under an older configuration.
-	noRevision bool
-	// noSweep decides before all engines were asked.
+	// countLoading counts versions as ready on engines that only load them.
+	countLoading bool
+	// noOwnershipCheck sends orders without having read or written the row recently.
+	noOwnershipCheck bool
+	// noInForceCheck unloads a withdrawn version before the withdrawal is in force.
+	noInForceCheck bool
+	// noRevisionCheck sends orders that were decided under an older configuration.
+	noRevisionCheck bool
+	// noSweep decides before all engines were read.
 	noSweep bool
 }
 
-// NewMachine returns the machine of one process on the VM self. Run must be
-// different for each process.
+// NewMachine returns the machine of one process on the VM self. Run must be unique to the
+// process.
 func NewMachine(s Settings, self, run string) *Machine {
 	s = s.WithDefaults()
-	return &Machine{settings: s, self: self, run: run, few: fewOrders, rank: -1, pace: pace{limit: s.LoadsAtOnce}}
+	return &Machine{settings: s, self: self, run: run, immediateOrders: maxImmediateOrders, rank: -1, limiter: loadLimiter{limit: s.LoadsAtOnce}}
 }
 
-// Step takes an event and returns what is to be done, in order. Now must carry
-// a monotonic reading, or be virtual.
+// Step handles an event and returns the actions to perform, in order. Now must carry a
+// monotonic reading, or be virtual.
 func (m *Machine) Step(now time.Time, ev Event) []Action {
 	m.now = now
-	m.out = nil
-	m.noticePause()
+	m.actions = nil
+	m.restartSweepAfterPause()
 	switch ev := ev.(type) {
 	case Tick:
 		m.tick(ev)
 	case RowAnswer:
-		m.rowAnswered(ev)
+		m.handleRowAnswer(ev)
 	case RowWritten:
-		m.rowWritten(ev)
+		m.handleRowWritten(ev)
 	case EngineAnswer:
-		m.engineAnswered(ev)
+		m.handleEngineAnswer(ev)
 	case OrderAnswer:
-		m.orderAnswered(ev)
+		m.handleOrderAnswer(ev)
 	case InForceAnswer:
-		m.inForceAnswered(ev)
+		m.handleInForceAnswer(ev)
 	}
-	return m.out
+	return m.actions
 }
 
 func (m *Machine) tick(ev Tick) {
 	m.rank = ev.Rank
-	m.fleet.set(ev.View)
+	m.fleet.update(ev.View)
 	m.setPlan(ev)
-	m.attachHands()
+	m.attachOrders()
 	m.advance()
-	if m.holding() {
+	if m.holdsLease() {
 		m.readEngines()
 		m.askInForce()
 	}
-	m.ticked = m.now
+	m.tickedAt = m.now
 }
 
-// noticePause asks all engines again after this node stood still: what it knew
-// is partly too old to count, and versions would look missing that are there.
-func (m *Machine) noticePause() {
-	if m.holding() && m.now.Sub(m.ticked) > m.settings.Tick+m.settings.ProofFor {
-		m.takenAt = m.now
+// restartSweepAfterPause requires a new read of all engines after this process stood
+// still. Some of the states are then too old to count, so that versions seem to be
+// missing that are there.
+func (m *Machine) restartSweepAfterPause() {
+	if m.holdsLease() && m.now.Sub(m.tickedAt) > m.settings.Tick+m.settings.OwnershipTTL {
+		m.sweepStart = m.now
 	}
 }
 
+// setPlan replaces the plan when the configuration's revision has changed.
 func (m *Machine) setPlan(ev Tick) {
 	m.fresh = ev.Fresh && ev.Snapshot != nil
 	if ev.Snapshot == nil || m.plan != nil && m.plan.revision == ev.Snapshot.Revision {
@@ -116,21 +118,22 @@
 	}
 }
 
-// resolve renews the engine's indexes into the plan.
+// resolve recomputes the engine's indexes into the plan.
 func (m *Machine) resolve(e *engine) {
 	if m.plan == nil {
 		return
 	}
-	e.has = m.plan.indexes(e.state.Versions)
+	e.versions = m.plan.indexes(e.state.Versions)
 	e.loading = m.plan.indexes(e.state.Loading)
-	if e.hand != nil {
-		e.hand.version = m.plan.find(e.hand.pending.Version)
+	if e.order != nil {
+		e.order.version = m.plan.indexOf(e.order.pending.Version)
 	}
 }
 
-// advance does what the row allows now.
+// advance sends orders that are due and writes the row, as far as the lease allows it
+// now.
 func (m *Machine) advance() {
-	if !m.holding() {
+	if !m.holdsLease() {
 		m.watch()
 		return
 	}
@@ -138,24 +141,24 @@
 		m.renew(m.row.record)
 		return
 	}
-	m.count()
+	m.countVersions()
 	m.send()
-	if m.row.busy || m.waitsForRenewal() {
+	if m.row.callInFlight || m.waitsForRenewal() {
 		return
 	}
-	next, changed := m.next()
+	next, changed := m.nextRecord()
 	if changed {
-		m.write(next)
+		m.writeRow(next)
 		return
 	}
 	m.renew(next)
 }
 
-// waitsForRenewal bounds the bytes that a long row costs: what changes in it
-// goes with the next renewal.
+// waitsForRenewal bounds the bytes written for a long row: its changes wait for the next
+// renewal.
 func (m *Machine) waitsForRenewal() bool {
-	long := len(m.row.record.Orders) > m.few
-	return long && !m.row.unsure && m.now.Sub(m.row.wroteAt) < m.settings.Lease/renewals
+	long := len(m.row.record.Orders) > m.immediateOrders
+	return long && !m.row.needsRead && m.now.Sub(m.row.writtenAt) < m.settings.Lease/renewals
 }
 
-func (m *Machine) do(a Action) { m.out = append(m.out, a) }
+func (m *Machine) emit(a Action) { m.actions = append(m.actions, a) }
--- a/internal/rollout/older_test.go
+++ b/internal/rollout/older_test.go
@@ -10,16 +10,16 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// An engine loads a version whose withdrawal is in force. The driver decides on
-// the load while its configuration is still good, stands still for a second,
-// and sends it; meanwhile the withdrawal has come into force everywhere. The
-// row is still the driver's, so that only the configuration can tell.
-func TestOrderOfAnOlderConfiguration(t *testing.T) {
-	for _, guarded := range []bool{true, false} {
+// Guards against a load of a version whose withdrawal is in force. The driver decides on
+// the load under the old configuration, is paused for a second, and then sends it.
+// Meanwhile the withdrawal has come into force everywhere. The row is still the driver's,
+// so only the check of the revision stops the order.
+func TestOrderOfAnOlderConfigurationIsNotSent(t *testing.T) {
+	for _, checked := range []bool{true, false} {
 		is := is.New(t)
-		w := newWorld(1, simSettings(0), guards{noRevision: !guarded})
+		w := newWorld(1, simSettings(0), disabledRules{noRevisionCheck: !checked})
 		w.addEngine("e0", "d0", false)
-		w.look()
+		w.updateView()
 		n := w.addNode()
 		n.revision = &revision{snapshot: compile("ordinary", "m: a serving"), inForce: w.now}
 		w.revisions = append(w.revisions, n.revision)
@@ -29,20 +29,20 @@
 			w.revisions = append(w.revisions, &revision{snapshot: s, at: w.now, inForce: w.now.Add(500 * time.Millisecond)})
 		})
 		w.runUntil(w.start.Add(time.Minute))
-		is.Equal(w.broken == "", guarded)
+		is.Equal(w.violation == "", checked)
 		is.Equal(w.latest().snapshot.Version("a").State, config.Withdrawn)
 	}
 }
 
-// pauseAtOrder pauses the node between the decision on its first such order
-// and the sending of it.
-func (w *world) pauseAtOrder(action upstream.OrderAction, pause time.Duration, then func()) {
-	w.atOrder = func(n *simNode, o SendOrder) {
+// pauseAtOrder pauses the node between the decision on its first order of the action and
+// the sending of it, and calls callback.
+func (w *world) pauseAtOrder(action upstream.OrderAction, pause time.Duration, callback func()) {
+	w.onOrder = func(n *simNode, o SendOrder) {
 		if o.Order.Action != action {
 			return
 		}
-		w.atOrder = nil
+		w.onOrder = nil
 		n.pause(pause)
-		then()
+		callback()
 	}
 }
--- a/internal/rollout/pace.go
+++ b/internal/rollout/pace.go
@@ -2,128 +2,129 @@
 
 import "time"
 
-// pace is how many loads the weight store bears at one time, found by trying.
-// The store's rate is known to nobody: others share it, and it changes. What
-// shows it is how long loads take and how many come to nothing.
+// loadLimiter finds how many loads the weight store supports at one time. Its capacity is
+// not known: it is shared with other readers and changes. It shows only in how long loads
+// take and how many fail.
 //
-// A round is as many ended loads as may run at one time. While twice as many at
-// a time bring clearly more a second, the number is doubled. When they do not,
-// the store is the limit, more loads only wait for each other, and the number
-// goes back. A round in which many come to nothing halves it.
-type pace struct {
+// A round ends after as many loads as may run at one time. The limit is doubled as long
+// as that brings clearly more loads a second. If it does not, the store is saturated and
+// more loads only wait for each other, so the limit returns to its previous value. A
+// round in which many loads fail halves it.
+type loadLimiter struct {
 	limit int
-	// since is when the limit last changed: loads begun before tell nothing of it.
-	since time.Time
-	// before is the limit that a trial began from, and beforeRate its loads a
-	// second; zero when no trial runs.
-	before     int
-	beforeRate float64
-	// rest is how many rounds are left until the next trial.
-	rest  int
-	round paceRound
+	// limitChangedAt is when the limit last changed; loads that began before are not
+	// counted.
+	limitChangedAt time.Time
+	// previousLimit is the limit before the running trial and previousRate its loads a
+	// second; zero if no trial runs.
+	previousLimit int
+	previousRate  float64
+	// cooldown is how many rounds are left until the next trial.
+	cooldown int
+	round    loadRound
 }
 
-// paceRound is what became of the loads of one round.
-type paceRound struct {
-	ended, vain int
-	took        time.Duration
-	// full says that more loads were wanted than the limit allowed.
-	full bool
+// loadRound counts the loads of one round.
+type loadRound struct {
+	completed, failed int
+	totalTime         time.Duration
+	// saturated is set if more loads were needed than the limit allowed.
+	saturated bool
 }
 
 const (
-	// worthwhile is the part of the loads added by a trial that must come out as
-	// more loads a second.
-	worthwhile = 0.25
-	// restRounds is how many rounds pass after a trial that brought nothing.
-	restRounds = 8
-	// vainPart of a round's loads that come to nothing halves the limit.
-	vainPart = 0.25
+	// minGain is the least part of the loads added by a trial that must show as more
+	// loads a second.
+	minGain = 0.25
+	// cooldownRounds is how many rounds pass after a trial without gain.
+	cooldownRounds = 8
+	// maxFailedPart is the part of failed loads in a round at which the limit is halved.
+	maxFailedPart = 0.25
 )
 
-// done notes a load that has ended; most bounds the limit.
-func (p *pace) done(began, now time.Time, most int) {
-	if began.Before(p.since) {
+// loadCompleted counts a load that has ended; most bounds the limit.
+func (p *loadLimiter) loadCompleted(began, now time.Time, most int) {
+	if began.Before(p.limitChangedAt) {
 		return
 	}
-	p.round.ended++
-	p.round.took += now.Sub(began)
-	p.turn(now, most)
+	p.round.completed++
+	p.round.totalTime += now.Sub(began)
+	p.finishRound(now, most)
 }
 
-// failed notes a load that came to nothing.
-func (p *pace) failed(began, now time.Time, most int) {
-	if began.Before(p.since) {
+// loadFailed counts a load that failed; most bounds the limit.
+func (p *loadLimiter) loadFailed(began, now time.Time, most int) {
+	if began.Before(p.limitChangedAt) {
 		return
 	}
-	p.round.vain++
-	p.turn(now, most)
+	p.round.failed++
+	p.finishRound(now, most)
 }
 
-// turn ends the round when it is over.
-func (p *pace) turn(now time.Time, most int) {
+// finishRound adjusts the limit if the round is complete.
+func (p *loadLimiter) finishRound(now time.Time, most int) {
 	r := p.round
-	if r.ended+r.vain < p.limit {
+	if r.completed+r.failed < p.limit {
 		return
 	}
-	p.round = paceRound{}
-	rate := r.rate(p.limit)
+	p.round = loadRound{}
+	rate := r.loadsPerSecond(p.limit)
 	switch {
-	case float64(r.vain) >= vainPart*float64(r.ended+r.vain):
-		p.set(max(1, p.limit/2), now)
-		p.rest, p.before = restRounds, 0
-	case p.before > 0 && rate < p.wantedRate():
-		p.set(p.before, now)
-		p.rest, p.before = restRounds, 0
-	case p.rest > 0:
-		p.rest--
-	case !r.full || p.limit >= most:
-		p.before = 0
+	case float64(r.failed) >= maxFailedPart*float64(r.completed+r.failed):
+		p.setLimit(max(1, p.limit/2), now)
+		p.cooldown, p.previousLimit = cooldownRounds, 0
+	case p.previousLimit > 0 && rate < p.minRate():
+		p.setLimit(p.previousLimit, now)
+		p.cooldown, p.previousLimit = cooldownRounds, 0
+	case p.cooldown > 0:
+		p.cooldown--
+	case !r.saturated || p.limit >= most:
+		p.previousLimit = 0
 	default:
-		p.before, p.beforeRate = p.limit, rate
-		p.set(min(2*p.limit, most), now)
+		p.previousLimit, p.previousRate = p.limit, rate
+		p.setLimit(min(2*p.limit, most), now)
 	}
 }
 
-func (p *pace) set(limit int, now time.Time) { p.limit, p.since = limit, now }
+func (p *loadLimiter) setLimit(limit int, now time.Time) { p.limit, p.limitChangedAt = limit, now }
 
-// wantedRate is the least loads a second that keep what a trial added.
-func (p *pace) wantedRate() float64 {
-	added := float64(p.limit)/float64(p.before) - 1
-	return p.beforeRate * (1 + worthwhile*added)
+// minRate is the least loads a second at which the limit of a trial is kept.
+func (p *loadLimiter) minRate() float64 {
+	added := float64(p.limit)/float64(p.previousLimit) - 1
+	return p.previousRate * (1 + minGain*added)
 }
 
-// rate is how many loads a second so many at one time bring.
-func (r *paceRound) rate(limit int) float64 {
-	if r.took <= 0 {
+// loadsPerSecond is the rate of loads with limit of them at one time.
+func (r *loadRound) loadsPerSecond(limit int) float64 {
+	if r.totalTime <= 0 {
 		return 0
 	}
-	return float64(limit) * float64(r.ended) / r.took.Seconds()
+	return float64(limit) * float64(r.completed) / r.totalTime.Seconds()
 }
 
-// mostLoads bounds loads at one time: what engines spend on loads, or lose by
-// them, is at most a small part of the live ones.
-func (m *Machine) mostLoads() int {
+// maxLoads bounds the loads at one time: only a small part of the live engines is slowed
+// down by loads, or lost to failed ones.
+func (m *Machine) maxLoads() int {
 	part := int(m.settings.LoadsPart * float64(m.fleet.live))
 	return max(m.settings.LoadsAtOnce, min(part, m.settings.LoadsAtMost))
 }
 
-// loadsAtOnce is how many loads may run now.
-func (m *Machine) loadsAtOnce() int { return min(m.pace.limit, m.mostLoads()) }
+// loadLimit is how many loads may run now.
+func (m *Machine) loadLimit() int { return min(m.limiter.limit, m.maxLoads()) }
 
-// noteLoaded tells the pace of a load that the engine's state shows done.
-func (m *Machine) noteLoaded(e *engine) {
-	if h := e.hand; h.loads() && !h.noted && !h.began.IsZero() {
-		h.noted = true
-		m.pace.done(h.began, m.now, m.mostLoads())
+// recordCompletedLoad counts a load that the engine's state shows done.
+func (m *Machine) recordCompletedLoad(e *engine) {
+	if o := e.order; o.isLoad() && !o.recorded && !o.loadStartedAt.IsZero() {
+		o.recorded = true
+		m.limiter.loadCompleted(o.loadStartedAt, m.now, m.maxLoads())
 	}
 }
 
-// noteVain tells the pace of a load that has to be ordered again, or was given
-// up.
-func (m *Machine) noteVain(e *engine) {
-	if h := e.hand; h != nil && h.loads() && h.taken {
-		m.pace.failed(h.began, m.now, m.mostLoads())
-		h.began = m.now
+// recordFailedLoad counts a load that was acknowledged and has to be sent again or is
+// given up.
+func (m *Machine) recordFailedLoad(e *engine) {
+	if o := e.order; o != nil && o.isLoad() && o.acknowledged {
+		m.limiter.loadFailed(o.loadStartedAt, m.now, m.maxLoads())
+		o.loadStartedAt = m.now
 	}
 }
--- a/internal/rollout/pace_test.go
+++ b/internal/rollout/pace_test.go
@@ -10,30 +10,30 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// paceWorld is a fleet of which a new version is wanted on half, and a weight
-// store that is shared by the loads that run: alone a load takes loadAlone, and
-// no more than bears come a minute. It answers one machine at once.
-type paceWorld struct {
+// loadWorld simulates a fleet in which half of the engines should get a new version.
+// Loads share a weight store: one alone takes soloLoadTime, and at most storeRate loads a
+// minute complete. It answers one machine at once.
+type loadWorld struct {
 	*benchDriver
-	bears   int
-	loads   map[string]float64 // what is left to load, in loads
-	has     map[string]bool
-	most    int
-	sent    int
-	failing bool
-	vain    int
+	storeRate   int
+	remaining   map[string]float64 // the part of each running load that is left, by engine
+	loaded      map[string]bool
+	maxLoads    int
+	sent        int
+	failing     bool
+	failedLoads int
 }
 
-const loadAlone = time.Minute
+const soloLoadTime = time.Minute
 
-func newPaceWorld(engines, bears int) *paceWorld {
-	w := &paceWorld{bears: bears, loads: map[string]float64{}, has: map[string]bool{}}
-	w.benchDriver = newDriverOf(engines, "m: old serving, new serving")
-	w.reply = w.say
+func newLoadWorld(engines, storeRate int) *loadWorld {
+	w := &loadWorld{storeRate: storeRate, remaining: map[string]float64{}, loaded: map[string]bool{}}
+	w.benchDriver = newBenchDriver(engines, "m: old serving, new serving")
+	w.override = w.respond
 	return w
 }
 
-func (w *paceWorld) say(a Action) (Event, bool) {
+func (w *loadWorld) respond(a Action) (Event, bool) {
 	switch a := a.(type) {
 	case ReadEngine:
 		w.reads++
@@ -41,53 +41,53 @@
 	case SendOrder:
 		w.sent++
 		if w.failing {
-			w.vain++
-		} else if _, ok := w.loads[a.Engine]; !ok && a.Order.Action == upstream.LoadVersion {
-			w.loads[a.Engine] = 1
+			w.failedLoads++
+		} else if _, ok := w.remaining[a.Engine]; !ok && a.Order.Action == upstream.LoadVersion {
+			w.remaining[a.Engine] = 1
 		}
-		return OrderAnswer{Engine: a.Engine, Began: a.Began, Result: OrderTaken}, true
+		return OrderAnswer{Engine: a.Engine, Began: a.Began, Result: OrderAccepted}, true
 	}
 	return nil, false
 }
 
-func (w *paceWorld) state(engine string) upstream.EngineState {
+func (w *loadWorld) state(engine string) upstream.EngineState {
 	s := upstream.EngineState{Versions: []string{"old"}}
-	if w.has[engine] {
+	if w.loaded[engine] {
 		s.Versions = append(s.Versions, "new")
-	} else if _, ok := w.loads[engine]; ok {
+	} else if _, ok := w.remaining[engine]; ok {
 		s.Loading = []string{"new"}
 	}
 	return s
 }
 
-// step is a second of the driver and of the store.
-func (w *paceWorld) step() {
-	w.most = max(w.most, len(w.loads))
-	part := min(1/loadAlone.Seconds(), float64(w.bears)/60/float64(max(1, len(w.loads))))
-	for e := range w.loads {
-		if w.loads[e] -= part; w.loads[e] <= 0 {
-			delete(w.loads, e)
-			w.has[e] = true
+// step simulates one second of the driver and the store.
+func (w *loadWorld) step() {
+	w.maxLoads = max(w.maxLoads, len(w.remaining))
+	part := min(1/soloLoadTime.Seconds(), float64(w.storeRate)/60/float64(max(1, len(w.remaining))))
+	for e := range w.remaining {
+		if w.remaining[e] -= part; w.remaining[e] <= 0 {
+			delete(w.remaining, e)
+			w.loaded[e] = true
 		}
 	}
-	w.second()
+	w.runSecond()
 }
 
-// rollOut returns how long the version took to be where it is wanted.
-func (w *paceWorld) rollOut(engines int) time.Duration {
-	begun := w.now
-	for len(w.has) < engines/2 && w.now.Sub(begun) < 48*time.Hour {
+// rollOut returns how long it takes until half of the engines have the version.
+func (w *loadWorld) rollOut(engines int) time.Duration {
+	started := w.now
+	for len(w.loaded) < engines/2 && w.now.Sub(started) < 48*time.Hour {
 		w.step()
 	}
-	return w.now.Sub(begun)
+	return w.now.Sub(started)
 }
 
-// A version that half of 10,000 engines are to have is there after 21 hours,
-// because four load at a time whatever the weight store bears.
-func TestRolloutFollowsTheStore(t *testing.T) {
+// Guards against roll-outs that leave the weight store idle. With a fixed limit of four
+// loads at one time, a version that half of 10,000 engines should have took 21 hours.
+func TestLoadLimitFollowsTheStoreRate(t *testing.T) {
 	for _, c := range []struct {
-		engines, bears int
-		within         time.Duration
+		engines, storeRate int
+		within             time.Duration
 	}{
 		{24, 1000, 10 * time.Minute},
 		{250, 1000, 40 * time.Minute},
@@ -95,49 +95,49 @@
 		{10_000, 1000, 2 * time.Hour},
 		{10_000, 30, 5 * time.Hour},
 	} {
-		if c.engines > largest {
+		if c.engines > maxEngines {
 			continue
 		}
-		t.Run(fmt.Sprintf("engines=%d,store=%d", c.engines, c.bears), func(t *testing.T) {
-			w := newPaceWorld(c.engines, c.bears)
+		t.Run(fmt.Sprintf("engines=%d,store=%d", c.engines, c.storeRate), func(t *testing.T) {
+			w := newLoadWorld(c.engines, c.storeRate)
 			took := w.rollOut(c.engines)
 			seconds := took.Seconds()
-			t.Logf("there after %v; at most %d loads at one time; %.1f reads and %.2f orders a second, %.0f B/s of row written",
-				took, w.most, float64(w.reads)/seconds, float64(w.sent)/seconds, float64(w.rowTotal)/seconds)
+			t.Logf("complete after %v; at most %d loads at one time; %.1f reads and %.2f orders a second, %.0f B/s of row written",
+				took, w.maxLoads, float64(w.reads)/seconds, float64(w.sent)/seconds, float64(w.rowBytesWritten)/seconds)
 			is := is.New(t)
 			is.True(took <= c.within)
-			is.True(w.most <= max(DefaultLoadsAtOnce, min(DefaultLoadsAtMost, c.engines/16)))
+			is.True(w.maxLoads <= max(DefaultInitialLoads, min(DefaultMaxLoads, c.engines/16)))
 		})
 	}
 }
 
-// The store bears 30 loads a minute. More at a time would only wait for each
-// other, and other readers of the store with them.
-func TestPaceStopsWhereTheStoreIsTheLimit(t *testing.T) {
+// Guards against more loads than the store can serve. It supports 30 loads a minute; more
+// at one time only wait for each other and delay the store's other readers.
+func TestLoadLimitStopsAtTheStoreRate(t *testing.T) {
 	is := is.New(t)
-	w := newPaceWorld(2_500, 30)
+	w := newLoadWorld(2_500, 30)
 	took := w.rollOut(2_500)
-	t.Logf("there after %v; at most %d loads at one time", took, w.most)
-	is.True(w.most <= 64) // one trial above the 32 that it settles on
+	t.Logf("complete after %v; at most %d loads at one time", took, w.maxLoads)
+	is.True(w.maxLoads <= 64) // one trial above the final limit of 32
 	is.True(took <= time.Hour)
 }
 
-// The store refuses. The loads are ordered again every few seconds, and a
-// driver that went on at its full pace would keep it from coming back.
-func TestPaceFallsWhenLoadsComeToNothing(t *testing.T) {
+// Guards against a driver that keeps an overloaded store from recovering. The store
+// refuses, and loads are sent again every few seconds; the limit must fall to one.
+func TestLoadLimitFallsWhenLoadsFail(t *testing.T) {
 	is := is.New(t)
-	w := newPaceWorld(2_500, 1000)
-	for w.m.pace.limit < 64 {
+	w := newLoadWorld(2_500, 1000)
+	for w.m.limiter.limit < 64 {
 		w.step()
 	}
 	w.failing = true
 	for range 600 {
 		w.step()
 	}
-	is.True(w.vain > 0)
-	is.Equal(w.m.pace.limit, 1)
+	is.True(w.failedLoads > 0)
+	is.Equal(w.m.limiter.limit, 1)
 	w.failing = false
-	for w.m.pace.limit < 64 {
+	for w.m.limiter.limit < 64 {
 		w.step()
 	}
 }
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -7,19 +7,19 @@
 	"github.com/hickorybank/hickorybank/internal/config"
 )
 
-// plan is what a configuration wants of the engines.
+// plan is the target that a configuration sets for the engines.
 type plan struct {
 	revision uint64
-	// move says that new orders may be decided.
-	move     bool
-	versions []wanted
-	index    map[string]int
-	// longest is the longest time that a request may take.
-	longest time.Duration
+	// ordersAllowed is set if the preset allows new orders.
+	ordersAllowed bool
+	versions      []versionTarget
+	index         map[string]int
+	// maxDeadline is the longest time that a request may take.
+	maxDeadline time.Duration
 }
 
-// wanted is what is wanted of one version.
-type wanted struct {
+// versionTarget is the configured state of one version.
+type versionTarget struct {
 	name  string
 	model string
 	state config.VersionState
@@ -27,12 +27,12 @@
 }
 
 func newPlan(s *config.Snapshot) *plan {
-	p := &plan{revision: s.Revision, move: s.Preset().RolloutsMove, index: map[string]int{}}
+	p := &plan{revision: s.Revision, ordersAllowed: s.Preset().RolloutsMove, index: map[string]int{}}
 	for i := range s.Doc.Models {
 		p.add(&s.Doc.Models[i])
 	}
 	for i := range s.Doc.Classes {
-		p.longest = max(p.longest, time.Duration(s.Doc.Classes[i].DeadlineMillis)*time.Millisecond)
+		p.maxDeadline = max(p.maxDeadline, time.Duration(s.Doc.Classes[i].DeadlineMillis)*time.Millisecond)
 	}
 	return p
 }
@@ -41,32 +41,32 @@
 	for i := range m.Versions {
 		v := &m.Versions[i]
 		p.index[v.Name] = len(p.versions)
-		p.versions = append(p.versions, wanted{name: v.Name, model: m.Name, state: v.State, share: v.Share})
+		p.versions = append(p.versions, versionTarget{name: v.Name, model: m.Name, state: v.State, share: v.Share})
 	}
 }
 
-// find returns the version's index, or -1.
-func (p *plan) find(version string) int {
+// indexOf returns the version's index, or -1.
+func (p *plan) indexOf(version string) int {
 	if i, ok := p.index[version]; ok {
 		return i
 	}
 	return -1
 }
 
-// indexes returns the versions' indexes without those that are not configured:
-// what else runs on an engine is not this package's to move.
+// indexes returns the indexes of the versions that are configured. Other versions on an
+// engine are not managed by this package.
 func (p *plan) indexes(versions []string) []int {
 	list := make([]int, 0, len(versions))
 	for _, v := range versions {
-		if i := p.find(v); i >= 0 {
+		if i := p.indexOf(v); i >= 0 {
 			list = append(list, i)
 		}
 	}
 	return list
 }
 
-// withdrawsAny says whether any version is withdrawn.
-func (p *plan) withdrawsAny() bool {
+// hasWithdrawn reports whether any version is withdrawn.
+func (p *plan) hasWithdrawn() bool {
 	for i := range p.versions {
 		if p.versions[i].state == config.Withdrawn {
 			return true
@@ -76,7 +76,7 @@
 }
 
 // demand is how many of the engines should have the version.
-func (w *wanted) demand(engines int, s *Settings) int {
+func (w *versionTarget) demand(engines int, s *Settings) int {
 	part := s.ServingPart
 	switch {
 	case w.state == config.Withdrawn:
--- a/internal/rollout/read.go
+++ b/internal/rollout/read.go
@@ -7,87 +7,91 @@
 	"github.com/hickorybank/hickorybank/internal/config"
 )
 
-// readEngines asks engines for their state, at most Settings.ReadsPerSecond:
-// those with an order in hand first, the others in turn.
+// readEngines reads the state of engines, at most Settings.ReadsPerSecond: those with a
+// pending order first, the others in turn.
 func (m *Machine) readEngines() {
 	if m.plan == nil {
 		return
 	}
-	m.fillCredit()
-	m.readHands()
-	gap := m.settings.SeenFor / 4
+	m.refillReadCredit()
+	m.readPendingOrders()
+	gap := m.settings.StateTTL / 4
 	for range m.fleet.engines {
-		if m.credit < 1 {
+		if m.readCredit < 1 {
 			return
 		}
-		e := m.fleet.engines[m.fleet.next%len(m.fleet.engines)]
-		m.fleet.next++
+		e := m.fleet.engines[m.fleet.nextRead%len(m.fleet.engines)]
+		m.fleet.nextRead++
 		m.readEngine(e, gap)
 	}
 }
 
-// readHands leaves half of the reads to the other engines: what is known of
-// them must not grow too old to count while many loads run.
-func (m *Machine) readHands() {
-	left := max(1, m.credit/2)
+// readPendingOrders reads engines with a pending order. It leaves half of the reads to
+// the other engines, so that their states do not expire while many loads run.
+func (m *Machine) readPendingOrders() {
+	remaining := max(1, m.readCredit/2)
 	for range m.fleet.engines {
-		if left < 1 || m.credit < 1 {
+		if remaining < 1 || m.readCredit < 1 {
 			return
 		}
-		e := m.fleet.engines[m.fleet.nextHand%len(m.fleet.engines)]
-		m.fleet.nextHand++
-		if e.hand == nil {
+		e := m.fleet.engines[m.fleet.nextPending%len(m.fleet.engines)]
+		m.fleet.nextPending++
+		if e.order == nil {
 			continue
 		}
-		before := m.credit
+		before := m.readCredit
 		m.readEngine(e, m.settings.Tick)
-		left -= before - m.credit
+		remaining -= before - m.readCredit
 	}
 }
 
-func (m *Machine) fillCredit() {
-	if m.ticked.IsZero() {
-		m.ticked = m.now
+// refillReadCredit adds the reads that were earned since the last tick, up to one tick's
+// worth.
+func (m *Machine) refillReadCredit() {
+	if m.tickedAt.IsZero() {
+		m.tickedAt = m.now
 	}
-	earned := m.now.Sub(m.ticked).Seconds() * m.settings.ReadsPerSecond
+	earned := m.now.Sub(m.tickedAt).Seconds() * m.settings.ReadsPerSecond
 	burst := max(1, m.settings.Tick.Seconds()*m.settings.ReadsPerSecond)
-	m.credit = min(burst, m.credit+earned)
+	m.readCredit = min(burst, m.readCredit+earned)
 }
 
-// readEngine begins a read unless one is out or the last was a moment ago.
+// readEngine begins a read unless one is in flight or the last one began less than gap
+// ago.
 func (m *Machine) readEngine(e *engine, gap time.Duration) {
-	if e.out || m.now.Sub(e.asked) < gap {
+	if e.readInFlight || m.now.Sub(e.readStartedAt) < gap {
 		return
 	}
-	e.out, e.asked = true, m.now
+	e.readInFlight, e.readStartedAt = true, m.now
 	load := m.wantsLoad(e)
-	m.credit--
+	m.readCredit--
 	if load {
-		m.credit--
+		m.readCredit--
 	}
-	m.do(ReadEngine{Engine: e.id, Addr: e.addr, Load: load, Began: m.now})
+	m.emit(ReadEngine{Engine: e.id, Addr: e.addr, Load: load, Began: m.now})
 }
 
-// wantsLoad says whether an idle moment of the engine is waited for.
+// wantsLoad reports whether the engine's load report is needed: it has a withdrawn
+// version and has not been seen idle since the withdrawal is in force.
 func (m *Machine) wantsLoad(e *engine) bool {
-	if m.confirmed != m.plan.revision || e.idleAt.After(m.confirmedAt) {
+	if m.confirmedRevision != m.plan.revision || e.idleAt.After(m.confirmedAt) {
 		return false
 	}
 	withdrawn := func(v int) bool { return m.plan.versions[v].state == config.Withdrawn }
-	return slices.ContainsFunc(e.has, withdrawn) || slices.ContainsFunc(e.loading, withdrawn)
+	return slices.ContainsFunc(e.versions, withdrawn) || slices.ContainsFunc(e.loading, withdrawn)
 }
 
-func (m *Machine) engineAnswered(ev EngineAnswer) {
+func (m *Machine) handleEngineAnswer(ev EngineAnswer) {
 	e := m.fleet.byID[ev.Engine]
-	if e == nil || !e.out || !e.asked.Equal(ev.Began) {
+	if e == nil || !e.readInFlight || !e.readStartedAt.Equal(ev.Began) {
 		return
 	}
-	e.out = false
-	e.tried = ev.Began
+	e.readInFlight = false
+	e.lastReadAt = ev.Began
 	if ev.Failed {
 		return
 	}
-	e.seen = ev.Began
+	e.stateAt = ev.Began
 	e.state = ev.State
 	m.resolve(e)
 	if l := ev.Load; l != nil && l.Running+l.Queued == 0 {
--- a/internal/rollout/report.go
+++ b/internal/rollout/report.go
@@ -2,9 +2,9 @@
 
 import "github.com/hickorybank/hickorybank/internal/config"
 
-// report renews the versions' progress; it is worth a write of its own only
-// when a stage or a share has changed.
-func (m *Machine) report(r *Record) bool {
+// updateProgress sets the versions' progress in the record. It reports whether a stage or
+// share has changed, which is worth a write of its own.
+func (m *Machine) updateProgress(r *Record) bool {
 	old := r.Versions
 	r.Versions = make([]Progress, 0, len(m.plan.versions))
 	changed := len(old) != len(m.plan.versions)
@@ -18,7 +18,7 @@
 		}
 		r.Versions = append(r.Versions, p)
 	}
-	return changed && m.tally.swept
+	return changed && m.fleetCounts.swept
 }
 
 func findProgress(list []Progress, version string) int {
@@ -31,14 +31,14 @@
 }
 
 func (m *Machine) progress(v int) Progress {
-	w, c := &m.plan.versions[v], &m.tally.versions[v]
-	p := Progress{Version: w.name, Share: w.share, Since: stamp(m.now), Wanted: c.demand, Seen: c.ready}
+	w, c := &m.plan.versions[v], &m.fleetCounts.versions[v]
+	p := Progress{Version: w.name, Share: w.share, Since: rowTime(m.now), Wanted: c.demand, Seen: c.ready}
 	if w.state == config.Serving {
 		p.Share = 1
 	}
 	switch {
-	case w.state == config.Withdrawn && c.held > 0:
-		p.Stage, p.Seen = Draining, c.held
+	case w.state == config.Withdrawn && c.present > 0:
+		p.Stage, p.Seen = Draining, c.present
 	case w.state == config.Withdrawn:
 		p.Stage = Gone
 	case c.ready < c.demand:
--- a/internal/rollout/schedule_test.go
+++ b/internal/rollout/schedule_test.go
@@ -10,14 +10,15 @@
 )
 
 const (
-	// faultTime ends the faults, but for pauses and crashes that began in it,
-	// which last up to a minute.
-	faultTime = 130 * time.Second
-	// quietTime is within which a world without faults must be as wanted.
-	quietTime = 240 * time.Second
+	// faultPhase is the time in which faults begin. Pauses and crashes last up to a
+	// minute beyond it.
+	faultPhase = 130 * time.Second
+	// settleLimit is the time without faults within which the engines must match the
+	// configuration.
+	settleLimit = 240 * time.Second
 )
 
-// document reads versions of models, as in "m: a serving, b staged 0.25".
+// document parses the versions of models, as in "m: a serving, b staged 0.25".
 func document(preset string, models ...string) *config.Document {
 	d := &config.Document{
 		Preset:  preset,
@@ -53,7 +54,8 @@
 	return s
 }
 
-// stages are a roll-out from its beginning to the end of what it replaces.
+// stages are the configurations of a roll-out, by preset, up to the withdrawal of the old
+// version.
 var stages = func() (list [2][]*config.Snapshot) {
 	for i, preset := range []string{"ordinary", "maintenance"} {
 		for _, m := range []string{
@@ -69,32 +71,33 @@
 }()
 
 func simSettings(slots int) Settings {
-	return Settings{LoadsAtOnce: 2, Slots: slots, Patience: 20 * time.Second, DrainFor: 30 * time.Second}
+	return Settings{LoadsAtOnce: 2, Slots: slots, OrderTimeout: 20 * time.Second, DrainTimeout: 30 * time.Second}
 }
 
-// drawWorld is the world of a seed, with its schedule of faults.
-func drawWorld(seed uint64, g guards) *world {
+// drawWorld returns the world of a seed, with its schedule of faults.
+func drawWorld(seed uint64, g disabledRules) *world {
 	settings := simSettings([]int{0, 2, 3}[seed%3])
-	// In a quarter of the seeds the pace follows the store, and rows are long.
-	follows := seed%4 == 3
-	if follows {
+	// In a quarter of the seeds the load limit adapts to the store, and the rows count as
+	// long.
+	adaptive := seed%4 == 3
+	if adaptive {
 		settings.LoadsPart = 0.5
 	}
 	w := newWorld(seed, settings, g)
-	if follows {
-		w.few = 1
+	if adaptive {
+		w.immediateOrders = 1
 	}
-	boots := [][]string{{"a"}, {"a", "x"}, {"x"}, {"a", "x"}}
-	all := w.random.IntN(3) == 0
+	bootSets := [][]string{{"a"}, {"a", "x"}, {"x"}, {"a", "x"}}
+	identical := w.random.IntN(3) == 0
 	for i := range 8 {
-		boot := boots[w.random.IntN(len(boots))]
-		if all {
-			boot = boots[1]
+		boot := bootSets[w.random.IntN(len(bootSets))]
+		if identical {
+			boot = bootSets[1]
 		}
 		e := w.addEngine(fmt.Sprintf("e%d", i), fmt.Sprintf("d%d", i%4), w.random.IntN(2) == 0, boot...)
 		e.busy = w.random.IntN(4) == 0
 	}
-	w.look()
+	w.updateView()
 	for range 3 {
 		w.addNode()
 	}
@@ -103,48 +106,48 @@
 	return w
 }
 
-// bring brings a stage in.
-func (w *world) bring(preset, stage int) {
+// adoptStage applies the configuration of a stage.
+func (w *world) adoptStage(preset, stage int) {
 	s := *stages[preset][stage]
 	s.Revision = uint64(len(w.revisions) + 1)
-	w.adopt(&s)
+	w.addRevision(&s)
 }
 
 func (w *world) drawStages() {
 	stage, preset := 0, 0
-	w.bring(0, 0)
+	w.adoptStage(0, 0)
 	for i, at := range []time.Duration{10 * time.Second, 40 * time.Second, 70 * time.Second} {
-		w.after(at+w.random64(15*time.Second), func() {
+		w.after(at+w.randomDuration(15*time.Second), func() {
 			stage = i + 1
-			w.bring(preset, stage)
+			w.adoptStage(preset, stage)
 		})
 	}
 	if w.random.IntN(3) == 0 {
-		at := w.random64(80 * time.Second)
-		w.after(at, func() { preset = 1; w.bring(preset, stage) })
-		w.after(at+w.random64(40*time.Second), func() { preset = 0; w.bring(preset, stage) })
+		at := w.randomDuration(80 * time.Second)
+		w.after(at, func() { preset = 1; w.adoptStage(preset, stage) })
+		w.after(at+w.randomDuration(40*time.Second), func() { preset = 0; w.adoptStage(preset, stage) })
 	}
 	if w.random.IntN(8) == 0 {
-		w.after(95*time.Second, func() { stage = 2; w.bring(preset, stage) })
-		w.after(115*time.Second, func() { stage = 3; w.bring(preset, stage) })
+		w.after(95*time.Second, func() { stage = 2; w.adoptStage(preset, stage) })
+		w.after(115*time.Second, func() { stage = 3; w.adoptStage(preset, stage) })
 	}
 }
 
 func (w *world) drawFaults() {
-	rate := func(of float64) float64 {
+	rate := func(limit float64) float64 {
 		if w.random.IntN(2) == 0 {
 			return 0
 		}
-		return of * w.random.Float64()
+		return limit * w.random.Float64()
 	}
 	w.faults = faults{
 		pauses: rate(0.1), loseAcks: rate(0.2), lateWrites: rate(0.1), lateOrders: rate(0.3), loseOrderAcks: rate(0.3), failLoads: rate(0.4),
-		late: 40 * time.Second, load: 2*time.Second + w.random64(20*time.Second),
+		delay: 40 * time.Second, loadTime: 2*time.Second + w.randomDuration(20*time.Second),
 	}
 	for range w.random.IntN(6) {
-		w.after(w.random64(faultTime), w.drawFault)
+		w.after(w.randomDuration(faultPhase), w.drawFault)
 	}
-	w.after(faultTime, func() { w.faults = faults{load: w.faults.load} })
+	w.after(faultPhase, func() { w.faults = faults{loadTime: w.faults.loadTime} })
 }
 
 func (w *world) drawFault() {
@@ -153,56 +156,56 @@
 		n = holder
 	}
 	e := w.engines[w.random.IntN(len(w.engines))]
-	long := time.Second + w.random64(60*time.Second)
+	duration := time.Second + w.randomDuration(60*time.Second)
 	switch w.random.IntN(8) {
 	case 0, 1:
-		n.pause(long)
+		n.pause(duration)
 	case 2:
 		if !n.down {
 			n.crash()
-			w.after(long, n.boot)
+			w.after(duration, n.boot)
 		}
 	case 3:
 		w.faults.tableDown = true
-		w.after(long/2, func() { w.faults.tableDown = false })
+		w.after(duration/2, func() { w.faults.tableDown = false })
 	case 4:
-		e.fail(long / 3)
+		e.fail(duration / 3)
 	case 5:
 		for _, x := range w.engines {
 			if x.domain == e.domain {
-				x.fail(long / 2)
+				x.fail(duration / 2)
 			}
 		}
 	case 6:
 		n.close()
 	case 7:
 		w.faults.inForceOut = true
-		w.after(long, func() { w.faults.inForceOut = false })
+		w.after(duration, func() { w.faults.inForceOut = false })
 	}
 }
 
-// outcome is what became of a seed.
+// outcome is the result of a seed.
 type outcome struct {
-	broken  string
-	strays  int
-	settled time.Duration // after the last fault
+	violation   string
+	strayOrders int
+	settled     time.Duration // time from the last fault until the engines matched
 }
 
-func runSeed(seed uint64, g guards) outcome {
+func runSeed(seed uint64, g disabledRules) outcome {
 	w := drawWorld(seed, g)
 	return w.finish()
 }
 
 func (w *world) finish() outcome {
-	end := w.start.Add(faultTime)
+	end := w.start.Add(faultPhase)
 	w.runUntil(end)
-	const look = 5 * time.Second
+	const step = 5 * time.Second
 	after := time.Duration(0)
-	for ; w.broken == "" && w.unsettled() != "" && after < quietTime; after += look {
-		w.runUntil(w.now.Add(look))
+	for ; w.violation == "" && w.unsettled() != "" && after < settleLimit; after += step {
+		w.runUntil(w.now.Add(step))
 	}
-	if w.broken == "" && w.unsettled() != "" {
-		w.violate("%s, %v after the last fault", w.unsettled(), after)
+	if w.violation == "" && w.unsettled() != "" {
+		w.violatef("%s, %v after the last fault", w.unsettled(), after)
 	}
-	return outcome{broken: w.broken, strays: w.strays, settled: after}
+	return outcome{violation: w.violation, strayOrders: w.strayOrders, settled: after}
 }
--- a/internal/rollout/script_test.go
+++ b/internal/rollout/script_test.go
@@ -12,7 +12,8 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// TestScripts runs the stories in testdata in virtual time.
+// Runs the scenarios in testdata in virtual time; their heads say what they guard
+// against.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		var s script
@@ -47,7 +48,7 @@
 	case "table":
 		s.w.faults.tableDown = name(d) == "down"
 	case "loads-take":
-		s.w.faults.load = duration(t, d, 0)
+		s.w.faults.loadTime = duration(t, d, 0)
 	case "next-order":
 		s.nextOrder(t, d)
 	case "next-write":
@@ -59,15 +60,15 @@
 	default:
 		t.Fatalf("%s: unknown command %q", d.Pos, d.Cmd)
 	}
-	return s.said()
+	return s.output()
 }
 
-// said is what was noted since.
-func (s *script) said() string {
+// output returns what was logged since the last command.
+func (s *script) output() string {
 	text := s.w.log.String()
 	s.w.log.Reset()
-	if s.w.broken != "" {
-		text += "broken: " + s.w.broken + "\n"
+	if s.w.violation != "" {
+		text += "broken: " + s.w.violation + "\n"
 	}
 	if text == "" {
 		return "ok"
@@ -84,12 +85,12 @@
 	d.MaybeScanArgs(t, "boot", &boot)
 	settings := simSettings(slots)
 	d.MaybeScanArgs(t, "part", &settings.ServingPart)
-	s.w = newWorld(1, settings, guards{})
+	s.w = newWorld(1, settings, disabledRules{})
 	s.w.verbose = true
 	for i := range engines {
 		s.w.addEngine(fmt.Sprintf("e%d", i), fmt.Sprintf("d%d", i%4), honour, strings.Split(boot, "+")...)
 	}
-	s.w.look()
+	s.w.updateView()
 	for range nodes {
 		s.w.addNode()
 	}
@@ -98,36 +99,36 @@
 func (s *script) config(d *datadriven.TestData) {
 	snapshot := compile(name(d), strings.Split(strings.TrimSpace(d.Input), "\n")...)
 	snapshot.Revision = uint64(len(s.w.revisions) + 1)
-	s.w.adopt(snapshot)
+	s.w.addRevision(snapshot)
 }
 
-// fail fails an engine or a failure domain.
-func (s *script) fail(id string, back time.Duration) {
+// fail crashes an engine, or all of a failure domain.
+func (s *script) fail(id string, downtime time.Duration) {
 	for _, e := range s.w.engines {
 		if e.id == id || e.domain == id {
-			e.fail(back)
+			e.fail(downtime)
 		}
 	}
 }
 
-// nextOrder says what happens to the next order of an action: its node is
-// paused before it leaves, or it is late on the wire, or its answer is lost.
+// nextOrder sets what happens to the next order of an action: its node is paused before
+// it is sent, the order is delayed on the network, or its answer is lost.
 func (s *script) nextOrder(t *testing.T, d *datadriven.TestData) {
-	action, fate := upstream.OrderAction(name(d)), d.CmdArgs[1].Key
-	long := duration(t, d, 2)
-	s.w.atOrder = func(n *simNode, o SendOrder) {
+	action, effect := upstream.OrderAction(name(d)), d.CmdArgs[1].Key
+	delay := duration(t, d, 2)
+	s.w.onOrder = func(n *simNode, o SendOrder) {
 		if o.Order.Action != action {
 			return
 		}
-		s.w.atOrder = nil
-		switch fate {
+		s.w.onOrder = nil
+		switch effect {
 		case "paused":
-			n.pause(long)
+			n.pause(delay)
 		case "late":
-			s.w.lateFor = long
+			s.w.nextOrderDelay = delay
 		case "lost":
 			s.w.faults.loseOrderAcks = 1
-			s.w.after(long, func() { s.w.faults.loseOrderAcks = 0 })
+			s.w.after(delay, func() { s.w.faults.loseOrderAcks = 0 })
 		}
 	}
 }
--- a/internal/rollout/seeds_norace_test.go
+++ b/internal/rollout/seeds_norace_test.go
@@ -4,10 +4,10 @@
 
 const (
 	seeds = 10_000
-	// guardSeeds are enough for each missing guard to show.
+	// guardSeeds is enough for each disabled rule to cause a violation.
 	guardSeeds = 1_000
-	// stepStride tries each step.
+	// stepStride of 1 tries each step.
 	stepStride = 1
-	// largest is the size of the fleet to come, in engines.
-	largest = 10_000
+	// maxEngines is the size of the largest simulated fleet.
+	maxEngines = 10_000
 )
--- a/internal/rollout/seeds_race_test.go
+++ b/internal/rollout/seeds_race_test.go
@@ -2,11 +2,11 @@
 
 package rollout
 
-// There are fewer under the race detector, which has nothing to find in the
-// core: it has no goroutines. CI runs both.
+// Fewer runs: the machine has no goroutines, so the race detector finds nothing in it. CI
+// runs both sets.
 const (
 	seeds      = 300
 	guardSeeds = 100
 	stepStride = 7
-	largest    = 2_500 // engines
+	maxEngines = 2_500 // engines
 )
--- a/internal/rollout/seeds_test.go
+++ b/internal/rollout/seeds_test.go
@@ -12,13 +12,13 @@
 
 const workers = 4
 
-// sweepSeeds runs the seeds and returns how many broke an invariant, with the
-// first of them.
-func sweepSeeds(t testing.TB, from, seeds uint64, g guards) (failed int, first uint64, said string) {
+// sweepSeeds runs the seeds. It returns how many violated an invariant, and the lowest
+// such seed with its violation.
+func sweepSeeds(t testing.TB, from, seeds uint64, g disabledRules) (failed int, first uint64, violation string) {
 	t.Helper()
 	var next atomic.Uint64
 	var mu sync.Mutex
-	var strays int
+	var strayOrders int
 	var slowest time.Duration
 	var wg conc.WaitGroup
 	for range workers {
@@ -26,31 +26,31 @@
 			for seed := from + next.Add(1) - 1; seed < from+seeds; seed = from + next.Add(1) - 1 {
 				o := runSeed(seed, g)
 				mu.Lock()
-				strays += o.strays
+				strayOrders += o.strayOrders
 				slowest = max(slowest, o.settled)
-				if o.broken != "" {
+				if o.violation != "" {
 					failed++
 				}
-				if o.broken != "" && (said == "" || seed < first) {
-					first, said = seed, o.broken
+				if o.violation != "" && (violation == "" || seed < first) {
+					first, violation = seed, o.violation
 				}
 				mu.Unlock()
 			}
 		})
 	}
 	wg.Wait()
-	t.Logf("%d seeds, %d broken, %d late orders took effect, settled at most %v after the last fault", seeds, failed, strays, slowest)
-	return failed, first, said
+	t.Logf("%d seeds, %d broken, %d late orders took effect, settled at most %v after the last fault", seeds, failed, strayOrders, slowest)
+	return failed, first, violation
 }
 
-// Anything may fail at any moment, together or twice: drivers pause, crash and
-// come back, the table is down or loses answers, orders come late, engines and
-// failure domains are lost, loads fail. Whatever happens, no order may take a
-// version below its demand, load a withdrawn version, or overrun the pace; and
-// the engines must come to what is wanted once the faults end.
+// Guards against faults in any combination. Drivers pause, crash and restart; the table
+// is down or loses answers; orders arrive late; engines and failure domains are lost;
+// loads fail. No order may take a version below its demand, load a withdrawn version, or
+// exceed the limit of loads. The engines must match the configuration once the faults
+// end.
 func TestSeeds(t *testing.T) {
-	if failed, first, said := sweepSeeds(t, *firstSeed, seeds, guards{}); failed > 0 {
-		t.Fatalf("%d of %d seeds; seed %d: %s", failed, seeds, first, said)
+	if failed, first, violation := sweepSeeds(t, *firstSeed, seeds, disabledRules{}); failed > 0 {
+		t.Fatalf("%d of %d seeds; seed %d: %s", failed, seeds, first, violation)
 	}
 }
 
@@ -58,15 +58,16 @@
 
 var oneSeed = flag.Uint64("seed", 0, "run this seed alone and print what happens in it")
 
+// Runs the seed given by -seed and logs its events.
 func TestOneSeed(t *testing.T) {
 	if *oneSeed == 0 {
 		t.Skip("no -seed is given")
 	}
-	w := drawWorld(*oneSeed, guards{})
+	w := drawWorld(*oneSeed, disabledRules{})
 	w.verbose = true
 	o := w.finish()
 	t.Log(w.log.String())
-	if o.broken != "" {
-		t.Fatal(o.broken)
+	if o.violation != "" {
+		t.Fatal(o.violation)
 	}
 }
--- a/internal/rollout/send.go
+++ b/internal/rollout/send.go
@@ -10,19 +10,19 @@
 // farFuture stands for no limit.
 const farFuture = 100 * 365 * 24 * time.Hour
 
-// send gives out the orders in hand that are due. The row must have been seen
-// to be this node's a moment ago, by this node's monotonic clock: a node that
-// was paused finds the proof too old and reads the row again, and one that is
-// paused between here and the wire finds it at Before. What is paused on the
-// wire itself is refused by engines that honour the fencing number; at others
-// the next holder sees it in the engine's state and puts it right.
+// send sends the pending orders that are due. The row must have been this node's within
+// OwnershipTTL, by this node's monotonic clock. A node that was paused finds that time
+// exceeded and reads the row again. One that is paused after this check is stopped by
+// SendOrder.Before. An order that is delayed on the network is refused by engines that
+// honour the fencing token. At other engines the next holder sees its effect in the
+// engine's state and corrects it.
 func (m *Machine) send() {
 	for _, e := range m.fleet.engines {
-		if e.hand == nil || !m.due(e) || !m.allowed(e) {
+		if e.order == nil || !m.due(e) || !m.allowed(e) {
 			continue
 		}
-		if !m.guards.noProof && m.now.Sub(m.row.proof) >= m.settings.ProofFor {
-			if !m.row.busy {
+		if !m.disabled.noOwnershipCheck && m.now.Sub(m.row.ownedAt) >= m.settings.OwnershipTTL {
+			if !m.row.callInFlight {
 				m.readRow()
 			}
 			return
@@ -32,70 +32,70 @@
 }
 
 func (m *Machine) sendTo(e *engine) {
-	h := e.hand
-	m.noteVain(e)
-	if h.began.IsZero() {
-		h.began = m.now
+	o := e.order
+	m.recordFailedLoad(e)
+	if o.loadStartedAt.IsZero() {
+		o.loadStartedAt = m.now
 	}
-	h.sentAt, h.out = m.now, true
-	before := m.row.proof.Add(m.settings.ProofFor)
+	o.sentAt, o.out = m.now, true
+	before := m.row.ownedAt.Add(m.settings.OwnershipTTL)
 	revision := m.plan.revision
-	if m.guards.noProof {
+	if m.disabled.noOwnershipCheck {
 		before = m.now.Add(farFuture)
 	}
-	if m.guards.noRevision {
+	if m.disabled.noRevisionCheck {
 		revision = 0
 	}
-	m.do(SendOrder{
+	m.emit(SendOrder{
 		Engine:   e.id,
 		Addr:     e.addr,
-		Order:    upstream.Order{Fence: m.row.term, Action: h.pending.Action, Version: h.pending.Version},
+		Order:    upstream.Order{Fence: m.row.term, Action: o.pending.Action, Version: o.pending.Version},
 		Before:   before,
 		Revision: revision,
 		Began:    m.now,
 	})
 }
 
-// due says whether the order should be sent, for the first time or again: it
-// was not acknowledged, or a state read since shows nothing of it. Orders are
-// idempotent at the engine.
+// due reports whether the order should be sent, for the first time or again: it was not
+// acknowledged, or a state read since shows no effect. Orders are idempotent at the
+// engine.
 func (m *Machine) due(e *engine) bool {
-	h := e.hand
-	if h.out || !e.live || m.finished(&h.pending) || m.lost(e) {
+	o := e.order
+	if o.out || !e.live || m.finished(&o.pending) || m.timedOut(e) {
 		return false
 	}
-	if h.sentAt.IsZero() {
+	if o.sentAt.IsZero() {
 		return true
 	}
-	if m.now.Sub(h.sentAt) < m.resendGap() {
+	if m.now.Sub(o.sentAt) < m.resendInterval() {
 		return false
 	}
-	loading := h.pending.Action == upstream.LoadVersion && slices.Contains(e.state.Loading, h.pending.Version)
-	return !h.taken || e.seen.After(h.sentAt) && !loading
+	loading := o.pending.Action == upstream.LoadVersion && slices.Contains(e.state.Loading, o.pending.Version)
+	return !o.acknowledged || e.stateAt.After(o.sentAt) && !loading
 }
 
-// resendGap leaves time for two reads of the engine's state.
-func (m *Machine) resendGap() time.Duration { return m.settings.CallTimeout + 2*m.settings.Tick }
+// resendInterval leaves time for two reads of the engine's state.
+func (m *Machine) resendInterval() time.Duration { return m.settings.CallTimeout + 2*m.settings.Tick }
 
-func (m *Machine) orderAnswered(ev OrderAnswer) {
+func (m *Machine) handleOrderAnswer(ev OrderAnswer) {
 	e := m.fleet.byID[ev.Engine]
-	if e == nil || e.hand == nil || !e.hand.out || !e.hand.sentAt.Equal(ev.Began) {
+	if e == nil || e.order == nil || !e.order.out || !e.order.sentAt.Equal(ev.Began) {
 		return
 	}
-	e.hand.out = false
+	e.order.out = false
 	switch ev.Result {
-	case OrderTaken:
-		e.hand.taken = true
-	case OrderInDoubt:
-		m.doubtAt = m.now
+	case OrderAccepted:
+		e.order.acknowledged = true
+	case OrderUnknown:
+		m.abandonedAt = m.now
 	case OrderStale:
-		// Somebody holds a later term, or the engine remembers one of a row that
-		// is no more: the row and the engine's state tell which.
-		m.row.proof = time.Time{}
-		m.row.unsure = true
+		// Another node holds a later term, or the engine has seen a token of a row that
+		// was lost. The row and the engine's state show which.
+		m.row.ownedAt = time.Time{}
+		m.row.needsRead = true
 	case OrderNotSent:
 	}
-	if m.guards.doneOnAck && ev.Result == OrderTaken {
-		m.advanceHeld()
+	if m.disabled.doneOnAck && ev.Result == OrderAccepted {
+		m.advanceIfHolding()
 	}
 }
--- a/internal/rollout/settings.go
+++ b/internal/rollout/settings.go
@@ -6,103 +6,103 @@
 	"github.com/rotisserie/eris"
 )
 
-// Values of settings that are left at zero.
+// Defaults of the fields of [Settings].
 const (
-	DefaultLoadsAtOnce    = 4
-	DefaultLoadsAtMost    = 128
-	DefaultLoadsPart      = 1.0 / 16
+	DefaultInitialLoads   = 4
+	DefaultMaxLoads       = 128
+	DefaultMaxLoadsPart   = 1.0 / 16
 	DefaultMinEngines     = 2
 	DefaultServingPart    = 0.5
 	DefaultReadsPerSecond = 50
 	DefaultTick           = time.Second
 	DefaultLease          = 15 * time.Second
-	DefaultProofFor       = 2 * time.Second
+	DefaultOwnershipTTL   = 2 * time.Second
 	DefaultCallTimeout    = 2 * time.Second
-	DefaultPatience       = time.Minute
-	DefaultSeenFor        = 30 * time.Second
-	DefaultDrainFor       = 10 * time.Minute
+	DefaultOrderTimeout   = time.Minute
+	DefaultStateTTL       = 30 * time.Second
+	DefaultDrainTimeout   = 10 * time.Minute
 )
 
-// Settings bound what a Driver does; zero fields take the defaults.
+// Settings configure a Driver; zero fields take the defaults.
 type Settings struct {
-	// LoadsAtOnce is how many engines load a version at one time until it was
-	// seen how many the weight store bears.
+	// LoadsAtOnce is how many engines load a version at one time before the weight
+	// store's capacity is known.
 	LoadsAtOnce int
-	// LoadsAtMost and LoadsPart, of the live engines, bound that number; it may
-	// be LoadsAtOnce in any case. As many unloads may be in hand beside them.
+	// LoadsAtMost, and LoadsPart as a part of the live engines, bound that number; it may
+	// always reach LoadsAtOnce. As many unloads may be pending beside the loads.
 	LoadsAtMost int
 	LoadsPart   float64
-	// MinEngines is the least number of engines that a version with a share
-	// wants, whatever its share.
+	// MinEngines is the least number of engines for a version with a share, however small
+	// the share is.
 	MinEngines int
-	// ServingPart in (0,1] is the part of the engines that a serving version
-	// wants; a staged one wants its share of that.
+	// ServingPart in (0,1] is the part of the engines that should have a serving version;
+	// a staged version gets its share of that part.
 	ServingPart float64
-	// Slots is how many versions an engine has room for; 0 means no bound.
+	// Slots is how many versions fit on an engine; 0 means no bound.
 	Slots int
 	// ReadsPerSecond bounds how often engines are asked for their state.
 	ReadsPerSecond float64
 	// Tick is the time between two decisions.
 	Tick time.Duration
-	// Lease is how long the row must stay unchanged, by the clock of a node
-	// that watches it, before that node takes it over.
+	// Lease is how long the row must stay unchanged, by the clock of a node that watches
+	// it, before that node takes it over.
 	Lease time.Duration
-	// ProofFor is how long after the row was seen to be this node's an order
-	// may still leave it.
-	ProofFor time.Duration
+	// OwnershipTTL is how long after a call that showed the row to be this node's an
+	// order may still be sent.
+	OwnershipTTL time.Duration
 	// CallTimeout bounds a call to the table or to an engine.
 	CallTimeout time.Duration
-	// Patience is how long an order may show no effect before another engine
-	// is tried.
-	Patience time.Duration
-	// SeenFor is how long an engine's state counts after it was read; a fleet
-	// that takes longer to read stretches it to two rounds.
-	SeenFor time.Duration
-	// DrainFor is how long work on a withdrawn version may go on after the
+	// OrderTimeout is how long an order may show no effect before another engine is
+	// tried.
+	OrderTimeout time.Duration
+	// StateTTL is how long an engine's state counts after it was read. In a fleet that
+	// takes longer to read it is extended to two rounds of reads.
+	StateTTL time.Duration
+	// DrainTimeout is how long requests on a withdrawn version may run after the
 	// withdrawal is in force, on an engine that never reports to be idle.
-	DrainFor time.Duration
+	DrainTimeout time.Duration
 }
 
-// WithDefaults returns the settings with zero fields filled in.
+// WithDefaults returns the settings with zero fields replaced by the defaults.
 func (s Settings) WithDefaults() Settings {
-	fill(&s.LoadsAtOnce, DefaultLoadsAtOnce)
-	fill(&s.LoadsAtMost, DefaultLoadsAtMost)
-	fill(&s.LoadsPart, DefaultLoadsPart)
-	fill(&s.MinEngines, DefaultMinEngines)
-	fill(&s.ServingPart, DefaultServingPart)
-	fill(&s.ReadsPerSecond, DefaultReadsPerSecond)
-	fill(&s.Tick, DefaultTick)
-	fill(&s.Lease, DefaultLease)
-	fill(&s.ProofFor, DefaultProofFor)
-	fill(&s.CallTimeout, DefaultCallTimeout)
-	fill(&s.Patience, DefaultPatience)
-	fill(&s.SeenFor, DefaultSeenFor)
-	fill(&s.DrainFor, DefaultDrainFor)
+	setDefault(&s.LoadsAtOnce, DefaultInitialLoads)
+	setDefault(&s.LoadsAtMost, DefaultMaxLoads)
+	setDefault(&s.LoadsPart, DefaultMaxLoadsPart)
+	setDefault(&s.MinEngines, DefaultMinEngines)
+	setDefault(&s.ServingPart, DefaultServingPart)
+	setDefault(&s.ReadsPerSecond, DefaultReadsPerSecond)
+	setDefault(&s.Tick, DefaultTick)
+	setDefault(&s.Lease, DefaultLease)
+	setDefault(&s.OwnershipTTL, DefaultOwnershipTTL)
+	setDefault(&s.CallTimeout, DefaultCallTimeout)
+	setDefault(&s.OrderTimeout, DefaultOrderTimeout)
+	setDefault(&s.StateTTL, DefaultStateTTL)
+	setDefault(&s.DrainTimeout, DefaultDrainTimeout)
 	return s
 }
 
-func fill[T comparable](field *T, value T) {
+func setDefault[T comparable](field *T, value T) {
 	var zero T
 	if *field == zero {
 		*field = value
 	}
 }
 
-// Validate reports the first setting that cannot be used.
+// Validate returns an error for the first setting that is out of range.
 func (s Settings) Validate() error {
 	switch {
 	case s.LoadsAtOnce < 1, s.LoadsAtMost < 1, s.MinEngines < 1, s.Slots < 0:
-		return eris.New("roll-outs: a count is too small")
+		return eris.Errorf("roll-outs: counts are out of range: LoadsAtOnce %d, LoadsAtMost %d and MinEngines %d must be at least 1, Slots %d at least 0", s.LoadsAtOnce, s.LoadsAtMost, s.MinEngines, s.Slots)
 	case !(s.ServingPart > 0 && s.ServingPart <= 1):
-		return eris.New("roll-outs: ServingPart is not above 0 and at most 1")
+		return eris.Errorf("roll-outs: ServingPart %v is not above 0 and at most 1", s.ServingPart)
 	case !(s.LoadsPart > 0 && s.LoadsPart <= 1):
-		return eris.New("roll-outs: LoadsPart is not above 0 and at most 1")
+		return eris.Errorf("roll-outs: LoadsPart %v is not above 0 and at most 1", s.LoadsPart)
 	case !(s.ReadsPerSecond > 0):
-		return eris.New("roll-outs: ReadsPerSecond is not above 0")
-	case min(s.Tick, s.CallTimeout, s.Patience, s.SeenFor, s.DrainFor) <= 0:
-		return eris.New("roll-outs: a duration is not above 0")
-	case s.ProofFor <= 0 || s.Lease < renewals*s.ProofFor:
-		return eris.New("roll-outs: Lease is below three times ProofFor")
+		return eris.Errorf("roll-outs: ReadsPerSecond %v is not above 0", s.ReadsPerSecond)
+	case min(s.Tick, s.CallTimeout, s.OrderTimeout, s.StateTTL, s.DrainTimeout) <= 0:
+		return eris.Errorf("roll-outs: Tick %v, CallTimeout %v, OrderTimeout %v, StateTTL %v and DrainTimeout %v must be above 0", s.Tick, s.CallTimeout, s.OrderTimeout, s.StateTTL, s.DrainTimeout)
+	case s.OwnershipTTL <= 0 || s.Lease < renewals*s.OwnershipTTL:
+		return eris.Errorf("roll-outs: OwnershipTTL %v must be above 0 and Lease %v at least %d times as long", s.OwnershipTTL, s.Lease, renewals)
 	}
 	return nil
 }
--- a/internal/rollout/statebench_test.go
+++ b/internal/rollout/statebench_test.go
@@ -13,7 +13,7 @@
 	"github.com/hickorybank/hickorybank/internal/upstream/client"
 )
 
-// countingListener counts the bytes of its connections, both ways.
+// countingListener counts the bytes of its connections in both directions.
 type countingListener struct {
 	net.Listener
 	bytes *atomic.Int64
@@ -41,15 +41,15 @@
 	return n, err
 }
 
-// BenchmarkReadState is one read of an engine's state with 24 versions, over
-// loopback; the time is of both ends.
+// BenchmarkReadState measures one read of an engine's state with 24 versions over
+// loopback; the time includes both ends.
 func BenchmarkReadState(b *testing.B) {
-	d := newBench(b, 1)
-	var bytes atomic.Int64
+	d := newSweptDriver(b, 1)
+	var transferred atomic.Int64
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_ = json.NewEncoder(w).Encode(upstream.EngineState{Fence: 7, Versions: d.versions})
 	}))
-	s.Listener = countingListener{s.Listener, &bytes}
+	s.Listener = countingListener{s.Listener, &transferred}
 	s.Start()
 	defer s.Close()
 	engines := client.NewEngines(client.Options{})
@@ -61,5 +61,5 @@
 			b.Fatal(err)
 		}
 	}
-	b.ReportMetric(float64(bytes.Load())/float64(b.N), "wire-B/op")
+	b.ReportMetric(float64(transferred.Load())/float64(b.N), "wire-B/op")
 }
--- a/internal/rollout/status.go
+++ b/internal/rollout/status.go
@@ -5,32 +5,31 @@
 	"time"
 )
 
-// Status is how far one version's roll-out or withdrawal is.
+// Status is the state of one version's roll-out or withdrawal, for operators.
 type Status struct {
 	Version string
 	Stage   Stage
-	// Share in [0,1] is the part of its model's requests that the version may
-	// take.
+	// Share in [0,1] is the part of its model's requests that the version may get.
 	Share float64
-	// Holder is the id of the node that drives; empty when none does.
+	// Holder is the id of the node that drives; empty if none does.
 	Holder string
-	// Since is when the version came to this stage, by the holder's clock.
+	// Since is when the version reached this stage, by the holder's clock.
 	Since  time.Time
 	Detail string
 }
 
-// Stage is how far the engines are from what is wanted of a version.
+// Stage says how far the engines are from the target of a version.
 type Stage string
 
-// The stages.
+// Stages of a version.
 const (
-	// Loading: fewer engines have the version than are wanted.
+	// Loading means that fewer engines have the version than should.
 	Loading Stage = "loading"
-	// Settled: as many engines have the version as are wanted.
+	// Settled means that as many engines have the version as should.
 	Settled Stage = "settled"
-	// Draining: withdrawn, and some engine still has the version.
+	// Draining means that the version is withdrawn and some engine still has it.
 	Draining Stage = "draining"
-	// Gone: withdrawn, and no engine that could be read has the version.
+	// Gone means that the version is withdrawn and no engine that could be read has it.
 	Gone Stage = "gone"
 )
 
--- a/internal/rollout/tally.go
+++ b/internal/rollout/tally.go
@@ -7,94 +7,94 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// tally counts, at one instant, what the engines were seen to have.
-type tally struct {
-	// swept says that every live engine was asked since the row was taken.
+// counts are the versions that the engines were seen with, at one time.
+type counts struct {
+	// swept is set if every live engine was read since sweepStart.
 	swept bool
-	// fence is the highest fencing number that an engine has seen.
-	fence uint64
-	// loadsSeen are loads under way that are not in hand.
-	loadsSeen int
-	versions  []count
+	// maxFence is the highest fencing token that an engine has seen.
+	maxFence uint64
+	// untrackedLoads are running loads without a pending order.
+	untrackedLoads int
+	versions       []versionCount
 }
 
-// count is of one version.
-type count struct {
+// versionCount counts the engines of one version.
+type versionCount struct {
 	demand int
-	// ready engines are live, were lately seen with the version, and have no
-	// order in hand to unload it.
+	// ready engines are live, were recently seen with the version, and have no pending
+	// order to unload it.
 	ready int
-	// coming engines load it, or are ordered to.
-	coming int
-	// held engines still have it or load it, as far as is known.
-	held int
-	// spread is ready and coming by failure domain.
-	spread []int
+	// loading engines load the version, or are ordered to.
+	loading int
+	// present engines still have the version or load it, as far as is known.
+	present int
+	// perDomain is the sum of ready and loading by failure domain.
+	perDomain []int
 }
 
-func (m *Machine) count() {
-	t := &m.tally
-	t.swept, t.fence, t.loadsSeen = true, 0, 0
+func (m *Machine) countVersions() {
+	t := &m.fleetCounts
+	t.swept, t.maxFence, t.untrackedLoads = true, 0, 0
 	t.versions = slices.Grow(t.versions[:0], len(m.plan.versions))[:len(m.plan.versions)]
 	for i := range t.versions {
 		c := &t.versions[i]
-		spread := slices.Grow(c.spread[:0], len(m.fleet.domains))[:len(m.fleet.domains)]
+		spread := slices.Grow(c.perDomain[:0], len(m.fleet.domains))[:len(m.fleet.domains)]
 		clear(spread)
-		*c = count{demand: m.plan.versions[i].demand(m.fleet.wantedOn, &m.settings), spread: spread}
+		*c = versionCount{demand: m.plan.versions[i].demand(m.fleet.targetEngines, &m.settings), perDomain: spread}
 	}
-	oldest := m.now.Add(-m.seenFor())
+	oldest := m.now.Add(-m.stateTTL())
 	for _, e := range m.fleet.engines {
 		m.countEngine(e, oldest)
 	}
 }
 
 func (m *Machine) countEngine(e *engine, oldest time.Time) {
-	t := &m.tally
-	if e.live && !e.tried.After(m.takenAt) && !m.guards.noSweep {
+	t := &m.fleetCounts
+	if e.live && !e.lastReadAt.After(m.sweepStart) && !m.disabled.noSweep {
 		t.swept = false
 	}
-	t.fence = max(t.fence, e.state.Fence)
-	for _, v := range e.has {
-		t.versions[v].held++
-		if e.live && e.seen.After(oldest) && !e.unloading(v) {
+	t.maxFence = max(t.maxFence, e.state.Fence)
+	for _, v := range e.versions {
+		t.versions[v].present++
+		if e.live && e.stateAt.After(oldest) && !e.orderedToUnload(v) {
 			t.versions[v].ready++
-			t.versions[v].spread[e.domain]++
+			t.versions[v].perDomain[e.domain]++
 		}
 	}
 	for _, v := range e.loading {
-		t.versions[v].held++
-		if e.loadingInHand(v) {
+		t.versions[v].present++
+		if e.orderedToLoad(v) {
 			continue
 		}
-		t.loadsSeen++
-		if !e.unloading(v) {
-			t.versions[v].come(e.domain)
+		t.untrackedLoads++
+		if !e.orderedToUnload(v) {
+			t.versions[v].addLoading(e.domain)
 		}
 	}
-	if h := e.hand; h != nil && h.version >= 0 && e.loadingInHand(h.version) && !slices.Contains(e.has, h.version) {
-		t.versions[h.version].come(e.domain)
+	if o := e.order; o != nil && o.version >= 0 && e.orderedToLoad(o.version) && !slices.Contains(e.versions, o.version) {
+		t.versions[o.version].addLoading(e.domain)
 	}
 }
 
-func (c *count) come(domain int) {
-	c.coming++
-	c.spread[domain]++
+func (c *versionCount) addLoading(domain int) {
+	c.loading++
+	c.perDomain[domain]++
 }
 
-func (e *engine) loadingInHand(version int) bool {
-	return e.hand != nil && e.hand.version == version && e.hand.pending.Action == upstream.LoadVersion
+func (e *engine) orderedToLoad(version int) bool {
+	return e.order != nil && e.order.version == version && e.order.pending.Action == upstream.LoadVersion
 }
 
-func (e *engine) unloading(version int) bool {
-	return e.hand != nil && e.hand.version == version && e.hand.pending.Action == upstream.UnloadVersion
+func (e *engine) orderedToUnload(version int) bool {
+	return e.order != nil && e.order.version == version && e.order.pending.Action == upstream.UnloadVersion
 }
 
-// seenFor stretches with the fleet: a state counts for two rounds of reads, of
-// which half may go to engines with an order in hand.
-func (m *Machine) seenFor() time.Duration {
+// stateTTL is how long an engine's state counts. It grows with the fleet to two rounds of
+// reads, half of which may go to engines with a pending order.
+func (m *Machine) stateTTL() time.Duration {
 	round := time.Duration(float64(len(m.fleet.engines)) / m.settings.ReadsPerSecond * float64(time.Second))
-	if len(m.row.record.Orders) > m.few {
+	if len(m.row.record.Orders) > m.immediateOrders {
 		round *= 2
 	}
-	return max(m.settings.SeenFor, 2*round)
+	return max(m.settings.StateTTL, 2*round)
 }
--- a/internal/rollout/world_check_test.go
+++ b/internal/rollout/world_check_test.go
@@ -8,13 +8,13 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// excuse is how long a loss by a fault may go unnoticed by a driver.
-const excuse = DefaultSeenFor + 15*time.Second
+// detectionTime is how long a driver may take to notice a loss by a fault.
+const detectionTime = DefaultStateTTL + 15*time.Second
 
-// demand is how many engines a configuration wants for a version.
+// demand is how many engines should have a version under a configuration.
 func (w *world) demand(s *config.Snapshot, version string) int {
 	p := newPlan(s)
-	return p.versions[p.find(version)].demand(len(w.engines), &w.settings)
+	return p.versions[p.indexOf(version)].demand(len(w.engines), &w.settings)
 }
 
 func (w *world) ready(version string) int {
@@ -27,41 +27,41 @@
 	return n
 }
 
-// checkOrder looks at an order as it arrives. One that the row no longer has,
-// or that another run holds the row against, was on its way too long: its
-// effect is a fault that the holder has to put right.
+// checkOrder checks an unload as it arrives. If it is no longer in the row, or another
+// run holds the row, it was delayed too long: its effect counts as a fault that the
+// holder has to correct.
 func (w *world) checkOrder(e *simEngine, o upstream.Order, run string, r *revision) {
 	if o.Action != upstream.UnloadVersion || !e.control.Has(o.Version) {
 		return
 	}
-	if w.row.record.Run != run || !w.inHand(e.id, o) {
-		w.strays++
-		w.note("stray %s %s at %s", o.Action, o.Version, e.id)
+	if w.row.record.Run != run || !w.isPending(e.id, o) {
+		w.strayOrders++
+		w.logf("stray %s %s at %s", o.Action, o.Version, e.id)
 		e.lostAt[o.Version] = w.now
 		return
 	}
 	if r.snapshot.Version(o.Version).State == config.Withdrawn {
 		if e.working(o.Version, w.now) {
-			w.violate("%s is unloaded at %s under its work", o.Version, e.id)
+			w.violatef("%s is unloaded at %s while its requests run", o.Version, e.id)
 		}
 		w.checkReplaced(e, o.Version, r.snapshot)
 		return
 	}
-	others := w.counted(o.Version)
+	others := w.availableOrLost(o.Version)
 	if e.ready(o.Version) {
 		others--
 	}
 	if want := w.demand(r.snapshot, o.Version); others < want {
-		w.violate("%s is unloaded at %s: %d others have it, wanted %d", o.Version, e.id, others, want)
+		w.violatef("%s is unloaded at %s: %d others have it, wanted %d", o.Version, e.id, others, want)
 	}
 }
 
-// counted is how many engines a driver may count on for a version: those that
-// have it, and those that lost it by a fault a moment ago.
-func (w *world) counted(version string) int {
+// availableOrLost is how many engines a driver may rely on for a version: those that have
+// it, and those that lost it by a fault within detectionTime.
+func (w *world) availableOrLost(version string) int {
 	n := 0
 	for _, e := range w.engines {
-		lost := !e.lostAt[version].IsZero() && w.now.Sub(e.lostAt[version]) < excuse
+		lost := !e.lostAt[version].IsZero() && w.now.Sub(e.lostAt[version]) < detectionTime
 		if e.ready(version) || lost {
 			n++
 		}
@@ -69,43 +69,43 @@
 	return n
 }
 
-// checkReplaced: where there is room, a withdrawn version stays until the
-// others of its model are where they are wanted.
+// checkReplaced checks that a withdrawn version stays until the other versions of its
+// model are on enough engines. It does not apply where slots are limited.
 func (w *world) checkReplaced(e *simEngine, withdrawn string, s *config.Snapshot) {
 	if w.settings.Slots != 0 {
 		return
 	}
 	for _, v := range s.ModelOf(withdrawn).Versions {
-		if n, want := w.counted(v.Name), w.demand(s, v.Name); n < want {
-			w.violate("%s is unloaded at %s: %d have %s, wanted %d", withdrawn, e.id, n, v.Name, want)
+		if n, want := w.availableOrLost(v.Name), w.demand(s, v.Name); n < want {
+			w.violatef("%s is unloaded at %s: %d have %s, wanted %d", withdrawn, e.id, n, v.Name, want)
 		}
 	}
 }
 
-// checkNeed looks at a load as it arrives: the weight store is spared loads of
-// versions that have long been where they are wanted. What was begun under an
-// older configuration is finished.
-func (w *world) checkNeed(e *simEngine, o upstream.Order, run string, r *revision) {
-	if o.Action != upstream.LoadVersion || e.control.Has(o.Version) || w.row.record.Run != run || !w.inHand(e.id, o) {
+// checkLoadIsNeeded checks a load as it arrives: no version may be loaded that has been
+// on enough engines for detectionTime. Loads decided under an older configuration are
+// exempt.
+func (w *world) checkLoadIsNeeded(e *simEngine, o upstream.Order, run string, r *revision) {
+	if o.Action != upstream.LoadVersion || e.control.Has(o.Version) || w.row.record.Run != run || !w.isPending(e.id, o) {
 		return
 	}
-	if w.inHandSince(e.id, o).Before(r.at.Add(bringIn)) {
+	if w.pendingSince(e.id, o).Before(r.at.Add(applyTime)) {
 		return
 	}
 	n := 0
 	for _, x := range w.engines {
-		leaves := w.inHand(x.id, upstream.Order{Action: upstream.UnloadVersion, Version: o.Version})
-		if x.ready(o.Version) && !leaves && w.now.Sub(x.gainedAt[o.Version]) > excuse {
+		unloading := w.isPending(x.id, upstream.Order{Action: upstream.UnloadVersion, Version: o.Version})
+		if x.ready(o.Version) && !unloading && w.now.Sub(x.gainedAt[o.Version]) > detectionTime {
 			n++
 		}
 	}
 	if want := w.demand(r.snapshot, o.Version); n >= want {
-		w.violate("%s is loaded at %s: %d others have it, wanted %d", o.Version, e.id, n, want)
+		w.violatef("%s is loaded at %s: %d others have it, wanted %d", o.Version, e.id, n, want)
 	}
 }
 
-// checkLoads counts loads at one time, without those that a fault began or
-// that the driver has given up for a reason.
+// checkLoads bounds the loads at one time, without those that a fault began or that the
+// driver has given up.
 func (w *world) checkLoads() {
 	n := 0
 	for _, e := range w.engines {
@@ -113,32 +113,32 @@
 			continue
 		}
 		for _, v := range e.control.State().Loading {
-			w.excuseLoad(e, v)
-			if !e.excused[v] {
+			w.exemptWithdrawnLoad(e, v)
+			if !e.exempt[v] {
 				n++
 			}
 		}
 	}
-	w.mostLoads = max(w.mostLoads, n)
-	if n > w.mayLoad() && !w.paceUnchecked {
-		w.violate("%d engines load at one time", n)
+	w.maxLoadsSeen = max(w.maxLoadsSeen, n)
+	if n > w.maxLoads() && !w.loadsUnchecked {
+		w.violatef("%d engines load at one time", n)
 	}
 }
 
-// mayLoad is the most loads at one time that the settings allow of this fleet.
-func (w *world) mayLoad() int {
+// maxLoads is the most loads at one time that the settings allow for this fleet.
+func (w *world) maxLoads() int {
 	return max(w.settings.LoadsAtOnce, int(w.settings.LoadsPart*float64(len(w.engines))))
 }
 
-// excuseLoad: a load of a version that was withdrawn meanwhile is given up,
-// and unloaded as soon as it may be.
-func (w *world) excuseLoad(e *simEngine, version string) {
+// exemptWithdrawnLoad exempts a load whose version was withdrawn meanwhile: it is given
+// up, and unloaded as soon as that is allowed.
+func (w *world) exemptWithdrawnLoad(e *simEngine, version string) {
 	if w.latest().snapshot.Version(version).State == config.Withdrawn {
-		e.excused[version] = true
+		e.exempt[version] = true
 	}
 }
 
-// unsettled says what is not as the configuration wants it, or "".
+// unsettled returns the first difference from the configuration, or "".
 func (w *world) unsettled() string {
 	s := w.latest().snapshot
 	for _, m := range s.Doc.Models {
@@ -146,7 +146,7 @@
 			if w.ready(v.Name) < w.demand(s, v.Name) {
 				return v.Name + " is on too few engines"
 			}
-			if v.State == config.Withdrawn && w.held(v.Name) {
+			if v.State == config.Withdrawn && w.present(v.Name) {
 				return v.Name + " is withdrawn and still there"
 			}
 		}
@@ -157,7 +157,7 @@
 	return ""
 }
 
-func (w *world) held(version string) bool {
+func (w *world) present(version string) bool {
 	return slices.ContainsFunc(w.engines, func(e *simEngine) bool {
 		return e.up && (e.control.Has(version) || slices.Contains(e.control.State().Loading, version))
 	})
--- a/internal/rollout/world_node_test.go
+++ b/internal/rollout/world_node_test.go
@@ -9,7 +9,7 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// simNode is one entry node's driver.
+// simNode simulates the driver of one entry node.
 type simNode struct {
 	w       *world
 	id      string
@@ -17,14 +17,14 @@
 	starts  int
 	machine *Machine
 	down    bool
-	// pausedUntil holds back whatever the node would do.
+	// pausedUntil delays all steps of the node.
 	pausedUntil time.Time
 	revision    *revision
-	// crashAfter ends the node at so many actions; 0 is never. With crashLate
-	// that action is still done, and its answer lost.
-	crashAfter int
-	crashLate  bool
-	begun      int
+	// crashAt is the number of the action at which the node crashes; 0 means never. With
+	// crashAfterAction the action still takes effect, and its answer is lost.
+	crashAt          int
+	crashAfterAction bool
+	performed        int
 }
 
 func (w *world) addNode() *simNode {
@@ -38,9 +38,9 @@
 	n.starts++
 	n.down = false
 	n.machine = NewMachine(n.w.settings, n.id, fmt.Sprintf("%s.%d", n.id, n.starts))
-	n.machine.guards = n.w.guards
-	if n.w.few > 0 {
-		n.machine.few = n.w.few
+	n.machine.disabled = n.w.guards
+	if n.w.immediateOrders > 0 {
+		n.machine.immediateOrders = n.w.immediateOrders
 	}
 	if len(n.w.revisions) > 0 {
 		n.revision = n.w.latest()
@@ -48,34 +48,35 @@
 	n.tick(n.starts)
 }
 
-func (n *simNode) atOrder(o SendOrder) {
-	if n.w.atOrder != nil {
-		n.w.atOrder(n, o)
+func (n *simNode) beforeSend(o SendOrder) {
+	if n.w.onOrder != nil {
+		n.w.onOrder(n, o)
 	}
 	if n.w.chance(n.w.faults.pauses) {
 		n.pause(n.w.drawPause())
 	}
 }
 
-// close gives the row up; another process starts at once.
+// close releases the row; another process starts at once.
 func (n *simNode) close() {
 	if n.down || n.pausedUntil.After(n.w.now) {
 		return
 	}
-	n.w.note("%s closes", n.id)
+	n.w.logf("%s closes", n.id)
 	write, ok := n.machine.Release(n.w.now)
 	n.boot()
 	if ok {
-		n.w.after(n.w.hop(), func() { n.w.commit(write) })
+		n.w.after(n.w.latency(), func() { n.w.commit(write) })
 	}
 }
 
 func (n *simNode) pause(d time.Duration) {
-	n.w.note("%s is paused for %v", n.id, d.Round(time.Millisecond))
+	n.w.logf("%s is paused for %v", n.id, d.Round(time.Millisecond))
 	n.pausedUntil = n.w.now.Add(d)
 }
 
-// drawPause is short or long, from milliseconds to a minute.
+// drawPause returns a time between a millisecond and a minute, with an even distribution
+// of its logarithm.
 func (w *world) drawPause() time.Duration {
 	return time.Duration(float64(time.Minute) * math.Pow(2, -16*w.random.Float64()))
 }
@@ -91,20 +92,20 @@
 }
 
 func (n *simNode) crash() {
-	n.w.note("%s crashes", n.id)
+	n.w.logf("%s crashes", n.id)
 	n.down = true
 	n.starts++
 }
 
-// tick goes on until the process ends.
+// tick repeats until the process ends.
 func (n *simNode) tick(start int) {
 	n.run(start, func() {
 		n.step(Tick{View: n.w.view, Snapshot: n.snapshot(), Fresh: n.fresh(), Rank: n.rank})
-		n.w.after(n.w.settings.Tick+n.w.hop(), func() { n.tick(start) })
+		n.w.after(n.w.settings.Tick+n.w.latency(), func() { n.tick(start) })
 	})
 }
 
-// run does something in the process, when it is not paused.
+// run calls do in the process once it is not paused.
 func (n *simNode) run(start int, do func()) {
 	if n.starts != start {
 		return
@@ -120,7 +121,7 @@
 	start := n.starts
 	for _, a := range n.machine.Step(n.w.now, ev) {
 		if o, ok := a.(SendOrder); ok {
-			n.atOrder(o)
+			n.beforeSend(o)
 		}
 		n.w.after(time.Millisecond, func() {
 			n.run(start, func() { n.perform(a) })
@@ -136,12 +137,12 @@
 }
 
 func (n *simNode) perform(a Action) {
-	n.begun++
-	if n.begun != n.crashAfter {
+	n.performed++
+	if n.performed != n.crashAt {
 		n.do(a)
 		return
 	}
-	if n.crashLate {
+	if n.crashAfterAction {
 		n.do(a)
 	}
 	n.crash()
@@ -160,11 +161,11 @@
 		n.send(a)
 	case AskInForce:
 		in := !n.w.faults.inForceOut && !n.w.now.Before(n.w.revisions[a.Revision-1].inForce)
-		n.answer(n.w.hop(), InForceAnswer{Revision: a.Revision, InForce: in})
+		n.answer(n.w.latency(), InForceAnswer{Revision: a.Revision, InForce: in})
 	}
 }
 
-// send is what the driver does with a [SendOrder].
+// send has the effect of Driver.sendOrder.
 func (n *simNode) send(a SendOrder) {
 	current := a.Revision == 0 || n.fresh() && n.revision.snapshot.Revision == a.Revision
 	if !current || !n.w.now.Before(a.Before) {
@@ -174,9 +175,9 @@
 	n.w.sendOrder(n, a)
 }
 
-// learn takes a revision in within the time that it needs.
-func (n *simNode) learn(r *revision) {
-	n.w.after(n.w.random64(bringIn), func() {
+// applyLater applies a revision within applyTime.
+func (n *simNode) applyLater(r *revision) {
+	n.w.after(n.w.randomDuration(applyTime), func() {
 		n.run(n.starts, func() {
 			if n.revision == nil || r.snapshot.Revision > n.revision.snapshot.Revision {
 				n.revision = r
@@ -185,23 +186,23 @@
 	})
 }
 
-// fresh: once a newer revision is in force, an older one is not fresh.
+// fresh reports whether no newer revision than the node's is in force.
 func (n *simNode) fresh() bool {
 	in := n.w.inForce()
 	return n.revision != nil && (in == nil || n.revision.snapshot.Revision >= in.snapshot.Revision)
 }
 
-// sent checks an order as it leaves the node.
-func (n *simNode) sent(o upstream.Order, engine string) {
+// checkSent checks an order as it leaves the node.
+func (n *simNode) checkSent(o upstream.Order, engine string) {
 	w := n.w
-	if w.row.record.Run != n.machine.run && w.now.Sub(w.row.displaced) > w.settings.ProofFor {
-		w.violate("%s orders %s %s at %s, displaced since %v", n.id, o.Action, o.Version, engine, w.now.Sub(w.row.displaced))
+	if w.row.record.Run != n.machine.run && w.now.Sub(w.row.lostAt) > w.settings.OwnershipTTL {
+		w.violatef("%s orders %s %s at %s, displaced since %v", n.id, o.Action, o.Version, engine, w.now.Sub(w.row.lostAt))
 	}
 	switch {
 	case o.Action == upstream.LoadVersion && w.withdrawn(o.Version):
-		w.violate("%s loads %s at %s after its withdrawal is in force", n.id, o.Version, engine)
+		w.violatef("%s loads %s at %s after its withdrawal is in force", n.id, o.Version, engine)
 	case o.Action == upstream.UnloadVersion && n.snapshot().Version(o.Version).State == config.Withdrawn && w.now.Before(n.revision.inForce):
-		w.violate("%s unloads %s at %s before its withdrawal is in force", n.id, o.Version, engine)
+		w.violatef("%s unloads %s at %s before its withdrawal is in force", n.id, o.Version, engine)
 	}
 }
 
--- a/internal/rollout/world_test.go
+++ b/internal/rollout/world_test.go
@@ -13,22 +13,22 @@
 	"github.com/hickorybank/hickorybank/internal/platform"
 )
 
-// world is nodes, engines, a table and a configuration in virtual time.
+// world simulates nodes, engines, a table and a configuration in virtual time.
 type world struct {
-	settings Settings
-	guards   guards
-	few      int // orders that are written at once; 0 is as usual
-	random   *rand.Rand
-	start    time.Time
-	now      time.Time
-	queue    queue
-	order    int
-	faults   faults
-
-	// atOrder, if set, is told of each order that a node decides to send.
-	atOrder func(*simNode, SendOrder)
-	// lateFor, if set, keeps the next order that long on the wire.
-	lateFor time.Duration
+	settings        Settings
+	guards          disabledRules
+	immediateOrders int // Machine.immediateOrders; 0 means the default
+	random          *rand.Rand
+	start           time.Time
+	now             time.Time
+	queue           queue
+	sequence        int
+	faults          faults
+
+	// onOrder, if set, is called with each order that a node decides to send.
+	onOrder func(*simNode, SendOrder)
+	// nextOrderDelay, if set, delays the next order on the network.
+	nextOrderDelay time.Duration
 
 	row       simRow
 	revisions []*revision
@@ -37,51 +37,52 @@
 	view      *membership.View
 	log       strings.Builder
 	verbose   bool
-	// broken is the first invariant that did not hold.
-	broken string
-	strays int
-	// mostLoads is the most loads at one time; with paceUnchecked it may be more
-	// than the settings allow.
-	mostLoads     int
-	paceUnchecked bool
+	// violation is the first invariant that did not hold.
+	violation   string
+	strayOrders int
+	// maxLoadsSeen is the most loads at one time; with loadsUnchecked it may exceed the
+	// limit.
+	maxLoadsSeen   int
+	loadsUnchecked bool
 }
 
-// faults are in force for everything that happens.
+// faults apply to everything that happens while they are set.
 type faults struct {
 	tableDown  bool
 	inForceOut bool
-	// loseAcks, lateWrites, lateOrders, loseOrderAcks and failLoads are
-	// probabilities.
+	// loseAcks, lateWrites, lateOrders, loseOrderAcks and failLoads are probabilities.
 	loseAcks, lateWrites, lateOrders, loseOrderAcks, failLoads float64
-	// pauses is the probability that a node is paused between an order's
-	// decision and its way out.
+	// pauses is the probability that a node is paused between the decision on an order
+	// and the sending of it.
 	pauses float64
-	// late is how late late writes and orders are; load is how long a load takes.
-	late, load time.Duration
+	// delay is the greatest delay of late writes and orders; loadTime is the time of a
+	// load.
+	delay, loadTime time.Duration
 }
 
-// revision is one configuration and when it is in force everywhere.
+// revision is a configuration, with the times when it was stored and when it is in force
+// everywhere.
 type revision struct {
 	snapshot *config.Snapshot
 	at       time.Time
 	inForce  time.Time
 }
 
-// bringIn is how long a revision takes until it is in force.
-const bringIn = 3 * time.Second
+// applyTime is the time from a revision's storage until it is in force everywhere.
+const applyTime = 3 * time.Second
 
-func newWorld(seed uint64, s Settings, g guards) *world {
+func newWorld(seed uint64, s Settings, g disabledRules) *world {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	return &world{
 		settings: s.WithDefaults(), guards: g, random: rand.New(rand.NewPCG(seed, 1)),
-		start: start, now: start, faults: faults{load: 3 * time.Second},
+		start: start, now: start, faults: faults{loadTime: 3 * time.Second},
 	}
 }
 
 type timer struct {
-	at    time.Time
-	order int
-	do    func()
+	at       time.Time
+	sequence int
+	do       func()
 }
 
 type queue []timer
@@ -91,7 +92,7 @@
 	if !q[i].at.Equal(q[j].at) {
 		return q[i].at.Before(q[j].at)
 	}
-	return q[i].order < q[j].order
+	return q[i].sequence < q[j].sequence
 }
 func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 func (q *queue) Push(x any)   { *q = append(*q, x.(timer)) }
@@ -103,13 +104,13 @@
 }
 
 func (w *world) after(d time.Duration, do func()) {
-	w.order++
-	heap.Push(&w.queue, timer{w.now.Add(d), w.order, do})
+	w.sequence++
+	heap.Push(&w.queue, timer{w.now.Add(d), w.sequence, do})
 }
 
-// runUntil lets the world go on until the time or the first broken invariant.
+// runUntil simulates until the given time or the first violation.
 func (w *world) runUntil(end time.Time) {
-	for len(w.queue) > 0 && w.broken == "" && !w.queue[0].at.After(end) {
+	for len(w.queue) > 0 && w.violation == "" && !w.queue[0].at.After(end) {
 		t := heap.Pop(&w.queue).(timer)
 		w.now = t.at
 		t.do()
@@ -117,13 +118,13 @@
 	w.now = end
 }
 
-func (w *world) violate(format string, args ...any) {
-	if w.broken == "" {
-		w.broken = fmt.Sprintf("%v: ", w.now.Sub(w.start)) + fmt.Sprintf(format, args...)
+func (w *world) violatef(format string, args ...any) {
+	if w.violation == "" {
+		w.violation = fmt.Sprintf("%v: ", w.now.Sub(w.start)) + fmt.Sprintf(format, args...)
 	}
 }
 
-func (w *world) note(format string, args ...any) {
+func (w *world) logf(format string, args ...any) {
 	if w.verbose {
 		fmt.Fprintf(&w.log, "%v ", w.now.Sub(w.start).Round(100*time.Millisecond))
 		fmt.Fprintf(&w.log, format+"\n", args...)
@@ -132,18 +133,18 @@
 
 func (w *world) chance(p float64) bool { return p > 0 && w.random.Float64() < p }
 
-// hop is the time of a message one way.
-func (w *world) hop() time.Duration {
+// latency draws the one-way latency of a message.
+func (w *world) latency() time.Duration {
 	return time.Millisecond + time.Duration(w.random.Int64N(int64(20*time.Millisecond)))
 }
 
-// adopt brings in a configuration now.
-func (w *world) adopt(s *config.Snapshot) {
-	r := &revision{snapshot: s, at: w.now, inForce: w.now.Add(bringIn)}
+// addRevision stores a configuration now.
+func (w *world) addRevision(s *config.Snapshot) {
+	r := &revision{snapshot: s, at: w.now, inForce: w.now.Add(applyTime)}
 	w.revisions = append(w.revisions, r)
-	w.note("revision %d", s.Revision)
+	w.logf("revision %d", s.Revision)
 	for _, n := range w.nodes {
-		n.learn(r)
+		n.applyLater(r)
 	}
 	for _, e := range w.engines {
 		e.drawWork(r)
@@ -152,7 +153,7 @@
 
 func (w *world) latest() *revision { return w.revisions[len(w.revisions)-1] }
 
-// inForce is the newest revision in force everywhere.
+// inForce is the newest revision in force everywhere, or nil.
 func (w *world) inForce() *revision {
 	for _, r := range slices.Backward(w.revisions) {
 		if !w.now.Before(r.inForce) {
@@ -162,8 +163,8 @@
 	return nil
 }
 
-// withdrawn says whether the withdrawal of a version is in force: no newer
-// revision, in force or not, takes it back.
+// withdrawn reports whether the withdrawal of a version is in force and no newer revision
+// takes it back.
 func (w *world) withdrawn(version string) bool {
 	in := w.inForce()
 	if in == nil {
@@ -177,8 +178,8 @@
 	return true
 }
 
-// look renews the nodes' view of the engines.
-func (w *world) look() {
+// updateView sets the nodes' view of the engines.
+func (w *world) updateView() {
 	v := &membership.View{}
 	for _, e := range w.engines {
 		state := membership.Live
@@ -193,5 +194,5 @@
 	w.view = v
 }
 
-// lookSoon renews the view after what a node needs to notice a change.
-func (w *world) lookSoon() { w.after(time.Second, w.look) }
+// updateViewSoon updates the view after the time in which a node notices a change.
+func (w *world) updateViewSoon() { w.after(time.Second, w.updateView) }
