--- a/internal/rollout/decide.go
+++ b/internal/rollout/decide.go
@@ -104,7 +104,7 @@
 }
 
 func (m *Machine) canLoad(d *decision, e *engine, v int) bool {
-	return m.available(d, e) && !m.now.Before(e.avoidUntil) && !slices.Contains(e.versions, v) && !slices.Contains(e.loading, v)
+	return m.available(d, e) && !m.now.Before(e.avoidUntil) && !slices.Contains(e.has, v) && !slices.Contains(e.loading, v)
 }
 
 // available reports whether the engine is live, was read recently and has no pending
@@ -141,7 +141,7 @@
 // any, else the one with the largest surplus. It returns -1 if there is none.
 func (m *Machine) spareVersion(e *engine) int {
 	best, mostSurplus := -1, 0
-	for _, v := range e.versions {
+	for _, v := range e.has {
 		if !m.mayUnload(e, v) {
 			continue
 		}
@@ -159,7 +159,7 @@
 func (m *Machine) unload(d *decision, e *engine, v int) {
 	m.addOrder(d, e, upstream.UnloadVersion, v)
 	d.unloadBudget--
-	if c := &m.fleetCounts.versions[v]; slices.Contains(e.versions, v) {
+	if c := &m.fleetCounts.versions[v]; slices.Contains(e.has, v) {
 		c.ready--
 	}
 }
--- a/internal/rollout/fleet.go
+++ b/internal/rollout/fleet.go
@@ -25,9 +25,9 @@
 	lastReadAt time.Time
 	stateAt    time.Time
 	state      upstream.EngineState
-	// versions and loading are the state's versions as indexes into the plan.
-	versions []int
-	loading  []int
+	// has and loading are the state's versions as indexes into the plan.
+	has     []int
+	loading []int
 	// idleAt is the latest time at which the engine is known to have run nothing.
 	idleAt time.Time
 	// avoidUntil is when a load may be tried here again.
@@ -59,7 +59,7 @@
 func (e *engine) clearState() {
 	e.stateAt, e.lastReadAt, e.idleAt = time.Time{}, time.Time{}, time.Time{}
 	e.readStartedAt, e.readInFlight = time.Time{}, false
-	e.versions, e.loading = nil, nil
+	e.has, e.loading = nil, nil
 	e.state = upstream.EngineState{}
 }
 
@@ -79,8 +79,8 @@
 	// lower the demand on the others.
 	targetEngines int
 	live          int
-	nextRead      int // of the round of reads
-	nextPending   int // of the round of reads of engines with an order in hand
+	nextRead      int // index of the next engine to read
+	nextPending   int // index of the next engine with a pending order to read
 }
 
 // update applies a new view and keeps the state of engines that stay.
--- a/internal/rollout/machine.go
+++ b/internal/rollout/machine.go
@@ -123,7 +123,7 @@
 	if m.plan == nil {
 		return
 	}
-	e.versions = m.plan.indexes(e.state.Versions)
+	e.has = m.plan.indexes(e.state.Versions)
 	e.loading = m.plan.indexes(e.state.Loading)
 	if e.order != nil {
 		e.order.version = m.plan.indexOf(e.order.pending.Version)
--- a/internal/rollout/read.go
+++ b/internal/rollout/read.go
@@ -78,7 +78,7 @@
 		return false
 	}
 	withdrawn := func(v int) bool { return m.plan.versions[v].state == config.Withdrawn }
-	return slices.ContainsFunc(e.versions, withdrawn) || slices.ContainsFunc(e.loading, withdrawn)
+	return slices.ContainsFunc(e.has, withdrawn) || slices.ContainsFunc(e.loading, withdrawn)
 }
 
 func (m *Machine) handleEngineAnswer(ev EngineAnswer) {
--- a/internal/rollout/tally.go
+++ b/internal/rollout/tally.go
@@ -54,7 +54,7 @@
 		t.swept = false
 	}
 	t.maxFence = max(t.maxFence, e.state.Fence)
-	for _, v := range e.versions {
+	for _, v := range e.has {
 		t.versions[v].present++
 		if e.live && e.stateAt.After(oldest) && !e.orderedToUnload(v) {
 			t.versions[v].ready++
@@ -71,7 +71,7 @@
 			t.versions[v].addLoading(e.domain)
 		}
 	}
-	if o := e.order; o != nil && o.version >= 0 && e.orderedToLoad(o.version) && !slices.Contains(e.versions, o.version) {
+	if o := e.order; o != nil && o.version >= 0 && e.orderedToLoad(o.version) && !slices.Contains(e.has, o.version) {
 		t.versions[o.version].addLoading(e.domain)
 	}
 }
--- a/internal/rollout/withdraw.go
+++ b/internal/rollout/withdraw.go
@@ -19,17 +19,15 @@
 			if d.unloadBudget <= 0 {
 				return
 			}
-			if m.available(d, e) && e.hasOrLoads(v) && m.mayUnload(e, v) {
+			if m.available(d, e) && e.holds(v) && m.mayUnload(e, v) {
 				m.unload(d, e, v)
 			}
 		}
 	}
 }
 
-// hasOrLoads reports whether the engine has the version or loads it.
-func (e *engine) hasOrLoads(v int) bool {
-	return slices.Contains(e.versions, v) || slices.Contains(e.loading, v)
-}
+// holds reports whether the engine has the version or loads it.
+func (e *engine) holds(v int) bool { return slices.Contains(e.has, v) || slices.Contains(e.loading, v) }
 
 // replaced reports whether the other versions of the model are on enough engines.
 func (m *Machine) replaced(withdrawn int) bool {
@@ -66,7 +64,7 @@
 
 // isReady reports whether the engine is among the ready ones of the counts.
 func (m *Machine) isReady(e *engine, v int) bool {
-	return e.live && slices.Contains(e.versions, v) && e.stateAt.After(m.now.Add(-m.stateTTL())) && !e.orderedToUnload(v)
+	return e.live && slices.Contains(e.has, v) && e.stateAt.After(m.now.Add(-m.stateTTL())) && !e.orderedToUnload(v)
 }
 
 // withdrawnInForce reports whether no node admits work under an older configuration. Each
