--- a/internal/rollout/fleet.go
+++ b/internal/rollout/fleet.go
@@ -49,7 +49,7 @@
 	// limiter has counted its end.
 	loadStartedAt time.Time
 	recorded      bool
-	out           bool
+	inFlight      bool
 	acknowledged  bool
 }
 
--- a/internal/rollout/next.go
+++ b/internal/rollout/next.go
@@ -56,7 +56,7 @@
 // without the version. The next step would then rely on a version that is not there.
 func (m *Machine) finished(p *Pending) bool {
 	e := m.fleet.byID[p.Engine]
-	if e == nil || e.order == nil || e.order.out {
+	if e == nil || e.order == nil || e.order.inFlight {
 		return false
 	}
 	if m.disabled.doneOnAck && e.order.acknowledged {
@@ -80,7 +80,7 @@
 		m.abandonedAt = m.now
 		return true
 	}
-	if e.order.out {
+	if e.order.inFlight {
 		return false
 	}
 	drop := m.timedOut(e) || m.obsolete(e)
--- a/internal/rollout/send.go
+++ b/internal/rollout/send.go
@@ -37,7 +37,7 @@
 	if o.loadStartedAt.IsZero() {
 		o.loadStartedAt = m.now
 	}
-	o.sentAt, o.out = m.now, true
+	o.sentAt, o.inFlight = m.now, true
 	before := m.row.ownedAt.Add(m.settings.OwnershipTTL)
 	revision := m.plan.revision
 	if m.disabled.noOwnershipCheck {
@@ -61,7 +61,7 @@
 // engine.
 func (m *Machine) due(e *engine) bool {
 	o := e.order
-	if o.out || !e.live || m.finished(&o.pending) || m.timedOut(e) {
+	if o.inFlight || !e.live || m.finished(&o.pending) || m.timedOut(e) {
 		return false
 	}
 	if o.sentAt.IsZero() {
@@ -79,10 +79,10 @@
 
 func (m *Machine) handleOrderAnswer(ev OrderAnswer) {
 	e := m.fleet.byID[ev.Engine]
-	if e == nil || e.order == nil || !e.order.out || !e.order.sentAt.Equal(ev.Began) {
+	if e == nil || e.order == nil || !e.order.inFlight || !e.order.sentAt.Equal(ev.Began) {
 		return
 	}
-	e.order.out = false
+	e.order.inFlight = false
 	switch ev.Result {
 	case OrderAccepted:
 		e.order.acknowledged = true
