--- a/internal/suspect/admit.go
+++ b/internal/suspect/admit.go
@@ -7,59 +7,58 @@
 )
 
 const (
-	// retrySuspect is when a suspect may be permitted that is not now.
-	retrySuspect = 2 * time.Second
-	// retryConvicted is told to callers of a convicted request.
-	retryConvicted = time.Minute
+	// suspectRetryAfter is the RetryAfter of a suspect that has no permission at present.
+	suspectRetryAfter = 2 * time.Second
+	// convictedRetryAfter is the RetryAfter of a convicted request.
+	convictedRetryAfter = time.Minute
 )
 
-// Suspect says whether the request is a suspect, so that its upstream is
-// chosen to be alone before AdmitAt.
+// Suspect reports whether the request is a suspect. Its upstream then has to be chosen to
+// be idle, before AdmitAt.
 func (t *Tracker) Suspect(f request.Fingerprint) bool { return t.store.get(f).suspect() }
 
-// Admit is AdmitAt for an upstream that is not chosen yet. Only one such
-// suspect may run at a time in the whole system.
+// Admit is AdmitAt for an upstream that is not chosen yet. Only one such suspect may run
+// at a time in the whole system.
 func (t *Tracker) Admit(attempt string, f request.Fingerprint, now time.Time) Decision {
 	return t.AdmitAt(attempt, f, "", now)
 }
 
-// AdmitAt is called before an attempt is sent to an upstream. On Wait the
-// answer comes by Ready. An attempt that may run is then told by Started, and
-// its end by Completed or Finished; one that is not sent after all by Finished
-// alone.
+// AdmitAt must be called before an attempt is sent to an upstream. After Wait the
+// decision comes in Ready. An attempt that may run is followed by Started, and by
+// Completed or Finished at its end. One that is not sent is followed by Finished only.
 func (t *Tracker) AdmitAt(attempt string, f request.Fingerprint, upstream string, now time.Time) Decision {
-	t.at(now)
-	t.watchFreshness()
+	t.setTime(now)
+	t.updateFreshness()
 	if !t.fresh() {
 		t.waiting = append(t.waiting, waiter{attempt: attempt, fingerprint: f, lane: upstream})
-		t.work()
+		t.advance()
 		return Decision{Attempt: attempt, Verdict: Wait}
 	}
-	d := t.judge(waiter{attempt: attempt, fingerprint: f, lane: upstream})
-	t.work()
+	d := t.evaluate(waiter{attempt: attempt, fingerprint: f, lane: upstream})
+	t.advance()
 	return d
 }
 
-// judge decides on an attempt at a fresh node.
-func (t *Tracker) judge(w waiter) Decision {
+// evaluate decides on an attempt while the node is fresh.
+func (t *Tracker) evaluate(w waiter) Decision {
 	e := t.store.get(w.fingerprint)
-	all, proven := e.strikes()
+	all, proven := e.crashCount()
 	switch {
-	case all >= convicting:
-		return t.refuse(w.attempt, e, proven >= convicting)
-	case all == 0 || !t.settings.has(guardVote):
+	case all >= convictionCrashes:
+		return t.refuse(w.attempt, e, proven >= convictionCrashes)
+	case all == 0 || !t.settings.applies(ruleVote):
 		t.flights[w.attempt] = &flight{attempt: w.attempt, fingerprint: w.fingerprint}
 		return Decision{Attempt: w.attempt, Verdict: Run}
 	}
-	return t.begin(w, e)
+	return t.startBallot(w, e)
 }
 
 func (t *Tracker) refuse(attempt string, e *entry, convicted bool) Decision {
-	t.store.touch(e, t.now)
-	return Decision{Attempt: attempt, Verdict: Refuse, Convicted: convicted, RetryAfter: retryConvicted}
+	t.store.extend(e, t.now)
+	return Decision{Attempt: attempt, Verdict: Refuse, Convicted: convicted, RetryAfter: convictedRetryAfter}
 }
 
-// admitWaiting decides on the attempts that waited for the node to be fresh.
+// admitWaiting decides on the attempts that waited for the node to become fresh.
 func (t *Tracker) admitWaiting() {
 	if len(t.waiting) == 0 || !t.fresh() {
 		return
@@ -67,17 +66,17 @@
 	list := t.waiting
 	t.waiting = nil
 	for _, w := range list {
-		if d := t.judge(w); d.Verdict != Wait {
+		if d := t.evaluate(w); d.Verdict != Wait {
 			t.decide(d)
 		}
 	}
 }
 
-// Started tells that an attempt is about to be sent to an upstream. When it
-// returns false the attempt must not be sent and is forgotten: this node has
-// learnt since Admit that the request is a suspect, or was paused meanwhile.
+// Started must be called just before an attempt is sent to an upstream. If it returns
+// false, the attempt must not be sent and is forgotten: since Admit this node has learned
+// that the request is a suspect, or was paused.
 func (t *Tracker) Started(attempt string, f request.Fingerprint, upstream string, now time.Time) bool {
-	t.at(now)
+	t.setTime(now)
 	fl := t.flights[attempt]
 	if fl == nil {
 		fl = &flight{attempt: attempt, fingerprint: f}
@@ -99,46 +98,46 @@
 	if !t.fresh() {
 		return false
 	}
-	return !t.store.get(fl.fingerprint).suspect() || !t.settings.has(guardVote)
+	return !t.store.get(fl.fingerprint).suspect() || !t.settings.applies(ruleVote)
 }
 
-// Completed tells that an attempt has given its whole answer: it does not
-// crash upstreams.
+// Completed must be called when an attempt has given its whole answer. It clears the
+// request.
 func (t *Tracker) Completed(attempt string, now time.Time) {
-	t.at(now)
+	t.setTime(now)
 	fl := t.flights[attempt]
 	if fl == nil {
 		return
 	}
-	t.recent.add(fl.fingerprint, t.now)
+	t.completions.add(fl.fingerprint, t.now)
 	if e := t.store.get(fl.fingerprint); e.suspect() {
-		t.learn(Record{Fingerprint: fl.fingerprint, Cleared: e.crashes, Left: e.expires - t.now}, "")
+		t.learn(Record{Fingerprint: fl.fingerprint, Cleared: e.crashes, Left: e.expiresAt - t.now}, "")
 	}
-	t.end(fl)
-	t.work()
+	t.endFlight(fl)
+	t.advance()
 }
 
-// Finished tells that an attempt has ended otherwise: declined, cancelled,
-// crashed (after Crashed) or never sent. It may be told of any attempt.
+// Finished must be called when an attempt has ended otherwise: declined, cancelled,
+// crashed (after Crashed) or never sent. It may be called for any attempt.
 func (t *Tracker) Finished(attempt string, now time.Time) {
-	t.at(now)
-	t.forgetWaiting(attempt)
+	t.setTime(now)
+	t.cancelWaiting(attempt)
 	if fl := t.flights[attempt]; fl != nil {
-		t.end(fl)
+		t.endFlight(fl)
 	}
-	t.work()
+	t.advance()
 }
 
-func (t *Tracker) end(fl *flight) {
+func (t *Tracker) endFlight(fl *flight) {
 	delete(t.flights, fl.attempt)
 	if fl.granted {
-		t.giveBack(fl.attempt, fl.fingerprint, fl.voters)
+		t.releaseVotes(fl.attempt, fl.fingerprint, fl.voters)
 	}
-	t.speakUp(fl.fingerprint)
+	t.clearOwnDoubt(fl.fingerprint)
 }
 
-// flying says whether another attempt of the fingerprint may run here.
-func (t *Tracker) flying(f request.Fingerprint, attempt string) bool {
+// inFlight reports whether another attempt of the fingerprint may run here.
+func (t *Tracker) inFlight(f request.Fingerprint, attempt string) bool {
 	for _, fl := range t.flights {
 		if fl.fingerprint == f && fl.attempt != attempt {
 			return true
--- a/internal/suspect/ask.go
+++ b/internal/suspect/ask.go
@@ -5,132 +5,133 @@
 	"time"
 )
 
-// ask is a suspect's attempt that waits for votes.
-type ask struct {
+// ballot is a suspect's attempt that waits for votes.
+type ballot struct {
 	waiter
-	began   time.Duration
-	sent    time.Duration
-	missing []*peer
-	voted   []string
-	over    bool
+	startedAt time.Duration
+	sentAt    time.Duration
+	missing   []*peer
+	granted   []string
+	closed    bool
 }
 
-// begin asks for permission to run a suspect. This node's own vote comes
-// first, so that two attempts here cannot both get the others'.
-func (t *Tracker) begin(w waiter, e *entry) Decision {
+// startBallot asks for permission to run a suspect. This node's own vote is taken first,
+// so that two attempts here cannot both get the peers' votes.
+func (t *Tracker) startBallot(w waiter, e *entry) Decision {
 	if t.doubtLost(e) {
 		return t.refuse(w.attempt, e, false)
 	}
 	own := Vote{Fingerprint: w.fingerprint, Attempt: w.attempt, Lane: w.lane, From: t.settings.Self, Born: t.settings.Born}
-	if t.flying(w.fingerprint, w.attempt) || !t.holder.Ask(own, t.now) {
-		return Decision{Attempt: w.attempt, Verdict: Refuse, RetryAfter: retrySuspect}
+	if t.inFlight(w.fingerprint, w.attempt) || !t.votes.Grant(own, t.now) {
+		return Decision{Attempt: w.attempt, Verdict: Refuse, RetryAfter: suspectRetryAfter}
 	}
-	a := &ask{waiter: w, began: t.now}
-	a.missing = t.voters(w)
-	if len(a.missing) == 0 {
-		return t.permit(a)
+	b := &ballot{waiter: w, startedAt: t.now}
+	b.missing = t.voters(w)
+	if len(b.missing) == 0 {
+		return t.permit(b)
 	}
-	t.asks = append(t.asks, a)
-	t.askMissing(a)
+	t.ballots = append(t.ballots, b)
+	t.requestVotes(b)
 	return Decision{Attempt: w.attempt, Verdict: Wait}
 }
 
-// voters are the peers to ask. One that has been silent for longer than any
-// run is on the other side of a cut: waiting for it would keep suspects out
-// for as long as the cut lasts.
+// voters are the peers to ask. A peer that has been silent for longer than any run is
+// left out: it is behind a network partition, and waiting for it would refuse suspects as
+// long as the partition lasts.
 func (t *Tracker) voters(w waiter) []*peer {
 	voters := t.peers.voters(w, &t.settings)
-	return slices.DeleteFunc(voters, func(p *peer) bool { return p.ever && t.now > p.heard+t.settings.MaxRun })
+	return slices.DeleteFunc(voters, func(p *peer) bool { return p.everHeard && t.now > p.lastHeard+t.settings.MaxRun })
 }
 
-func (t *Tracker) askMissing(a *ask) {
-	e := t.store.get(a.fingerprint)
+func (t *Tracker) requestVotes(b *ballot) {
+	e := t.store.get(b.fingerprint)
 	if e == nil {
 		return
 	}
-	a.sent = t.now
-	for _, p := range a.missing {
-		t.send(Message{To: p.id, Kind: Ask, Attempt: a.attempt, Lane: a.lane, Fingerprint: a.fingerprint, Records: []Record{e.record(t.now)}})
+	b.sentAt = t.now
+	for _, p := range b.missing {
+		t.send(Message{To: p.id, Kind: VoteRequest, Attempt: b.attempt, Lane: b.lane, Fingerprint: b.fingerprint, Records: []Record{e.record(t.now)}})
 	}
 }
 
 // permit lets the attempt run alone.
-func (t *Tracker) permit(a *ask) Decision {
-	t.flights[a.attempt] = &flight{attempt: a.attempt, fingerprint: a.fingerprint, granted: true, lane: a.lane, voters: a.voted}
-	return Decision{Attempt: a.attempt, Verdict: RunAlone}
+func (t *Tracker) permit(b *ballot) Decision {
+	t.flights[b.attempt] = &flight{attempt: b.attempt, fingerprint: b.fingerprint, granted: true, lane: b.lane, voters: b.granted}
+	return Decision{Attempt: b.attempt, Verdict: RunAlone}
 }
 
-// answered takes a peer's vote or its refusal.
-func (t *Tracker) answered(m Message) {
-	at := slices.IndexFunc(t.asks, func(a *ask) bool { return a.attempt == m.Attempt && !a.over })
+// handleVoteReply handles a peer's vote or refusal.
+func (t *Tracker) handleVoteReply(m Message) {
+	at := slices.IndexFunc(t.ballots, func(b *ballot) bool { return b.attempt == m.Attempt && !b.closed })
 	if at < 0 {
 		if m.Granted && t.flights[m.Attempt] == nil {
-			t.giveBack(m.Attempt, m.Fingerprint, []string{m.From})
+			t.releaseVotes(m.Attempt, m.Fingerprint, []string{m.From})
 		}
 		return
 	}
-	a := t.asks[at]
-	i := slices.IndexFunc(a.missing, func(p *peer) bool { return p.id == m.From })
+	b := t.ballots[at]
+	i := slices.IndexFunc(b.missing, func(p *peer) bool { return p.id == m.From })
 	if i < 0 {
 		return
 	}
 	if !m.Granted {
-		t.fail(a, Decision{Attempt: a.attempt, Verdict: Refuse, RetryAfter: retrySuspect})
+		t.closeBallot(b, Decision{Attempt: b.attempt, Verdict: Refuse, RetryAfter: suspectRetryAfter})
 		return
 	}
-	a.missing = slices.Delete(a.missing, i, i+1)
-	a.voted = append(a.voted, m.From)
+	b.missing = slices.Delete(b.missing, i, i+1)
+	b.granted = append(b.granted, m.From)
 }
 
-// driveAsks ends the asks that are decided and asks again where no answer came.
-func (t *Tracker) driveAsks() {
-	for _, a := range t.asks {
-		t.driveAsk(a)
+// advanceBallots closes the ballots that are decided, and repeats requests without an
+// answer.
+func (t *Tracker) advanceBallots() {
+	for _, b := range t.ballots {
+		t.advanceBallot(b)
 	}
-	t.asks = slices.DeleteFunc(t.asks, func(a *ask) bool { return a.over })
+	t.ballots = slices.DeleteFunc(t.ballots, func(b *ballot) bool { return b.closed })
 }
 
-func (t *Tracker) driveAsk(a *ask) {
-	if a.over {
+func (t *Tracker) advanceBallot(b *ballot) {
+	if b.closed {
 		return
 	}
-	e := t.store.get(a.fingerprint)
-	all, proven := e.strikes()
+	e := t.store.get(b.fingerprint)
+	all, proven := e.crashCount()
 	switch {
-	case all >= convicting:
-		t.fail(a, t.refuse(a.attempt, e, proven >= convicting))
+	case all >= convictionCrashes:
+		t.closeBallot(b, t.refuse(b.attempt, e, proven >= convictionCrashes))
 	case all == 0:
-		// Cleared meanwhile.
-		t.fail(a, t.judge(a.waiter))
-	case len(a.missing) == 0:
-		a.over = true
-		t.decide(t.permit(a))
-	case t.now >= a.began+t.settings.AskFor:
-		t.doubt(e, a.missing)
-		t.fail(a, Decision{Attempt: a.attempt, Verdict: Refuse, RetryAfter: retrySuspect})
-	case t.now >= a.sent+t.settings.Resend:
-		t.askMissing(a)
+		// The request was cleared meanwhile.
+		t.closeBallot(b, t.evaluate(b.waiter))
+	case len(b.missing) == 0:
+		b.closed = true
+		t.decide(t.permit(b))
+	case t.now >= b.startedAt+t.settings.VoteTimeout:
+		t.doubtSilent(e, b.missing)
+		t.closeBallot(b, Decision{Attempt: b.attempt, Verdict: Refuse, RetryAfter: suspectRetryAfter})
+	case t.now >= b.sentAt+t.settings.ResendInterval:
+		t.requestVotes(b)
 	}
 }
 
-// fail ends an ask with a decision and gives the votes back, those that may
-// still come too.
-func (t *Tracker) fail(a *ask, d Decision) {
-	a.over = true
-	voters := slices.Clone(a.voted)
-	for _, p := range a.missing {
+// closeBallot ends a ballot with a decision. It releases all votes, including those that
+// may still arrive.
+func (t *Tracker) closeBallot(b *ballot, d Decision) {
+	b.closed = true
+	voters := slices.Clone(b.granted)
+	for _, p := range b.missing {
 		voters = append(voters, p.id)
 	}
-	t.giveBack(a.attempt, a.fingerprint, voters)
+	t.releaseVotes(b.attempt, b.fingerprint, voters)
 	t.decide(d)
 }
 
-// forgetWaiting drops an attempt whose caller went away before it was decided.
-func (t *Tracker) forgetWaiting(attempt string) {
+// cancelWaiting drops an attempt whose caller left before it was decided.
+func (t *Tracker) cancelWaiting(attempt string) {
 	t.waiting = slices.DeleteFunc(t.waiting, func(w waiter) bool { return w.attempt == attempt })
-	for _, a := range t.asks {
-		if a.attempt == attempt && !a.over {
-			t.fail(a, Decision{Attempt: attempt, Verdict: Refuse, RetryAfter: retrySuspect})
+	for _, b := range t.ballots {
+		if b.attempt == attempt && !b.closed {
+			t.closeBallot(b, Decision{Attempt: attempt, Verdict: Refuse, RetryAfter: suspectRetryAfter})
 		}
 	}
 }
--- a/internal/suspect/bench_test.go
+++ b/internal/suspect/bench_test.go
@@ -10,8 +10,7 @@
 	"github.com/hickorybank/hickorybank/internal/request"
 )
 
-// BenchmarkAttempt is what one attempt of no suspect costs: AdmitAt, Started
-// and Completed.
+// BenchmarkAttempt measures one attempt of no suspect: AdmitAt, Started and Completed.
 func BenchmarkAttempt(b *testing.B) {
 	for _, peers := range []int{1, 7, 31, 127, 1599} {
 		b.Run(fmt.Sprintf("peers-%d", peers), func(b *testing.B) { benchAttempt(b, peers) })
@@ -45,8 +44,8 @@
 	}
 }
 
-// BenchmarkIdle is one second of a node that has nothing to do, with the
-// messages and bytes that it sends and is sent.
+// BenchmarkIdle measures one second of a node without requests, with the messages and
+// bytes that it sends and receives.
 func BenchmarkIdle(b *testing.B) {
 	for _, peers := range []int{1, 7, 31, 127, 1599} {
 		b.Run(fmt.Sprintf("peers-%d", peers), func(b *testing.B) { benchIdle(b, peers) })
@@ -83,7 +82,7 @@
 	b.ReportMetric(float64(meter.n)/float64(b.N), "payload-B/s")
 }
 
-// byteMeter counts what is written to it.
+// byteMeter counts the bytes written to it.
 type byteMeter struct{ n int }
 
 func (m *byteMeter) Write(p []byte) (int, error) {
@@ -91,7 +90,8 @@
 	return io.Discard.Write(p)
 }
 
-// BenchmarkAlert is the news of a crash with 16 suspects to one peer, in bytes.
+// BenchmarkAlert measures the bytes of one alert to one peer, after a crash with 16
+// suspects.
 func BenchmarkAlert(b *testing.B) {
 	now := epoch
 	t := New(Settings{Self: "self"}, now)
--- a/internal/suspect/burst.go
+++ b/internal/suspect/burst.go
@@ -6,18 +6,17 @@
 )
 
 const (
-	// massLoss upstreams may be lost within massLossIn before further losses
-	// are put down to their failure domain.
-	massLoss   = 2
-	massLossIn = 2 * time.Second
+	// maxUnrelatedCrashes is how many upstreams may crash within burstWindow before
+	// further crashes are attributed to their failure domain.
+	maxUnrelatedCrashes = 2
+	burstWindow         = 2 * time.Second
 )
 
 // burst counts the upstreams that crash together.
 //
-// It guards against the loss of a failure domain or of the network to it:
-// everything in flight there would become a suspect, and each would want an
-// upstream to itself. It shows as many upstreams lost within seconds, which no
-// one request can cause.
+// It guards against the loss of a failure domain or of the network to it. Every request
+// in flight there would become a suspect and need an upstream to itself. Such a loss
+// takes many upstreams within seconds, which no single request can cause.
 type burst struct {
 	recent []burstCrash
 }
@@ -27,9 +26,9 @@
 	at       time.Duration
 }
 
-// add returns how many upstreams have crashed of late, this one included.
+// add returns how many upstreams have crashed within burstWindow, including this one.
 func (b *burst) add(upstream string, now time.Duration) int {
-	b.recent = slices.DeleteFunc(b.recent, func(c burstCrash) bool { return now > c.at+massLossIn })
+	b.recent = slices.DeleteFunc(b.recent, func(c burstCrash) bool { return now > c.at+burstWindow })
 	for _, c := range b.recent {
 		if c.upstream == upstream {
 			return len(b.recent)
--- a/internal/suspect/caller_test.go
+++ b/internal/suspect/caller_test.go
@@ -7,57 +7,56 @@
 	"github.com/hickorybank/hickorybank/internal/request"
 )
 
-// caller sends one request again and again until it completes. It gives up on
-// a node that does not answer, and goes to another one. The caller of the
-// crashing request gives up at last, when memories of it may end.
+// caller sends one request again and again until it completes. It gives up on a node that
+// does not answer and tries another one. The caller of the crashing request stops after
+// maxConviction, when its conviction may end.
 type caller struct {
 	w           *world
 	name        string
 	fingerprint request.Fingerprint
-	// crasher says that the request crashes each upstream that runs it.
+	// crasher is set if the request crashes each upstream that runs it.
 	crasher  bool
 	attempts []string
-	lost     []time.Duration // when the request took an upstream
+	lost     []time.Duration // when the request crashed an upstream
 	done     bool
 	refusals int
-	// strikeAfter bounds how long an upstream runs the request before it
-	// crashes, in milliseconds.
-	strikeAfter int
-	// current is the attempt that the caller waits for; answers to others
-	// come too late.
+	// maxCrashDelay bounds how long an upstream runs the request before it crashes, in
+	// milliseconds.
+	maxCrashDelay int
+	// current is the attempt that the caller waits for; answers to others are ignored.
 	current string
 }
 
-// patience is how long a caller waits for any answer.
-const patience = 8 * time.Second
+// callerTimeout is how long a caller waits for an answer.
+const callerTimeout = 8 * time.Second
 
 func (w *world) addCaller(name string, crasher bool) *caller {
 	c := &caller{w: w, name: name, crasher: crasher, fingerprint: request.NewFingerprint("org", []byte(name))}
-	c.strikeAfter = 10
+	c.maxCrashDelay = 10
 	if w.random.IntN(2) == 0 {
-		c.strikeAfter = 400
+		c.maxCrashDelay = 400
 	}
 	w.callers = append(w.callers, c)
-	w.after(w.between(0, 3000), c.try)
+	w.after(w.between(0, 3000), c.send)
 	return c
 }
 
-func (c *caller) try() {
+func (c *caller) send() {
 	w := c.w
-	if c.done || (c.crasher && w.now > maxLife) {
+	if c.done || (c.crasher && w.now > maxConviction) {
 		return
 	}
 	n := w.nodes[w.random.IntN(len(w.nodes))]
 	if n.dead {
-		w.after(w.between(10, 100), c.try)
+		w.after(w.between(10, 100), c.send)
 		return
 	}
 	attempt := fmt.Sprintf("%s/%d", c.name, len(c.attempts))
 	c.attempts = append(c.attempts, attempt)
 	c.current = attempt
-	w.after(patience, func() { c.answer(attempt, false) })
+	w.after(callerTimeout, func() { c.answer(attempt, false) })
 	w.do(n, func() {
-		u := w.choose()
+		u := w.randomUpstream()
 		d := n.t.AdmitAt(attempt, c.fingerprint, u.id, w.time())
 		if d.Verdict == Wait {
 			n.waits[attempt] = func(d Decision) { c.decided(n, u, attempt, d) }
@@ -67,8 +66,7 @@
 	})
 }
 
-// answer is what the caller hears; it then sends again unless it has its
-// answer.
+// answer handles the end of an attempt; the caller sends again unless it has completed.
 func (c *caller) answer(attempt string, completed bool) {
 	if c.current != attempt {
 		return
@@ -78,47 +76,47 @@
 		c.done = true
 		return
 	}
-	most := 300
+	maxDelay := 300
 	if c.w.random.IntN(2) == 0 {
-		most = 2 // faster than any message between nodes
+		maxDelay = 2 // faster than any message between nodes
 	}
-	c.w.after(c.w.between(0, most), c.try)
+	c.w.after(c.w.between(0, maxDelay), c.send)
 }
 
 func (c *caller) decided(n *node, u *engine, attempt string, d Decision) {
 	w := c.w
 	if c.crasher || w.keepLog && d.Verdict == Refuse {
-		w.note("%s at %s: verdict %d convicted %v", attempt, n.id, d.Verdict, d.Convicted)
+		w.logf("%s at %s: verdict %d convicted %v", attempt, n.id, d.Verdict, d.Convicted)
 	}
 	if d.Verdict == Refuse {
 		c.refusals++
 		w.after(w.between(200, 2000), func() { c.answer(attempt, false) })
 		return
 	}
-	// Some time may pass between the verdict and the sending.
+	// Some time may pass between the verdict and the sending of the attempt.
 	w.after(w.between(0, 20)*time.Duration(w.random.IntN(2)), func() { w.do(n, func() { c.start(n, u, attempt) }) })
 }
 
 func (c *caller) start(n *node, u *engine, attempt string) {
 	w := c.w
-	if !w.send(n, u, attempt, c.fingerprint, func() { c.broke(n, attempt) }) {
+	if !w.send(n, u, attempt, c.fingerprint, func() { c.upstreamCrashed(n, attempt) }) {
 		n.t.Finished(attempt, w.time())
 		w.after(w.between(1, 50), func() { c.answer(attempt, false) })
 		return
 	}
 	if c.crasher {
-		w.after(w.between(1, c.strikeAfter), func() { c.strike(u, attempt) })
+		w.after(w.between(1, c.maxCrashDelay), func() { c.crashUpstream(u, attempt) })
 		return
 	}
 	w.after(w.between(100, 3000), func() { c.complete(n, u, attempt) })
 }
 
-func (c *caller) strike(u *engine, attempt string) {
+func (c *caller) crashUpstream(u *engine, attempt string) {
 	if u.runs[attempt] == nil {
 		return
 	}
 	c.lost = append(c.lost, c.w.now)
-	c.w.note("%s takes %s", attempt, u.id)
+	c.w.logf("%s crashes %s", attempt, u.id)
 	c.w.crash(u)
 }
 
@@ -133,15 +131,15 @@
 	})
 }
 
-// broke is the node finding the attempt's upstream crashed. Its caller hears
-// of it when the tracker lets it.
-func (c *caller) broke(n *node, attempt string) {
+// upstreamCrashed runs when the node finds the attempt's upstream crashed. Its caller
+// gets the failure once the tracker makes it reportable.
+func (c *caller) upstreamCrashed(n *node, attempt string) {
 	w := c.w
 	fl := n.t.flights[attempt]
 	if fl == nil {
 		return
 	}
-	n.holds[attempt] = func() { c.answer(attempt, false) }
+	n.heldFailures[attempt] = func() { c.answer(attempt, false) }
 	n.t.Crashed(CrashID{Upstream: fl.upstream, Epoch: 1}, w.time())
 	n.t.Finished(attempt, w.time())
 }
--- a/internal/suspect/completed.go
+++ b/internal/suspect/completed.go
@@ -7,46 +7,46 @@
 )
 
 const (
-	// completedFor is how long a completion speaks for a request.
-	completedFor = time.Minute
-	// completedMost bounds the completions remembered in half that time.
-	completedMost = 4096
+	// completionTTL is how long a completion counts in favour of a request.
+	completionTTL = time.Minute
+	// maxCompletions bounds the completions kept in half that time.
+	maxCompletions = 4096
 )
 
-// completed remembers which fingerprints have completed lately.
+// completions are the fingerprints that have completed recently.
 //
-// It guards against convicting a body that many callers send: it is in flight
-// at every crash, whatever the cause, and would be refused to all of them. A
-// request that crashes each upstream that runs it never completes.
-type completed struct {
-	now      map[request.Fingerprint]struct{}
-	previous map[request.Fingerprint]struct{}
-	began    time.Duration
+// They guard against the conviction of a body that many callers send: it is in flight at
+// every crash, whatever the cause, and would be refused to all of them. A request that
+// crashes each upstream that runs it never completes.
+type completions struct {
+	current   map[request.Fingerprint]struct{}
+	previous  map[request.Fingerprint]struct{}
+	startedAt time.Duration
 }
 
-func (c *completed) add(f request.Fingerprint, now time.Duration) {
-	c.turn(now)
-	if c.now == nil || len(c.now) >= completedMost {
-		c.previous, c.now = c.now, map[request.Fingerprint]struct{}{}
+func (c *completions) add(f request.Fingerprint, now time.Duration) {
+	c.rotate(now)
+	if c.current == nil || len(c.current) >= maxCompletions {
+		c.previous, c.current = c.current, map[request.Fingerprint]struct{}{}
 	}
-	c.now[f] = struct{}{}
+	c.current[f] = struct{}{}
 }
 
-func (c *completed) has(f request.Fingerprint, now time.Duration) bool {
-	c.turn(now)
-	_, lately := c.now[f]
+func (c *completions) has(f request.Fingerprint, now time.Duration) bool {
+	c.rotate(now)
+	_, lately := c.current[f]
 	_, before := c.previous[f]
 	return lately || before
 }
 
-// turn forgets the older half.
-func (c *completed) turn(now time.Duration) {
-	if now < c.began+completedFor/2 {
+// rotate drops the older half when its time is over.
+func (c *completions) rotate(now time.Duration) {
+	if now < c.startedAt+completionTTL/2 {
 		return
 	}
-	if now >= c.began+completedFor {
-		c.now = nil
+	if now >= c.startedAt+completionTTL {
+		c.current = nil
 	}
-	c.previous, c.now = c.now, nil
-	c.began = now
+	c.previous, c.current = c.current, nil
+	c.startedAt = now
 }
--- a/internal/suspect/crash.go
+++ b/internal/suspect/crash.go
@@ -5,13 +5,13 @@
 	"slices"
 )
 
-// CrashID identifies one crash of one upstream, whoever saw it: the upstream
-// and the epoch (its start) that ended.
+// CrashID identifies one crash of one upstream, whichever node saw it: the upstream and
+// its epoch (one start of the process) that ended.
 type CrashID struct {
 	Upstream string
 	Epoch    uint64
-	// Doubt says that Upstream and Epoch name a node and its run instead: one
-	// that fell silent, and may have lost an upstream to the request unseen.
+	// Doubt is set if Upstream and Epoch identify a node and its run instead. That node
+	// stopped answering and may have lost an upstream to the request unseen.
 	Doubt bool
 }
 
@@ -31,7 +31,7 @@
 	return 1
 }
 
-// insert adds the crash to a sorted list and says whether it was new.
+// insert adds the crash to a sorted list and reports whether it was new.
 func insert(list []CrashID, c CrashID) ([]CrashID, bool) {
 	at, found := slices.BinarySearchFunc(list, c, CrashID.compare)
 	if found {
--- a/internal/suspect/datadriven_test.go
+++ b/internal/suspect/datadriven_test.go
@@ -11,16 +11,16 @@
 	"github.com/hickorybank/hickorybank/internal/request"
 )
 
-// script drives some trackers through a scripted scenario. Messages arrive at
-// once, except at nodes that are paused or cut off.
+// script drives some trackers through a scenario. Messages arrive at once, except at
+// nodes that are paused or cut off.
 type script struct {
-	ids    []string
-	nodes  map[string]*Tracker
-	paused map[string]bool
-	cut    map[string]bool
-	flying []Message
-	now    time.Duration
-	out    strings.Builder
+	ids      []string
+	nodes    map[string]*Tracker
+	paused   map[string]bool
+	cut      map[string]bool
+	messages []Message
+	now      time.Duration
+	out      strings.Builder
 }
 
 func TestScenarios(t *testing.T) {
@@ -50,7 +50,7 @@
 		s.pass(2 * time.Second)
 	case "send": // node attempt request upstream
 		s.send(f[0], f[1], request.NewFingerprint("org", []byte(f[2])), f[3])
-	case "crash": // upstream: each node that runs something there sees it
+	case "crash": // upstream: all nodes that run something there notice it
 		for _, id := range s.ids {
 			if !s.paused[id] {
 				s.crash(id, f[0])
@@ -73,13 +73,13 @@
 		}
 		s.pass(v)
 	}
-	s.settle()
+	s.deliverAll()
 }
 
 func (s *script) send(node, attempt string, f request.Fingerprint, upstream string) {
 	d := s.nodes[node].AdmitAt(attempt, f, upstream, epoch.Add(s.now))
-	s.show(d)
-	s.settle()
+	s.printDecision(d)
+	s.deliverAll()
 	if s.nodes[node].flights[attempt] != nil && !s.nodes[node].Started(attempt, f, upstream, epoch.Add(s.now)) {
 		fmt.Fprintf(&s.out, "%s is not sent\n", attempt)
 	}
@@ -93,27 +93,27 @@
 	}
 }
 
-func (s *script) show(d Decision) {
-	words := map[Verdict]string{Run: "runs", RunAlone: "runs alone", Wait: "waits", Refuse: "refused"}
-	word := words[d.Verdict]
+func (s *script) printDecision(d Decision) {
+	names := map[Verdict]string{Run: "runs", RunAlone: "runs alone", Wait: "waits", Refuse: "refused"}
+	name := names[d.Verdict]
 	if d.Convicted {
-		word = "refused as convicted"
+		name = "refused as convicted"
 	}
-	fmt.Fprintf(&s.out, "%s %s\n", d.Attempt, word)
+	fmt.Fprintf(&s.out, "%s %s\n", d.Attempt, name)
 }
 
-// settle carries messages until there are none.
-func (s *script) settle() {
+// deliverAll delivers messages until there are none.
+func (s *script) deliverAll() {
 	for range 100 {
 		s.collect()
-		due := s.flying
-		s.flying = nil
+		due := s.messages
+		s.messages = nil
 		moved := false
 		for _, m := range due {
 			switch {
 			case s.cut[m.From] || s.cut[m.To]:
 			case s.paused[m.To]:
-				s.flying = append(s.flying, m)
+				s.messages = append(s.messages, m)
 			default:
 				s.nodes[m.To].Step(m, epoch.Add(s.now))
 				moved = true
@@ -131,14 +131,14 @@
 			continue
 		}
 		r := s.nodes[id].Ready()
-		s.flying = append(s.flying, r.Messages...)
+		s.messages = append(s.messages, r.Messages...)
 		for _, d := range r.Decisions {
-			s.show(d)
+			s.printDecision(d)
 		}
 		for range r.Convicted {
 			fmt.Fprintf(&s.out, "a request is convicted at %s\n", id)
 		}
-		for _, a := range r.Released {
+		for _, a := range r.Reportable {
 			fmt.Fprintf(&s.out, "%s may be told at %s\n", a, id)
 		}
 	}
@@ -153,6 +153,6 @@
 				s.nodes[id].Tick(epoch.Add(s.now))
 			}
 		}
-		s.settle()
+		s.deliverAll()
 	}
 }
--- a/internal/suspect/entry.go
+++ b/internal/suspect/entry.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// convicting is how many crashes convict.
-	convicting = 2
-	// maxCrashes bounds the crashes kept of one fingerprint.
+	// convictionCrashes is the number of crashes that convicts a request.
+	convictionCrashes = 2
+	// maxCrashes bounds the crashes kept for one fingerprint.
 	maxCrashes = 8
 )
 
@@ -21,17 +21,17 @@
 	fingerprint request.Fingerprint
 	crashes     []CrashID
 	cleared     []CrashID
-	// crashed is when the last crash became known here.
-	crashed   time.Duration
-	convicted time.Duration
-	expires   time.Duration
-	// version counts the changes of the whole store.
+	// crashedAt is when the last crash became known here.
+	crashedAt   time.Duration
+	convictedAt time.Duration
+	expiresAt   time.Duration
+	// version is the store's version at the entry's last change.
 	version uint64
 }
 
-// strikes counts the crashes that it has not been cleared of; proven leaves
-// out doubts.
-func (e *entry) strikes() (all, proven int) {
+// crashCount counts the crashes that the request is not cleared of; proven leaves out
+// doubts.
+func (e *entry) crashCount() (all, proven int) {
 	if e == nil {
 		return 0, 0
 	}
@@ -48,19 +48,19 @@
 }
 
 func (e *entry) suspect() bool {
-	all, _ := e.strikes()
+	all, _ := e.crashCount()
 	return all > 0
 }
 
 func (e *entry) record(now time.Duration) Record {
-	r := Record{Fingerprint: e.fingerprint, Crashes: e.crashes, Cleared: e.cleared, Left: e.expires - now}
-	if e.convicted != 0 {
-		r.Since = now - e.convicted + 1
+	r := Record{Fingerprint: e.fingerprint, Crashes: e.crashes, Cleared: e.cleared, Left: e.expiresAt - now}
+	if e.convictedAt != 0 {
+		r.Since = now - e.convictedAt + 1
 	}
 	return r
 }
 
-// hash is of the lists; the time that is left differs from node to node.
+// hash covers the lists only: the remaining times differ from node to node.
 func (e *entry) hash() uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -85,8 +85,8 @@
 	_, _ = d.Write(b[:])
 }
 
-// merge adds what r knows and says whether that was new, and whether the entry
-// knows more than r.
+// merge adds the record's crashes and clearances. It reports whether any was new, and
+// whether the entry knows more than the record.
 func (e *entry) merge(r Record) (changed, more bool) {
 	for _, c := range r.Crashes {
 		if len(e.crashes) >= maxCrashes {
--- a/internal/suspect/flight.go
+++ b/internal/suspect/flight.go
@@ -12,19 +12,19 @@
 type flight struct {
 	attempt     string
 	fingerprint request.Fingerprint
-	upstream    string // empty until it is sent
+	upstream    string // empty until the attempt is sent
 	started     time.Duration
-	// epoch is the upstream's while the attempt runs there, once a load report
-	// made meanwhile has told it.
-	epoch uint64
-	sure  bool
-	// voters have voted for it; a run of no suspect has none.
+	// epoch is the upstream's epoch while the attempt runs there. It is known once a load
+	// report was made during the attempt.
+	epoch      uint64
+	epochKnown bool
+	// granted is set if voters have permitted the run; a run of no suspect has none.
 	granted bool
 	lane    string
 	voters  []string
 }
 
-// flightsAt are the attempts in flight at an upstream, in a fixed order.
+// flightsAt are the attempts in flight at an upstream, sorted by attempt.
 func (t *Tracker) flightsAt(upstream string) []*flight {
 	var out []*flight
 	for _, fl := range t.flights {
--- a/internal/suspect/freshness.go
+++ b/internal/suspect/freshness.go
@@ -2,90 +2,90 @@
 
 import "time"
 
-// pullsWhenBehind is how many peers are pulled from at once by a node that is
-// behind.
+// pullsWhenBehind is how many peers a node that is behind pulls from at once.
 const pullsWhenBehind = 3
 
-// freshness is how much a node may still not know.
+// freshness is how recently the node has received what its peers know.
 //
-// It guards against a node that was paused or cut off while the others were
-// told of a suspect, and is sent that request as soon as it runs again. It
-// shows as no answer of a peer to a question younger than Lapse. Every peer
-// that told its caller of a crash has waited longer than that for this node,
-// so an answer to a younger question holds what it did not hear.
+// It guards against a node that was paused or cut off while the others learned of a
+// suspect, and that gets the request as soon as it runs again. Such a node has no answer
+// to a pull younger than FreshnessTTL. A peer that reported a crash to its caller has
+// waited longer than that for this node, so the answer to a younger pull contains what
+// the node missed.
 type freshness struct {
-	// asOf is when the last question was asked that a peer has answered.
-	asOf time.Duration
-	any  bool
+	// asOf is when the last pull was sent that a peer has answered; known is set once
+	// there was one.
+	asOf  time.Duration
+	known bool
 	// behindSince is when the node was first found to be behind; 0 when fresh.
 	behindSince time.Duration
-	// answered are the peers that answered, though behind themselves.
+	// answered are the peers that answered but are behind themselves.
 	answered map[string]bool
-	// alone says that no peer answered for long: the node is on its own side
-	// of whatever cut it off.
-	alone bool
+	// isolated is set if no peer has answered for long: the node is alone on its side of
+	// a network partition.
+	isolated bool
 
-	pulls map[uint64]pull
-	last  time.Duration
-	next  int
-	// idle says that the last pull was answered.
-	idle bool
+	pulls    map[uint64]pull
+	lastPull time.Duration
+	nextPeer int
+	// lastPullAnswered is set once the last pull was answered.
+	lastPullAnswered bool
 }
 
-// pull is a question to a peer that has not been answered.
+// pull is a pull that has not been answered.
 type pull struct {
 	peer string
 	at   time.Duration
 }
 
-// fresh says whether this node may run work that it does not know of.
-func (t *Tracker) fresh() bool { return t.freshness.alone || t.current() }
+// fresh reports whether this node may run requests that it knows nothing of.
+func (t *Tracker) fresh() bool { return t.freshness.isolated || t.upToDate() }
 
-// current says whether this node knows what the others know.
-func (t *Tracker) current() bool {
+// upToDate reports whether this node knows what the others know.
+func (t *Tracker) upToDate() bool {
 	f := &t.freshness
-	if len(t.peers.all) == 0 || !t.settings.has(guardFresh) {
+	if len(t.peers.all) == 0 || !t.settings.applies(ruleFreshness) {
 		return true
 	}
-	return f.any && t.now-f.asOf <= t.settings.Lapse
+	return f.known && t.now-f.asOf <= t.settings.FreshnessTTL
 }
 
-// pullIfDue asks one peer after the other for what this node lacks.
+// pullIfDue asks one peer after the other for the records that this node lacks.
 func (t *Tracker) pullIfDue() {
 	f := &t.freshness
-	t.watchFreshness()
+	t.updateFreshness()
 	n := len(t.peers.neighbours)
-	if n == 0 || t.now < f.last+t.pullGap() {
+	if n == 0 || t.now < f.lastPull+t.pullInterval() {
 		return
 	}
-	f.last = t.now
-	f.idle = false
+	f.lastPull = t.now
+	f.lastPullAnswered = false
 	count := 1
 	if f.behindSince != 0 {
 		count = min(n, pullsWhenBehind)
 	}
 	for range count {
-		p := t.peers.neighbours[f.next%n]
-		f.next++
+		p := t.peers.neighbours[f.nextPeer%n]
+		f.nextPeer++
 		seq := t.nextSeq()
 		f.pulls[seq] = pull{peer: p.id, at: t.now}
 		t.send(Message{To: p.id, Kind: Pull, Seq: seq, Digest: t.store.digest, Behind: f.behindSince != 0})
 	}
 }
 
-func (t *Tracker) pullGap() time.Duration {
-	if t.freshness.idle && t.freshness.behindSince == 0 {
-		return t.settings.Beat
+func (t *Tracker) pullInterval() time.Duration {
+	if t.freshness.lastPullAnswered && t.freshness.behindSince == 0 {
+		return t.settings.PullInterval
 	}
-	return t.settings.Resend
+	return t.settings.ResendInterval
 }
 
-// watchFreshness notes since when the node is behind, and gives up on peers
-// that do not answer.
-func (t *Tracker) watchFreshness() {
+// updateFreshness records since when the node is behind, and gives up on peers that do
+// not answer.
+func (t *Tracker) updateFreshness() {
 	f := &t.freshness
 	for seq, p := range f.pulls {
-		if t.now > p.at+t.settings.Lapse {
+		if t.now > p.at+t.settings.FreshnessTTL {
 			delete(f.pulls, seq)
 		}
 	}
@@ -98,36 +98,36 @@
 		f.behindSince = max(t.now, 1)
 		f.answered = map[string]bool{}
 	}
-	if t.now > f.behindSince+2*t.settings.Lapse {
-		f.alone = true
+	if t.now > f.behindSince+2*t.settings.FreshnessTTL {
+		f.isolated = true
 		f.behindSince = 0
 	}
 }
 
-// pulled takes the answer to a pull.
-func (t *Tracker) pulled(m Message) {
+// handlePush handles the answer to a pull.
+func (t *Tracker) handlePush(m Message) {
 	f := &t.freshness
 	p, ok := f.pulls[m.Seq]
 	if !ok || p.peer != m.From {
 		return
 	}
 	delete(f.pulls, m.Seq)
-	f.idle = true
-	f.alone = false
+	f.lastPullAnswered = true
+	f.isolated = false
 	if m.Behind {
-		t.answeredBehind(m.From, p.at)
+		t.handleBehindPush(m.From, p.at)
 		return
 	}
-	if !f.any || p.at > f.asOf {
+	if !f.known || p.at > f.asOf {
 		f.asOf = p.at
-		f.any = true
+		f.known = true
 	}
 }
 
-// answeredBehind counts a peer that is behind itself. When all of them have
-// answered, what they hold together is all that there is: so a fleet that was
-// started at once does not wait for a node that knows more.
-func (t *Tracker) answeredBehind(id string, at time.Duration) {
+// handleBehindPush records the answer of a peer that is behind itself. Once all of them
+// have answered, no node knows more than they do together. So nodes that were all started
+// at once do not wait for one that knows more.
+func (t *Tracker) handleBehindPush(id string, at time.Duration) {
 	f := &t.freshness
 	if f.behindSince == 0 || at < f.behindSince {
 		return
@@ -139,5 +139,5 @@
 		}
 	}
 	f.asOf = at
-	f.any = true
+	f.known = true
 }
--- a/internal/suspect/holder.go
+++ b/internal/suspect/holder.go
@@ -8,30 +8,30 @@
 	"github.com/hickorybank/hickorybank/internal/request"
 )
 
-// Holder keeps this node's votes: for each suspect at most one run is voted
-// for at a time. A run needs the vote of every node that is asked, so that no
-// two runs of one suspect are permitted together, and no two suspects on one upstream.
-type Holder struct {
+// VoteTable holds this node's votes. A run needs the vote of every node that is asked,
+// and a node votes for one run at a time per suspect and per upstream. So no two runs of
+// one suspect are permitted together, and no two suspects on one upstream.
+type VoteTable struct {
 	maxRun time.Duration
 	votes  map[request.Fingerprint]Vote
 }
 
-// Vote is a run that this node has agreed to.
+// Vote is a run that this node has permitted.
 type Vote struct {
 	Fingerprint request.Fingerprint
 	Attempt     string
-	// Lane is the upstream that the run is to have for itself; empty may be
-	// any, and is at odds with every other lane.
+	// Lane is the upstream reserved for the run. Empty means any upstream, and conflicts
+	// with every lane.
 	Lane string
-	// From and Born are the node that runs it, and its run.
+	// From and Born are the node that runs it, and that node's run.
 	From string
 	Born uint64
-	// Until is when it counts as lost, since the holder's base.
-	Until time.Duration
+	// ExpiresAt is when the run counts as lost, since the tracker's base.
+	ExpiresAt time.Duration
 }
 
-// conflicts says whether the two runs must not be at one time. Two suspects on
-// one upstream would both be convicted by its crash.
+// conflicts reports whether the two runs must not overlap. Two suspects on one upstream
+// would both be convicted by its crash.
 func (v Vote) conflicts(o Vote) bool {
 	if v.Attempt == o.Attempt && v.From == o.From {
 		return false
@@ -39,38 +39,38 @@
 	return v.Fingerprint == o.Fingerprint || v.Lane == o.Lane || v.Lane == "" || o.Lane == ""
 }
 
-// NewHolder returns a holder without votes, which count for maxRun.
-func NewHolder(maxRun time.Duration) *Holder {
-	return &Holder{maxRun: maxRun, votes: map[request.Fingerprint]Vote{}}
+// NewVoteTable returns a table without votes; each vote counts for maxRun.
+func NewVoteTable(maxRun time.Duration) *VoteTable {
+	return &VoteTable{maxRun: maxRun, votes: map[request.Fingerprint]Vote{}}
 }
 
-// Ask votes for the run unless another one of the same suspect, or on the same
-// lane, has the vote.
-func (h *Holder) Ask(v Vote, now time.Duration) bool {
-	for _, held := range h.votes {
+// Grant votes for the run, and reports false if another run with a vote conflicts with
+// it.
+func (t *VoteTable) Grant(v Vote, now time.Duration) bool {
+	for _, held := range t.votes {
 		if held.conflicts(v) {
 			return false
 		}
 	}
-	v.Until = now + h.maxRun
-	h.votes[v.Fingerprint] = v
+	v.ExpiresAt = now + t.maxRun
+	t.votes[v.Fingerprint] = v
 	return true
 }
 
-// Release gives the run's vote back.
-func (h *Holder) Release(f request.Fingerprint, attempt, from string) {
-	if held, ok := h.votes[f]; ok && held.Attempt == attempt && held.From == from {
-		delete(h.votes, f)
+// Release removes the run's vote.
+func (t *VoteTable) Release(f request.Fingerprint, attempt, from string) {
+	if held, ok := t.votes[f]; ok && held.Attempt == attempt && held.From == from {
+		delete(t.votes, f)
 	}
 }
 
-// Expired takes out the votes of runs of which nobody has told the end.
-func (h *Holder) Expired(now time.Duration) []Vote {
+// TakeExpired removes and returns the votes for runs that have not ended in time.
+func (t *VoteTable) TakeExpired(now time.Duration) []Vote {
 	var out []Vote
-	for f, v := range h.votes {
-		if now >= v.Until {
+	for f, v := range t.votes {
+		if now >= v.ExpiresAt {
 			out = append(out, v)
-			delete(h.votes, f)
+			delete(t.votes, f)
 		}
 	}
 	slices.SortFunc(out, func(a, b Vote) int { return bytes.Compare(a.Fingerprint[:], b.Fingerprint[:]) })
--- a/internal/suspect/learn.go
+++ b/internal/suspect/learn.go
@@ -6,63 +6,63 @@
 	"github.com/hickorybank/hickorybank/internal/request"
 )
 
-// learn takes a record in and passes on what was new. from is the peer that
-// sent it, or empty.
+// learn merges a record and passes on what was new. from is the peer that sent it, or
+// empty.
 func (t *Tracker) learn(r Record, from string) {
-	_, before := t.store.get(r.Fingerprint).strikes()
+	_, before := t.store.get(r.Fingerprint).crashCount()
 	c := t.store.merge(r, t.now)
 	e := t.store.get(r.Fingerprint)
 	if e == nil {
 		return
 	}
-	if _, proven := e.strikes(); before < convicting && proven >= convicting {
-		t.out.Convicted = append(t.out.Convicted, e.fingerprint)
+	if _, proven := e.crashCount(); before < convictionCrashes && proven >= convictionCrashes {
+		t.ready.Convicted = append(t.ready.Convicted, e.fingerprint)
 	}
-	if c.news {
-		t.tellAll(e, from, c.more)
-		t.speakUp(r.Fingerprint)
+	if c.learned {
+		t.queueForNeighbours(e, from, c.hasMore)
+		t.clearOwnDoubt(r.Fingerprint)
 	}
-	if c.more && !c.news {
-		t.tell(t.peers.of[from], e)
+	if c.hasMore && !c.learned {
+		t.queueFor(t.peers.byID[from], e)
 	}
 }
 
-// tellAll marks the record for all neighbours but the one that has just told
-// all of it.
-func (t *Tracker) tellAll(e *entry, from string, more bool) {
-	if !t.settings.has(guardAlert) {
+// queueForNeighbours queues the record for all neighbours, except the one that has just
+// sent all of it.
+func (t *Tracker) queueForNeighbours(e *entry, from string, more bool) {
+	if !t.settings.applies(ruleAlert) {
 		return
 	}
 	for _, p := range t.peers.neighbours {
 		if p.id != from || more {
-			t.tell(p, e)
+			t.queueFor(p, e)
 		}
 	}
 }
 
-func (t *Tracker) tell(p *peer, e *entry) {
-	if p == nil || !t.settings.has(guardAlert) {
+func (t *Tracker) queueFor(p *peer, e *entry) {
+	if p == nil || !t.settings.applies(ruleAlert) {
 		return
 	}
-	if len(p.pending) == 0 && !slices.Contains(t.untold, p) {
-		t.untold = append(t.untold, p)
+	if len(p.pending) == 0 && !slices.Contains(t.unacknowledged, p) {
+		t.unacknowledged = append(t.unacknowledged, p)
 	}
 	p.pending[e.fingerprint] = e.version
 }
 
-// alertPeers sends what peers have not acknowledged.
-func (t *Tracker) alertPeers() {
-	t.untold = slices.DeleteFunc(t.untold, func(p *peer) bool { return len(p.pending) == 0 || t.peers.of[p.id] != p })
-	for _, p := range t.untold {
-		if len(p.alerts) > 0 && t.now < p.alerted+t.settings.Resend {
+// sendAlerts sends the records that peers have not acknowledged.
+func (t *Tracker) sendAlerts() {
+	t.unacknowledged = slices.DeleteFunc(t.unacknowledged, func(p *peer) bool { return len(p.pending) == 0 || t.peers.byID[p.id] != p })
+	for _, p := range t.unacknowledged {
+		if len(p.alerts) > 0 && t.now < p.alertedAt+t.settings.ResendInterval {
 			continue
 		}
-		t.alert(p)
+		t.sendAlert(p)
 	}
 }
 
-func (t *Tracker) alert(p *peer) {
-	items := p.due()
+func (t *Tracker) sendAlert(p *peer) {
+	items := p.nextItems()
 	m := Message{To: p.id, Kind: Alert, Seq: t.nextSeq()}
 	for _, item := range items {
 		e := t.store.get(item.fingerprint)
@@ -75,20 +75,20 @@
 	if len(m.Records) == 0 {
 		return
 	}
-	p.sent(m.Seq, items, t.now)
+	p.addAlert(m.Seq, items, t.now)
 	t.send(m)
 }
 
-// speakUp takes back others' doubts about this node: it is not silent, and
-// knows what became of the request here.
-func (t *Tracker) speakUp(f request.Fingerprint) {
+// clearOwnDoubt clears other nodes' doubts about this node: it is reachable, and no
+// attempt of the request runs here.
+func (t *Tracker) clearOwnDoubt(f request.Fingerprint) {
 	e := t.store.get(f)
-	if e == nil || t.flying(f, "") {
+	if e == nil || t.inFlight(f, "") {
 		return
 	}
 	self := CrashID{Upstream: t.settings.Self, Epoch: t.settings.Born, Doubt: true}
 	if !contains(e.crashes, self) || contains(e.cleared, self) {
 		return
 	}
-	t.learn(Record{Fingerprint: f, Cleared: []CrashID{self}, Left: e.expires - t.now}, "")
+	t.learn(Record{Fingerprint: f, Cleared: []CrashID{self}, Left: e.expiresAt - t.now}, "")
 }
--- a/internal/suspect/losses_test.go
+++ b/internal/suspect/losses_test.go
@@ -10,32 +10,32 @@
 
 var seeds = flag.Int("seeds", defaultSeeds, "how many seeds TestAtMostTwoLosses runs")
 
-// maxLife is short, so that the end of a wrong conviction can be seen.
-const maxLife = 3 * time.Minute
+// maxConviction is short, so that the tests see the end of a wrong conviction.
+const maxConviction = 3 * time.Minute
 
-// play runs one seed and returns what is wrong, or nothing.
-func play(seed uint64, nodes int, off guard, keepLog bool) (string, *world) {
-	const faultsEnd, end = 25 * time.Second, maxLife + 2*time.Minute
-	w := newWorld(seed, nodes, off)
+// runSeed runs one seed and returns the first violation, or "".
+func runSeed(seed uint64, nodes int, disabled rule, keepLog bool) (string, *world) {
+	const faultsEnd, end = 25 * time.Second, maxConviction + 2*time.Minute
+	w := newWorld(seed, nodes, disabled)
 	w.keepLog = keepLog
-	bad := w.addCaller("crasher", true)
-	var good []*caller
+	crasher := w.addCaller("crasher", true)
+	var others []*caller
 	for i := range 6 {
-		good = append(good, w.addCaller(fmt.Sprintf("draft-%d", i), false))
+		others = append(others, w.addCaller(fmt.Sprintf("draft-%d", i), false))
 	}
-	w.stir(faultsEnd)
+	w.scheduleFaults(faultsEnd)
 	for w.now < end {
 		w.runUntil(w.now + time.Second)
-		if n := len(bad.lost); n > convicting && bad.lost[n-1] < bad.lost[0]+maxLife {
+		if n := len(crasher.lost); n > convictionCrashes && crasher.lost[n-1] < crasher.lost[0]+maxConviction {
 			return fmt.Sprintf("%d upstreams lost to one request", n), w
 		}
-		if w.now > faultsEnd && allDone(good) {
+		if w.now > faultsEnd && allDone(others) {
 			return "", w
 		}
 	}
-	for _, c := range good {
+	for _, c := range others {
 		if !c.done {
-			return c.name + " never ran, though it is innocent", w
+			return c.name + " never completed, though it crashes no upstream", w
 		}
 	}
 	return "", w
@@ -50,62 +50,61 @@
 	return true
 }
 
-// TestAtMostTwoLosses: a request crashes each upstream that runs it. Its
-// caller sends it again to any node, with a new key, as soon as it hears of
-// the failure or loses patience. Meanwhile messages are lost, late and
-// repeated, nodes are paused, cut off from one another and replaced, and
-// upstreams crash for other reasons too. Yet no more than two upstreams are
-// lost to it, and the requests that were in flight beside it get their answers.
-func TestAtMostTwoLosses(t *testing.T) {
+// Guards against a third upstream lost to one request that crashes each upstream that
+// runs it. Its caller sends it to any node, with a new key, as soon as it gets the
+// failure or times out. Meanwhile messages are lost, delayed and repeated, nodes are
+// paused, cut off and replaced, and upstreams crash for other reasons. The requests in
+// flight beside it must complete.
+func TestRequestCrashesAtMostTwoUpstreams(t *testing.T) {
 	const lanes = 64
 	for lane := range lanes {
 		t.Run(fmt.Sprint(lane), func(t *testing.T) {
 			t.Parallel()
 			for seed := lane; seed < *seeds; seed += lanes {
-				if wrong, _ := play(uint64(seed), 0, 0, false); wrong != "" {
-					t.Fatalf("seed %d: %s\n%s", seed, wrong, story(uint64(seed), 0))
+				if violation, _ := runSeed(uint64(seed), 0, 0, false); violation != "" {
+					t.Fatalf("seed %d: %s\n%s", seed, violation, replay(uint64(seed), 0))
 				}
 			}
 		})
 	}
 }
 
-// TestManyNodes is the same with more nodes than talk to each other directly,
-// where news goes by relays and five nodes vote. One silent node among the
-// many is still told from those that vote.
-func TestManyNodes(t *testing.T) {
+// Guards against the same failure with more nodes than exchange messages directly:
+// records go by relays and five nodes vote. One silent node among them must still be
+// detected.
+func TestRequestCrashesAtMostTwoUpstreamsWithRelays(t *testing.T) {
 	for seed := range uint64(*seeds / 100) {
-		if wrong, _ := play(seed, 24, 0, false); wrong != "" {
+		if wrong, _ := runSeed(seed, 24, 0, false); wrong != "" {
 			t.Fatalf("seed %d: %s", seed, wrong)
 		}
 	}
 }
 
-// story plays a seed again and tells what happened.
-func story(seed uint64, off guard) string {
-	_, w := play(seed, 0, off, true)
+// replay runs a seed again and returns its log.
+func replay(seed uint64, disabled rule) string {
+	_, w := runSeed(seed, 0, disabled, true)
 	return strings.Join(w.log, "\n")
 }
 
-// TestGuardsAreNeeded: without any one of the guards, some seed loses a third
-// upstream. So the test above can see what each guard prevents.
-func TestGuardsAreNeeded(t *testing.T) {
-	for name, off := range map[string]guard{
-		"alert":   guardAlert,
-		"release": guardRelease,
-		"fresh":   guardFresh,
-		"vote":    guardVote,
-		"doubt":   guardDoubt,
+// Guards against a simulation that no longer detects a missing rule: without any one of
+// the rules some seed must lose a third upstream.
+func TestSeedsCatchDisabledRules(t *testing.T) {
+	for name, disabled := range map[string]rule{
+		"alert":   ruleAlert,
+		"release": ruleHoldFailures,
+		"fresh":   ruleFreshness,
+		"vote":    ruleVote,
+		"doubt":   ruleDoubt,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(4000) {
-				if wrong, _ := play(seed, 0, off, false); strings.Contains(wrong, "upstreams lost") {
+				if wrong, _ := runSeed(seed, 0, disabled, false); strings.Contains(wrong, "upstreams lost") {
 					t.Logf("without %s: seed %d: %s", name, seed, wrong)
 					return
 				}
 			}
-			t.Errorf("no seed shows what the guard is for")
+			t.Errorf("no seed loses a third upstream without the rule")
 		})
 	}
 }
--- a/internal/suspect/message.go
+++ b/internal/suspect/message.go
@@ -2,46 +2,45 @@
 
 import "github.com/hickorybank/hickorybank/internal/request"
 
-// Message goes from one tracker to another. It may arrive in any order, any
-// number of times or never. It is sent one way by net/rpc; the call's reply
-// carries nothing.
+// Message goes from one tracker to another. Messages may be lost, repeated and reordered.
+// They are sent one way by net/rpc; the reply of the call is empty.
 type Message struct {
 	From string
 	// Born is the sender's run.
 	Born uint64
 	To   string
 	Kind MessageKind
-	// Seq matches an answer to what it answers.
+	// Seq matches an answer to its question.
 	Seq uint64
-	// Digest is of the sender's records; Behind says that it may lack some.
+	// Digest is that of the sender's records. Behind is set if it may lack some.
 	Digest uint64
 	Behind bool
-	// Records are the suspects told of.
+	// Records are records of suspects to merge.
 	Records []Record
-	// Attempt and Fingerprint name the run that is asked for or has ended.
+	// Attempt, Lane and Fingerprint identify the run that a vote is about.
 	Attempt     string
 	Lane        string
 	Fingerprint request.Fingerprint
 	Granted     bool
 }
 
-// MessageKind is what a message is for.
+// MessageKind is the purpose of a message.
 type MessageKind uint8
 
-// The kinds of messages.
+// Kinds of messages.
 const (
-	// Alert tells of suspects; it is answered by AlertAck.
+	// Alert sends suspects; it is answered by AlertAck.
 	Alert MessageKind = iota + 1
 	AlertAck
 	// Pull asks for the records that the sender lacks; it is answered by Push.
 	Pull
 	Push
-	// Ask asks a peer for its vote for a run; it is answered by Answer.
-	Ask
-	Answer
-	// Release gives the vote back; it is answered by ReleaseAck.
-	Release
-	ReleaseAck
-	// Bye says that the sender stops and has nothing in flight.
-	Bye
+	// VoteRequest asks a peer for its vote for a run; it is answered by VoteReply.
+	VoteRequest
+	VoteReply
+	// VoteRelease returns the vote; it is answered by VoteReleaseAck.
+	VoteRelease
+	VoteReleaseAck
+	// Leaving says that the sender stops and has nothing in flight.
+	Leaving
 )
--- a/internal/suspect/peer.go
+++ b/internal/suspect/peer.go
@@ -9,27 +9,27 @@
 )
 
 const (
-	// alertMost bounds the records of one alert.
-	alertMost = 128
-	// alertsOut bounds the alerts to one peer whose answer may still come.
-	alertsOut = 16
+	// maxAlertRecords bounds the records of one alert.
+	maxAlertRecords = 128
+	// maxUnansweredAlerts bounds the alerts to one peer whose answer may still arrive.
+	maxUnansweredAlerts = 16
 )
 
-// peer is what a tracker holds of one other node.
+// peer is the state that a tracker keeps for one other node.
 type peer struct {
 	id   string
 	born uint64
-	// heard is when it last said anything; ever says that it has.
-	heard time.Duration
-	ever  bool
-	bye   bool
-	// pending are the records that it has not acknowledged, by version.
-	pending map[request.Fingerprint]uint64
-	alerts  []alert
-	alerted time.Duration
+	// lastHeard is when its last message arrived; everHeard is set once there was one.
+	lastHeard time.Duration
+	everHeard bool
+	left      bool
+	// pending are the records that it has not acknowledged, with their versions.
+	pending   map[request.Fingerprint]uint64
+	alerts    []alert
+	alertedAt time.Duration
 }
 
-// alert is a message of news that was sent.
+// alert is an alert that was sent and not answered.
 type alert struct {
 	seq   uint64
 	items []alertItem
@@ -44,26 +44,26 @@
 	return &peer{id: id, pending: map[request.Fingerprint]uint64{}}
 }
 
-// due are the records to send now, in a fixed order.
-func (p *peer) due() []alertItem {
+// nextItems returns the records to send next, sorted by fingerprint.
+func (p *peer) nextItems() []alertItem {
 	items := make([]alertItem, 0, len(p.pending))
 	for f, v := range p.pending {
 		items = append(items, alertItem{fingerprint: f, version: v})
 	}
 	slices.SortFunc(items, func(a, b alertItem) int { return bytes.Compare(a.fingerprint[:], b.fingerprint[:]) })
-	return items[:min(len(items), alertMost)]
+	return items[:min(len(items), maxAlertRecords)]
 }
 
-func (p *peer) sent(seq uint64, items []alertItem, now time.Duration) {
-	p.alerted = now
+func (p *peer) addAlert(seq uint64, items []alertItem, now time.Duration) {
+	p.alertedAt = now
 	p.alerts = append(p.alerts, alert{seq: seq, items: items})
-	if len(p.alerts) > alertsOut {
-		p.alerts = slices.Delete(p.alerts, 0, len(p.alerts)-alertsOut)
+	if len(p.alerts) > maxUnansweredAlerts {
+		p.alerts = slices.Delete(p.alerts, 0, len(p.alerts)-maxUnansweredAlerts)
 	}
 }
 
-// acknowledged takes the answer to an alert.
-func (p *peer) acknowledged(seq uint64) {
+// handleAck handles the answer to an alert.
+func (p *peer) handleAck(seq uint64) {
 	at := slices.IndexFunc(p.alerts, func(a alert) bool { return a.seq == seq })
 	if at < 0 {
 		return
--- a/internal/suspect/peers.go
+++ b/internal/suspect/peers.go
@@ -8,101 +8,102 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// peers are the other nodes, in the order of their IDs.
+// peers are the other nodes, sorted by ID.
 type peers struct {
-	all []*peer
-	of  map[string]*peer
-	// neighbours are told and pulled from directly.
+	all  []*peer
+	byID map[string]*peer
+	// neighbours get alerts and pulls directly.
 	neighbours []*peer
-	// lost are nodes that went without a word.
+	// lost are nodes that left without the message Leaving.
 	lost []lostNode
 }
 
-// lostNode is a run of a node that fell silent and is no longer listed.
+// lostNode is a run of a node that stopped sending and is no longer listed, or was
+// replaced.
 type lostNode struct {
-	id    string
-	born  uint64
-	heard time.Duration
+	id        string
+	born      uint64
+	lastHeard time.Duration
 }
 
-// lostMost bounds the lost nodes remembered.
-const lostMost = 64
+// maxLost bounds the lost nodes kept.
+const maxLost = 64
 
-// set takes the list of nodes.
+// set replaces the list of nodes.
 func (ps *peers) set(ids []string, s *Settings) {
-	old := ps.of
-	ps.of = make(map[string]*peer, len(ids))
+	old := ps.byID
+	ps.byID = make(map[string]*peer, len(ids))
 	ps.all = ps.all[:0]
 	for _, id := range ids {
-		if id == s.Self || ps.of[id] != nil {
+		if id == s.Self || ps.byID[id] != nil {
 			continue
 		}
 		p := old[id]
 		if p == nil {
 			p = newPeer(id)
 		}
-		ps.of[id] = p
+		ps.byID[id] = p
 		ps.all = append(ps.all, p)
 	}
 	slices.SortFunc(ps.all, func(a, b *peer) int { return cmp.Compare(a.id, b.id) })
-	ps.dropped(old)
+	ps.addUnlisted(old)
 	ps.neighbours = chooseNeighbours(ps.all, s)
 }
 
-// dropped notes the nodes that are no longer listed.
-func (ps *peers) dropped(old map[string]*peer) {
+// addUnlisted adds the nodes that are no longer listed to the lost ones.
+func (ps *peers) addUnlisted(old map[string]*peer) {
 	var gone []*peer
 	for id, p := range old {
-		if ps.of[id] == nil && p.ever && !p.bye {
+		if ps.byID[id] == nil && p.everHeard && !p.left {
 			gone = append(gone, p)
 		}
 	}
 	slices.SortFunc(gone, func(a, b *peer) int { return cmp.Compare(a.id, b.id) })
 	for _, p := range gone {
-		ps.lose(p)
+		ps.addLost(p)
 	}
 }
 
-func (ps *peers) lose(p *peer) {
-	ps.lost = append(ps.lost, lostNode{id: p.id, born: p.born, heard: p.heard})
-	if len(ps.lost) > lostMost {
-		ps.lost = slices.Delete(ps.lost, 0, len(ps.lost)-lostMost)
+func (ps *peers) addLost(p *peer) {
+	ps.lost = append(ps.lost, lostNode{id: p.id, born: p.born, lastHeard: p.lastHeard})
+	if len(ps.lost) > maxLost {
+		ps.lost = slices.Delete(ps.lost, 0, len(ps.lost)-maxLost)
 	}
 }
 
-// hear notes a message. A node that comes back as another run has lost what
-// the earlier run knew.
-func (ps *peers) hear(m *Message, now time.Duration) *peer {
-	p := ps.of[m.From]
+// received records a message. A node that returns as another run has lost what its
+// earlier run knew.
+func (ps *peers) received(m *Message, now time.Duration) *peer {
+	p := ps.byID[m.From]
 	if p == nil {
-		ps.found(m)
+		ps.removeLost(m)
 		return nil
 	}
-	if p.ever && p.born != m.Born {
-		if !p.bye {
-			ps.lose(p)
+	if p.everHeard && p.born != m.Born {
+		if !p.left {
+			ps.addLost(p)
 		}
 		*p = *newPeer(p.id)
 	}
 	p.born = m.Born
-	p.heard = now
-	p.ever = true
+	p.lastHeard = now
+	p.everHeard = true
 	return p
 }
 
-// found takes back that a node was lost.
-func (ps *peers) found(m *Message) {
+// removeLost removes the message's sender from the lost nodes.
+func (ps *peers) removeLost(m *Message) {
 	ps.lost = slices.DeleteFunc(ps.lost, func(l lostNode) bool { return l.id == m.From && l.born == m.Born })
 }
 
-// forget drops the lost nodes that no suspect can be due to any more.
-func (ps *peers) forget(before time.Duration) {
-	ps.lost = slices.DeleteFunc(ps.lost, func(l lostNode) bool { return l.heard < before })
+// forgetLost drops lost nodes that no known suspect can be related to any more.
+func (ps *peers) forgetLost(before time.Duration) {
+	ps.lost = slices.DeleteFunc(ps.lost, func(l lostNode) bool { return l.lastHeard < before })
 }
 
-// chooseNeighbours are all others when these are few. When they are many they
-// are those at distances of 1, 2, 4 and so on along a ring by hash, so that
-// news reaches everyone in a few steps.
+// chooseNeighbours returns all others if there are few. Otherwise it returns those at
+// distances of 1, 2, 4 and so on along a ring by hash, so that records reach every node
+// in a few steps.
 func chooseNeighbours(all []*peer, s *Settings) []*peer {
 	if len(all) <= s.Degree {
 		return all
@@ -118,9 +119,9 @@
 	return out
 }
 
-// voters are the peers whose vote a run needs: all of them when these are few,
-// else some by rendezvous hashing of the fingerprint and some of the lane, so
-// that any two runs of one fingerprint, or on one lane, need the same ones.
+// voters are the peers whose vote a run needs: all of them if there are few, else some by
+// rendezvous hashing of the fingerprint and some of the lane. So any two runs of one
+// fingerprint, or on one lane, need the same votes.
 func (ps *peers) voters(w waiter, s *Settings) []*peer {
 	if len(ps.all) <= s.Degree {
 		return slices.Clone(ps.all)
--- a/internal/suspect/ready.go
+++ b/internal/suspect/ready.go
@@ -2,16 +2,14 @@
 
 import "github.com/hickorybank/hickorybank/internal/request"
 
-// Ready is what a tracker wants done.
+// Ready is the output of a tracker.
 type Ready struct {
-	// Messages are to be sent, each once; the tracker sends again what it
-	// misses the answer of.
+	// Messages are to be sent, each once; the tracker repeats those without an answer.
 	Messages []Message
 	// Decisions are on attempts that had to wait.
 	Decisions []Decision
-	// Released are attempts whose failure may now be told to the caller.
-	Released []string
-	// Convicted are requests that have been found to crash upstreams, here or
-	// at a peer.
+	// Reportable are attempts whose failure may now be reported to the caller.
+	Reportable []string
+	// Convicted are requests that were convicted, here or at a peer.
 	Convicted []request.Fingerprint
 }
--- a/internal/suspect/release.go
+++ b/internal/suspect/release.go
@@ -7,44 +7,44 @@
 	"github.com/hickorybank/hickorybank/internal/request"
 )
 
-// release is a vote that is being given back.
-type release struct {
+// voteRelease is the release of a vote that was not acknowledged yet.
+type voteRelease struct {
 	seq         uint64
 	to          string
 	attempt     string
 	fingerprint request.Fingerprint
-	until       time.Duration
-	sent        time.Duration
-	gap         time.Duration
+	expiresAt   time.Duration
+	sentAt      time.Duration
+	interval    time.Duration
 }
 
-// maxReleaseGap bounds the growing gap between two messages of one release.
-const maxReleaseGap = 5 * time.Second
+// maxReleaseInterval bounds the growing interval between two messages of one release.
+const maxReleaseInterval = 5 * time.Second
 
-// giveBack returns the votes for an attempt that has ended.
-func (t *Tracker) giveBack(attempt string, f request.Fingerprint, voters []string) {
-	t.holder.Release(f, attempt, t.settings.Self)
+// releaseVotes releases the votes for an attempt that has ended.
+func (t *Tracker) releaseVotes(attempt string, f request.Fingerprint, voters []string) {
+	t.votes.Release(f, attempt, t.settings.Self)
 	for _, id := range voters {
-		t.releases = append(t.releases, &release{
+		t.voteReleases = append(t.voteReleases, &voteRelease{
 			seq: t.nextSeq(), to: id, attempt: attempt, fingerprint: f,
-			until: t.now + t.settings.MaxRun, sent: -1,
+			expiresAt: t.now + t.settings.MaxRun, sentAt: -1,
 		})
 	}
 }
 
-// driveReleases sends those that were not acknowledged.
-func (t *Tracker) driveReleases() {
-	t.releases = slices.DeleteFunc(t.releases, func(r *release) bool { return t.now > r.until })
-	for _, r := range t.releases {
-		if r.sent >= 0 && t.now < r.sent+r.gap {
+// sendVoteReleases sends the releases that were not acknowledged.
+func (t *Tracker) sendVoteReleases() {
+	t.voteReleases = slices.DeleteFunc(t.voteReleases, func(r *voteRelease) bool { return t.now > r.expiresAt })
+	for _, r := range t.voteReleases {
+		if r.sentAt >= 0 && t.now < r.sentAt+r.interval {
 			continue
 		}
-		r.gap = min(max(2*r.gap, t.settings.Resend), maxReleaseGap)
-		r.sent = t.now
-		t.send(Message{To: r.to, Kind: Release, Seq: r.seq, Attempt: r.attempt, Fingerprint: r.fingerprint})
+		r.interval = min(max(2*r.interval, t.settings.ResendInterval), maxReleaseInterval)
+		r.sentAt = t.now
+		t.send(Message{To: r.to, Kind: VoteRelease, Seq: r.seq, Attempt: r.attempt, Fingerprint: r.fingerprint})
 	}
 }
 
-func (t *Tracker) released(m Message) {
-	t.releases = slices.DeleteFunc(t.releases, func(r *release) bool { return r.seq == m.Seq && r.to == m.From })
+func (t *Tracker) handleVoteReleaseAck(m Message) {
+	t.voteReleases = slices.DeleteFunc(t.voteReleases, func(r *voteRelease) bool { return r.seq == m.Seq && r.to == m.From })
 }
--- a/internal/suspect/seeds_race_test.go
+++ b/internal/suspect/seeds_race_test.go
@@ -2,6 +2,6 @@
 
 package suspect
 
-// The race detector makes a run some ten times slower; there is no second
-// goroutine in it anyway.
+// The race detector makes a run some ten times slower, and a tracker has no second
+// goroutine.
 const defaultSeeds = 500
--- a/internal/suspect/spread_test.go
+++ b/internal/suspect/spread_test.go
@@ -11,10 +11,10 @@
 	"github.com/hickorybank/hickorybank/internal/request"
 )
 
-// TestNewsReachesEveryNode: 400 nodes talk to nine others each, one message of
-// ten is lost, and each takes up to 80 ms. A crash at one node is known at all
-// of them before its callers hear of it.
-func TestNewsReachesEveryNode(t *testing.T) {
+// Guards against callers that get a failure before all nodes know the suspect. 400 nodes
+// exchange messages with nine others each; one message of ten is lost, and each takes up
+// to 80 ms.
+func TestSuspectIsKnownEverywhereBeforeCallersAreTold(t *testing.T) {
 	is := is.New(t)
 	const nodes, tick = 400, 20 * time.Millisecond
 	random := rand.New(rand.NewPCG(1, 1))
@@ -28,22 +28,22 @@
 	for _, id := range ids {
 		trackers[id].SetPeers(ids, epoch)
 	}
-	flying := map[time.Duration][]Message{}
+	inFlight := map[time.Duration][]Message{}
 	messages := 0
 	step := func(now time.Duration) (released bool) {
-		for _, m := range flying[now] {
+		for _, m := range inFlight[now] {
 			trackers[m.To].Step(m, epoch.Add(now))
 		}
-		delete(flying, now)
+		delete(inFlight, now)
 		for _, id := range ids {
 			trackers[id].Tick(epoch.Add(now))
 			r := trackers[id].Ready()
-			released = released || len(r.Released) > 0
+			released = released || len(r.Reportable) > 0
 			for _, m := range r.Messages {
 				messages++
 				if random.IntN(10) > 0 {
 					at := now + tick*time.Duration(1+random.IntN(4))
-					flying[at] = append(flying[at], m)
+					inFlight[at] = append(inFlight[at], m)
 				}
 			}
 		}
@@ -57,7 +57,7 @@
 	is.True(trackers["node-7"].Started("1", f, "engine", epoch.Add(now)))
 	trackers["node-7"].Crashed(CrashID{Upstream: "engine"}, epoch.Add(now))
 	messages = 0
-	known, began := time.Duration(0), now
+	knownAfter, began := time.Duration(0), now
 	for ; !step(now); now += tick {
 		missing := 0
 		for _, id := range ids {
@@ -65,11 +65,11 @@
 				missing++
 			}
 		}
-		if missing == 0 && known == 0 {
-			known = now - began
+		if missing == 0 && knownAfter == 0 {
+			knownAfter = now - began
 		}
 		is.True(now < began+time.Minute)
 	}
-	is.True(known > 0) // all knew before the callers were told
-	t.Logf("known everywhere after %v, told to callers after %v, %d messages in all", known, now-began, messages)
+	is.True(knownAfter > 0) // all knew before the callers were told
+	t.Logf("known everywhere after %v, reported to callers after %v, %d messages in all", knownAfter, now-began, messages)
 }
--- a/internal/suspect/step.go
+++ b/internal/suspect/step.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Step takes a message from a peer.
+// Step handles a message from a peer.
 func (t *Tracker) Step(m Message, now time.Time) {
-	t.at(now)
+	t.setTime(now)
 	if m.From == t.settings.Self {
 		return
 	}
-	p := t.peers.hear(&m, t.now)
+	p := t.peers.received(&m, t.now)
 	for _, r := range m.Records {
 		t.learn(r, m.From)
 	}
@@ -17,53 +17,53 @@
 		t.send(Message{To: m.From, Kind: AlertAck, Seq: m.Seq})
 	case AlertAck:
 		if p != nil {
-			p.acknowledged(m.Seq)
+			p.handleAck(m.Seq)
 		}
 	case Pull:
-		t.push(m)
+		t.answerPull(m)
 	case Push:
-		t.pulled(m)
-	case Ask:
-		t.vote(m)
-	case Answer:
-		t.answered(m)
-	case Release:
-		t.holder.Release(m.Fingerprint, m.Attempt, m.From)
-		t.send(Message{To: m.From, Kind: ReleaseAck, Seq: m.Seq})
-	case ReleaseAck:
-		t.released(m)
-	case Bye:
+		t.handlePush(m)
+	case VoteRequest:
+		t.answerVoteRequest(m)
+	case VoteReply:
+		t.handleVoteReply(m)
+	case VoteRelease:
+		t.votes.Release(m.Fingerprint, m.Attempt, m.From)
+		t.send(Message{To: m.From, Kind: VoteReleaseAck, Seq: m.Seq})
+	case VoteReleaseAck:
+		t.handleVoteReleaseAck(m)
+	case Leaving:
 		if p != nil {
-			p.bye = true
+			p.left = true
 		}
 	}
-	t.work()
+	t.advance()
 }
 
-// push answers a pull with all records when the other's differ.
-func (t *Tracker) push(m Message) {
-	out := Message{To: m.From, Kind: Push, Seq: m.Seq, Digest: t.store.digest, Behind: !t.current()}
+// answerPull answers a pull, with all records if the peer's digest differs.
+func (t *Tracker) answerPull(m Message) {
+	out := Message{To: m.From, Kind: Push, Seq: m.Seq, Digest: t.store.digest, Behind: !t.upToDate()}
 	if m.Digest != t.store.digest {
 		out.Records = t.store.records(t.now)
 	}
 	t.send(out)
 }
 
-// vote answers an ask. A node that is behind does not answer: it may not know
-// of a crash.
-func (t *Tracker) vote(m Message) {
-	if !t.current() {
+// answerVoteRequest answers a request for a vote. A node that is behind does not answer,
+// because it may not know of a crash.
+func (t *Tracker) answerVoteRequest(m Message) {
+	if !t.upToDate() {
 		return
 	}
-	out := Message{To: m.From, Kind: Answer, Attempt: m.Attempt, Fingerprint: m.Fingerprint}
+	out := Message{To: m.From, Kind: VoteReply, Attempt: m.Attempt, Fingerprint: m.Fingerprint}
 	e := t.store.get(m.Fingerprint)
 	if e != nil {
-		// The asking node may not have heard of a node that was lost.
+		// The node that asks may not know yet that another one was lost.
 		t.doubtLost(e)
 		out.Records = []Record{e.record(t.now)}
 	}
-	all, _ := e.strikes()
+	all, _ := e.crashCount()
 	v := Vote{Fingerprint: m.Fingerprint, Attempt: m.Attempt, Lane: m.Lane, From: m.From, Born: m.Born}
-	out.Granted = all < convicting && !t.flying(m.Fingerprint, m.Attempt) && t.holder.Ask(v, t.now)
+	out.Granted = all < convictionCrashes && !t.inFlight(m.Fingerprint, m.Attempt) && t.votes.Grant(v, t.now)
 	t.send(out)
 }
--- a/internal/suspect/store.go
+++ b/internal/suspect/store.go
@@ -15,7 +15,7 @@
 	// digest is the exclusive or of all entries' hashes.
 	digest  uint64
 	version uint64
-	swept   time.Duration
+	sweptAt time.Duration
 }
 
 func newStore(s *Settings) store {
@@ -24,81 +24,81 @@
 
 func (s *store) get(f request.Fingerprint) *entry { return s.entries[f] }
 
-// change is what a merge did.
-type change struct {
-	// news: the store learnt something.
-	news bool
-	// more: the store knows more than the record that came.
-	more bool
+// mergeResult is the outcome of a merge.
+type mergeResult struct {
+	// learned is set if the store got new crashes or clearances.
+	learned bool
+	// hasMore is set if the store knows more than the record.
+	hasMore bool
 }
 
-// merge takes a record in.
-func (s *store) merge(r Record, now time.Duration) change {
+// merge adds a record to the store.
+func (s *store) merge(r Record, now time.Duration) mergeResult {
 	if r.Left <= 0 {
-		return change{}
+		return mergeResult{}
 	}
 	e := s.entries[r.Fingerprint]
-	fresh := e == nil
-	if fresh {
+	isNew := e == nil
+	if isNew {
 		e = &entry{fingerprint: r.Fingerprint}
 	} else {
 		s.digest ^= e.hash()
 	}
-	all, _ := e.strikes()
-	news, more := e.merge(r)
-	after, _ := e.strikes()
-	e.expires = max(e.expires, now+r.Left)
-	if after > all {
-		e.crashed = now
+	before, _ := e.crashCount()
+	changed, more := e.merge(r)
+	after, _ := e.crashCount()
+	e.expiresAt = max(e.expiresAt, now+r.Left)
+	if after > before {
+		e.crashedAt = now
 	}
-	if since := now - r.Since; after >= convicting && (e.convicted == 0 || since < e.convicted) {
-		e.convicted = since
+	if convictedAt := now - r.Since; after >= convictionCrashes && (e.convictedAt == 0 || convictedAt < e.convictedAt) {
+		e.convictedAt = convictedAt
 	}
 	s.digest ^= e.hash()
-	if fresh {
+	if isNew {
 		s.entries[r.Fingerprint] = e
 		s.evict()
 	}
-	if news {
+	if changed {
 		s.version++
 		e.version = s.version
 	}
-	return change{news: news, more: more}
+	return mergeResult{learned: changed, hasMore: more}
 }
 
-// touch remembers a convicted fingerprint that is still being sent.
-func (s *store) touch(e *entry, now time.Duration) {
-	if e.convicted == 0 {
+// extend renews the expiry of a convicted fingerprint that is still being sent.
+func (s *store) extend(e *entry, now time.Duration) {
+	if e.convictedAt == 0 {
 		return
 	}
-	e.expires = max(e.expires, min(now+s.settings.Expiry, e.convicted+s.settings.MaxLife))
+	e.expiresAt = max(e.expiresAt, min(now+s.settings.RecordTTL, e.convictedAt+s.settings.MaxConvictionTTL))
 }
 
-// sweepGap is how often expired entries are looked for.
-const sweepGap = time.Second
+// sweepInterval is the time between two searches for expired entries.
+const sweepInterval = time.Second
 
-func (s *store) sweep(now time.Duration) {
-	if now < s.swept+sweepGap {
+func (s *store) removeExpired(now time.Duration) {
+	if now < s.sweptAt+sweepInterval {
 		return
 	}
-	s.swept = now
+	s.sweptAt = now
 	for f, e := range s.entries {
-		if now >= e.expires {
+		if now >= e.expiresAt {
 			s.digest ^= e.hash()
 			delete(s.entries, f)
 		}
 	}
 }
 
-// evict drops the entry with the fewest crashes when there are too many. All
-// nodes drop the same one, so that their records stay alike.
+// evict drops the entry with the fewest crashes if there are too many. All nodes drop the
+// same one, so that their digests stay equal.
 func (s *store) evict() {
 	if len(s.entries) <= s.settings.MaxRecords {
 		return
 	}
 	var least *entry
 	for _, e := range s.entries {
-		if least == nil || e.lighter(least) {
+		if least == nil || e.fewerCrashes(least) {
 			least = e
 		}
 	}
@@ -106,20 +106,20 @@
 	delete(s.entries, least.fingerprint)
 }
 
-func (e *entry) lighter(o *entry) bool {
-	mine, _ := e.strikes()
-	its, _ := o.strikes()
-	if mine != its {
-		return mine < its
+func (e *entry) fewerCrashes(o *entry) bool {
+	mine, _ := e.crashCount()
+	theirs, _ := o.crashCount()
+	if mine != theirs {
+		return mine < theirs
 	}
 	return bytes.Compare(e.fingerprint[:], o.fingerprint[:]) < 0
 }
 
-// records returns all of them, in the order of their fingerprints.
+// records returns all records, sorted by fingerprint.
 func (s *store) records(now time.Duration) []Record {
 	list := make([]Record, 0, len(s.entries))
 	for _, e := range s.entries {
-		if e.expires > now {
+		if e.expiresAt > now {
 			list = append(list, e.record(now))
 		}
 	}
--- a/internal/suspect/tracker.go
+++ b/internal/suspect/tracker.go
@@ -6,30 +6,29 @@
 	"github.com/hickorybank/hickorybank/internal/request"
 )
 
-// Tracker guards the upstreams at one node. See the package for who may call
-// it.
+// Tracker protects the upstreams at one node. It is not safe for concurrent use.
 type Tracker struct {
 	settings Settings
 	base     time.Time
 	now      time.Duration
 
-	store   store
-	recent  completed
-	holder  *Holder
-	peers   peers
-	flights map[string]*flight
-	burst   burst
-
-	freshness freshness
-	waiting   []waiter
-	asks      []*ask
-	releases  []*release
-	losses    []*loss
-	// untold are the peers that have not acknowledged all news.
-	untold []*peer
-
-	seq uint64
-	out Ready
+	store       store
+	completions completions
+	votes       *VoteTable
+	peers       peers
+	flights     map[string]*flight
+	burst       burst
+
+	freshness    freshness
+	waiting      []waiter
+	ballots      []*ballot
+	voteReleases []*voteRelease
+	losses       []*loss
+	// unacknowledged are the peers that have not acknowledged all records.
+	unacknowledged []*peer
+
+	seq   uint64
+	ready Ready
 }
 
 // waiter is an attempt that waits until the node is fresh.
@@ -39,7 +38,7 @@
 	lane        string
 }
 
-// New returns a tracker that knows no suspect and no peer.
+// New returns a tracker without suspects and peers.
 func New(s Settings, now time.Time) *Tracker {
 	t := &Tracker{
 		settings: s.withDefaults(now),
@@ -47,51 +46,50 @@
 		flights:  map[string]*flight{},
 	}
 	t.store = newStore(&t.settings)
-	t.holder = NewHolder(t.settings.MaxRun)
+	t.votes = NewVoteTable(t.settings.MaxRun)
 	t.freshness.pulls = map[uint64]pull{}
 	return t
 }
 
-// SetPeers takes the IDs of the entry nodes; self among them is passed over.
-// Leave out only nodes that are known to be gone: one that is left out while
-// it still runs work counts as lost.
+// SetPeers sets the IDs of the entry nodes; Self is ignored. Leave out only nodes that
+// are known to be gone: one that is left out while it still runs work counts as lost.
 func (t *Tracker) SetPeers(ids []string, now time.Time) {
-	t.at(now)
+	t.setTime(now)
 	t.peers.set(ids, &t.settings)
-	t.work()
+	t.advance()
 }
 
-// Tick lets time pass: call it every 50 ms or so.
+// Tick advances the time. It must be called about every 50 ms.
 func (t *Tracker) Tick(now time.Time) {
-	t.at(now)
-	t.work()
+	t.setTime(now)
+	t.advance()
 }
 
-// Goodbye tells the peers that this node stops and has nothing in flight. A
-// node that goes without it may have lost an upstream unseen, and suspects of
-// that time are refused.
+// Goodbye tells the peers that this node stops and has nothing in flight. A node that
+// stops without it may have lost an upstream unseen, and suspects of that time are
+// refused.
 func (t *Tracker) Goodbye(now time.Time) {
-	t.at(now)
+	t.setTime(now)
 	for _, p := range t.peers.all {
-		t.send(Message{To: p.id, Kind: Bye})
+		t.send(Message{To: p.id, Kind: Leaving})
 	}
 }
 
-// Ready returns what is to be done, and forgets it. Call it after each other
+// Ready returns the pending output and clears it. It must be called after each other
 // method.
 func (t *Tracker) Ready() Ready {
-	out := t.out
-	t.out = Ready{}
+	out := t.ready
+	t.ready = Ready{}
 	return out
 }
 
-// at sets the time; it never goes back.
-func (t *Tracker) at(now time.Time) { t.now = max(t.now, now.Sub(t.base)) }
+// setTime sets the time; it never goes back.
+func (t *Tracker) setTime(now time.Time) { t.now = max(t.now, now.Sub(t.base)) }
 
 func (t *Tracker) send(m Message) {
 	m.From = t.settings.Self
 	m.Born = t.settings.Born
-	t.out.Messages = append(t.out.Messages, m)
+	t.ready.Messages = append(t.ready.Messages, m)
 }
 
 func (t *Tracker) nextSeq() uint64 {
@@ -99,17 +97,17 @@
 	return t.seq
 }
 
-func (t *Tracker) decide(d Decision) { t.out.Decisions = append(t.out.Decisions, d) }
+func (t *Tracker) decide(d Decision) { t.ready.Decisions = append(t.ready.Decisions, d) }
 
-// work does all that time or news has made due.
-func (t *Tracker) work() {
-	t.store.sweep(t.now)
-	t.peers.forget(t.now - t.settings.Expiry - t.settings.MaxRun)
-	t.expireVotes()
+// advance does everything that is due by the time and the records.
+func (t *Tracker) advance() {
+	t.store.removeExpired(t.now)
+	t.peers.forgetLost(t.now - t.settings.RecordTTL - t.settings.MaxRun)
+	t.doubtExpiredVotes()
 	t.pullIfDue()
 	t.admitWaiting()
-	t.driveAsks()
-	t.driveReleases()
-	t.alertPeers()
-	t.releaseLosses()
+	t.advanceBallots()
+	t.sendVoteReleases()
+	t.sendAlerts()
+	t.reportLosses()
 }
--- a/internal/suspect/verdict.go
+++ b/internal/suspect/verdict.go
@@ -2,18 +2,20 @@
 
 import "time"
 
-// Verdict is what becomes of a request that is about to run.
+// Verdict says what happens to an attempt that is about to run.
 type Verdict int
 
-// The verdicts.
+// Verdicts on attempts.
 const (
-	// Run: it is no suspect.
+	// Run means that the request is no suspect.
 	Run Verdict = iota
-	// RunAlone: it is a suspect and may run, alone on its upstream.
+	// RunAlone means that the request is a suspect and may run, alone on its upstream.
 	RunAlone
-	// Wait: a Decision of Ready follows, at the latest after Settings.AskFor.
+	// Wait means that a Decision follows in Ready, at the latest after
+	// Settings.VoteTimeout.
 	Wait
-	// Refuse: it is convicted, or permission is not to be had. It was not run.
+	// Refuse means that the request is convicted, or did not get permission. It was not
+	// run.
 	Refuse
 )
 
@@ -21,9 +23,9 @@
 type Decision struct {
 	Attempt string
 	Verdict Verdict
-	// Convicted says, of a refusal, that the request has crashed upstreams
-	// and not merely that permission is not to be had at present.
+	// Convicted is set, on Refuse, if the request has crashed upstreams, as opposed to
+	// one that has no permission at present.
 	Convicted bool
-	// RetryAfter is set when refused.
+	// RetryAfter is the time after which the caller may try again; set on Refuse.
 	RetryAfter time.Duration
 }
--- a/internal/suspect/world_test.go
+++ b/internal/suspect/world_test.go
@@ -11,22 +11,22 @@
 
 var epoch = time.Unix(1_700_000_000, 0)
 
-// world is nodes, upstreams and callers in virtual time, with messages that
-// are lost, late and repeated, pauses, cuts and replacements. It is a function
-// of its seed.
+// world simulates nodes, upstreams and callers in virtual time, with messages that are
+// lost, delayed and repeated, pauses, cuts and replacements. It is determined by its
+// seed.
 type world struct {
-	random *rand.Rand
-	now    time.Duration
-	events agenda
-	count  uint64
-	off    guard
+	random   *rand.Rand
+	now      time.Duration
+	events   eventQueue
+	count    uint64
+	disabled rule
 
-	nodes     []*node
-	upstreams []*engine
-	loss      float64
-	cuts      map[[2]string]bool
-	born      uint64
-	trouble   time.Duration // no new trouble for nodes before it
+	nodes       []*node
+	upstreams   []*engine
+	lossRate    float64
+	cuts        map[[2]string]bool
+	born        uint64
+	nextFaultAt time.Duration // no node has a new fault before it
 
 	callers []*caller
 	log     []string
@@ -35,13 +35,13 @@
 
 // node is one entry node with its tracker.
 type node struct {
-	id     string
-	t      *Tracker
-	paused bool
-	dead   bool
-	resume []func()
-	waits  map[string]func(Decision)
-	holds  map[string]func()
+	id           string
+	t            *Tracker
+	paused       bool
+	dead         bool
+	resume       []func()
+	waits        map[string]func(Decision)
+	heldFailures map[string]func()
 }
 
 // engine is one upstream.
@@ -52,37 +52,37 @@
 	runs  map[string]*run
 }
 
-// run is an attempt at an upstream.
+// run is an attempt that runs at an upstream.
 type run struct {
 	attempt string
 	node    *node
 	broken  func()
 }
 
-type agendaItem struct {
+type event struct {
 	at  time.Duration
 	seq uint64
 	do  func()
 }
 
-type agenda []agendaItem
+type eventQueue []event
 
-func (a agenda) Len() int { return len(a) }
-func (a agenda) Less(i, j int) bool {
+func (a eventQueue) Len() int { return len(a) }
+func (a eventQueue) Less(i, j int) bool {
 	return a[i].at < a[j].at || (a[i].at == a[j].at && a[i].seq < a[j].seq)
 }
-func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)   { *a = append(*a, x.(agendaItem)) }
-func (a *agenda) Pop() any {
+func (a eventQueue) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
+func (a *eventQueue) Push(x any)   { *a = append(*a, x.(event)) }
+func (a *eventQueue) Pop() any {
 	last := len(*a) - 1
 	item := (*a)[last]
 	*a = (*a)[:last]
 	return item
 }
 
-func newWorld(seed uint64, nodes int, off guard) *world {
-	w := &world{random: rand.New(rand.NewPCG(seed, 7)), cuts: map[[2]string]bool{}, off: off}
-	w.loss = 0.3 * w.random.Float64()
+func newWorld(seed uint64, nodes int, disabled rule) *world {
+	w := &world{random: rand.New(rand.NewPCG(seed, 7)), cuts: map[[2]string]bool{}, disabled: disabled}
+	w.lossRate = 0.3 * w.random.Float64()
 	if nodes == 0 {
 		nodes = 3 + w.random.IntN(6)
 	}
@@ -103,15 +103,15 @@
 
 func (w *world) after(d time.Duration, do func()) {
 	w.count++
-	heap.Push(&w.events, agendaItem{at: w.now + d, seq: w.count, do: do})
+	heap.Push(&w.events, event{at: w.now + d, seq: w.count, do: do})
 }
 
-// between draws a duration of so many milliseconds.
-func (w *world) between(least, most int) time.Duration {
-	return time.Duration(least+w.random.IntN(most-least+1)) * time.Millisecond
+// between draws a duration between two numbers of milliseconds.
+func (w *world) between(low, high int) time.Duration {
+	return time.Duration(low+w.random.IntN(high-low+1)) * time.Millisecond
 }
 
-func (w *world) note(format string, args ...any) {
+func (w *world) logf(format string, args ...any) {
 	if w.keepLog {
 		w.log = append(w.log, fmt.Sprintf("%8v ", w.now.Round(time.Millisecond))+fmt.Sprintf(format, args...))
 	}
@@ -119,7 +119,7 @@
 
 func (w *world) runUntil(end time.Duration) {
 	for len(w.events) > 0 && w.events[0].at <= end {
-		item := heap.Pop(&w.events).(agendaItem)
+		item := heap.Pop(&w.events).(event)
 		w.now = item.at
 		item.do()
 	}
@@ -128,8 +128,8 @@
 
 func (w *world) addNode(id string) *node {
 	w.born++
-	n := &node{id: id, waits: map[string]func(Decision){}, holds: map[string]func(){}}
-	n.t = New(Settings{Self: id, Born: w.born, MaxRun: 30 * time.Second, Expiry: 2 * time.Minute, MaxLife: maxLife, off: w.off}, w.time())
+	n := &node{id: id, waits: map[string]func(Decision){}, heldFailures: map[string]func(){}}
+	n.t = New(Settings{Self: id, Born: w.born, MaxRun: 30 * time.Second, RecordTTL: 2 * time.Minute, MaxConvictionTTL: maxConviction, disabled: w.disabled}, w.time())
 	w.nodes = append(w.nodes, n)
 	w.after(w.between(0, 50), func() { w.tick(n) })
 	return n
@@ -158,7 +158,7 @@
 	})
 }
 
-// poll asks the upstreams for their load; the answers are late.
+// poll reads the load reports of the upstreams; the answers are delayed.
 func (w *world) poll(n *node) {
 	asOf := w.time()
 	for _, u := range w.upstreams {
@@ -172,7 +172,7 @@
 	}
 }
 
-// do runs a step of a node, or keeps it until the node's pause ends.
+// do runs a step of a node, or delays it until the node's pause ends.
 func (w *world) do(n *node, step func()) {
 	if n.dead {
 		return
@@ -196,10 +196,10 @@
 			w.do(n, func() { decided(d) })
 		}
 	}
-	for _, a := range ready.Released {
-		if told := n.holds[a]; told != nil {
-			delete(n.holds, a)
-			told()
+	for _, a := range ready.Reportable {
+		if report := n.heldFailures[a]; report != nil {
+			delete(n.heldFailures, a)
+			report()
 		}
 	}
 }
@@ -210,7 +210,7 @@
 		copies = 2
 	}
 	for range copies {
-		if w.random.Float64() < w.loss {
+		if w.random.Float64() < w.lossRate {
 			continue
 		}
 		delay := w.between(1, 5)
@@ -233,29 +233,29 @@
 	}
 }
 
-// choose draws an upstream.
-func (w *world) choose() *engine { return w.upstreams[w.random.IntN(len(w.upstreams))] }
+// randomUpstream draws an upstream.
+func (w *world) randomUpstream() *engine { return w.upstreams[w.random.IntN(len(w.upstreams))] }
 
-// send puts an attempt on an upstream, if it is up and the tracker allows it.
+// send starts an attempt at an upstream, if that is up and the tracker allows it.
 func (w *world) send(n *node, u *engine, attempt string, f request.Fingerprint, broken func()) bool {
 	if u.down {
 		return false
 	}
 	if !n.t.Started(attempt, f, u.id, w.time()) {
-		w.note("%s may not start at %s", attempt, n.id)
+		w.logf("%s may not start at %s", attempt, n.id)
 		return false
 	}
 	u.runs[attempt] = &run{attempt: attempt, node: n, broken: broken}
 	return true
 }
 
-// crash takes an upstream down and breaks what runs there.
+// crash stops an upstream for a while; the attempts that run there fail.
 func (w *world) crash(u *engine) {
 	if u.down {
 		return
 	}
 	u.down = true
-	w.note("%s crashes in epoch %d", u.id, u.epoch)
+	w.logf("%s crashes in epoch %d", u.id, u.epoch)
 	for _, c := range w.callers { // in a fixed order
 		for _, a := range c.attempts {
 			if r := u.runs[a]; r != nil {
