--- a/internal/suspect/ask.go
+++ b/internal/suspect/ask.go
@@ -10,9 +10,11 @@
 	waiter
 	startedAt time.Duration
 	sentAt    time.Duration
-	missing   []*peer
-	granted   []string
-	closed    bool
+	// missing are the peers whose vote has not arrived, granted the nodes that have voted
+	// for the run.
+	missing []*peer
+	granted []string
+	closed  bool
 }
 
 // startBallot asks for permission to run a suspect. This node's own vote is taken first,
--- a/internal/suspect/freshness.go
+++ b/internal/suspect/freshness.go
@@ -32,7 +32,7 @@
 	lastPullAnswered bool
 }
 
-// pull is a pull that has not been answered.
+// pull is a question for records that has not been answered.
 type pull struct {
 	peer string
 	at   time.Duration
--- a/internal/suspect/peer.go
+++ b/internal/suspect/peer.go
@@ -29,7 +29,7 @@
 	alertedAt time.Duration
 }
 
-// alert is an alert that was sent and not answered.
+// alert is a sent message of kind Alert that has not been acknowledged.
 type alert struct {
 	seq   uint64
 	items []alertItem
