--- a/internal/crashguard/guard.go
+++ b/internal/crashguard/guard.go
@@ -85,8 +85,8 @@
 // Strikes returns the number of strikes of the request.
 func (g *Guard) Strikes(fingerprint uint64) int { return g.counts[fingerprint] }
 
-// Known returns the newest strikes, to be sent to a peer.
-func (g *Guard) Known(now time.Time) []Strike {
+// Recent returns the newest strikes, to be sent to a peer.
+func (g *Guard) Recent(now time.Time) []Strike {
 	g.prune(now)
 	var out []Strike
 	for _, k := range g.strikes[max(0, len(g.strikes)-maxSent):] {
--- a/internal/crashguard/guard_test.go
+++ b/internal/crashguard/guard_test.go
@@ -20,7 +20,7 @@
 	is.True(!here.Add(Strike{Fingerprint: crasher, Upstream: "i-1"}, now)) // a duplicate of the same crash
 	is.True(here.Add(Strike{Fingerprint: bystander, Upstream: "i-1"}, now))
 	is.True(there.Add(Strike{Fingerprint: crasher, Upstream: "i-2"}, now))
-	for _, s := range here.Known(now) {
+	for _, s := range here.Recent(now) {
 		there.Add(s, now)
 	}
 	is.True(!there.Blocked(crasher))
@@ -40,8 +40,8 @@
 		g.Add(Strike{Fingerprint: uint64(i), Upstream: "i-1"}, now)
 	}
 	is.Equal(len(g.strikes), maxStored)
-	is.Equal(len(g.Known(now)), maxSent)
-	is.Equal(len(g.Known(now.Add(strikeTTL+time.Second))), 0)
+	is.Equal(len(g.Recent(now)), maxSent)
+	is.Equal(len(g.Recent(now.Add(strikeTTL+time.Second))), 0)
 	is.Equal(len(g.counts), 0)
 	is.True(!g.Add(Strike{Fingerprint: 1, Upstream: "i-1", Age: strikeTTL + 1}, now))
 }
--- a/internal/gateway/messages.go
+++ b/internal/gateway/messages.go
@@ -54,7 +54,7 @@
 		RosterHash:  n.roster.Hash(),
 		Pins:        n.canary.Pins(now),
 		Evacuations: n.evacuations.All(),
-		Strikes:     n.crashGuard.Known(now),
+		Strikes:     n.crashGuard.Recent(now),
 		Proof:       gossip.Proof{Age: noProof, OrdersAge: noProof, FleetHash: n.fleet.Hash()},
 	}
 	if asOf := n.view.listAsOf; !asOf.IsZero() {
