--- a/internal/canary/canary.go
+++ b/internal/canary/canary.go
@@ -25,9 +25,9 @@
 		pins:       pins{ttl: s.Session + pinSpread, lastSeen: map[uint64]time.Time{}}}
 }
 
-// Take adds an order that began at started. It reports whether the order is newer than
+// AddOrder adds an order that began at started. It reports whether the order is newer than
 // the known one.
-func (c *Canary) Take(o Order, started time.Time) bool {
+func (c *Canary) AddOrder(o Order, started time.Time) bool {
 	current := c.rollouts[o.Service]
 	if current != nil && current.order.Revision >= o.Revision {
 		return false
--- a/internal/canary/canary_test.go
+++ b/internal/canary/canary_test.go
@@ -216,7 +216,7 @@
 	for range 20 {
 		answer(oldVersion, 40*time.Millisecond)
 	}
-	c.Take(Order{Service: serviceName, Target: newVersion, Limit: limit, Revision: 1}, now)
+	c.AddOrder(Order{Service: serviceName, Target: newVersion, Limit: limit, Revision: 1}, now)
 	for range 6 {
 		answer(oldVersion, 45*time.Millisecond)
 		answer(newVersion, 320*time.Millisecond)
@@ -234,10 +234,10 @@
 	is := is.New(t)
 	c := New(testSettings, "n1", 1)
 	now := time.Unix(1000, 0)
-	c.Take(Order{Service: serviceName, Target: "v2", Limit: limit, Revision: 1}, now)
+	c.AddOrder(Order{Service: serviceName, Target: "v2", Limit: limit, Revision: 1}, now)
 	is.True(c.Decide(serviceName, 1, RolledBack, true))
-	is.True(c.Take(Order{Service: serviceName, Target: "v3", Limit: limit, Revision: 2}, now))
-	is.True(!c.Take(Order{Service: serviceName, Target: "v2", Limit: limit, Revision: 1}, now)) // the older order again
+	is.True(c.AddOrder(Order{Service: serviceName, Target: "v3", Limit: limit, Revision: 2}, now))
+	is.True(!c.AddOrder(Order{Service: serviceName, Target: "v2", Limit: limit, Revision: 1}, now)) // the older order again
 	rule := c.Rule(serviceName, Caller{Hash: shareScale - 1}, now.Add(10*time.Second))
 	is.Equal(rule.Not, []string{"v3", "v2"})
 	is.True(!c.Decide(serviceName, 1, Completed, true)) // a verdict of the older order
@@ -249,7 +249,7 @@
 	is := is.New(t)
 	c := New(testSettings, "n1", 1)
 	now := time.Unix(1000, 0)
-	c.Take(Order{Service: serviceName, Target: newVersion, Limit: limit, Revision: 1}, now)
+	c.AddOrder(Order{Service: serviceName, Target: newVersion, Limit: limit, Revision: 1}, now)
 	is.True(c.Merge(Tally{Service: serviceName, Revision: 1, Node: "n2", Born: 1, Seq: 1, Verdict: RolledBack}, now))
 	c.Decide(serviceName, 1, Completed, true)
 	is.Equal(c.Rule(serviceName, Caller{}, now), Rule{Version: newVersion})
@@ -263,7 +263,7 @@
 	is := is.New(t)
 	c := New(testSettings, "n1", 1)
 	now := time.Unix(1000, 0)
-	c.Take(Order{Service: serviceName, Target: newVersion, Limit: limit, Revision: 1}, now)
+	c.AddOrder(Order{Service: serviceName, Target: newVersion, Limit: limit, Revision: 1}, now)
 	tally := func(born int64, seq uint64, answers int64) {
 		c.Merge(Tally{Service: serviceName, Revision: 1, Node: "n2", Born: born, Seq: seq, OldInFlight: 2, Routes: []RouteCount{{Route: "r", New: answers}}}, now)
 	}
@@ -285,7 +285,7 @@
 	is := is.New(t)
 	c := New(testSettings, "n1", 1)
 	now := time.Unix(1000, 0)
-	is.True(c.Take(Order{Service: serviceName, Target: newVersion, Limit: limit, Revision: 1}, now))
+	is.True(c.AddOrder(Order{Service: serviceName, Target: newVersion, Limit: limit, Revision: 1}, now))
 	rule := c.Rule(serviceName, Caller{Hash: 0}, now.Add(3*time.Second))
 	is.Equal(rule.Version, newVersion)
 	is.True(rule.Part >= 3*testSettings.ShareBound*canaryPart)
@@ -304,8 +304,8 @@
 	caller := Caller{Hash: 0, Session: true}
 	a.Rule(serviceName, caller, began) // began before the order
 	order := Order{Service: serviceName, Target: newVersion, Limit: limit, Revision: 1}
-	is.True(a.Take(order, began))
-	is.True(b.Take(order, began))
+	is.True(a.AddOrder(order, began))
+	is.True(b.AddOrder(order, began))
 	b.TakePins(a.Pins(began.Add(time.Second)), began.Add(time.Second))
 	nearly := began.Add(testSettings.Session - 200*time.Millisecond)
 	is.Equal(a.Rule(serviceName, caller, nearly).Version, "")
@@ -326,7 +326,7 @@
 			c := New(testSettings, "n1", 1)
 			now := time.Unix(1000, 0)
 			view := View{Count: func(string, string) (int, int) { return 60, 120 }}
-			is.True(c.Take(Order{Service: serviceName, Target: newVersion, Limit: limit, Revision: 1}, now))
+			is.True(c.AddOrder(Order{Service: serviceName, Target: newVersion, Limit: limit, Revision: 1}, now))
 			answer := func(version string, failed bool) {
 				c.Answered(Answer{Service: serviceName, Version: version, Route: "r", Model: "m", Failed: failed})
 			}
@@ -362,7 +362,7 @@
 	is := is.New(t)
 	start := time.Unix(1000, 0)
 	c := New(testSettings, "n1", 1)
-	c.Take(Order{Service: serviceName, Target: newVersion, Limit: limit, Revision: 1}, start)
+	c.AddOrder(Order{Service: serviceName, Target: newVersion, Limit: limit, Revision: 1}, start)
 	r := c.rollouts[serviceName]
 	r.shiftedAt = r.deadline(testSettings).Add(200 * time.Millisecond)
 	decisions := c.Tick(r.shiftedAt.Add(100*time.Millisecond), View{Whole: true, Count: func(string, string) (int, int) { return 1, 2 }})
--- a/internal/canary/exchange_test.go
+++ b/internal/canary/exchange_test.go
@@ -15,7 +15,7 @@
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	c := New(Settings{ShareBound: 0.1}, "reader", 1)
-	c.Take(Order{Service: "s", Target: "v2", Limit: time.Minute, Revision: 7}, now)
+	c.AddOrder(Order{Service: "s", Target: "v2", Limit: time.Minute, Revision: 7}, now)
 	for _, node := range []string{"near", "far"} {
 		c.Merge(Tally{Service: "s", Revision: 7, Node: node, Born: 1, Seq: 1}, now)
 	}
--- a/internal/canary/simulation_test.go
+++ b/internal/canary/simulation_test.go
@@ -99,7 +99,7 @@
 		w.now = w.start.Add(t)
 		if t >= 0 && !taken {
 			for _, c := range w.nodes {
-				c.Take(order, w.now)
+				c.AddOrder(order, w.now)
 			}
 			taken = true
 		}
--- a/internal/gateway/follow_rollouts_test.go
+++ b/internal/gateway/follow_rollouts_test.go
@@ -60,7 +60,7 @@
 	})
 	n.roster.Merge([]gossip.Member{{ID: "n2", Born: 1, Peer: addr, Ready: true, Beat: 1}}, time.Now())
 	order := canary.Order{Service: "engine", Target: "v2", Limit: time.Minute, Revision: 1}
-	is.True(n.canary.Take(order, time.Now()))
+	is.True(n.canary.AddOrder(order, time.Now()))
 	n.applyDecision(t.Context(), canary.Decision{Order: order, Verdict: canary.Completed, Made: true}, map[string]time.Time{})
 	is.Equal(<-source.recorded, canary.Completed)
 	select {
@@ -105,7 +105,7 @@
 			Source: source, Log: slog.New(slog.DiscardHandler), Metrics: telemetry.New(telemetry.Bounds{}),
 		})
 		order := canary.Order{Service: "engine", Target: "v2", Limit: time.Minute, Revision: 1}
-		n.canary.Take(order, time.Now())
+		n.canary.AddOrder(order, time.Now())
 		next := map[string]time.Time{}
 		follow := func(made bool) {
 			n.applyDecision(t.Context(), canary.Decision{Order: order, Verdict: canary.Completed, Made: made}, next)
--- a/internal/gateway/orders.go
+++ b/internal/gateway/orders.go
@@ -187,7 +187,7 @@
 // applyRollout starts a rollout that has been under way for age; the caller holds mu.
 func (n *Node) applyRollout(o canary.Order, age time.Duration, from string) {
 	started := time.Now().Add(-age)
-	if !n.canary.Take(o, started) {
+	if !n.canary.AddOrder(o, started) {
 		return
 	}
 	kept := n.rollouts[:0]
--- a/internal/gateway/session_version_test.go
+++ b/internal/gateway/session_version_test.go
@@ -22,7 +22,7 @@
 		n.fleet.Put(fleet.Record{ID: "u-" + version, Service: "engine", Addr: "10.0.0.1:1", Version: version, Slots: 1}, now)
 		n.allowedVersions[versionKey("engine", version)] = true
 	}
-	n.canary.Take(canary.Order{Service: "engine", Target: "v2", Limit: time.Minute, Revision: 1}, now.Add(-time.Minute))
+	n.canary.AddOrder(canary.Order{Service: "engine", Target: "v2", Limit: time.Minute, Revision: 1}, now.Add(-time.Minute))
 	n.canary.Decide("engine", 1, canary.Completed, true)
 	n.fleet.ApplyResponse(n.fleet.Get("u-v2"), notice.Response{Backoff: 3 * time.Second}, now, now)
 	config := &configuration{Table: &route.Table{}}
