--- a/internal/canary/canary.go
+++ b/internal/canary/canary.go
@@ -44,9 +44,9 @@
 	return true
 }
 
-// Decide applies a verdict that was read from the table or reached elsewhere; written is
+// ApplyVerdict applies a verdict that was read from the table or reached elsewhere; written is
 // set if the table holds it. It reports whether the verdict differs from the known one.
-func (c *Canary) Decide(service string, revision uint64, v Verdict, written bool) bool {
+func (c *Canary) ApplyVerdict(service string, revision uint64, v Verdict, written bool) bool {
 	r := c.rollouts[service]
 	if r == nil || r.order.Revision != revision || v == Open {
 		return false
--- a/internal/canary/canary_test.go
+++ b/internal/canary/canary_test.go
@@ -235,12 +235,12 @@
 	c := New(testSettings, "n1", 1)
 	now := time.Unix(1000, 0)
 	c.AddOrder(Order{Service: serviceName, Target: "v2", Limit: limit, Revision: 1}, now)
-	is.True(c.Decide(serviceName, 1, RolledBack, true))
+	is.True(c.ApplyVerdict(serviceName, 1, RolledBack, true))
 	is.True(c.AddOrder(Order{Service: serviceName, Target: "v3", Limit: limit, Revision: 2}, now))
 	is.True(!c.AddOrder(Order{Service: serviceName, Target: "v2", Limit: limit, Revision: 1}, now)) // the older order again
 	rule := c.Rule(serviceName, Caller{Hash: shareScale - 1}, now.Add(10*time.Second))
 	is.Equal(rule.Not, []string{"v3", "v2"})
-	is.True(!c.Decide(serviceName, 1, Completed, true)) // a verdict of the older order
+	is.True(!c.ApplyVerdict(serviceName, 1, Completed, true)) // a verdict of the older order
 }
 
 // Guards against nodes that keep different verdicts: the one that the table holds is
@@ -251,9 +251,9 @@
 	now := time.Unix(1000, 0)
 	c.AddOrder(Order{Service: serviceName, Target: newVersion, Limit: limit, Revision: 1}, now)
 	is.True(c.Merge(Tally{Service: serviceName, Revision: 1, Node: "n2", Born: 1, Seq: 1, Verdict: RolledBack}, now))
-	c.Decide(serviceName, 1, Completed, true)
+	c.ApplyVerdict(serviceName, 1, Completed, true)
 	is.Equal(c.Rule(serviceName, Caller{}, now), Rule{Version: newVersion})
-	c.Decide(serviceName, 1, RolledBack, false)
+	c.ApplyVerdict(serviceName, 1, RolledBack, false)
 	is.Equal(c.Rule(serviceName, Caller{}, now), Rule{Version: newVersion})
 }
 
@@ -290,7 +290,7 @@
 	is.Equal(rule.Version, newVersion)
 	is.True(rule.Part >= 3*testSettings.ShareBound*canaryPart)
 	is.True(rule.Part < 0.5)
-	is.True(c.Decide(serviceName, 1, Completed, true))
+	is.True(c.ApplyVerdict(serviceName, 1, Completed, true))
 	is.Equal(c.Rule(serviceName, Caller{Hash: 0}, now.Add(4*time.Second)).Part, 0.0)
 }
 
--- a/internal/canary/exchange_test.go
+++ b/internal/canary/exchange_test.go
@@ -27,9 +27,9 @@
 	}
 	is.Equal(len(known(func(string) bool { return true })), 3)
 	is.Equal(known(func(node string) bool { return node == "near" }), []string{"reader", "near"})
-	c.Decide("s", 7, RolledBack, false)
+	c.ApplyVerdict("s", 7, RolledBack, false)
 	is.Equal(len(known(func(string) bool { return true })), 3) // not recorded yet
-	c.Decide("s", 7, RolledBack, true)
+	c.ApplyVerdict("s", 7, RolledBack, true)
 	is.Equal(known(func(string) bool { return true }), []string{"reader"})
 	is.Equal(c.Known(now, nil)[0].Verdict, RolledBack)
 }
--- a/internal/canary/simulation_test.go
+++ b/internal/canary/simulation_test.go
@@ -190,7 +190,7 @@
 			if w.verdict == Open {
 				w.verdict, w.verdictAfter = d.Verdict, t
 			}
-			c.Decide(serviceName, d.Order.Revision, w.verdict, true)
+			c.ApplyVerdict(serviceName, d.Order.Revision, w.verdict, true)
 			w.exchange()
 		}
 	}
--- a/internal/gateway/follow_rollouts.go
+++ b/internal/gateway/follow_rollouts.go
@@ -120,7 +120,7 @@
 		slog.String("verdict", recorded.String()), slog.Uint64("revision", o.Revision))
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.canary.Decide(o.Service, o.Revision, recorded, true)
+	n.canary.ApplyVerdict(o.Service, o.Revision, recorded, true)
 	n.announcedRevision[o.Service] = max(n.announcedRevision[o.Service], o.Revision)
 	return true
 }
--- a/internal/gateway/orders.go
+++ b/internal/gateway/orders.go
@@ -178,7 +178,7 @@
 		for _, s := range states {
 			if s.Order.Service == o.Service && s.Order.Revision == o.Revision {
 				n.applyRollout(o, s.Age, fromTable)
-				n.canary.Decide(o.Service, o.Revision, s.Verdict, true)
+				n.canary.ApplyVerdict(o.Service, o.Revision, s.Verdict, true)
 			}
 		}
 	}
--- a/internal/gateway/session_version_test.go
+++ b/internal/gateway/session_version_test.go
@@ -23,7 +23,7 @@
 		n.allowedVersions[versionKey("engine", version)] = true
 	}
 	n.canary.AddOrder(canary.Order{Service: "engine", Target: "v2", Limit: time.Minute, Revision: 1}, now.Add(-time.Minute))
-	n.canary.Decide("engine", 1, canary.Completed, true)
+	n.canary.ApplyVerdict("engine", 1, canary.Completed, true)
 	n.fleet.ApplyResponse(n.fleet.Get("u-v2"), notice.Response{Backoff: 3 * time.Second}, now, now)
 	config := &configuration{Table: &route.Table{}}
 	job := func(session string) *job {
