--- a/internal/canary/canary.go
+++ b/internal/canary/canary.go
@@ -60,9 +60,9 @@
 	return changed
 }
 
-// Sent counts an attempt that is sent to an upstream of a version; first is set for the
+// CountSent counts an attempt that is sent to an upstream of a version; first is set for the
 // first attempt of a request.
-func (c *Canary) Sent(service, version string, first bool) {
+func (c *Canary) CountSent(service, version string, first bool) {
 	r := c.rollouts[service]
 	if r == nil || r.verdict != Open {
 		return
--- a/internal/canary/simulation_test.go
+++ b/internal/canary/simulation_test.go
@@ -153,10 +153,10 @@
 	if version == newVersion && failed {
 		w.badAnswers++
 	}
-	c.Sent(serviceName, version, true)
+	c.CountSent(serviceName, version, true)
 	if w.secondAttempts > 0 && w.rnd.Float64() < w.secondAttempts {
 		c.Ended(serviceName, version, c.Revision(serviceName))
-		c.Sent(serviceName, version, false)
+		c.CountSent(serviceName, version, false)
 	}
 	c.Ended(serviceName, version, c.Revision(serviceName))
 	c.Answered(Answer{Service: serviceName, Version: version, Route: "r", Model: "m", Failed: failed, Pace: 20 * time.Millisecond})
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -68,7 +68,7 @@
 	if up == nil {
 		return nil, roomAt
 	}
-	n.canary.Sent(j.service, up.Version, j.attemptsReached == 0)
+	n.canary.CountSent(j.service, up.Version, j.attemptsReached == 0)
 	return &attempt{
 		job: j, up: up, id: up.ID, addr: up.Addr, version: up.Version, revision: n.canary.Revision(j.service), began: now,
 		spec: spec, rank: n.fleet.Rank(up, &spec, j.priority, now), usualDelay: n.fleet.ExpectedWait(&spec, now),
