--- a/internal/canary/canary.go
+++ b/internal/canary/canary.go
@@ -77,9 +77,9 @@
 	}
 }
 
-// Ended counts an attempt that no longer runs; revision is that of the order at the time
-// it was sent.
-func (c *Canary) Ended(service, version string, revision uint64) {
+// CountEnded counts an attempt that no longer runs; revision is that of the order at the
+// time it was sent.
+func (c *Canary) CountEnded(service, version string, revision uint64) {
 	r := c.rollouts[service]
 	if r == nil || r.order.Revision != revision || version == r.order.Target {
 		return
--- a/internal/canary/simulation_test.go
+++ b/internal/canary/simulation_test.go
@@ -155,10 +155,10 @@
 	}
 	c.CountSent(serviceName, version, true)
 	if w.secondAttempts > 0 && w.rnd.Float64() < w.secondAttempts {
-		c.Ended(serviceName, version, c.Revision(serviceName))
+		c.CountEnded(serviceName, version, c.Revision(serviceName))
 		c.CountSent(serviceName, version, false)
 	}
-	c.Ended(serviceName, version, c.Revision(serviceName))
+	c.CountEnded(serviceName, version, c.Revision(serviceName))
 	c.Answered(Answer{Service: serviceName, Version: version, Route: "r", Model: "m", Failed: failed, Pace: 20 * time.Millisecond})
 }
 
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -146,7 +146,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.fleet.End(a.up, a.work, result, now)
-	n.canary.Ended(a.job.service, a.version, a.revision)
+	n.canary.CountEnded(a.job.service, a.version, a.revision)
 }
 
 // reportOutcome reports the attempt's outcome to the rollout. pace is the mean pause
