--- a/internal/canary/canary.go
+++ b/internal/canary/canary.go
@@ -95,9 +95,9 @@
 	return 0
 }
 
-// Answered counts an answer as good or bad. An answer is bad if it failed or was far
+// CountAnswer counts an answer as good or bad. An answer is bad if it failed or was far
 // slower than usual.
-func (c *Canary) Answered(a Answer) {
+func (c *Canary) CountAnswer(a Answer) {
 	r := c.rollouts[a.Service]
 	onNew := r != nil && a.Version == r.order.Target
 	key := delayKey{a.Route, a.Model}
--- a/internal/canary/canary_test.go
+++ b/internal/canary/canary_test.go
@@ -211,7 +211,7 @@
 	c := New(testSettings, "n1", 1)
 	now := time.Unix(1000, 0)
 	answer := func(version string, pace time.Duration) {
-		c.Answered(Answer{Service: serviceName, Version: version, Route: "r", Model: "m", Pace: pace})
+		c.CountAnswer(Answer{Service: serviceName, Version: version, Route: "r", Model: "m", Pace: pace})
 	}
 	for range 20 {
 		answer(oldVersion, 40*time.Millisecond)
@@ -328,7 +328,7 @@
 			view := View{Count: func(string, string) (int, int) { return 60, 120 }}
 			is.True(c.AddOrder(Order{Service: serviceName, Target: newVersion, Limit: limit, Revision: 1}, now))
 			answer := func(version string, failed bool) {
-				c.Answered(Answer{Service: serviceName, Version: version, Route: "r", Model: "m", Failed: failed})
+				c.CountAnswer(Answer{Service: serviceName, Version: version, Route: "r", Model: "m", Failed: failed})
 			}
 			for range 480 {
 				answer(oldVersion, false)
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -156,7 +156,7 @@
 	n := a.job.node
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.canary.Answered(canary.Answer{
+	n.canary.CountAnswer(canary.Answer{
 		Service: a.job.service, Version: a.version, Route: a.job.route.Name, Model: a.job.requestedModel(),
 		Failed: failed, Pace: pace,
 	})
