--- a/internal/canary/exchange.go
+++ b/internal/canary/exchange.go
@@ -30,13 +30,13 @@
 	return all
 }
 
-// Known returns this node's tallies. For orders whose verdict is not recorded it adds the
+// TalliesToRelay returns this node's tallies. For orders whose verdict is not recorded it adds the
 // newest tally of every node run whose node accepts selects, so that peers pass on what
 // they have received.
 //
 // A recorded verdict stands in each tally and ends the evaluation. Passing on all nodes'
 // counts beyond it kept a fleet of hundreds sending them for the rest of the day.
-func (c *Canary) Known(now time.Time, accepts func(node string) bool) []Tally {
+func (c *Canary) TalliesToRelay(now time.Time, accepts func(node string) bool) []Tally {
 	all := c.Tallies(now)
 	for _, r := range c.rollouts {
 		if r.written || r.expired(now) {
--- a/internal/canary/exchange_test.go
+++ b/internal/canary/exchange_test.go
@@ -20,7 +20,7 @@
 		c.Merge(Tally{Service: "s", Revision: 7, Node: node, Born: 1, Seq: 1}, now)
 	}
 	known := func(of func(string) bool) (nodes []string) {
-		for _, t := range c.Known(now, of) {
+		for _, t := range c.TalliesToRelay(now, of) {
 			nodes = append(nodes, t.Node)
 		}
 		return nodes
@@ -31,5 +31,5 @@
 	is.Equal(len(known(func(string) bool { return true })), 3) // not recorded yet
 	c.ApplyVerdict("s", 7, RolledBack, true)
 	is.Equal(known(func(string) bool { return true }), []string{"reader"})
-	is.Equal(c.Known(now, nil)[0].Verdict, RolledBack)
+	is.Equal(c.TalliesToRelay(now, nil)[0].Verdict, RolledBack)
 }
--- a/internal/canary/simulation_test.go
+++ b/internal/canary/simulation_test.go
@@ -172,7 +172,7 @@
 		reader.TakePins(c.Pins(w.now), w.now)
 	}
 	for _, c := range w.nodes[1:] {
-		for _, t := range reader.Known(w.now, func(string) bool { return true }) {
+		for _, t := range reader.TalliesToRelay(w.now, func(string) bool { return true }) {
 			c.Merge(t, w.now)
 		}
 		c.TakePins(reader.Pins(w.now), w.now)
--- a/internal/gateway/messages.go
+++ b/internal/gateway/messages.go
@@ -41,7 +41,7 @@
 	defer n.mu.Unlock()
 	m := n.baseMessage(to.ID)
 	near := n.inGroup(to.ID)
-	m.Tallies = n.canary.Known(now, func(node string) bool { return near || n.inGroup(node) })
+	m.Tallies = n.canary.TalliesToRelay(now, func(node string) bool { return near || n.inGroup(node) })
 	n.addFleet(&m, to.ID)
 	return m
 }
