--- a/internal/canary/canary_test.go
+++ b/internal/canary/canary_test.go
@@ -306,7 +306,7 @@
 	order := Order{Service: serviceName, Target: newVersion, Limit: limit, Revision: 1}
 	is.True(a.AddOrder(order, began))
 	is.True(b.AddOrder(order, began))
-	b.TakePins(a.Pins(began.Add(time.Second)), began.Add(time.Second))
+	b.MergePins(a.Pins(began.Add(time.Second)), began.Add(time.Second))
 	nearly := began.Add(testSettings.Session - 200*time.Millisecond)
 	is.Equal(a.Rule(serviceName, caller, nearly).Version, "")
 	is.Equal(b.Rule(serviceName, caller, nearly.Add(400*time.Millisecond)).Version, "")
--- a/internal/canary/pins.go
+++ b/internal/canary/pins.go
@@ -62,8 +62,8 @@
 	return all
 }
 
-// TakePins adds the sessions that a peer has seen.
-func (c *Canary) TakePins(received []Pin, now time.Time) {
+// MergePins adds the sessions that a peer has seen.
+func (c *Canary) MergePins(received []Pin, now time.Time) {
 	for _, p := range received {
 		c.pins.add(p.Session, now.Add(-p.Age))
 	}
--- a/internal/canary/simulation_test.go
+++ b/internal/canary/simulation_test.go
@@ -169,13 +169,13 @@
 		for _, t := range c.Tallies(w.now) {
 			reader.Merge(t, w.now)
 		}
-		reader.TakePins(c.Pins(w.now), w.now)
+		reader.MergePins(c.Pins(w.now), w.now)
 	}
 	for _, c := range w.nodes[1:] {
 		for _, t := range reader.TalliesToRelay(w.now, func(string) bool { return true }) {
 			c.Merge(t, w.now)
 		}
-		c.TakePins(reader.Pins(w.now), w.now)
+		c.MergePins(reader.Pins(w.now), w.now)
 	}
 }
 
--- a/internal/gateway/messages.go
+++ b/internal/gateway/messages.go
@@ -139,7 +139,7 @@
 	for _, o := range in.Orders {
 		n.applyRollout(o.Order, o.Age, in.From)
 	}
-	n.canary.TakePins(in.Pins, now)
+	n.canary.MergePins(in.Pins, now)
 	for _, t := range in.Tallies {
 		if n.canary.Merge(t, now) {
 			event.VersionDecided.Log(n.log, slog.String("service", t.Service), slog.String("verdict", t.Verdict.String()),
