--- a/internal/canary/canary_test.go
+++ b/internal/canary/canary_test.go
@@ -274,7 +274,7 @@
 	r := c.rollouts[serviceName]
 	is.Equal(r.newAnswers(), int64(25))
 	is.Equal(r.oldInFlight(), 4)
-	c.Forget(func(_ string, born int64) bool { return born == 2 }) // the earlier run has ended, and its attempts with it
+	c.ClearInFlight(func(_ string, born int64) bool { return born == 2 }) // the earlier run has ended, and its attempts with it
 	is.Equal(r.oldInFlight(), 2)
 }
 
--- a/internal/canary/exchange.go
+++ b/internal/canary/exchange.go
@@ -79,8 +79,8 @@
 	return before != r.verdict
 }
 
-// Forget clears the attempts in flight of node runs that alive reports as gone.
-func (c *Canary) Forget(alive func(node string, born int64) bool) {
+// ClearInFlight clears the attempts in flight of node runs that alive reports as gone.
+func (c *Canary) ClearInFlight(alive func(node string, born int64) bool) {
 	for _, r := range c.rollouts {
 		for key, t := range r.peers {
 			if t.OldInFlight > 0 && !alive(key.node, key.born) {
