--- a/internal/canary/canary_test.go
+++ b/internal/canary/canary_test.go
@@ -239,7 +239,7 @@
 	is.True(c.AddOrder(Order{Service: serviceName, Target: "v3", Limit: limit, Revision: 2}, now))
 	is.True(!c.AddOrder(Order{Service: serviceName, Target: "v2", Limit: limit, Revision: 1}, now)) // the older order again
 	rule := c.Rule(serviceName, Caller{Hash: shareScale - 1}, now.Add(10*time.Second))
-	is.Equal(rule.Not, []string{"v3", "v2"})
+	is.Equal(rule.Excluded, []string{"v3", "v2"})
 	is.True(!c.ApplyVerdict(serviceName, 1, Completed, true)) // a verdict of the older order
 }
 
--- a/internal/canary/rule.go
+++ b/internal/canary/rule.go
@@ -6,8 +6,8 @@
 type Rule struct {
 	// Version is the only version that may serve; empty for any.
 	Version string
-	// Not lists versions that may not serve.
-	Not []string
+	// Excluded lists versions that may not serve.
+	Excluded []string
 	// Part is the part of the version's upstreams to use, in (0,1); 0 means all.
 	Part float64
 }
@@ -34,13 +34,13 @@
 	case r == nil:
 		return Rule{}
 	case onOld:
-		return Rule{Not: c.excluded(service, r)}
+		return Rule{Excluded: c.excluded(service, r)}
 	case r.verdict == Completed:
 		return Rule{Version: r.order.Target}
 	}
 	share := r.share(c.settings, now)
 	if float64(caller.Hash%shareScale) >= share*shareScale || c.overexposed(r) {
-		return Rule{Not: c.excluded(service, r)}
+		return Rule{Excluded: c.excluded(service, r)}
 	}
 	return Rule{Version: r.order.Target, Part: upstreamPart(share)}
 }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -79,7 +79,7 @@
 // attemptSpec returns what the job's next attempt requires of an upstream.
 func (j *job) attemptSpec(rule canary.Rule) fleet.AttemptSpec {
 	spec := fleet.AttemptSpec{
-		Service: j.service, Version: rule.Version, ExcludedVersions: rule.Not, Model: j.requestedModel(),
+		Service: j.service, Version: rule.Version, ExcludedVersions: rule.Excluded, Model: j.requestedModel(),
 		Weight: j.modelWeight(), Tokens: j.headers.TokensIn, Tried: j.tried,
 		Regions: j.regions(),
 		Seed:    j.affinityHash ^ uint64(j.node.incarnation) ^ uint64(j.start.UnixNano()) ^ uint64(len(j.tried)),
