--- a/internal/canary/canary_test.go
+++ b/internal/canary/canary_test.go
@@ -288,10 +288,10 @@
 	is.True(c.AddOrder(Order{Service: serviceName, Target: newVersion, Limit: limit, Revision: 1}, now))
 	rule := c.Rule(serviceName, Caller{Hash: 0}, now.Add(3*time.Second))
 	is.Equal(rule.Version, newVersion)
-	is.True(rule.Part >= 3*testSettings.ShareBound*canaryPart)
-	is.True(rule.Part < 0.5)
+	is.True(rule.UpstreamPart >= 3*testSettings.ShareBound*canaryPart)
+	is.True(rule.UpstreamPart < 0.5)
 	is.True(c.ApplyVerdict(serviceName, 1, Completed, true))
-	is.Equal(c.Rule(serviceName, Caller{Hash: 0}, now.Add(4*time.Second)).Part, 0.0)
+	is.Equal(c.Rule(serviceName, Caller{Hash: 0}, now.Add(4*time.Second)).UpstreamPart, 0.0)
 }
 
 // Guards against a session that moves to the version on trial and back. One node has just
--- a/internal/canary/rule.go
+++ b/internal/canary/rule.go
@@ -8,8 +8,8 @@
 	Version string
 	// Excluded lists versions that may not serve.
 	Excluded []string
-	// Part is the part of the version's upstreams to use, in (0,1); 0 means all.
-	Part float64
+	// UpstreamPart is the part of the version's upstreams to use, in (0,1); 0 means all.
+	UpstreamPart float64
 }
 
 // Caller identifies who sends a request: a session, or a request without one.
@@ -42,7 +42,7 @@
 	if float64(caller.Hash%shareScale) >= share*shareScale || c.overexposed(r) {
 		return Rule{Excluded: c.excluded(service, r)}
 	}
-	return Rule{Version: r.order.Target, Part: upstreamPart(share)}
+	return Rule{Version: r.order.Target, UpstreamPart: upstreamPart(share)}
 }
 
 // upstreamPart is the part of the new version's upstreams that serve its share of the
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -50,9 +50,9 @@
 	if v := n.heldVersion(j.service, now); v != "" && rule.Version != v {
 		spec.ExcludedVersions = append(spec.ExcludedVersions, v)
 	}
-	if rule.Part > 0 {
+	if rule.UpstreamPart > 0 {
 		ofVersion, _ := n.fleet.Count(j.service, rule.Version, now)
-		spec.MaxUpstreams = max(1, int(rule.Part*float64(ofVersion)+0.5))
+		spec.MaxUpstreams = max(1, int(rule.UpstreamPart*float64(ofVersion)+0.5))
 	}
 	up := n.fleet.Choose(spec, now)
 	if up == nil {
