--- a/internal/canary/canary.go
+++ b/internal/canary/canary.go
@@ -106,9 +106,9 @@
 		p = &delayMean{}
 		c.delays[key] = p
 	}
-	slow := a.Pace > 0 && p.slow(a.Pace)
-	if a.Pace > 0 && !onNew && !a.Failed {
-		p.add(a.Pace)
+	slow := a.EventDelay > 0 && p.slow(a.EventDelay)
+	if a.EventDelay > 0 && !onNew && !a.Failed {
+		p.add(a.EventDelay)
 	}
 	if r == nil {
 		return
--- a/internal/canary/canary_test.go
+++ b/internal/canary/canary_test.go
@@ -211,7 +211,7 @@
 	c := New(testSettings, "n1", 1)
 	now := time.Unix(1000, 0)
 	answer := func(version string, pace time.Duration) {
-		c.CountAnswer(Answer{Service: serviceName, Version: version, Route: "r", Model: "m", Pace: pace})
+		c.CountAnswer(Answer{Service: serviceName, Version: version, Route: "r", Model: "m", EventDelay: pace})
 	}
 	for range 20 {
 		answer(oldVersion, 40*time.Millisecond)
--- a/internal/canary/rollout.go
+++ b/internal/canary/rollout.go
@@ -7,8 +7,8 @@
 	Service, Version, Route, Model string
 	// Failed is set if the upstream failed or the answer broke off.
 	Failed bool
-	// Pace is the mean delay between the events of the stream; 0 if it is not known.
-	Pace time.Duration
+	// EventDelay is the mean delay between the events of the stream; 0 if it is not known.
+	EventDelay time.Duration
 }
 
 // rollout is one order and the evidence on its version.
--- a/internal/canary/simulation_test.go
+++ b/internal/canary/simulation_test.go
@@ -159,7 +159,7 @@
 		c.CountSent(serviceName, version, false)
 	}
 	c.CountEnded(serviceName, version, c.Revision(serviceName))
-	c.CountAnswer(Answer{Service: serviceName, Version: version, Route: "r", Model: "m", Failed: failed, Pace: 20 * time.Millisecond})
+	c.CountAnswer(Answer{Service: serviceName, Version: version, Route: "r", Model: "m", Failed: failed, EventDelay: 20 * time.Millisecond})
 }
 
 // exchange exchanges tallies and pins between the first node, the reader, and all others.
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -158,7 +158,7 @@
 	defer n.mu.Unlock()
 	n.canary.CountAnswer(canary.Answer{
 		Service: a.job.service, Version: a.version, Route: a.job.route.Name, Model: a.job.requestedModel(),
-		Failed: failed, Pace: pace,
+		Failed: failed, EventDelay: pace,
 	})
 }
 
