--- a/internal/canary/canary_test.go
+++ b/internal/canary/canary_test.go
@@ -224,7 +224,7 @@
 	got := c.Tick(now.Add(time.Second), View{Count: func(string, string) (int, int) { return 1, 2 }})
 	is.Equal(len(got), 1)
 	is.Equal(got[0].Verdict, RolledBack)
-	is.True(got[0].Made)
+	is.True(got[0].Reached)
 }
 
 // Guards against requests that are sent to a version after its rollback. Another version
--- a/internal/canary/evaluate.go
+++ b/internal/canary/evaluate.go
@@ -10,8 +10,8 @@
 type Decision struct {
 	Order   Order
 	Verdict Verdict
-	// Made is set when this call reached the verdict.
-	Made bool
+	// Reached is set when this call reached the verdict.
+	Reached bool
 	// Widened is set when this call let more sessions take part in the trial, Shift when
 	// it began to shift all.
 	Widened, Shift bool
@@ -41,7 +41,7 @@
 	for _, r := range c.rollouts {
 		d := Decision{Order: r.order}
 		if r.verdict == Open {
-			d.Made = c.evaluate(r, &d, now, view)
+			d.Reached = c.evaluate(r, &d, now, view)
 		}
 		d.Verdict = r.verdict
 		if r.verdict != Open && !r.written || d.Shift || d.Widened {
--- a/internal/gateway/follow_rollouts.go
+++ b/internal/gateway/follow_rollouts.go
@@ -43,14 +43,14 @@
 	if d.Verdict == canary.Open {
 		return
 	}
-	if d.Made {
+	if d.Reached {
 		event.VersionDecided.Log(n.log, attrs...)
 		n.requestPush()
 	}
 	now := time.Now()
 	retry, tried := retryAt[d.Order.Service]
 	turn := n.verdictTurn(d.Order)
-	if now.Before(retry) || tried && n.tableUnavailable() || !d.Made && now.Before(turn) {
+	if now.Before(retry) || tried && n.tableUnavailable() || !d.Reached && now.Before(turn) {
 		return
 	}
 	if !n.recordVerdict(ctx, d.Order, d.Verdict) {
--- a/internal/gateway/follow_rollouts_test.go
+++ b/internal/gateway/follow_rollouts_test.go
@@ -61,7 +61,7 @@
 	n.roster.Merge([]gossip.Member{{ID: "n2", Born: 1, Peer: addr, Ready: true, Beat: 1}}, time.Now())
 	order := canary.Order{Service: "engine", Target: "v2", Limit: time.Minute, Revision: 1}
 	is.True(n.canary.AddOrder(order, time.Now()))
-	n.applyDecision(t.Context(), canary.Decision{Order: order, Verdict: canary.Completed, Made: true}, map[string]time.Time{})
+	n.applyDecision(t.Context(), canary.Decision{Order: order, Verdict: canary.Completed, Reached: true}, map[string]time.Time{})
 	is.Equal(<-source.recorded, canary.Completed)
 	select {
 	case <-called:
@@ -108,7 +108,7 @@
 		n.canary.AddOrder(order, time.Now())
 		next := map[string]time.Time{}
 		follow := func(made bool) {
-			n.applyDecision(t.Context(), canary.Decision{Order: order, Verdict: canary.Completed, Made: made}, next)
+			n.applyDecision(t.Context(), canary.Decision{Order: order, Verdict: canary.Completed, Reached: made}, next)
 			time.Sleep(rolloutTickInterval)
 		}
 		n.view.listAsOf = time.Now()
