--- a/internal/canary/canary_test.go
+++ b/internal/canary/canary_test.go
@@ -365,7 +365,7 @@
 	c.AddOrder(Order{Service: serviceName, Target: newVersion, Limit: limit, Revision: 1}, start)
 	r := c.rollouts[serviceName]
 	r.shiftedAt = r.deadline(testSettings).Add(200 * time.Millisecond)
-	decisions := c.Tick(r.shiftedAt.Add(100*time.Millisecond), View{Whole: true, Count: func(string, string) (int, int) { return 1, 2 }})
+	decisions := c.Tick(r.shiftedAt.Add(100*time.Millisecond), View{Complete: true, Count: func(string, string) (int, int) { return 1, 2 }})
 	is.Equal(len(decisions), 1)
 	is.Equal(decisions[0].Verdict, Completed)
 }
--- a/internal/canary/evaluate.go
+++ b/internal/canary/evaluate.go
@@ -29,9 +29,9 @@
 	// Count returns how many ready upstreams have the version, and how many there are in
 	// all.
 	Count func(service, version string) (ofVersion, all int)
-	// Whole is set if the node receives the tallies of all nodes. Only then does a count
+	// Complete is set if the node receives the tallies of all nodes. Only then does a count
 	// of no attempts in flight mean that there are none.
-	Whole bool
+	Complete bool
 }
 
 // Tick evaluates the evidence. It returns the steps that this call began, and the
@@ -73,7 +73,7 @@
 	if r.verdict != Open {
 		return true
 	}
-	if !view.Whole {
+	if !view.Complete {
 		return false
 	}
 	if r.shouldWiden(now, d.Answers) {
--- a/internal/canary/simulation_test.go
+++ b/internal/canary/simulation_test.go
@@ -181,7 +181,7 @@
 
 func (w *world) evaluate(t time.Duration) {
 	for i, c := range w.nodes {
-		view := View{Count: func(string, string) (int, int) { return 18, 36 }, Whole: i == 0}
+		view := View{Count: func(string, string) (int, int) { return 18, 36 }, Complete: i == 0}
 		for _, d := range c.Tick(w.now, view) {
 			if d.Verdict == Open {
 				w.exchange() // a shift is sent at once
--- a/internal/gateway/follow_rollouts.go
+++ b/internal/gateway/follow_rollouts.go
@@ -76,7 +76,7 @@
 	n.canary.ClearInFlight(n.roster.Lives)
 	return n.canary.Tick(now, canary.View{
 		Count: func(service, version string) (int, int) { return n.fleet.Count(service, version, now) },
-		Whole: n.leadsGroup(),
+		Complete: n.leadsGroup(),
 	})
 }
 
