--- a/internal/capacity/role_shared.go
+++ b/internal/capacity/role_shared.go
@@ -143,11 +143,11 @@
 	each := driving.Plus(watching.Times(watchers)).Times(1 / float64(c.Size.Nodes))
 	const loadSeconds = 60.0
 	half := runners * s.ServingPart
-	most := max(s.LoadsAtOnce, min(s.LoadsAtMost, int(s.LoadsPart*runners)))
+	most := max(s.InitialLoads, min(s.LoadsAtMost, int(s.LoadsPart*runners)))
 	return Role{
 		Name: "roll-outs: the driver", Plane: Control,
 		State:     fmt.Sprintf("what each of %.0f engines has; one row of %s", runners, amount(row)),
-		Mechanism: fmt.Sprintf("one node holds the row by conditional writes, %d others watch it; it asks %.0f engines a second and lets %d to %d load at a time, as the weight store bears; package rollout", watchers, s.ReadsPerSecond, s.LoadsAtOnce, most),
+		Mechanism: fmt.Sprintf("one node holds the row by conditional writes, %d others watch it; it asks %.0f engines a second and lets %d to %d load at a time, as the weight store bears; package rollout", watchers, s.ReadsPerSecond, s.InitialLoads, most),
 		Each:      each, Busiest: driving, Who: "the driver",
 		Writes: writes, Reads: watchers * renewal,
 		Over:   fmt.Sprintf("The driver asks all engines by itself: a round takes %.0f s. With at most %d loads at a time and a minute each, a version that half of the engines are to have needs at least %.0f minutes. Met by taking the states from the load reports that all nodes ask for anyway, added up in each failure domain.", runners/s.ReadsPerSecond, most, half/float64(most)*loadSeconds/60),
--- a/internal/rollout/machine.go
+++ b/internal/rollout/machine.go
@@ -58,7 +58,7 @@
 // process.
 func NewMachine(s Settings, self, run string) *Machine {
 	s = s.WithDefaults()
-	return &Machine{settings: s, self: self, run: run, immediateOrders: maxImmediateOrders, rank: -1, limiter: loadLimiter{limit: s.LoadsAtOnce}}
+	return &Machine{settings: s, self: self, run: run, immediateOrders: maxImmediateOrders, rank: -1, limiter: loadLimiter{limit: s.InitialLoads}}
 }
 
 // Step handles an event and returns the actions to perform, in order. Now must carry a
--- a/internal/rollout/next.go
+++ b/internal/rollout/next.go
@@ -11,7 +11,7 @@
 // of its own.
 func (m *Machine) nextRecord() (Record, bool) {
 	r := m.row.record
-	r.Orders = make([]Pending, 0, len(m.row.record.Orders)+m.settings.LoadsAtOnce)
+	r.Orders = make([]Pending, 0, len(m.row.record.Orders)+m.settings.InitialLoads)
 	for i := range m.row.record.Orders {
 		p := &m.row.record.Orders[i]
 		if m.finished(p) {
--- a/internal/rollout/row.go
+++ b/internal/rollout/row.go
@@ -149,7 +149,7 @@
 	m.sweepStart = m.now
 	m.abandonedAt = time.Time{}
 	m.confirmedRevision = 0
-	m.limiter = loadLimiter{limit: m.settings.LoadsAtOnce}
+	m.limiter = loadLimiter{limit: m.settings.InitialLoads}
 	for _, e := range m.fleet.engines {
 		e.order = nil
 		e.clearState()
--- a/internal/rollout/schedule_test.go
+++ b/internal/rollout/schedule_test.go
@@ -71,7 +71,7 @@
 }()
 
 func simSettings(slots int) Settings {
-	return Settings{LoadsAtOnce: 2, Slots: slots, OrderTimeout: 20 * time.Second, DrainTimeout: 30 * time.Second}
+	return Settings{InitialLoads: 2, Slots: slots, OrderTimeout: 20 * time.Second, DrainTimeout: 30 * time.Second}
 }
 
 // drawWorld returns the world of a seed, with its schedule of faults.
