--- a/internal/rollout/pace.go
+++ b/internal/rollout/pace.go
@@ -106,7 +106,7 @@
 // down by loads, or lost to failed ones.
 func (m *Machine) maxLoads() int {
 	part := int(m.settings.LoadsPart * float64(m.fleet.live))
-	return max(m.settings.InitialLoads, min(part, m.settings.LoadsAtMost))
+	return max(m.settings.InitialLoads, min(part, m.settings.MaxLoads))
 }
 
 // loadLimit is how many loads may run now.
--- a/internal/rollout/settings.go
+++ b/internal/rollout/settings.go
@@ -28,10 +28,10 @@
 	// InitialLoads is how many engines load a version at one time before the weight
 	// store's capacity is known.
 	InitialLoads int
-	// LoadsAtMost, and LoadsPart as a part of the live engines, bound that number; it may
+	// MaxLoads, and LoadsPart as a part of the live engines, bound that number; it may
 	// always reach InitialLoads. As many unloads may be pending beside the loads.
-	LoadsAtMost int
-	LoadsPart   float64
+	MaxLoads  int
+	LoadsPart float64
 	// MinEngines is the least number of engines for a version with a share, however small
 	// the share is.
 	MinEngines int
@@ -66,7 +66,7 @@
 // WithDefaults returns the settings with zero fields replaced by the defaults.
 func (s Settings) WithDefaults() Settings {
 	setDefault(&s.InitialLoads, DefaultInitialLoads)
-	setDefault(&s.LoadsAtMost, DefaultMaxLoads)
+	setDefault(&s.MaxLoads, DefaultMaxLoads)
 	setDefault(&s.LoadsPart, DefaultMaxLoadsPart)
 	setDefault(&s.MinEngines, DefaultMinEngines)
 	setDefault(&s.ServingPart, DefaultServingPart)
@@ -91,8 +91,8 @@
 // Validate returns an error for the first setting that is out of range.
 func (s Settings) Validate() error {
 	switch {
-	case s.InitialLoads < 1, s.LoadsAtMost < 1, s.MinEngines < 1, s.Slots < 0:
-		return eris.Errorf("roll-outs: counts are out of range: InitialLoads %d, LoadsAtMost %d and MinEngines %d must be at least 1, Slots %d at least 0", s.InitialLoads, s.LoadsAtMost, s.MinEngines, s.Slots)
+	case s.InitialLoads < 1, s.MaxLoads < 1, s.MinEngines < 1, s.Slots < 0:
+		return eris.Errorf("roll-outs: counts are out of range: InitialLoads %d, MaxLoads %d and MinEngines %d must be at least 1, Slots %d at least 0", s.InitialLoads, s.MaxLoads, s.MinEngines, s.Slots)
 	case !(s.ServingPart > 0 && s.ServingPart <= 1):
 		return eris.Errorf("roll-outs: ServingPart %v is not above 0 and at most 1", s.ServingPart)
 	case !(s.LoadsPart > 0 && s.LoadsPart <= 1):
