--- a/internal/capacity/role_shared.go
+++ b/internal/capacity/role_shared.go
@@ -143,7 +143,7 @@
 	each := driving.Plus(watching.Times(watchers)).Times(1 / float64(c.Size.Nodes))
 	const loadSeconds = 60.0
 	half := runners * s.ServingPart
-	most := max(s.InitialLoads, min(s.MaxLoads, int(s.LoadsPart*runners)))
+	most := max(s.InitialLoads, min(s.MaxLoads, int(s.MaxLoadsPart*runners)))
 	return Role{
 		Name: "roll-outs: the driver", Plane: Control,
 		State:     fmt.Sprintf("what each of %.0f engines has; one row of %s", runners, amount(row)),
--- a/internal/rollout/pace.go
+++ b/internal/rollout/pace.go
@@ -105,7 +105,7 @@
 // maxLoads bounds the loads at one time: only a small part of the live engines is slowed
 // down by loads, or lost to failed ones.
 func (m *Machine) maxLoads() int {
-	part := int(m.settings.LoadsPart * float64(m.fleet.live))
+	part := int(m.settings.MaxLoadsPart * float64(m.fleet.live))
 	return max(m.settings.InitialLoads, min(part, m.settings.MaxLoads))
 }
 
--- a/internal/rollout/schedule_test.go
+++ b/internal/rollout/schedule_test.go
@@ -81,7 +81,7 @@
 	// long.
 	adaptive := seed%4 == 3
 	if adaptive {
-		settings.LoadsPart = 0.5
+		settings.MaxLoadsPart = 0.5
 	}
 	w := newWorld(seed, settings, g)
 	if adaptive {
--- a/internal/rollout/settings.go
+++ b/internal/rollout/settings.go
@@ -28,10 +28,10 @@
 	// InitialLoads is how many engines load a version at one time before the weight
 	// store's capacity is known.
 	InitialLoads int
-	// MaxLoads, and LoadsPart as a part of the live engines, bound that number; it may
+	// MaxLoads, and MaxLoadsPart as a part of the live engines, bound that number; it may
 	// always reach InitialLoads. As many unloads may be pending beside the loads.
-	MaxLoads  int
-	LoadsPart float64
+	MaxLoads     int
+	MaxLoadsPart float64
 	// MinEngines is the least number of engines for a version with a share, however small
 	// the share is.
 	MinEngines int
@@ -67,7 +67,7 @@
 func (s Settings) WithDefaults() Settings {
 	setDefault(&s.InitialLoads, DefaultInitialLoads)
 	setDefault(&s.MaxLoads, DefaultMaxLoads)
-	setDefault(&s.LoadsPart, DefaultMaxLoadsPart)
+	setDefault(&s.MaxLoadsPart, DefaultMaxLoadsPart)
 	setDefault(&s.MinEngines, DefaultMinEngines)
 	setDefault(&s.ServingPart, DefaultServingPart)
 	setDefault(&s.ReadsPerSecond, DefaultReadsPerSecond)
@@ -95,8 +95,8 @@
 		return eris.Errorf("roll-outs: counts are out of range: InitialLoads %d, MaxLoads %d and MinEngines %d must be at least 1, Slots %d at least 0", s.InitialLoads, s.MaxLoads, s.MinEngines, s.Slots)
 	case !(s.ServingPart > 0 && s.ServingPart <= 1):
 		return eris.Errorf("roll-outs: ServingPart %v is not above 0 and at most 1", s.ServingPart)
-	case !(s.LoadsPart > 0 && s.LoadsPart <= 1):
-		return eris.Errorf("roll-outs: LoadsPart %v is not above 0 and at most 1", s.LoadsPart)
+	case !(s.MaxLoadsPart > 0 && s.MaxLoadsPart <= 1):
+		return eris.Errorf("roll-outs: MaxLoadsPart %v is not above 0 and at most 1", s.MaxLoadsPart)
 	case !(s.ReadsPerSecond > 0):
 		return eris.Errorf("roll-outs: ReadsPerSecond %v is not above 0", s.ReadsPerSecond)
 	case min(s.Tick, s.CallTimeout, s.OrderTimeout, s.StateTTL, s.DrainTimeout) <= 0:
--- a/internal/rollout/world_check_test.go
+++ b/internal/rollout/world_check_test.go
@@ -127,7 +127,7 @@
 
 // maxLoads is the most loads at one time that the settings allow for this fleet.
 func (w *world) maxLoads() int {
-	return max(w.settings.InitialLoads, int(w.settings.LoadsPart*float64(len(w.engines))))
+	return max(w.settings.InitialLoads, int(w.settings.MaxLoadsPart*float64(len(w.engines))))
 }
 
 // exemptWithdrawnLoad exempts a load whose version was withdrawn meanwhile: it is given
