--- a/internal/node/suspects.go
+++ b/internal/node/suspects.go
@@ -152,7 +152,7 @@
 func (s *suspects) goodbye() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.tracker.Goodbye(time.Now())
+	s.tracker.Leave(time.Now())
 	s.flush()
 }
 
--- a/internal/suspect/tracker.go
+++ b/internal/suspect/tracker.go
@@ -65,10 +65,9 @@
 	t.advance()
 }
 
-// Goodbye tells the peers that this node stops and has nothing in flight. A node that
-// stops without it may have lost an upstream unseen, and suspects of that time are
-// refused.
-func (t *Tracker) Goodbye(now time.Time) {
+// Leave tells the peers that this node stops and has nothing in flight. A node that stops
+// without it may have lost an upstream unseen, and suspects of that time are refused.
+func (t *Tracker) Leave(now time.Time) {
 	t.setTime(now)
 	for _, p := range t.peers.all {
 		t.send(Message{To: p.id, Kind: Leaving})
