--- a/internal/node/suspects.go
+++ b/internal/node/suspects.go
@@ -86,7 +86,7 @@
 func (s *suspects) suspect(f request.Fingerprint) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.tracker.Suspect(f)
+	return s.tracker.IsSuspect(f)
 }
 
 // admit asks whether an attempt may run at an upstream, and whether alone.
--- a/internal/suspect/admit.go
+++ b/internal/suspect/admit.go
@@ -13,9 +13,9 @@
 	convictedRetryAfter = time.Minute
 )
 
-// Suspect reports whether the request is a suspect. Its upstream then has to be chosen to
-// be idle, before AdmitAt.
-func (t *Tracker) Suspect(f request.Fingerprint) bool { return t.store.get(f).suspect() }
+// IsSuspect reports whether the request is a suspect. Its upstream then has to be chosen
+// to be idle, before AdmitAt.
+func (t *Tracker) IsSuspect(f request.Fingerprint) bool { return t.store.get(f).suspect() }
 
 // Admit is AdmitAt for an upstream that is not chosen yet. Only one such suspect may run
 // at a time in the whole system.
--- a/internal/suspect/spread_test.go
+++ b/internal/suspect/spread_test.go
@@ -61,7 +61,7 @@
 	for ; !step(now); now += tick {
 		missing := 0
 		for _, id := range ids {
-			if !trackers[id].Suspect(f) {
+			if !trackers[id].IsSuspect(f) {
 				missing++
 			}
 		}
