--- a/internal/rollout/decide.go
+++ b/internal/rollout/decide.go
@@ -12,9 +12,9 @@
 type decision struct {
 	record *Record
 	// assigned are the engines that got an order in this decision.
-	assigned   map[*engine]bool
-	loadBudget int
+	assigned map[*engine]bool
 	// loadBudget and unloadBudget are how many more loads and unloads may be decided.
+	loadBudget   int
 	unloadBudget int
 }
 
@@ -84,21 +84,21 @@
 // fewest versions there.
 func (m *Machine) loadTarget(d *decision, v int) *engine {
 	var best *engine
-	spread := m.fleetCounts.versions[v].perDomain
+	perDomain := m.fleetCounts.versions[v].perDomain
 	for _, e := range m.fleet.engines {
 		if !m.canLoad(d, e, v) || !e.hasRoom(m.settings.Slots) {
 			continue
 		}
-		if best == nil || e.preferredOver(best, spread) {
+		if best == nil || e.preferredOver(best, perDomain) {
 			best = e
 		}
 	}
 	return best
 }
 
-func (e *engine) preferredOver(o *engine, spread []int) bool {
-	if spread[e.domain] != spread[o.domain] {
-		return spread[e.domain] < spread[o.domain]
+func (e *engine) preferredOver(o *engine, perDomain []int) bool {
+	if perDomain[e.domain] != perDomain[o.domain] {
+		return perDomain[e.domain] < perDomain[o.domain]
 	}
 	return len(e.state.Versions) < len(o.state.Versions)
 }
@@ -116,14 +116,14 @@
 // makeRoom unloads versions that can be spared on engines that are needed for another
 // one.
 func (m *Machine) makeRoom(d *decision, v int) {
-	spread := m.fleetCounts.versions[v].perDomain
+	perDomain := m.fleetCounts.versions[v].perDomain
 	for d.unloadBudget > 0 && m.fleetCounts.versions[v].missing() > m.pendingUnloads(d) {
 		var best *engine
 		for _, e := range m.fleet.engines {
 			if !m.canLoad(d, e, v) || m.spareVersion(e) < 0 {
 				continue
 			}
-			if best == nil || spread[e.domain] < spread[best.domain] {
+			if best == nil || perDomain[e.domain] < perDomain[best.domain] {
 				best = e
 			}
 		}
--- a/internal/rollout/tally.go
+++ b/internal/rollout/tally.go
@@ -38,9 +38,9 @@
 	t.versions = slices.Grow(t.versions[:0], len(m.plan.versions))[:len(m.plan.versions)]
 	for i := range t.versions {
 		c := &t.versions[i]
-		spread := slices.Grow(c.perDomain[:0], len(m.fleet.domains))[:len(m.fleet.domains)]
-		clear(spread)
-		*c = versionCount{demand: m.plan.versions[i].demand(m.fleet.targetEngines, &m.settings), perDomain: spread}
+		perDomain := slices.Grow(c.perDomain[:0], len(m.fleet.domains))[:len(m.fleet.domains)]
+		clear(perDomain)
+		*c = versionCount{demand: m.plan.versions[i].demand(m.fleet.targetEngines, &m.settings), perDomain: perDomain}
 	}
 	oldest := m.now.Add(-m.stateTTL())
 	for _, e := range m.fleet.engines {
