--- a/internal/gateway/follow_rollouts.go
+++ b/internal/gateway/follow_rollouts.go
@@ -75,7 +75,7 @@
 	defer n.mu.Unlock()
 	n.canary.ClearInFlight(n.roster.Lives)
 	return n.canary.Tick(now, canary.View{
-		Count: func(service, version string) (int, int) { return n.fleet.Count(service, version, now) },
+		Count:    func(service, version string) (int, int) { return n.fleet.Count(service, version, now) },
 		Complete: n.leadsGroup(),
 	})
 }
