--- a/internal/progress/progress.go
+++ b/internal/progress/progress.go
@@ -1,9 +1,9 @@
-// Package progress bounds a call by how long nothing comes, and not by how long all
-// of it takes.
+// Package progress ends a call when no data arrives for too long, instead of bounding only
+// its total duration.
 //
-// A fixed limit fits one size: a document that has grown, over a link that is narrow
-// or busy, is cut each time shortly before its end. A connection that has fallen
-// silent still shows within the pause.
+// A fixed timeout fits one response size. A document that has grown, over a narrow or busy
+// link, would time out shortly before its end on every attempt. An idle timeout lets a slow
+// transfer finish and still detects a stalled connection quickly.
 package progress
 
 import (
@@ -12,55 +12,57 @@
 	"time"
 )
 
-// Limits of a call.
+// Limits are the timeouts of one call.
 type Limits struct {
-	// First is how long the first bytes may take, Pause how long the next ones, and
-	// Whole how long all of it.
+	// First bounds the time to the first bytes, Pause the time between later reads, and
+	// Whole the total duration.
 	First, Pause, Whole time.Duration
 }
 
-type key struct{}
+type contextKey struct{}
 
-// watch ends a context when nothing has come for a pause.
-type watch struct {
-	timer *time.Timer
-	pause time.Duration
+// idleTimer cancels a context when no data has arrived within the idle timeout.
+type idleTimer struct {
+	timer   *time.Timer
+	timeout time.Duration
 }
 
-// Context returns a context that ends, with context.DeadlineExceeded as its cause, at
-// one of the limits. [Reader] tells it what has come.
+// Context returns a context that is cancelled with cause context.DeadlineExceeded when one
+// of the limits is reached. Reads through [Reader] restart the idle timeout. The caller must
+// call the returned function to release the timers.
 func Context(parent context.Context, l Limits) (context.Context, context.CancelFunc) {
-	whole, stop := context.WithTimeoutCause(parent, l.Whole, context.DeadlineExceeded)
-	ctx, cancel := context.WithCancelCause(whole)
-	w := &watch{pause: l.Pause}
+	total, cancelTotal := context.WithTimeoutCause(parent, l.Whole, context.DeadlineExceeded)
+	ctx, cancel := context.WithCancelCause(total)
+	w := &idleTimer{timeout: l.Pause}
 	w.timer = time.AfterFunc(l.First, func() { cancel(context.DeadlineExceeded) })
-	return context.WithValue(ctx, key{}, w), func() {
+	return context.WithValue(ctx, contextKey{}, w), func() {
 		w.timer.Stop()
 		cancel(context.Canceled)
-		stop()
+		cancelTotal()
 	}
 }
 
-// Reader returns a reader of a call's answer whose bytes keep the call's context
-// alive. Under another context it is r itself.
+// Reader wraps the body of a response so that each read of data restarts the idle timeout of
+// ctx. It returns r itself when ctx does not come from [Context].
 func Reader(ctx context.Context, r io.Reader) io.Reader {
-	w, ok := ctx.Value(key{}).(*watch)
+	w, ok := ctx.Value(contextKey{}).(*idleTimer)
 	if !ok {
 		return r
 	}
-	return &reader{r, w}
+	return &progressReader{r, w}
 }
 
-type reader struct {
+type progressReader struct {
 	io.Reader
-	watch *watch
+	idle *idleTimer
 }
 
-// Read passes on what comes.
-func (r *reader) Read(p []byte) (int, error) {
+// Read reads from the wrapped reader and restarts the idle timer when data arrives. A timer
+// that has fired already is not restarted.
+func (r *progressReader) Read(p []byte) (int, error) {
 	n, err := r.Reader.Read(p)
-	if n > 0 && r.watch.timer.Stop() {
-		r.watch.timer.Reset(r.watch.pause)
+	if n > 0 && r.idle.timer.Stop() {
+		r.idle.timer.Reset(r.idle.timeout)
 	}
 	return n, err
 }
--- a/internal/progress/progress_test.go
+++ b/internal/progress/progress_test.go
@@ -13,13 +13,13 @@
 
 var limits = Limits{First: time.Second, Pause: 100 * time.Millisecond, Whole: 3 * time.Second}
 
-// drip gives a byte after each pause, until ctx ends.
-type drip struct {
+// slowReader returns one byte after each pause, until ctx ends.
+type slowReader struct {
 	ctx    context.Context
 	pauses []time.Duration
 }
 
-func (d *drip) Read(p []byte) (int, error) {
+func (d *slowReader) Read(p []byte) (int, error) {
 	if len(d.pauses) == 0 {
 		return 0, io.EOF
 	}
@@ -35,7 +35,9 @@
 	}
 }
 
-func TestOnlyASilentCallEnds(t *testing.T) {
+// Guards against a timeout that cuts off a slow transfer while data keeps arriving, or that
+// misses a stalled one.
+func TestCallEndsOnlyAtALimit(t *testing.T) {
 	slow := make([]time.Duration, 20)
 	for i := range slow {
 		slow[i] = 90 * time.Millisecond
@@ -47,13 +49,13 @@
 	for _, c := range []struct {
 		name   string
 		pauses []time.Duration
-		ends   time.Duration // 0 when it comes to its end
+		ends   time.Duration // time of cancellation; 0 when the body is read to its end
 	}{
 		{"slow and steady", slow, 0},
-		{"late at first", []time.Duration{900 * time.Millisecond, 0}, 0},
-		{"never", []time.Duration{time.Hour}, time.Second},
-		{"silent after a while", []time.Duration{0, 50 * time.Millisecond, time.Hour}, 150 * time.Millisecond},
-		{"without an end", endless, 3 * time.Second},
+		{"late first byte", []time.Duration{900 * time.Millisecond, 0}, 0},
+		{"no first byte", []time.Duration{time.Hour}, time.Second},
+		{"stalled after some data", []time.Duration{0, 50 * time.Millisecond, time.Hour}, 150 * time.Millisecond},
+		{"endless body", endless, 3 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -61,7 +63,7 @@
 				ctx, cancel := Context(context.Background(), limits)
 				defer cancel()
 				began := time.Now()
-				_, err := io.ReadAll(Reader(ctx, &drip{ctx, c.pauses}))
+				_, err := io.ReadAll(Reader(ctx, &slowReader{ctx, c.pauses}))
 				if c.ends == 0 {
 					is.NoErr(err)
 					return
@@ -73,7 +75,7 @@
 	}
 }
 
-func TestOtherContextsAreLeftAlone(t *testing.T) {
-	r := &drip{ctx: context.Background()}
+func TestReaderIsUnchangedUnderAnotherContext(t *testing.T) {
+	r := &slowReader{ctx: context.Background()}
 	is.New(t).Equal(Reader(context.Background(), r), io.Reader(r))
 }
