--- a/internal/streamtoken/doc.go
+++ b/internal/streamtoken/doc.go
@@ -1,4 +1,4 @@
-// Package streamtoken lets a caller whose connection broke read on through any
-// entry node: the caller carries a signed token that says where the stream
-// runs and what its bill needs, so that no node has to remember it.
+// Package streamtoken issues and verifies the signed tokens with which a caller resumes an
+// interrupted stream through any entry node. The token names the engine and the attempt and
+// holds the data that the bill needs, so nodes keep no state for the stream.
 package streamtoken
--- a/internal/streamtoken/token_test.go
+++ b/internal/streamtoken/token_test.go
@@ -11,9 +11,9 @@
 	"github.com/hickorybank/hickorybank/internal/seal"
 )
 
-// An agent reads another firm's dues statement by sending its stream token. The
-// token was stolen or guessed; every way to make one must be refused.
-func TestOpenRefusesWhatIsNotOurs(t *testing.T) {
+// A caller reads another organisation's stream with a stolen, guessed or reused token. Open
+// must refuse each of these.
+func TestOpenRefusesForeignExpiredAndForgedTokens(t *testing.T) {
 	start := time.Unix(1_800_000_000, 0)
 	sealer, err := seal.New([]byte(strings.Repeat("k", seal.MinKeyBytes)))
 	is.New(t).NoErr(err)
