--- a/internal/session/doc.go
+++ b/internal/session/doc.go
@@ -1,6 +1,6 @@
-// Package session keeps a session on its version without any stored state:
-// the caller carries a signed token that names the version. It survives the
-// loss of every VM, since any node that has the key can read it.
+// Package session pins a session to a model version without stored state: the caller carries
+// a signed token that names the version. Sessions survive the loss of every VM, since any
+// node that has the key can verify the token.
 //
-// The ways weighed are in docs/design/sessions.md.
+// docs/design/sessions.md compares the alternatives.
 package session
--- a/internal/session/signer.go
+++ b/internal/session/signer.go
@@ -10,33 +10,34 @@
 const (
 	// MaxAge is how long a session may last.
 	MaxAge = 30 * 24 * time.Hour
-	// maxSkew is how far ahead another VM's clock may be.
+	// maxSkew bounds how far another VM's clock may be ahead.
 	maxSkew = 5 * time.Minute
 
-	domain = "hickorybank session 1"
+	sealDomain = "hickorybank session 1"
 )
 
-// Why a token is refused, besides the reasons of package seal.
+// Errors of [Signer.Read], besides those of package seal.
 var (
 	ErrForeign = errors.New("another organisation's")
 	ErrTooOld  = errors.New("too old")
 )
 
-// Signer makes and reads tokens.
+// Signer signs and verifies session tokens.
 type Signer struct {
 	sealer *seal.Sealer
 }
 
-// NewSigner returns a signer.
+// NewSigner returns a Signer that uses the keys of s.
 func NewSigner(s *seal.Sealer) *Signer { return &Signer{sealer: s} }
 
-// Sign returns the token in the form that callers carry.
-func (s *Signer) Sign(t Token) (string, error) { return s.sealer.Seal(domain, t) }
+// Sign signs the token and returns its text form for the caller.
+func (s *Signer) Sign(t Token) (string, error) { return s.sealer.Seal(sealDomain, t) }
 
-// Read verifies a token of an organisation at a time.
+// Read verifies a token's signature, organisation and age. It returns [ErrForeign],
+// [ErrTooOld] or an error of package seal.
 func (s *Signer) Read(text, org string, now time.Time) (Token, error) {
 	var t Token
-	if err := s.sealer.Open(domain, text, &t); err != nil {
+	if err := s.sealer.Open(sealDomain, text, &t); err != nil {
 		return Token{}, err
 	}
 	if t.Org != org {
--- a/internal/session/signer_test.go
+++ b/internal/session/signer_test.go
@@ -17,14 +17,14 @@
 	start  = time.Unix(1_800_000_000, 0)
 )
 
-func signer(t *testing.T, keys ...[]byte) *Signer {
+func newSigner(t *testing.T, keys ...[]byte) *Signer {
 	t.Helper()
 	s, err := seal.New(keys...)
 	is.New(t).NoErr(err)
 	return NewSigner(s)
 }
 
-func signed(t *testing.T, s *Signer) (string, Token) {
+func signToken(t *testing.T, s *Signer) (string, Token) {
 	t.Helper()
 	token := Token{ID: "s1", Org: "sfax", Version: "assess@4", Started: start.Unix()}
 	text, err := s.Sign(token)
@@ -32,10 +32,12 @@
 	return text, token
 }
 
-func TestReadRefusals(t *testing.T) {
-	s := signer(t, oldKey)
-	text, _ := signed(t, s)
-	foreign, _ := signed(t, signer(t, newKey))
+// Guards against a session token that is accepted although it is forged, expired or another
+// organisation's.
+func TestReadRefusesForeignExpiredAndForgedTokens(t *testing.T) {
+	s := newSigner(t, oldKey)
+	text, _ := signToken(t, s)
+	foreign, _ := signToken(t, newSigner(t, newKey))
 	cases := []struct {
 		name, text, org string
 		at              time.Time
@@ -60,23 +62,24 @@
 	}
 }
 
-// An instructor's assessment loses its version while the session key is being
-// replaced. First a node with the old key signs, then the request reaches a
-// node that signs with the new one. The cause would be a node that verifies
-// only with the key it signs with.
-func TestKeyReplacementKeepsSessions(t *testing.T) {
+// A session loses its version during a key rotation: one node signs with the old key, and
+// the next request reaches a node that signs with the new key. A node must verify with all
+// its keys, not only the one it signs with.
+func TestSessionSurvivesKeyRotation(t *testing.T) {
 	is := is.New(t)
-	text, token := signed(t, signer(t, oldKey))
-	got, err := signer(t, newKey, oldKey).Read(text, "sfax", start)
+	text, token := signToken(t, newSigner(t, oldKey))
+	got, err := newSigner(t, newKey, oldKey).Read(text, "sfax", start)
 	is.NoErr(err)
 	is.Equal(got, token)
 }
 
-func TestShortKeyIsRefused(t *testing.T) {
+// Guards against a session key that is too short to be secure.
+func TestNewSealerRefusesShortKey(t *testing.T) {
 	_, err := seal.New([]byte("short"))
 	is.New(t).True(err != nil)
 }
 
+// FuzzRead checks that no text other than the signed token is accepted.
 func FuzzRead(f *testing.F) {
 	sealer, err := seal.New(oldKey)
 	if err != nil {
