--- a/internal/request/answer.go
+++ b/internal/request/answer.go
@@ -2,7 +2,7 @@
 
 import "github.com/hickorybank/hickorybank/internal/upstream"
 
-// Answer is what a completed request has to say for itself.
+// Answer describes a completed request: the version that answered, the token usage and the cost.
 type Answer struct {
 	Version      string
 	FinishReason string
--- a/internal/request/doc.go
+++ b/internal/request/doc.go
@@ -1,6 +1,6 @@
-// Package request holds what one request of a caller is and how it may end.
+// Package request defines a caller's request, its answer and its possible outcomes.
 //
-// An outcome is one of three: completed, not run, unknown. "Not run" is said
-// only when no byte of the request can have reached an upstream that could run
-// it, or when the upstream's own contract says so. In doubt it is unknown.
+// There are three outcomes: completed, not run and unknown. A request counts as not run only
+// when no byte of it can have reached an upstream that could run it, or when the upstream's
+// contract guarantees it. In doubt the outcome is unknown.
 package request
--- a/internal/request/failure.go
+++ b/internal/request/failure.go
@@ -8,7 +8,7 @@
 // Code is the machine-readable reason of a failure.
 type Code string
 
-// The codes, each with its HTTP status in package api.
+// The codes. Package api maps each to an HTTP status.
 const (
 	CodeBadRequest     Code = "bad_request"
 	CodeUnauthorised   Code = "invalid_api_key"
@@ -31,22 +31,22 @@
 	CodeCancelled      Code = "cancelled"
 )
 
-// Failure is the final answer to a request that did not complete.
+// Failure is the final answer to a request that did not complete. It implements error.
 type Failure struct {
 	Code    Code
 	Message string
 	Outcome Outcome
-	// RetryAfter tells the caller when to come back; 0 says not to.
+	// RetryAfter is the delay after which the caller may retry; 0 means it should not.
 	RetryAfter time.Duration
-	// Reason tells apart for operators what has one code; empty where the
-	// code says all.
+	// Reason distinguishes failures with the same code for operators. It is empty where the
+	// code is specific enough.
 	Reason Reason
 }
 
-// Reason is why a request was refused, for operators.
+// Reason is the cause of a refusal as metrics report it to operators.
 type Reason string
 
-// The reasons of what has the code bad_request.
+// The reasons of failures with the code bad_request.
 const (
 	ReasonMalformed   Reason = "malformed"
 	ReasonTooLarge    Reason = "too_large"
@@ -55,7 +55,7 @@
 	ReasonUndeclared  Reason = "undeclared_call"
 )
 
-// Why is the reason, or else the code.
+// Why returns the reason, or the code when no reason is set.
 func (f *Failure) Why() Reason {
 	if f.Reason != "" {
 		return f.Reason
@@ -63,12 +63,12 @@
 	return Reason(f.Code)
 }
 
-// Error returns the message with its code and outcome.
+// Error returns the message followed by code and outcome.
 func (f *Failure) Error() string {
 	return fmt.Sprintf("%s (%s, %s)", f.Message, f.Code, f.Outcome)
 }
 
-// Refuse makes a failure of a request that was not run.
+// Refuse returns the failure of a request that was not run.
 func Refuse(code Code, retryAfter time.Duration, message string) *Failure {
 	return &Failure{Code: code, Message: message, Outcome: NotRun, RetryAfter: retryAfter}
 }
--- a/internal/request/fields.go
+++ b/internal/request/fields.go
@@ -6,21 +6,22 @@
 	"slices"
 )
 
-// Fields are the fields of a chat request's body, as the caller sent them:
-// valid JSON each.
+// Fields maps the names of a chat request's body fields to their raw JSON values, as the
+// caller sent them.
 type Fields map[string]json.RawMessage
 
-// bodyOverhead is room for the fields that are set, quotes and commas.
+// bodyOverhead is the capacity in bytes reserved for the fields that BodyFor sets and for
+// quotes and commas.
 const bodyOverhead = 128
 
-// BodyFor returns the body for an engine: the caller's fields, untouched, with
-// the model set to the version and streaming on.
+// BodyFor returns the body for an engine: the caller's fields unchanged, with model set to
+// the version and stream set to true.
 func (f Fields) BodyFor(version string) ([]byte, error) {
 	model, err := json.Marshal(version)
 	if err != nil {
 		return nil, err
 	}
-	out := append(f.room(), `{"model":`...)
+	out := append(f.newBuffer(), `{"model":`...)
 	out = append(out, model...)
 	out = append(out, `,"stream":true`...)
 	for _, name := range slices.Sorted(maps.Keys(f)) {
@@ -39,8 +40,8 @@
 	return append(out, '}'), nil
 }
 
-// room is a buffer that the whole body fits into, or nearly.
-func (f Fields) room() []byte {
+// newBuffer returns an empty buffer with about the capacity of the complete body.
+func (f Fields) newBuffer() []byte {
 	size := bodyOverhead
 	for name, raw := range f {
 		size += len(name) + len(raw) + len(`"":,`)
--- a/internal/request/fingerprint.go
+++ b/internal/request/fingerprint.go
@@ -2,11 +2,11 @@
 
 import "crypto/sha256"
 
-// Fingerprint identifies an organisation's body, so that a request sent again
-// with a new key is known to be the same work.
+// Fingerprint identifies a request by organisation and body, so that a request resent under
+// a new key is recognised.
 type Fingerprint [16]byte
 
-// NewFingerprint hashes the organisation's name and the body.
+// NewFingerprint returns a truncated SHA-256 hash of the organisation's name and the body.
 func NewFingerprint(org string, body []byte) Fingerprint {
 	h := sha256.New()
 	h.Write([]byte(org))
--- a/internal/request/sink.go
+++ b/internal/request/sink.go
@@ -1,26 +1,26 @@
 package request
 
-// Sink takes an answer as it comes. After Begin the caller hears only that
-// one attempt.
+// Sink writes an answer to the caller. After Begin the caller receives the output of one
+// attempt only.
 type Sink interface {
-	// Streams says that pieces go out as they come; otherwise the caller
-	// sees nothing before the end.
+	// Streams reports whether chunks are sent as they arrive. Otherwise the caller receives
+	// nothing before the answer is complete.
 	Streams() bool
-	// Begin tells which version answers and the caller's tokens.
+	// Begin sets the answer's head; it is called at most once, before the first Text.
 	Begin(h Head)
-	// Text takes one piece with its number in the attempt. An error says that
-	// the caller has gone.
+	// Text buffers one chunk with its sequence number in the attempt. An error means that the
+	// caller has disconnected.
 	Text(seq int, text string) error
-	// Flush sends the pieces that were taken.
+	// Flush sends the buffered chunks. An error means that the caller has disconnected.
 	Flush() error
 }
 
-// Head is what goes before an answer.
+// Head is the metadata that precedes an answer.
 type Head struct {
 	Version string
-	// Session is the session's token, or empty.
+	// Session is the session token, or empty.
 	Session string
-	// Stream is the token with which a broken stream is read on through any
+	// Stream is the token with which the caller can resume an interrupted stream through any
 	// entry node, or empty.
 	Stream string
 }
--- a/internal/request/split.go
+++ b/internal/request/split.go
@@ -6,41 +6,41 @@
 	"unicode/utf8"
 )
 
-// Object splits a JSON object into its members without copying them. The data
-// must be valid JSON; ok is false when it is no object. A name that comes twice
-// keeps its last value, as with encoding/json.
+// Object splits a JSON object into its members without copying the values. The data must be
+// valid JSON; ok is false when it is not an object. The last value of a duplicate name
+// applies, as in encoding/json.
 func Object(data []byte) (fields Fields, ok bool) {
 	s := splitter{rest: data}
 	if s.peek() != '{' {
 		return nil, false
 	}
 	fields = Fields{}
-	for s.next() {
+	for s.advance() {
 		name := s.value()
 		s.peek() // the colon
 		s.rest = s.rest[1:]
-		fields[nameOf(name)] = s.value()
+		fields[decodeName(name)] = s.value()
 	}
 	return fields, true
 }
 
-// List splits a JSON list into its elements without copying them. The data must
-// be valid JSON; ok is false when it is no list.
+// List splits a JSON array into its elements without copying them. The data must be valid
+// JSON; ok is false when it is not an array.
 func List(data []byte) (elements []json.RawMessage, ok bool) {
 	s := splitter{rest: data}
 	if s.peek() != '[' {
 		return nil, false
 	}
-	for s.next() {
+	for s.advance() {
 		elements = append(elements, s.value())
 	}
 	return elements, true
 }
 
-// splitter walks over valid JSON.
+// splitter scans valid JSON; rest is the part not yet consumed.
 type splitter struct{ rest []byte }
 
-// peek returns the next byte that is not space, or 0 at the end.
+// peek skips white space and returns the next byte, or 0 at the end.
 func (s *splitter) peek() byte {
 	s.rest = bytes.TrimLeft(s.rest, " \t\r\n")
 	if len(s.rest) == 0 {
@@ -49,24 +49,23 @@
 	return s.rest[0]
 }
 
-// next passes over an opening bracket or a comma; it is false at the closing
-// bracket.
-func (s *splitter) next() bool {
-	if closes(s.peek()) {
+// advance skips an opening bracket or a comma and reports whether a member or element follows.
+func (s *splitter) advance() bool {
+	if isClosing(s.peek()) {
 		return false
 	}
 	s.rest = s.rest[1:]
-	return !closes(s.peek())
+	return !isClosing(s.peek())
 }
 
-func closes(c byte) bool { return c == '}' || c == ']' }
+func isClosing(c byte) bool { return c == '}' || c == ']' }
 
-// value cuts the next value.
+// value consumes and returns the next value.
 func (s *splitter) value() json.RawMessage {
 	var n int
 	switch s.peek() {
 	case '"':
-		n = textLen(s.rest)
+		n = stringLen(s.rest)
 	case '{', '[':
 		n = nestedLen(s.rest)
 	default:
@@ -77,8 +76,8 @@
 	return json.RawMessage(v)
 }
 
-// textLen is the length of the string at the beginning, its quotes included.
-func textLen(data []byte) int {
+// stringLen returns the length of the string at the start of data, including its quotes.
+func stringLen(data []byte) int {
 	n := 1
 	for {
 		quote := bytes.IndexByte(data[n:], '"')
@@ -90,13 +89,13 @@
 	}
 }
 
-// nestedLen is the length of the object or list at the beginning.
+// nestedLen returns the length of the object or array at the start of data.
 func nestedLen(data []byte) int {
 	depth := 0
 	for n := 0; ; {
 		switch data[n] {
 		case '"':
-			n += textLen(data[n:])
+			n += stringLen(data[n:])
 			continue
 		case '{', '[':
 			depth++
@@ -110,8 +109,8 @@
 	}
 }
 
-// nameOf decodes a member's name.
-func nameOf(quoted []byte) string {
+// decodeName decodes the quoted name of a member.
+func decodeName(quoted []byte) string {
 	inner := quoted[1 : len(quoted)-1]
 	if bytes.IndexByte(inner, '\\') < 0 && utf8.Valid(inner) {
 		return string(inner)
--- a/internal/request/split_test.go
+++ b/internal/request/split_test.go
@@ -8,8 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// FuzzObject holds the splitting of a body against encoding/json: the same
-// members with the same bytes, and the engine's body means the same.
+// FuzzObject compares Object and List with encoding/json: both must yield the same members
+// with the same bytes, and BodyFor must change only model and stream.
 func FuzzObject(f *testing.F) {
 	for _, s := range []string{
 		`{}`, `[]`, ` { "a" : 1 , "b":[ {"c":"]}\""} , null ] } `, `{"a":"\\","a":{},"b":-1.5e3}`, `{"\u0061\"":true}`,
@@ -31,7 +31,7 @@
 			is.Equal(map[string]json.RawMessage(got), members)
 			body, err := got.BodyFor("v@1")
 			is.NoErr(err)
-			sameBut(t, members, body)
+			checkBody(t, members, body)
 		}
 		var elements []json.RawMessage
 		if list, ok := List(in); ok {
@@ -44,7 +44,8 @@
 	})
 }
 
-func sameBut(t *testing.T, members map[string]json.RawMessage, body []byte) {
+// checkBody checks that body equals members except for model and stream.
+func checkBody(t *testing.T, members map[string]json.RawMessage, body []byte) {
 	t.Helper()
 	is := is.New(t)
 	members["model"] = json.RawMessage(`"v@1"`)
