--- a/internal/lifecycle/attempt.go
+++ b/internal/lifecycle/attempt.go
@@ -6,31 +6,31 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// attempt is one try at one upstream.
+// attempt is one execution of a request at one upstream.
 type attempt struct {
 	id      string
 	version string
 	vm      string
-	// lastSeq is the last piece that was taken.
-	lastSeq int
-	resumes int
-	text    strings.Builder
-	usage   upstream.Usage
-	reason  string
+	// lastSeq is the sequence number of the last accepted chunk.
+	lastSeq      int
+	resumes      int
+	text         strings.Builder
+	usage        upstream.Usage
+	finishReason string
 }
 
-// ends says that the piece, which the caller has already, is the answer's last.
-func (a *attempt) ends(c upstream.Chunk) bool { return c.Done && c.Seq == a.lastSeq }
+// isLast reports whether c, which was accepted before, is the answer's last chunk.
+func (a *attempt) isLast(c upstream.Chunk) bool { return c.Done && c.Seq == a.lastSeq }
 
-// finish notes what only the last piece tells.
+// finish records the usage and the finish reason, which only the last chunk has.
 func (a *attempt) finish(c upstream.Chunk) {
 	a.usage = c.Usage
-	a.reason = c.FinishReason
+	a.finishReason = c.FinishReason
 }
 
-// take accepts the next piece in order. A piece that came before is ignored;
-// a gap means that the stream lost something and must be read again.
-func (a *attempt) take(c upstream.Chunk) (fresh, gap bool) {
+// accept takes the next chunk in order. It ignores a duplicate; a gap means that a chunk was
+// lost and the stream must be resumed.
+func (a *attempt) accept(c upstream.Chunk) (accepted, gap bool) {
 	if c.Seq <= a.lastSeq {
 		return false, false
 	}
--- a/internal/lifecycle/call.go
+++ b/internal/lifecycle/call.go
@@ -8,14 +8,15 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// CallSettings are what a service call's life is decided by.
+// CallSettings are the settings of one service call.
 type CallSettings struct {
 	// Idempotent calls may be repeated.
 	Idempotent bool
-	// Keyed says that the caller gave a key, so that it may send the call
-	// again through another node. Without a key nobody can, and sending at
-	// most once from here is enough.
-	Keyed       bool
+	// Keyed means that the caller gave an idempotency key and may resend the call through
+	// another node. Without a key no other node can run it, so sending it at most once from
+	// here is enough.
+	Keyed bool
+	// MaxAttempts bounds the attempts that are sent.
 	MaxAttempts int
 }
 
@@ -30,24 +31,25 @@
 	callEnded
 )
 
-// Call is the life of one call of a plain service.
+// Call is the state machine of one call of a plain service.
 type Call struct {
-	s       CallSettings
-	phase   callPhase
-	claimed bool
-	sent    int
-	doubts  int
-	exclude []string
-	vm      string
-	// mayHaveRun decides between the outcomes not run and unknown.
+	settings CallSettings
+	phase    callPhase
+	claimed  bool
+	attempts int
+	// ambiguous counts failed attempts that may have run.
+	ambiguous int
+	excluded  []string
+	vm        string
+	// mayHaveRun selects the outcome of a failure: unknown if set, else not run.
 	mayHaveRun bool
 	answer     upstream.ServiceAnswer
 }
 
-// NewCall returns the machine of a call.
-func NewCall(s CallSettings) *Call { return &Call{s: s} }
+// NewCall returns the state machine of a call; Begin starts it.
+func NewCall(s CallSettings) *Call { return &Call{settings: s} }
 
-// Begin starts the call's life.
+// Begin starts the call, with a claim when it has a key and may not be repeated.
 func (c *Call) Begin() []Decision {
 	if c.needsClaim() {
 		return []Decision{Claim{}}
@@ -56,13 +58,13 @@
 	return []Decision{PickService{}}
 }
 
-func (c *Call) needsClaim() bool { return !c.s.Idempotent && c.s.Keyed }
+func (c *Call) needsClaim() bool { return !c.settings.Idempotent && c.settings.Keyed }
 
-// Ended says whether the final answer has been given.
+// Ended reports whether the final answer has been decided.
 func (c *Call) Ended() bool { return c.phase == callEnded }
 
-// Claimed reports that the claim is durable. A claim that comes after the final
-// answer is given back.
+// Claimed is the event that the claim is durable. A claim that is confirmed after the final
+// answer is released.
 func (c *Call) Claimed() []Decision {
 	if c.phase == callEnded {
 		return []Decision{Release{}}
@@ -75,7 +77,7 @@
 	return []Decision{PickService{}}
 }
 
-// ClaimFailed reports that the request may not run, with what is true of it.
+// ClaimFailed is the event that the call may not run; f is its final answer.
 func (c *Call) ClaimFailed(f *request.Failure) []Decision {
 	if c.phase != callClaiming {
 		return nil
@@ -84,8 +86,7 @@
 	return []Decision{Fail{Failure: f}}
 }
 
-// Replay reports that the claim was settled before: the caller gets the same
-// answer again.
+// Replay is the event that the claim is settled already. The caller gets the recorded answer.
 func (c *Call) Replay(answer upstream.ServiceAnswer) []Decision {
 	if c.phase != callClaiming {
 		return nil
@@ -94,31 +95,30 @@
 	return []Decision{FinishCall{Answer: answer}}
 }
 
-// Picked reports the upstream for the next attempt.
+// Picked is the event that an upstream was selected for the next attempt.
 func (c *Call) Picked(vm string) []Decision {
 	if c.phase != callPicking {
 		return nil
 	}
-	c.sent++
+	c.attempts++
 	c.vm = vm
 	c.mayHaveRun = true
 	c.phase = callRunning
 	return []Decision{Send{VM: vm}}
 }
 
-// Refused reports that there is no upstream, that the retry budget is spent,
-// or that the check just before sending failed.
+// Refused is the event that no attempt can be sent: there is no upstream, the retry budget is
+// exhausted or the check before sending failed.
 func (c *Call) Refused(code request.Code, retryAfter time.Duration, message string) []Decision {
 	if c.phase != callPicking {
 		return nil
 	}
-	return c.end(code, retryAfter, message)
+	return c.fail(code, retryAfter, message)
 }
 
-// Answered reports the service's whole answer. An answer that reports the
-// service's own failure is passed on but not billed. An answer that comes
-// after the caller was told "unknown" is still recorded under its claim, so
-// that a retry with the same key gets it.
+// Answered is the event that the service's complete answer arrived. An answer with a 5xx
+// status is forwarded but not billed. An answer that arrives after the outcome was reported
+// as unknown is still recorded under its claim, so that a retry with the same key gets it.
 func (c *Call) Answered(answer upstream.ServiceAnswer) []Decision {
 	if c.phase == callEnded && c.claimed {
 		return []Decision{Settle{Answer: answer}}
@@ -147,26 +147,26 @@
 	return []Decision{FinishCall{Answer: c.answer}}
 }
 
-// SendFailed reports that the call failed and how far it got.
+// SendFailed is the event that the attempt failed; reach says how far it got.
 func (c *Call) SendFailed(reach upstream.Reach) []Decision {
 	if c.phase == callEnded {
-		return c.failedLate(reach)
+		return c.closeLateClaim(reach)
 	}
 	if c.phase != callRunning {
 		return nil
 	}
-	c.exclude = append(c.exclude, c.vm)
+	c.excluded = append(c.excluded, c.vm)
 	if reach != upstream.MaybeRun {
-		c.mayHaveRun = c.doubts > 0
+		c.mayHaveRun = c.ambiguous > 0
 		return c.retry()
 	}
-	c.doubts++
-	if c.s.Idempotent {
+	c.ambiguous++
+	if c.settings.Idempotent {
 		return c.retry()
 	}
-	// A second sending could run it twice. Whatever became of the first, no
-	// other attempt may follow, here or elsewhere under the same key.
-	return append(c.settleUnknown(), c.end(request.CodeUpstreamFailed, 0, "the call may have run; its answer was lost")...)
+	// A second attempt could run the call twice. Whatever became of the first, no other
+	// attempt may follow, here or at another node under the same key.
+	return append(c.settleUnknown(), c.fail(request.CodeUpstreamFailed, 0, "the call may have run; its answer was lost")...)
 }
 
 func (c *Call) settleUnknown() []Decision {
@@ -176,9 +176,9 @@
 	return []Decision{SettleUnknown{}}
 }
 
-// failedLate closes the claim of a call whose caller already has its answer.
-func (c *Call) failedLate(reach upstream.Reach) []Decision {
-	if reach == upstream.MaybeRun || c.doubts > 0 {
+// closeLateClaim closes the claim of a call whose final answer has already been sent.
+func (c *Call) closeLateClaim(reach upstream.Reach) []Decision {
+	if reach == upstream.MaybeRun || c.ambiguous > 0 {
 		return c.settleUnknown()
 	}
 	if !c.claimed {
@@ -188,17 +188,17 @@
 }
 
 func (c *Call) retry() []Decision {
-	if c.sent >= c.s.MaxAttempts {
-		return c.end(request.CodeUpstreamFailed, retrySoon, "every upstream that was tried failed")
+	if c.attempts >= c.settings.MaxAttempts {
+		return c.fail(request.CodeUpstreamFailed, retryDelay, "every upstream that was tried failed")
 	}
 	c.phase = callPicking
-	return []Decision{PickService{Exclude: c.exclude, Retry: true}}
+	return []Decision{PickService{Exclude: c.excluded, Retry: true}}
 }
 
-// Settled reports whether the answer and its bill are durable under the claim.
-// When they are not, the bill alone may still be made safe; the claim then
-// stays open and says "unknown" to a later retry, which is true for all that
-// the store knows.
+// Settled is the event that the settlement succeeded or failed: whether the answer and its
+// bill are durable under the claim. On failure the bill alone is made durable. The claim then
+// stays open, and a later retry gets the outcome unknown, which is correct as far as the
+// store can tell.
 func (c *Call) Settled(ok bool) []Decision {
 	if c.phase != callSettling {
 		return nil
@@ -209,7 +209,7 @@
 	return c.billOrFinish()
 }
 
-// Billed reports whether the bill is safe.
+// Billed is the event that billing succeeded or failed: whether the bill is durable.
 func (c *Call) Billed(ok bool) []Decision {
 	if c.phase != callBilling {
 		return nil
@@ -217,29 +217,29 @@
 	if ok {
 		return c.finish()
 	}
-	return c.end(request.CodeLedger, 0, "the answer is whole but its bill could not be made safe")
+	return c.fail(request.CodeLedger, 0, "the answer is whole but its bill could not be made safe")
 }
 
-// Expired reports that the deadline has passed.
+// Expired is the event that the deadline has passed.
 func (c *Call) Expired(retryAfter time.Duration) []Decision {
-	return c.stop(request.CodeDeadline, retryAfter, "the deadline has passed")
+	return c.failUnlessEnded(request.CodeDeadline, retryAfter, "the deadline has passed")
 }
 
-// CallerGone reports that nobody listens any more.
+// CallerGone is the event that the caller has disconnected.
 func (c *Call) CallerGone() []Decision {
-	return c.stop(request.CodeCancelled, 0, "the caller has gone")
+	return c.failUnlessEnded(request.CodeCancelled, 0, "the caller has gone")
 }
 
-func (c *Call) stop(code request.Code, retryAfter time.Duration, message string) []Decision {
+func (c *Call) failUnlessEnded(code request.Code, retryAfter time.Duration, message string) []Decision {
 	if c.phase == callEnded {
 		return nil
 	}
-	return c.end(code, retryAfter, message)
+	return c.fail(code, retryAfter, message)
 }
 
-// end gives the final answer. A claim under which no byte has left is given
-// back, so that the caller may come again with the same key.
-func (c *Call) end(code request.Code, retryAfter time.Duration, message string) []Decision {
+// fail decides the final answer. It releases a claim under which no byte was sent, so that the
+// caller can retry with the same key.
+func (c *Call) fail(code request.Code, retryAfter time.Duration, message string) []Decision {
 	c.phase = callEnded
 	var out []Decision
 	outcome := request.NotRun
--- a/internal/lifecycle/call_decision.go
+++ b/internal/lifecycle/call_decision.go
@@ -2,20 +2,20 @@
 
 import "github.com/hickorybank/hickorybank/internal/upstream"
 
-// Claim makes it durable that this request, and no other with its key, may
-// run.
+// Claim records durably that this request, and no other with its key, may run.
 type Claim struct{}
 
-// Release gives a claim back: no byte of the request has left.
+// Release withdraws a claim under which no byte was sent.
 type Release struct{}
 
-// PickService asks for an upstream that offers the service.
+// PickService selects an upstream of the service, other than the VMs in Exclude. When Retry
+// is set, the retry budget must allow it first.
 type PickService struct {
 	Exclude []string
 	Retry   bool
 }
 
-// Send sends the call.
+// Send sends the call to the selected upstream.
 type Send struct {
 	VM string
 }
@@ -25,14 +25,14 @@
 	Answer upstream.ServiceAnswer
 }
 
-// SettleUnknown records that the call may have run and that no answer came.
-// Its result does not matter: a claim that is never settled says the same.
+// SettleUnknown records that the call may have run and that its answer was lost. Its result
+// does not matter, since an unsettled claim means the same.
 type SettleUnknown struct{}
 
-// BillCall makes the call's bill safe.
+// BillCall makes the call's bill durable.
 type BillCall struct{}
 
-// FinishCall ends the request with its whole answer.
+// FinishCall ends the call with its complete answer.
 type FinishCall struct {
 	Answer upstream.ServiceAnswer
 }
--- a/internal/lifecycle/decision.go
+++ b/internal/lifecycle/decision.go
@@ -5,26 +5,26 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// Decision is something that the caller of a machine must carry out.
+// Decision is an action that the user of a state machine must carry out.
 type Decision interface{ decision() }
 
-// Pick asks for an upstream that has the version. A pick with Retry set must
-// first be allowed by the retry budget.
+// Pick selects an upstream that has the version. When Retry is set, the retry budget must
+// allow it first.
 type Pick struct {
 	Version string
-	// Exclude are the VMs that failed this request before.
+	// Exclude lists the VMs at which an attempt of this request failed.
 	Exclude []string
 	Retry   bool
 }
 
-// Start sends an attempt.
+// Start sends an attempt to the selected upstream.
 type Start struct {
 	Attempt string
 	Version string
 	VM      string
 }
 
-// Resume reads an attempt's stream again after the piece numbered After.
+// Resume reads an attempt's stream again from the chunk that follows number After.
 type Resume struct {
 	Attempt string
 	VM      string
@@ -37,42 +37,42 @@
 	VM      string
 }
 
-// Emit passes a piece to the caller.
+// Emit sends a chunk to the caller.
 type Emit struct {
 	Version string
 	Seq     int
 	Text    string
 }
 
-// Rate asks for the rating of an answer before it may be used.
+// Rate requests the score of an answer, which decides whether the answer is used.
 type Rate struct {
 	Version string
 	Answer  string
 }
 
-// Bill makes the bill safe; the answer's end waits for it.
+// Bill makes the bill durable; the end of the answer is sent only afterwards.
 type Bill struct {
 	Version string
 	Runs    []Run
 }
 
-// Finish ends the request with its whole answer.
+// Finish ends the request with its complete answer.
 type Finish struct {
 	Version      string
 	FinishReason string
 	Usage        upstream.Usage
 	Runs         []Run
-	// Text is what has not been passed on yet; Seq is its last piece's number.
+	// Text is the text not yet sent to the caller; Seq is the number of its last chunk.
 	Text string
 	Seq  int
 }
 
-// Fail ends the request without a whole answer.
+// Fail ends the request without a complete answer.
 type Fail struct {
 	Failure *request.Failure
 }
 
-// Run is one completed run that the bill covers; a cascade has several.
+// Run is one completed run that the bill covers; a cascade may have several.
 type Run struct {
 	Version string
 	Usage   upstream.Usage
--- a/internal/lifecycle/doc.go
+++ b/internal/lifecycle/doc.go
@@ -1,10 +1,9 @@
-// Package lifecycle decides the life of one request: which upstream to try,
-// when to resume, retry, cancel or give up, when the answer may leave, and
-// what is truly said of a request that did not complete.
+// Package lifecycle holds the state machines of one chat request and one service call. They
+// decide when to select an upstream, resume, retry, cancel or fail, when the answer may be
+// sent, and which outcome is reported for a request that did not complete.
 //
-// The machines do no I/O and read no clock. Each event method returns the
-// decisions that the caller must carry out, in order; their results come back
-// as further events. A machine belongs to one goroutine at a time. After
-// [Finish] or [Fail] every further event is ignored, so answers that arrive
-// late change nothing.
+// The state machines do no I/O and read no clock. Each event method returns the decisions
+// that its caller must carry out, in order; their results are reported as further events. A
+// state machine must not be used by two goroutines at once. After [Finish] or [Fail] a [Chat]
+// ignores every event, so late answers change nothing. A [Call] still closes its claim then.
 package lifecycle
--- a/internal/lifecycle/script_test.go
+++ b/internal/lifecycle/script_test.go
@@ -13,8 +13,8 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// TestChatScripts runs the scripted lives in testdata/chat: each command is
-// an event, each expectation the decisions that follow.
+// TestChatScripts runs the scripts in testdata/chat. Each command is an event of a [Chat],
+// each expected output the decisions that follow.
 func TestChatScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata/chat", func(t *testing.T, path string) {
 		var c *Chat
@@ -22,11 +22,11 @@
 			if d.Cmd == "new" {
 				c = NewChat(chatSettings(t, d))
 				if d.HasArg("adopt") {
-					return show(c.Adopt(text(t, d, "adopt"), text(t, d, "vm"), number(t, d, "after")))
+					return formatDecisions(c.Adopt(textArg(t, d, "adopt"), textArg(t, d, "vm"), intArg(t, d, "after")))
 				}
-				return show(c.Begin())
+				return formatDecisions(c.Begin())
 			}
-			return show(chatEvent(t, c, d))
+			return formatDecisions(chatEvent(t, c, d))
 		})
 	})
 }
@@ -42,22 +42,22 @@
 func chatEvent(t *testing.T, c *Chat, d *datadriven.TestData) []Decision {
 	switch d.Cmd {
 	case "picked":
-		return c.Picked(text(t, d, "vm"))
+		return c.Picked(textArg(t, d, "vm"))
 	case "none":
 		return c.Refused(request.CodeNoUpstream, time.Second, "no upstream")
 	case "unsent":
 		return c.Unsent(request.CodeWithdrawn, 0, "withdrawn")
 	case "piece":
-		chunk := upstream.Chunk{Attempt: text(t, d, "attempt"), Seq: number(t, d, "seq"), Text: strings.TrimSpace(d.Input), Done: d.HasArg("done")}
+		chunk := upstream.Chunk{Attempt: textArg(t, d, "attempt"), Seq: intArg(t, d, "seq"), Text: strings.TrimSpace(d.Input), Done: d.HasArg("done")}
 		if chunk.Done {
 			chunk.FinishReason = "stop"
 			chunk.Usage = upstream.Usage{InputTokens: 1, OutputTokens: chunk.Seq}
 		}
 		return c.Piece(chunk)
 	case "broke":
-		return c.Broke(text(t, d, "attempt"), reach(t, d), d.HasArg("resuming"))
+		return c.Broke(textArg(t, d, "attempt"), reachArg(t, d), d.HasArg("resuming"))
 	case "said-failed":
-		return c.Failed(text(t, d, "attempt"))
+		return c.Failed(textArg(t, d, "attempt"))
 	case "rated":
 		var score float64
 		if d.HasArg("score") {
@@ -79,16 +79,16 @@
 	return nil
 }
 
-// TestCallScripts runs the scripted lives in testdata/call.
+// TestCallScripts runs the scripts in testdata/call, with the events of a [Call].
 func TestCallScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata/call", func(t *testing.T, path string) {
 		var c *Call
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			if d.Cmd == "new" {
 				c = NewCall(CallSettings{Idempotent: d.HasArg("idempotent"), Keyed: d.HasArg("keyed"), MaxAttempts: 3})
-				return show(c.Begin())
+				return formatDecisions(c.Begin())
 			}
-			return show(callEvent(t, c, d))
+			return formatDecisions(callEvent(t, c, d))
 		})
 	})
 }
@@ -103,16 +103,16 @@
 	case "replay":
 		return c.Replay(answer)
 	case "picked":
-		return c.Picked(text(t, d, "vm"))
+		return c.Picked(textArg(t, d, "vm"))
 	case "none":
 		return c.Refused(request.CodeNoUpstream, time.Second, "no upstream")
 	case "answered":
 		if d.HasArg("status") {
-			answer.Status = number(t, d, "status")
+			answer.Status = intArg(t, d, "status")
 		}
 		return c.Answered(answer)
 	case "failed":
-		return c.SendFailed(reach(t, d))
+		return c.SendFailed(reachArg(t, d))
 	case "settled":
 		return c.Settled(true)
 	case "unsettled":
@@ -130,20 +130,20 @@
 	return nil
 }
 
-func text(t *testing.T, d *datadriven.TestData, key string) string {
+func textArg(t *testing.T, d *datadriven.TestData, key string) string {
 	var s string
 	d.ScanArgs(t, key, &s)
 	return s
 }
 
-func number(t *testing.T, d *datadriven.TestData, key string) int {
+func intArg(t *testing.T, d *datadriven.TestData, key string) int {
 	var n int
 	d.ScanArgs(t, key, &n)
 	return n
 }
 
-func reach(t *testing.T, d *datadriven.TestData) upstream.Reach {
-	switch name := text(t, d, "reach"); name {
+func reachArg(t *testing.T, d *datadriven.TestData) upstream.Reach {
+	switch name := textArg(t, d, "reach"); name {
 	case "not-sent":
 		return upstream.NotSent
 	case "declined":
@@ -156,7 +156,7 @@
 	}
 }
 
-func show(decisions []Decision) string {
+func formatDecisions(decisions []Decision) string {
 	if len(decisions) == 0 {
 		return "-\n"
 	}
