--- /dev/null
+++ b/internal/node/attempt.go
@@ -0,0 +1,271 @@
+package node
+
+import (
+	"context"
+	"errors"
+	"strings"
+	"time"
+
+	"github.com/hickorybank/hickorybank/internal/admission"
+	"github.com/hickorybank/hickorybank/internal/balance"
+	"github.com/hickorybank/hickorybank/internal/choice"
+	"github.com/hickorybank/hickorybank/internal/lifecycle"
+	"github.com/hickorybank/hickorybank/internal/platform"
+	"github.com/hickorybank/hickorybank/internal/request"
+	"github.com/hickorybank/hickorybank/internal/suspect"
+	"github.com/hickorybank/hickorybank/internal/upstream"
+	upstreamclient "github.com/hickorybank/hickorybank/internal/upstream/client"
+)
+
+const (
+	cancelTimeout = time.Second
+	// A frozen engine keeps its connections open and sends nothing. Without these timeouts
+	// the request would wait for it until its deadline.
+	firstChunkTimeout = 15 * time.Second
+	nextChunkTimeout  = 5 * time.Second
+)
+
+// activeAttempt is the attempt in flight of a chat request.
+type activeAttempt struct {
+	attempt    string
+	version    string
+	vm         platform.VM
+	epoch      uint64
+	token      balance.Token
+	stream     upstream.Stream
+	stallTimer *time.Timer // cancels the stream's context when no chunk arrives
+	began      time.Time
+	firstToken time.Duration
+	chunks     int
+	text       strings.Builder
+	err        error // the last failure
+	concluded  bool  // the suspects know how the attempt ended
+	adopted    bool  // begun elsewhere: unknown to the balancer and the suspects
+}
+
+// pick selects an upstream for the next attempt after checking the retry budget and the
+// configuration, and asks the suspects to admit the attempt.
+func (r *chatRun) pick(ctx context.Context, d lifecycle.Pick) []lifecycle.Decision {
+	r.endAttempt()
+	if d.Retry && !r.node.retryAllowed() {
+		return r.machine.Refused(request.CodeOverloaded, retrySoon, "too many requests are being retried")
+	}
+	if fail := r.mayRun(d.Version); fail != nil {
+		return r.machine.Refused(fail.Code, fail.RetryAfter, fail.Message)
+	}
+	pick, ok := r.node.upstreams.pick(balance.Request{
+		Version: d.Version, PrefixHash: r.call.PrefixHash, Kind: r.class.Kind, Exclude: d.Exclude,
+		Isolated: r.node.suspects.isSuspect(r.fingerprint),
+	})
+	if !ok {
+		return r.machine.Refused(request.CodeNoUpstream, pick.Shortage.RetryAfter, "no upstream for "+d.Version+": "+string(pick.Shortage.Reason))
+	}
+	verdict := r.node.suspects.admit(ctx, r.id, r.fingerprint, pick.VM.ID)
+	if verdict.Verdict == suspect.Refuse {
+		r.node.upstreams.done(pick.Token, balance.Result{Outcome: balance.Abandoned})
+		return r.refuseSuspect(verdict)
+	}
+	r.current = &activeAttempt{version: d.Version, vm: pick.VM, token: pick.Token, epoch: r.node.upstreams.epoch(pick.VM.ID), began: time.Now()}
+	return r.machine.Picked(pick.VM.ID)
+}
+
+func (r *chatRun) refuseSuspect(d suspect.Decision) []lifecycle.Decision {
+	if d.Convicted {
+		return r.machine.Convicted()
+	}
+	return r.machine.Refused(request.CodeSuspect, d.RetryAfter, "the request is suspected of crashing upstreams and may not run at present")
+}
+
+// mayRun checks the version against the configuration in force now. The request may have been
+// queued since its admission, and its version withdrawn meanwhile.
+func (r *chatRun) mayRun(version string) *request.Failure {
+	snapshot, fresh := r.node.sync.Current()
+	if !fresh {
+		return request.Refuse(request.CodeNotFresh, freshRetry, "this VM cannot tell whether its configuration is in force")
+	}
+	org := snapshot.Organisation(r.call.Org.Name)
+	if org == nil || !snapshot.Allowed(org, version) {
+		return withdrawn(version, r.session.version != "")
+	}
+	return nil
+}
+
+// start sends the attempt. The checks are repeated immediately before sending: a node that was
+// paused since the selection must not send new work to a version that was withdrawn meanwhile.
+func (r *chatRun) start(ctx context.Context, d lifecycle.Start) []lifecycle.Decision {
+	r.current.attempt = d.Attempt
+	body, err := r.call.Fields.BodyFor(d.Version)
+	if err != nil {
+		return r.machine.Unsent(request.CodeBadRequest, 0, err.Error())
+	}
+	if !r.node.suspects.mayStart(r.id, r.fingerprint, r.current.vm.ID) {
+		return r.machine.Unsent(request.CodeSuspect, retrySoon, "the request is suspected of crashing upstreams and may not run at present")
+	}
+	if fail := r.mayRun(d.Version); fail != nil {
+		return r.machine.Unsent(fail.Code, fail.RetryAfter, fail.Message)
+	}
+	stream, err := r.node.deps.Engines.Start(r.node.upstreams.withNotices(r.withStallTimer(ctx), r.current.vm), r.current.vm.Addr, upstream.Attempt{
+		ID: d.Attempt, Version: d.Version, Priority: priority(r.class.Kind), PrefixHash: r.call.PrefixHash, Body: body,
+	})
+	if err != nil {
+		return r.attemptFailed(ctx, err, false)
+	}
+	r.current.stream = stream
+	return nil
+}
+
+func (r *chatRun) resume(ctx context.Context, d lifecycle.Resume) []lifecycle.Decision {
+	r.current.close()
+	stream, err := r.node.deps.Engines.Resume(r.node.upstreams.withNotices(r.withStallTimer(ctx), r.current.vm), r.current.vm.Addr, d.Attempt, d.After)
+	if err != nil {
+		return r.attemptFailed(ctx, err, true)
+	}
+	r.current.stream = stream
+	return nil
+}
+
+// withStallTimer returns a context that is cancelled when no chunk arrives in time.
+func (r *chatRun) withStallTimer(ctx context.Context) context.Context {
+	ctx, cancel := context.WithCancel(ctx)
+	r.current.stallTimer = time.AfterFunc(firstChunkTimeout, cancel)
+	return ctx
+}
+
+// read reads the next chunk.
+func (r *chatRun) read(ctx context.Context) []lifecycle.Decision {
+	if !r.current.stream.Ready() && !r.flush() {
+		return r.machine.CallerGone()
+	}
+	chunk, err := r.current.stream.Next()
+	if err != nil {
+		return r.attemptFailed(ctx, err, false)
+	}
+	if chunk.Attempt != r.current.attempt {
+		// The stream carries another attempt's answer. Nothing that follows on it can be
+		// trusted, and none of it may reach this request's caller.
+		return r.machine.Broke(r.current.attempt, upstream.MaybeRun, false)
+	}
+	r.chunkReceived(chunk)
+	decisions := r.machine.Piece(chunk)
+	if chunk.Done && !r.machine.Running() {
+		r.completed(chunk)
+	}
+	return decisions
+}
+
+func (r *chatRun) chunkReceived(chunk upstream.Chunk) {
+	a := r.current
+	a.chunks++
+	a.stallTimer.Reset(nextChunkTimeout)
+	a.text.WriteString(chunk.Text)
+	if a.firstToken == 0 && !a.adopted {
+		a.firstToken = time.Since(a.began)
+		r.node.upstreams.firstToken(a.token, a.firstToken)
+	}
+}
+
+// completed reports a complete answer to the version chooser, the suspects and the raters.
+func (r *chatRun) completed(chunk upstream.Chunk) {
+	a := r.current
+	defer r.endAttempt()
+	if a.adopted {
+		return // its time and text cover only the rest of the answer
+	}
+	r.cachedTokens += chunk.Usage.CachedTokens
+	now := time.Now()
+	r.node.chooser.ObserveAnswer(choice.Answer{
+		Version: a.version, Class: r.class.Name, Took: now.Sub(a.began),
+		InputTokens: chunk.Usage.InputTokens, OutputTokens: chunk.Usage.OutputTokens, Now: now,
+	})
+	r.node.suspects.completed(r.id)
+	a.concluded = true
+	// A cascade rates its first answer in any case. Rating it here too would count it twice,
+	// also as evidence against its version.
+	if r.plan.Rate && (len(r.plan.Then) == 0 || r.belowThreshold) {
+		r.node.raters.offer(ratingSample{req: r.rateRequest(a.version, a.text.String()), twice: r.plan.RateAgain, afterLowScore: r.belowThreshold})
+	}
+}
+
+func (r *chatRun) rateRequest(version, answer string) platform.RateRequest {
+	return platform.RateRequest{Version: version, Class: r.class.Name, Prompt: r.call.Prompt, Answer: answer}
+}
+
+// attemptFailed reports the failure of an attempt to the state machine and to the components
+// that track upstreams. When ctx has ended, that is the cause, whatever the error says.
+func (r *chatRun) attemptFailed(ctx context.Context, err error, resuming bool) []lifecycle.Decision {
+	r.current.err = err
+	if ctx.Err() != nil {
+		return r.interrupted(ctx)
+	}
+	r.node.observe(r.current.vm.Addr, err)
+	if r.engineFailed(err) {
+		r.node.chooser.ObserveError(r.current.version, r.class.Name, time.Now())
+		return r.machine.Failed(r.current.attempt)
+	}
+	if resuming && !r.current.adopted && (streamLost(err) || r.node.hasCrashed(r.current.vm, r.current.epoch)) {
+		r.node.suspects.crashed(r.current.vm.ID, r.current.epoch)
+		r.current.concluded = true
+	}
+	return r.machine.Broke(r.current.attempt, reachOf(err), resuming)
+}
+
+// engineFailed reports whether err is a failure that the engine itself reported, as opposed to
+// a lost connection.
+func (r *chatRun) engineFailed(err error) bool {
+	var status *upstreamclient.StatusError
+	var inStream *upstreamclient.StreamError
+	return reachOf(err) == upstream.MaybeRun && (errors.As(err, &status) || errors.As(err, &inStream))
+}
+
+// streamLost reports whether the error of a resumption shows that the engine that ran the
+// attempt crashed: it cannot be connected to, or it has restarted without the attempt. An
+// engine that is only slow or briefly unreachable still has the stream.
+func streamLost(err error) bool {
+	return reachOf(err) == upstream.NotSent || errors.Is(err, upstream.ErrUnknownStream)
+}
+
+func reachOf(err error) upstream.Reach {
+	var e *upstream.Error
+	if errors.As(err, &e) {
+		return e.Reach
+	}
+	return upstream.MaybeRun
+}
+
+func (r *chatRun) cancel(d lifecycle.Cancel) {
+	addr := r.current.vm.Addr
+	r.node.duties.Go(func() {
+		ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
+		defer cancel()
+		_ = r.node.deps.Engines.Cancel(ctx, addr, d.Attempt) // the engine drops it anyway after a time
+	})
+}
+
+func (a *activeAttempt) close() {
+	if a.stream != nil {
+		_ = a.stream.Close()
+		a.stream = nil
+	}
+	if a.stallTimer != nil {
+		a.stallTimer.Stop()
+	}
+}
+
+// endAttempt releases the resources of the attempt and reports its result.
+func (r *chatRun) endAttempt() {
+	a := r.current
+	if a == nil {
+		return
+	}
+	r.current = nil
+	a.close()
+	if a.adopted {
+		return
+	}
+	took := time.Since(a.began)
+	r.node.upstreams.done(a.token, balance.Result{Outcome: balance.OutcomeOf(a.err), FirstToken: a.firstToken, Latency: took, Tokens: a.chunks})
+	if !a.concluded {
+		r.node.suspects.finished(r.id)
+	}
+	r.lastSample = admission.Sample{FirstToken: a.firstToken, Total: took, Overloaded: reachOf(a.err) == upstream.Declined && a.err != nil}
+}
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// BenchmarkChat sends whole answers of 16 pieces through one node; the callers,
-// the engines and the node share the process.
+// BenchmarkChat requests answers of 16 tokens, without streaming, through one node. Callers,
+// engines and node share the process.
 func BenchmarkChat(b *testing.B) {
 	f := newFleet(b, fleetSize{nodes: 2, engines: 3, services: 1, tokens: 16, tokenGap: 100 * time.Microsecond})
 	b.ResetTimer()
@@ -26,7 +26,7 @@
 	})
 }
 
-// BenchmarkService sends look-ups of a plain service through one node.
+// BenchmarkService sends calls of a plain service, without a key, through one node.
 func BenchmarkService(b *testing.B) {
 	f := newFleet(b, fleetSize{nodes: 2, engines: 1, services: 2, tokens: 1})
 	b.ResetTimer()
--- a/internal/node/call_claim.go
+++ b/internal/node/call_claim.go
@@ -13,8 +13,8 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// claim makes it durable, before the first byte leaves, that this arrival and
-// no other with the same key runs the call.
+// claim records durably, before the first byte is sent, that this arrival and no other with the
+// same key runs the call.
 func (r *callRun) claim(ctx context.Context) {
 	req := ledger.ClaimRequest{
 		Org: r.call.Org.Name, Key: r.call.Key, Attempt: r.id, Fingerprint: r.fingerprint(),
@@ -25,8 +25,8 @@
 	})
 }
 
-// fingerprint covers all that the caller sent: the same key with anything else
-// is another request.
+// fingerprint covers the method, service, path, query and body: the same key with a difference
+// in any of them is another request.
 func (r *callRun) fingerprint() request.Fingerprint {
 	q := r.call.Request
 	head := q.Method + " " + r.call.Service.Name + q.Path + "?" + q.RawQuery + "\n"
@@ -35,7 +35,7 @@
 
 func (r *callRun) claimed(ctx context.Context, result ledger.ClaimResult, err error) []lifecycle.Decision {
 	if err != nil {
-		return r.unclaimed(ctx, err)
+		return r.claimFailed(ctx, err)
 	}
 	if result.State == claim.Granted {
 		return r.machine.Claimed()
@@ -46,17 +46,16 @@
 	return r.machine.ClaimFailed(claimFailure(result))
 }
 
-// unclaimed refuses a call whose claim did not come about, or may have: in
-// both cases no byte of it has left. A claim of unknown fate is given back, or
-// the key might never be used.
-func (r *callRun) unclaimed(ctx context.Context, err error) []lifecycle.Decision {
+// claimFailed refuses a call whose claim failed or may have failed; in both cases no byte was
+// sent. A claim whose result is unknown is released, or its key could never be used.
+func (r *callRun) claimFailed(ctx context.Context, err error) []lifecycle.Decision {
 	if !errors.Is(err, ledger.ErrNotClaimed) {
 		r.release(ctx)
 	}
 	return r.machine.ClaimFailed(request.Refuse(request.CodeLedger, retrySoon, "the request could not be claimed: "+err.Error()))
 }
 
-// replay gives the recorded answer again.
+// replay returns the recorded answer.
 func (r *callRun) replay(record claim.Record) []lifecycle.Decision {
 	var answer upstream.ServiceAnswer
 	if len(record.Answer) == 0 || json.Unmarshal(record.Answer, &answer) != nil {
@@ -86,8 +85,8 @@
 func (r *callRun) release(ctx context.Context) {
 	req := ledger.ReleaseRequest{Org: r.call.Org.Name, Key: r.call.Key, Attempt: r.id}
 	r.background(ctx, claimTimeout, func(ctx context.Context) callEvent {
-		_ = r.node.ledger.Release(ctx, req) // a key that is not released is never run: the safe side
-		return nothing
+		_ = r.node.ledger.Release(ctx, req) // on failure the key stays claimed, so the call is never run twice
+		return noDecisions
 	})
 }
 
@@ -106,9 +105,9 @@
 func (r *callRun) settleUnknown(ctx context.Context) {
 	s := ledger.Settlement{Org: r.call.Org.Name, Key: r.call.Key, Attempt: r.id, Outcome: request.Unknown}
 	r.background(ctx, billTimeout, func(ctx context.Context) callEvent {
-		_, _ = r.node.ledger.Settle(ctx, s) // an open claim says the same
-		return nothing
+		_, _ = r.node.ledger.Settle(ctx, s) // an open claim means the same
+		return noDecisions
 	})
 }
 
-func nothing() []lifecycle.Decision { return nil }
+func noDecisions() []lifecycle.Decision { return nil }
--- a/internal/node/call_run.go
+++ b/internal/node/call_run.go
@@ -22,14 +22,13 @@
 
 const (
 	claimTimeout = 10 * time.Second
-	// lateWindow is how long a call that may not be repeated is still
-	// listened to after its caller was told "unknown": a late answer is
-	// recorded, so that a retry with the same key gets it.
-	lateWindow = 60 * time.Second
+	// lateAnswerWindow is how long after the deadline the answer of a call that may not be repeated
+	// is still awaited. A late answer is recorded, so that a retry with the same key gets it.
+	lateAnswerWindow = 60 * time.Second
 )
 
-// callRun carries out the decisions of one service call's life. All events go
-// through one ring to one goroutine, which owns the machine.
+// callRun carries out the decisions of the state machine of one service call. All events pass
+// through one channel to one goroutine, which owns the state machine.
 type callRun struct {
 	node     *Node
 	call     api.ServiceCall
@@ -39,7 +38,7 @@
 
 	machine *lifecycle.Call
 	events  chan callEvent
-	pending int // calls whose event is still to come
+	pending int // background calls whose event has not been received
 	result  chan callResult
 	vm      platform.VM
 	epoch   uint64 // of the upstream's process when the call was sent
@@ -47,7 +46,7 @@
 	took    time.Duration
 }
 
-// callEvent feeds the machine on the goroutine that owns it.
+// callEvent reports an event to the state machine; it runs on the goroutine that owns it.
 type callEvent func() []lifecycle.Decision
 
 // callResult is the final answer to the caller.
@@ -57,12 +56,14 @@
 	took    time.Duration // of the upstream's last answer
 }
 
-// callRing has room for every call that can be out at the same time.
-const callRing = 4
+// eventBuffer is the capacity for the events of all background calls that can be in flight at
+// once.
+const eventBuffer = 4
 
-// Service runs a call of a plain service.
+// Service runs a call of a plain service and returns its answer. The error is a
+// *request.Failure.
 func (n *Node) Service(ctx context.Context, call api.ServiceCall) (upstream.ServiceAnswer, error) {
-	n.running.Add(1) // before the check that a stop closes, or the stop may miss it
+	n.running.Add(1) // before the check for a planned stop, or the stop may miss this call
 	run, fail := n.newCallRun(call)
 	if fail != nil {
 		n.running.Add(-1)
@@ -78,9 +79,9 @@
 	return result.answer, nil
 }
 
-// run waits for admission and for the final answer. The life itself goes on
-// without the caller as long as an answer may still come. The count of running
-// requests covers it, so that a planned stop waits for it.
+// run waits for admission and for the final answer. The state machine continues without the
+// caller as long as an answer may still arrive. The call counts as running until then, so that
+// a planned stop waits for it.
 func (r *callRun) run(ctx context.Context) callResult {
 	ctx, cancel := context.WithDeadline(ctx, r.deadline)
 	defer cancel()
@@ -92,7 +93,7 @@
 		defer r.node.running.Add(-1)
 		r.drive(ctx)
 	})
-	// The final answer comes at once when ctx ends: drive sees it too.
+	// drive also observes ctx and sends the final answer as soon as ctx ends.
 	return <-r.result
 }
 
@@ -101,7 +102,7 @@
 	if fail != nil {
 		return nil, fail
 	}
-	if fail := n.gate.rate(call.Org.Name); fail != nil {
+	if fail := n.gate.checkRate(call.Org.Name); fail != nil {
 		return nil, fail
 	}
 	class := snapshot.Class(call.Call.Class)
@@ -112,7 +113,7 @@
 	return &callRun{
 		node: n, call: call, class: class,
 		id: uuid.Must(uuid.NewV7()).String(), deadline: now.Add(timeout(call.Timeout, class)),
-		events: make(chan callEvent, callRing), result: make(chan callResult, 1),
+		events: make(chan callEvent, eventBuffer), result: make(chan callResult, 1),
 		machine: lifecycle.NewCall(lifecycle.CallSettings{
 			Idempotent: call.Call.Idempotent, Keyed: call.Key != "", MaxAttempts: lifecycle.DefaultMaxAttempts,
 		}),
@@ -126,18 +127,18 @@
 	}
 }
 
-// drive runs until the machine has ended and every call has come back.
+// drive runs until the state machine has ended and every background call has returned.
 func (r *callRun) drive(ctx context.Context) {
-	r.doAll(ctx, r.machine.Begin())
+	r.carryOutAll(ctx, r.machine.Begin())
 	ended := ctx.Done()
 	for r.pending > 0 || !r.machine.Ended() {
 		select {
 		case event := <-r.events:
 			r.pending--
-			r.doAll(ctx, event())
+			r.carryOutAll(ctx, event())
 		case <-ended:
 			ended = nil
-			r.doAll(ctx, r.interrupted(ctx))
+			r.carryOutAll(ctx, r.interrupted(ctx))
 		}
 	}
 }
@@ -149,14 +150,14 @@
 	return r.machine.CallerGone()
 }
 
-func (r *callRun) doAll(ctx context.Context, decisions []lifecycle.Decision) {
+func (r *callRun) carryOutAll(ctx context.Context, decisions []lifecycle.Decision) {
 	for len(decisions) > 0 {
 		next := decisions[0]
-		decisions = append(decisions[1:], r.do(ctx, next)...)
+		decisions = append(decisions[1:], r.carryOut(ctx, next)...)
 	}
 }
 
-func (r *callRun) do(ctx context.Context, d lifecycle.Decision) []lifecycle.Decision {
+func (r *callRun) carryOut(ctx context.Context, d lifecycle.Decision) []lifecycle.Decision {
 	switch d := d.(type) {
 	case lifecycle.Claim:
 		r.claim(ctx)
@@ -182,11 +183,11 @@
 
 func (r *callRun) end(result callResult) {
 	result.took = r.took
-	r.result <- result // has room for the one result that it ever gets
+	r.result <- result // never blocks: buffered for the only result
 	r.node.gate.leave(r.id, admission.Sample{FirstToken: r.took, Total: r.took})
 }
 
-// background runs a call whose event must come whatever the caller does.
+// background runs a call whose event must be delivered even if the caller disconnects.
 func (r *callRun) background(ctx context.Context, limit time.Duration, call func(context.Context) callEvent) {
 	r.pending++
 	r.node.duties.Go(func() {
@@ -196,8 +197,8 @@
 	})
 }
 
-// pick finds an upstream and checks, just before the sending, that new work
-// may begin under the configuration in force.
+// pick selects an upstream. Immediately before the call is sent it checks that the
+// configuration is fresh and that the suspects admit the call.
 func (r *callRun) pick(ctx context.Context, d lifecycle.PickService) []lifecycle.Decision {
 	if d.Retry && !r.node.retryAllowed() {
 		return r.machine.Refused(request.CodeOverloaded, retrySoon, "too many requests are being retried")
@@ -206,13 +207,13 @@
 		return r.machine.Refused(request.CodeNotFresh, freshRetry, "this VM cannot tell whether its configuration is in force")
 	}
 	pick, ok := r.node.upstreams.pick(balance.Request{
-		Service: r.call.Service.Name, Kind: r.class.Kind, Exclude: d.Exclude, Isolated: r.node.suspects.suspect(r.fingerprint()),
+		Service: r.call.Service.Name, Kind: r.class.Kind, Exclude: d.Exclude, Isolated: r.node.suspects.isSuspect(r.fingerprint()),
 	})
 	if !ok {
 		return r.machine.Refused(request.CodeNoUpstream, pick.Shortage.RetryAfter, "no upstream for "+r.call.Service.Name+": "+string(pick.Shortage.Reason))
 	}
 	verdict := r.node.suspects.admit(ctx, r.id, r.fingerprint(), pick.VM.ID)
-	if verdict.Verdict == suspect.Refuse || !r.node.suspects.started(r.id, r.fingerprint(), pick.VM.ID) {
+	if verdict.Verdict == suspect.Refuse || !r.node.suspects.mayStart(r.id, r.fingerprint(), pick.VM.ID) {
 		r.node.upstreams.done(pick.Token, balance.Result{Outcome: balance.Abandoned})
 		return r.machine.Refused(request.CodeSuspect, verdict.RetryAfter, "upstreams crashed on this request")
 	}
@@ -229,20 +230,20 @@
 	began := time.Now()
 	epoch := r.epoch
 	do := func(ctx context.Context) callEvent {
-		answer, err := r.node.deps.Services.Do(r.node.upstreams.hearing(ctx, vm), vm.Addr, out)
-		r.node.callEnded(r.id, vm, epoch, err)
-		return func() []lifecycle.Decision { return r.sent(answer, err, time.Since(began)) }
+		answer, err := r.node.deps.Services.Do(r.node.upstreams.withNotices(ctx, vm), vm.Addr, out)
+		r.node.serviceCallEnded(r.id, vm, epoch, err)
+		return func() []lifecycle.Decision { return r.callReturned(answer, err, time.Since(began)) }
 	}
 	if r.call.Call.Idempotent {
 		r.pending++
 		r.node.duties.Go(func() { r.events <- do(ctx) })
 		return
 	}
-	r.background(ctx, time.Until(r.deadline)+lateWindow, do)
+	r.background(ctx, time.Until(r.deadline)+lateAnswerWindow, do)
 }
 
-// upstreamKey names the call to the service. Keys are the organisations' own,
-// so two of them may use the same one.
+// upstreamKey returns the key that identifies the call to the service. It includes the
+// organisation, since two organisations may use the same key.
 func (r *callRun) upstreamKey() string {
 	if r.call.Key == "" {
 		return r.id
@@ -250,7 +251,7 @@
 	return r.call.Org.Name + "." + r.call.Key
 }
 
-func (r *callRun) sent(answer upstream.ServiceAnswer, err error, took time.Duration) []lifecycle.Decision {
+func (r *callRun) callReturned(answer upstream.ServiceAnswer, err error, took time.Duration) []lifecycle.Decision {
 	r.took = took
 	r.node.upstreams.done(r.token, balance.Result{Outcome: balance.OutcomeOf(err), FirstToken: took, Latency: took})
 	r.node.observe(r.vm.Addr, err)
@@ -262,7 +263,7 @@
 
 func (r *callRun) bill(ctx context.Context) {
 	b := r.billOf()
-	b.Digest = billDigest(r.call.Key, r.fingerprint()) // no claim tells bodies apart
+	b.Digest = billDigest(r.call.Key, r.fingerprint()) // without a claim, the key may cover several bodies
 	r.background(ctx, billTimeout, func(ctx context.Context) callEvent {
 		_, err := r.node.ledger.Bill(ctx, b)
 		return func() []lifecycle.Decision { return r.machine.Billed(err == nil) }
--- a/internal/node/chat.go
+++ b/internal/node/chat.go
@@ -16,14 +16,14 @@
 
 const (
 	retrySoon = time.Second
-	// freshRetry is when a node that refuses for want of a fresh
-	// configuration may be tried again.
+	// freshRetry is the delay for a retry after a refusal because the configuration is not
+	// fresh.
 	freshRetry = time.Second
-	// engineRetry is when an engine may have a version that none has now.
+	// engineRetry is the delay for a retry after a refusal because no engine has the version.
 	engineRetry = 5 * time.Second
 )
 
-// Chat runs model work.
+// Chat runs a chat request and writes its answer to sink. The error is a *request.Failure.
 func (n *Node) Chat(ctx context.Context, call api.ChatCall, sink request.Sink) (request.Answer, error) {
 	n.running.Add(1)
 	defer n.running.Add(-1)
@@ -37,7 +37,7 @@
 	return answer, err
 }
 
-// run waits for admission and lives the request's life.
+// run waits for admission and then processes the request to its end.
 func (r *chatRun) run(ctx context.Context) (request.Answer, error) {
 	n := r.node
 	ctx, cancel := context.WithDeadline(ctx, r.deadline)
@@ -46,12 +46,11 @@
 		return request.Answer{}, fail
 	}
 	r.admitted = time.Now()
-	defer func() { n.gate.leave(r.id, r.last) }()
+	defer func() { n.gate.leave(r.id, r.lastSample) }()
 	return r.drive(ctx)
 }
 
-// newChatRun checks what can be checked before anything waits, and chooses the
-// version or cascade.
+// newChatRun makes the checks that need no waiting and chooses the version or cascade.
 func (n *Node) newChatRun(call api.ChatCall, sink request.Sink) (*chatRun, *request.Failure) {
 	now := time.Now()
 	snapshot, fail := n.admit()
@@ -70,7 +69,7 @@
 	if fail != nil {
 		return nil, fail
 	}
-	if fail := n.gate.rate(call.Org.Name); fail != nil {
+	if fail := n.gate.checkRate(call.Org.Name); fail != nil {
 		return nil, fail
 	}
 	deadline := now.Add(timeout(call.Timeout, t.class))
@@ -79,7 +78,7 @@
 		Now: now, Slack: deadline.Sub(now), Random: rand.Uint64(),
 	})
 	if plan.Refusal != choice.RefuseNone {
-		return nil, refusedPlan(plan.Refusal)
+		return nil, planRefused(plan.Refusal)
 	}
 	fingerprint := request.NewFingerprint(call.Org.Name, call.Body)
 	return &chatRun{
@@ -104,15 +103,15 @@
 	return snapshot, nil
 }
 
-func timeout(asked time.Duration, class *config.Class) time.Duration {
+func timeout(requested time.Duration, class *config.Class) time.Duration {
 	limit := time.Duration(class.DeadlineMillis) * time.Millisecond
-	if asked > 0 && asked < limit {
-		return asked
+	if requested > 0 && requested < limit {
+		return requested
 	}
 	return limit
 }
 
-func refusedPlan(r choice.Refusal) *request.Failure {
+func planRefused(r choice.Refusal) *request.Failure {
 	switch r {
 	case choice.RefuseHeld:
 		return request.Refuse(request.CodeHeld, 0, "the session's version is held because it turned bad; begin a new session")
--- a/internal/node/chat_run.go
+++ b/internal/node/chat_run.go
@@ -20,45 +20,44 @@
 	rateTimeout = 2 * time.Second
 )
 
-// chatRun carries out the decisions of one chat request's life.
+// chatRun carries out the decisions of the state machine of one chat request.
 type chatRun struct {
-	node        *Node
-	call        api.ChatCall
-	sink        request.Sink
-	class       *config.Class
-	plan        choice.Plan
-	session     openedSession
-	spent       spent // by runs that another node saw complete
-	adopted     *adoption
-	id          string
-	arrived     time.Time
-	admitted    time.Time
-	firstOut    time.Time // when the caller got the first piece
-	cached      int
-	deadline    time.Time
-	fingerprint request.Fingerprint
-	digest      uint64 // of the bill
-
-	machine *lifecycle.Chat
-	try     *try // the attempt in flight
-	begun   bool
-	waiting bool // pieces that were taken have not been sent
-	short   bool // an earlier answer fell short
-	last    admission.Sample
-	answer  request.Answer
-	failure *request.Failure
-}
-
-// drive runs the machine to its end. The calls that it makes end with ctx, so
-// the final answer goes out at once when the deadline passes or the caller
-// leaves.
+	node         *Node
+	call         api.ChatCall
+	sink         request.Sink
+	class        *config.Class
+	plan         choice.Plan
+	session      openedSession
+	earlier      runTotals // totals of runs that were completed at another node
+	adopted      *adoption
+	id           string
+	arrived      time.Time
+	admitted     time.Time
+	answerBegan  time.Time // when the answer to the caller began
+	cachedTokens int
+	deadline     time.Time
+	fingerprint  request.Fingerprint
+	digest       uint64 // of the bill
+
+	machine        *lifecycle.Chat
+	current        *activeAttempt // the attempt in flight
+	headWritten    bool           // the head of the answer has been written
+	unflushed      bool           // the sink has unflushed chunks
+	belowThreshold bool           // an earlier stage's answer scored below the threshold or got no score
+	lastSample     admission.Sample
+	answer         request.Answer
+	failure        *request.Failure
+}
+
+// drive runs the state machine to its end. Calls to upstreams are cancelled with ctx, so the
+// final answer is given at once when the deadline passes or the caller disconnects.
 func (r *chatRun) drive(ctx context.Context) (request.Answer, error) {
 	r.machine = lifecycle.NewChat(lifecycle.ChatSettings{
 		ID: r.id, Versions: append([]string{r.plan.First}, r.plan.Then...), Threshold: r.plan.Threshold,
 		Streaming: r.sink.Streams(), Resumable: r.sink.Streams(),
 		MaxAttempts: lifecycle.DefaultMaxAttempts, MaxResumes: lifecycle.DefaultMaxResumes,
 	})
-	queue := r.first()
+	queue := r.begin()
 	for !r.machine.Ended() || len(queue) > 0 {
 		if ctx.Err() != nil && !r.machine.Ended() {
 			queue = r.interrupted(ctx)
@@ -69,23 +68,24 @@
 			continue
 		}
 		next := queue[0]
-		queue = append(queue[1:], r.do(ctx, next)...)
+		queue = append(queue[1:], r.flushAndCarryOut(ctx, next)...)
 	}
-	r.endTry()
+	r.endAttempt()
 	if r.failure != nil {
 		return request.Answer{}, r.failure
 	}
 	return r.answer, nil
 }
 
-func (r *chatRun) first() []lifecycle.Decision {
+func (r *chatRun) begin() []lifecycle.Decision {
 	if r.adopted == nil {
 		return r.machine.Begin()
 	}
-	return r.machine.Adopt(r.adopted.attempt, r.try.vm.ID, r.adopted.after)
+	return r.machine.Adopt(r.adopted.attempt, r.current.vm.ID, r.adopted.after)
 }
 
-// interrupted ends the life when its time is over or the caller has gone.
+// interrupted reports the end of ctx to the state machine: the deadline has passed or the
+// caller has disconnected.
 func (r *chatRun) interrupted(ctx context.Context) []lifecycle.Decision {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return r.machine.Expired(retrySoon)
@@ -93,9 +93,9 @@
 	return r.machine.CallerGone()
 }
 
-func (r *chatRun) do(ctx context.Context, d lifecycle.Decision) []lifecycle.Decision {
+func (r *chatRun) flushAndCarryOut(ctx context.Context, d lifecycle.Decision) []lifecycle.Decision {
 	if _, ok := d.(lifecycle.Emit); !ok && !r.flush() {
-		// What was decided is done all the same: it may be the bill.
+		// The decision is carried out nevertheless: it may be the bill.
 		gone := r.machine.CallerGone()
 		return append(r.carryOut(ctx, d), gone...)
 	}
@@ -127,39 +127,39 @@
 }
 
 func (r *chatRun) emit(d lifecycle.Emit) []lifecycle.Decision {
-	r.begin(d.Version)
+	r.beginAnswer(d.Version)
 	if r.sink.Text(d.Seq, d.Text) != nil {
 		return r.machine.CallerGone()
 	}
-	r.waiting = true
+	r.unflushed = true
 	return nil
 }
 
-// flush sends the pieces that wait; it is false when the caller has gone. It
-// must come before whatever may take time: pieces are held together only while
-// the next one is here already.
+// flush sends the buffered chunks and reports whether the caller is still connected. It must be
+// called before any operation that may block: chunks are batched only while the next one has
+// already arrived.
 func (r *chatRun) flush() bool {
-	if !r.waiting {
+	if !r.unflushed {
 		return true
 	}
-	r.waiting = false
+	r.unflushed = false
 	return r.sink.Flush() == nil
 }
 
-func (r *chatRun) begin(version string) {
-	if r.begun {
+func (r *chatRun) beginAnswer(version string) {
+	if r.headWritten {
 		return
 	}
-	r.begun = true
-	r.firstOut = time.Now()
-	head := request.Head{Version: version, Session: r.node.tokenFor(r.session, r.call.Org.Name, version)}
-	if r.sink.Streams() && r.try != nil {
+	r.headWritten = true
+	r.answerBegan = time.Now()
+	head := request.Head{Version: version, Session: r.node.sessionToken(r.session, r.call.Org.Name, version)}
+	if r.sink.Streams() && r.current != nil {
 		head.Stream = r.streamToken(head.Session)
 	}
 	r.sink.Begin(head)
 }
 
-// rate has a cascade's answer rated before it may be used.
+// rate obtains the score of a cascade's answer, which decides whether the answer is used.
 func (r *chatRun) rate(ctx context.Context, d lifecycle.Rate) []lifecycle.Decision {
 	ctx, cancel := context.WithTimeout(ctx, rateTimeout)
 	defer cancel()
@@ -167,19 +167,19 @@
 	score, err := r.node.deps.Platform.Rate(ctx, r.rateRequest(d.Version, d.Answer))
 	if err != nil {
 		r.node.chooser.ObserveRatingFailure(time.Now())
-		r.short = true
+		r.belowThreshold = true
 		return r.machine.Rated(0, false)
 	}
 	now := time.Now()
 	r.node.chooser.Observe(choice.Observation{
-		Version: d.Version, Class: r.class.Name, Score: score, IsFallback: r.short, Took: now.Sub(began), Now: now,
+		Version: d.Version, Class: r.class.Name, Score: score, IsFallback: r.belowThreshold, Took: now.Sub(began), Now: now,
 	})
-	r.short = r.short || score < r.plan.Threshold
+	r.belowThreshold = r.belowThreshold || score < r.plan.Threshold
 	return r.machine.Rated(score, true)
 }
 
-// bill makes the bill safe. The writing goes on when the caller stops waiting:
-// a bill that was begun must not be lost with the connection.
+// bill makes the bill durable. Writing continues when ctx ends: a bill that was begun must not
+// be lost with the caller's connection.
 func (r *chatRun) bill(ctx context.Context, d lifecycle.Bill) []lifecycle.Decision {
 	b := r.billOf(d)
 	done := make(chan error, 1)
@@ -202,7 +202,7 @@
 
 func (r *chatRun) billOf(d lifecycle.Bill) ledger.Bill {
 	b := ledger.Bill{Org: r.call.Org.Name, Key: r.key(), Digest: r.digest, Class: r.class.Name, Version: d.Version, At: time.Now()}
-	all := r.spent
+	all := r.earlier
 	all.add(r, d.Runs)
 	b.Cost = all.cost
 	b.InputTokens = all.input
@@ -217,8 +217,8 @@
 	return r.id
 }
 
-// billDigest tells bodies with one key of a caller's apart; other keys are of one
-// request only.
+// billDigest distinguishes requests with different bodies under the same key of a caller. It is
+// 0 for a request without a key, whose generated key is unique.
 func billDigest(key string, f request.Fingerprint) uint64 {
 	if key == "" {
 		return 0
@@ -226,7 +226,7 @@
 	return bill.DigestOf(f)
 }
 
-// tokensPerPrice is how many tokens a version's cost is given for.
+// tokensPerPrice is the number of tokens to which a version's prices apply.
 const tokensPerPrice = 1000
 
 func (r *chatRun) cost(run lifecycle.Run) int64 {
@@ -235,13 +235,13 @@
 }
 
 func (r *chatRun) finish(d lifecycle.Finish) {
-	r.begin(d.Version)
+	r.beginAnswer(d.Version)
 	if d.Text != "" {
-		// The caller may have gone; the request is complete all the same.
+		// The caller may have disconnected; the request is complete nevertheless.
 		_ = r.sink.Text(d.Seq, d.Text)
 	}
 	r.answer = request.Answer{Version: d.Version, FinishReason: d.FinishReason, Usage: d.Usage}
-	all := r.spent
+	all := r.earlier
 	all.add(r, d.Runs)
 	r.answer.Cost = all.cost
 }
--- a/internal/node/connections.go
+++ b/internal/node/connections.go
@@ -11,24 +11,23 @@
 )
 
 const (
-	// quietTime is how long a connection must have had no request before a
-	// stop closes it: a caller that has just read an answer sends its next
-	// request at once or not soon.
-	quietTime = time.Second
-	// quietLimit bounds the wait for that; a header may take as long.
-	quietLimit = readHeaderTimeout
-	quietTick  = 10 * time.Millisecond
+	// minIdle is how long a connection must have been without a request before a planned
+	// stop closes it. A caller that has read an answer usually sends its next request at once
+	// or much later.
+	minIdle = time.Second
+	// maxIdleWait bounds the wait for idle connections; a request header may take as long.
+	maxIdleWait       = readHeaderTimeout
+	idleCheckInterval = 10 * time.Millisecond
 )
 
-// connections knows which of the callers' connections may be closed.
+// connections tracks which of the callers' connections are idle.
 //
-// It guards against a request that is broken off because it arrives while the
-// server shuts down. To net/http a connection is idle until the whole header
-// has come, and once the shutdown has begun it drops a header that comes, also
-// on a new connection. The caller sees the connection end without an answer
-// and cannot know whether its request ran. Here bytes count as they come; with
-// the listener closed and every answer ending its connection, those that are
-// left grow quiet, and only then is the server shut down.
+// It guards against a request that is broken off because it arrives during the shutdown of the
+// server. net/http treats a connection as idle until the complete header has arrived, and drops
+// a header that arrives after the shutdown began, also on a new connection. The caller sees the
+// connection end without an answer and cannot know whether its request ran. Here a connection
+// is busy from the first byte of a request. With the listener closed and each answer ending its
+// connection, the remaining connections become idle, and only then is the server shut down.
 type connections struct {
 	mu   sync.Mutex
 	open map[*callerConn]struct{}
@@ -39,51 +38,51 @@
 // callerConn is a connection of a caller.
 type callerConn struct {
 	net.Conn
-	all *connections
-	// since is when the connection became idle, in nanoseconds of Unix time;
-	// 0 while a request arrives or is answered.
-	since atomic.Int64
+	tracker *connections
+	// idleSince is when the connection became idle, in Unix nanoseconds. It is 0 while a
+	// request is being received or answered.
+	idleSince atomic.Int64
 }
 
-// Read notes that something has come.
+// Read marks the connection as busy when data arrives.
 func (c *callerConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
-		c.since.Store(0)
+		c.idleSince.Store(0)
 	}
 	return n, err
 }
 
-// Close takes the connection off the list.
+// Close removes the connection from the open ones and closes it.
 func (c *callerConn) Close() error {
-	c.all.mu.Lock()
-	delete(c.all.open, c)
-	c.all.mu.Unlock()
+	c.tracker.mu.Lock()
+	delete(c.tracker.open, c)
+	c.tracker.mu.Unlock()
 	return c.Conn.Close()
 }
 
-// callerListener accepts connections of callers.
+// callerListener accepts connections of callers and tracks them.
 type callerListener struct {
 	net.Listener
-	all *connections
+	tracker *connections
 }
 
-// Accept returns the next connection.
+// Accept waits for the next connection and adds it to the open ones.
 func (l *callerListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	c := &callerConn{Conn: conn, all: l.all}
-	c.since.Store(time.Now().UnixNano())
-	l.all.mu.Lock()
-	l.all.open[c] = struct{}{}
-	l.all.mu.Unlock()
+	c := &callerConn{Conn: conn, tracker: l.tracker}
+	c.idleSince.Store(time.Now().UnixNano())
+	l.tracker.mu.Lock()
+	l.tracker.open[c] = struct{}{}
+	l.tracker.mu.Unlock()
 	return c, nil
 }
 
-// changed is told by the server what has become of a connection.
-func (cs *connections) changed(conn net.Conn, state http.ConnState) {
+// stateChanged is the server's ConnState hook; it marks a connection as idle.
+func (cs *connections) stateChanged(conn net.Conn, state http.ConnState) {
 	if state != http.StateIdle {
 		return
 	}
@@ -91,31 +90,31 @@
 		conn = secured.NetConn()
 	}
 	if c, ok := conn.(*callerConn); ok {
-		c.since.Store(time.Now().UnixNano())
+		c.idleSince.Store(time.Now().UnixNano())
 	}
 }
 
-// quiet says that no connection has had anything for a while.
-func (cs *connections) quiet(now time.Time) bool {
+// allIdle reports whether all connections have been idle for at least minIdle.
+func (cs *connections) allIdle(now time.Time) bool {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	for c := range cs.open {
-		since := c.since.Load()
-		if since == 0 || now.UnixNano()-since < int64(quietTime) {
+		since := c.idleSince.Load()
+		if since == 0 || now.UnixNano()-since < int64(minIdle) {
 			return false
 		}
 	}
 	return true
 }
 
-// settle waits until the connections are quiet, up to a limit. No new ones may
-// come meanwhile.
-func (cs *connections) settle(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, quietLimit)
+// waitIdle waits until all connections are idle, for at most maxIdleWait. The listener must be
+// closed before.
+func (cs *connections) waitIdle(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, maxIdleWait)
 	defer cancel()
-	ticker := time.NewTicker(quietTick)
+	ticker := time.NewTicker(idleCheckInterval)
 	defer ticker.Stop()
-	for !cs.quiet(time.Now()) {
+	for !cs.allIdle(time.Now()) {
 		select {
 		case <-ctx.Done():
 			return
--- a/internal/node/crash.go
+++ b/internal/node/crash.go
@@ -9,15 +9,14 @@
 )
 
 const (
-	crashProbeLimit = 500 * time.Millisecond
-	crashProbeGap   = 30 * time.Millisecond
-	crashProbes     = 4
+	crashProbeTimeout  = 500 * time.Millisecond
+	crashProbeInterval = 30 * time.Millisecond
+	maxCrashProbes     = 4
 )
 
-// callEnded tells the suspects how a service call ended. A connection that
-// broke off may mean that the call crashed its upstream; sent on to the next
-// one, it would crash that too.
-func (n *Node) callEnded(id string, vm platform.VM, epoch uint64, err error) {
+// serviceCallEnded reports the end of a service call to the suspects. A broken connection may mean
+// that the call crashed its upstream; retried at the next one, it would crash that too.
+func (n *Node) serviceCallEnded(id string, vm platform.VM, epoch uint64, err error) {
 	if err != nil && reachOf(err) == upstream.MaybeRun && n.hasCrashed(vm, epoch) {
 		n.suspects.crashed(vm.ID, epoch)
 		return
@@ -29,15 +28,15 @@
 	n.suspects.finished(id)
 }
 
-// hasCrashed asks an upstream whose connection broke off: when it cannot be
-// connected to, or answers as another run of its process, it has crashed. One
-// that is frozen or cut off gives no answer and has not. A process that is just
-// dying may still take a connection and reset it, so it is asked again.
+// hasCrashed probes an upstream whose connection broke. The upstream has crashed if it refuses
+// connections or answers with another process epoch. One that gives no answer is frozen or cut
+// off and has not crashed. A process that is terminating may still accept a connection and
+// reset it, so the probe is repeated.
 func (n *Node) hasCrashed(vm platform.VM, epoch uint64) bool {
-	ctx, cancel := context.WithTimeout(context.Background(), crashProbeLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), crashProbeTimeout)
 	defer cancel()
-	for range crashProbes {
-		if !pause(ctx, crashProbeGap) {
+	for range maxCrashProbes {
+		if !pause(ctx, crashProbeInterval) {
 			return false
 		}
 		report, err := n.deps.Engines.Load(ctx, vm.Addr)
@@ -53,7 +52,7 @@
 	return true
 }
 
-// pause waits, or says false when ctx ended first.
+// pause waits for d; it returns false if ctx ends first.
 func pause(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/node/deps.go
+++ b/internal/node/deps.go
@@ -7,7 +7,7 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// Deps are what a node reaches the outside with.
+// Deps are a node's connections to the outside. All fields are required.
 type Deps struct {
 	Platform platform.Platform
 	Engines  upstream.Engines
--- a/internal/node/doc.go
+++ b/internal/node/doc.go
@@ -1,3 +1,3 @@
-// Package node is the entry node: it joins the decisions (which are packages
-// without I/O) to callers, upstreams, peers and the platform.
+// Package node implements the entry node. It connects the packages that make decisions
+// without I/O to callers, upstreams, peers and the platform.
 package node
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -26,10 +26,10 @@
 	upstreamclient "github.com/hickorybank/hickorybank/internal/upstream/client"
 )
 
-// waitLimit is ample, so that a slow machine does not fail a test.
+// waitLimit is long, so that a slow machine does not fail a test.
 const waitLimit = 60 * time.Second
 
-// fleet is a deployment within one process: everything talks over loopback but
+// fleet is a deployment within one process. All components communicate over loopback except
 // the platform, which is called directly.
 type fleet struct {
 	t        testing.TB
@@ -40,14 +40,14 @@
 	services []*service.Server
 }
 
-// fleetSize says what stands at the start.
+// fleetSize configures the components that newFleet starts.
 type fleetSize struct {
-	nodes    int
-	engines  int
-	services int
-	tokens   int
-	tokenGap time.Duration
-	first    time.Duration
+	nodes      int
+	engines    int
+	services   int
+	tokens     int // of each answer
+	tokenGap   time.Duration
+	firstToken time.Duration // time to the first token
 }
 
 var domains = []string{"manga", "bocagrande", "mamonal", "getsemani"}
@@ -77,6 +77,7 @@
 	return f
 }
 
+// knows reports whether a node has load reports of all upstreams and lists all nodes.
 func (f *fleet) knows(n *Node, size fleetSize) bool {
 	ready := 0
 	for _, h := range n.upstreams.status() {
@@ -93,8 +94,8 @@
 	s, err := engine.New(engine.Settings{
 		ID: id, Listen: "127.0.0.1:0", FailureDomain: domains[i%len(domains)], BatchLimit: 64,
 		Versions:         []string{"dues@1", "dues@2", "lines@1", "lines@2"},
-		TimeToFirstToken: size.first, TokenGap: size.tokenGap, TokensPerAnswer: size.tokens, Seed: uint64(i),
-	}, quiet())
+		TimeToFirstToken: size.firstToken, TokenGap: size.tokenGap, TokensPerAnswer: size.tokens, Seed: uint64(i),
+	}, discardLogs())
 	is.NoErr(err)
 	is.NoErr(s.Start())
 	f.engines = append(f.engines, s)
@@ -107,7 +108,7 @@
 func (f *fleet) addService(i int) {
 	is := is.New(f.t)
 	id := "bill" + strconv.Itoa(i)
-	s, err := service.New(service.Settings{ID: id, Service: "billing", Listen: "127.0.0.1:0", FailureDomain: domains[i%len(domains)]}, quiet())
+	s, err := service.New(service.Settings{ID: id, Service: "billing", Listen: "127.0.0.1:0", FailureDomain: domains[i%len(domains)]}, discardLogs())
 	is.NoErr(err)
 	is.NoErr(s.Start())
 	f.services = append(f.services, s)
@@ -125,7 +126,7 @@
 		SessionKeys: [][]byte{[]byte(strings.Repeat("k", seal.MinKeyBytes))}, Seed: uint64(i),
 	}, Deps{
 		Platform: f.store, Engines: upstreamclient.NewEngines(upstreamclient.Options{}),
-		Services: upstreamclient.NewServices(upstreamclient.Options{}), Log: quiet(),
+		Services: upstreamclient.NewServices(upstreamclient.Options{}), Log: discardLogs(),
 	})
 	is.NoErr(err)
 	is.NoErr(n.Start())
@@ -134,7 +135,7 @@
 	return n
 }
 
-// closeNodes stops all nodes at the same time.
+// closeNodes stops all nodes concurrently.
 func (f *fleet) closeNodes() {
 	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 	defer cancel()
@@ -145,7 +146,7 @@
 	closing.Wait()
 }
 
-func quiet() *slog.Logger { return slog.New(slog.DiscardHandler) }
+func discardLogs() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
 func (f *fleet) await(what string, ok func() bool) {
 	f.t.Helper()
@@ -158,22 +159,22 @@
 	}
 }
 
-// reply is an HTTP answer read whole.
+// reply is an HTTP response with its complete body.
 type reply struct {
 	status int
 	header http.Header
 	body   string
 }
 
-// sent is a request of a caller.
-type sent struct {
+// callerRequest is a POST request of a caller.
+type callerRequest struct {
 	path   string
 	key    string
 	body   string
 	header map[string]string
 }
 
-func (f *fleet) post(n *Node, s sent) (reply, error) {
+func (f *fleet) post(n *Node, s callerRequest) (reply, error) {
 	req, err := http.NewRequest(http.MethodPost, "http://"+n.Addr()+s.path, bytes.NewReader([]byte(s.body)))
 	if err != nil {
 		return reply{}, err
@@ -196,21 +197,21 @@
 
 func (f *fleet) chat(n *Node, model, key, text string) (reply, error) {
 	body := `{"model":"` + model + `","messages":[{"role":"user","content":"` + text + `"}]}`
-	return f.post(n, sent{path: "/v1/chat/completions", key: key, body: body})
+	return f.post(n, callerRequest{path: "/v1/chat/completions", key: key, body: body})
 }
 
 func (f *fleet) settle(n *Node, key, text string) (reply, error) {
-	return f.post(n, sent{path: "/v1/services/billing/settlements", key: key, body: `{"text":"` + text + `"}`})
+	return f.post(n, callerRequest{path: "/v1/services/billing/settlements", key: key, body: `{"text":"` + text + `"}`})
 }
 
-// whole says that the answer is complete and belongs to the prompt.
-func whole(r reply, text string, tokens int) bool {
+// isComplete reports whether the answer is complete and belongs to the prompt.
+func isComplete(r reply, text string, tokens int) bool {
 	return r.status == http.StatusOK && strings.Contains(r.body, engine.Digest(text)) && strings.Contains(r.body, "t"+strconv.Itoa(tokens)+" ")
 }
 
-// bills counts the bills of each key.
+// bills returns the number of bills by key.
 func (f *fleet) bills() map[string]int {
-	reader := ledger.New(ledger.DefaultSettings(), ledger.Deps{Table: f.store, Objects: f.store.Objects(), Log: quiet()})
+	reader := ledger.New(ledger.DefaultSettings(), ledger.Deps{Table: f.store, Objects: f.store.Objects(), Log: discardLogs()})
 	now := time.Now()
 	q := ledger.BillQuery{From: now.Add(-time.Hour), To: now.Add(time.Hour)}
 	counts := map[string]int{}
--- a/internal/node/gate.go
+++ b/internal/node/gate.go
@@ -11,18 +11,17 @@
 	"github.com/hickorybank/hickorybank/internal/request"
 )
 
-const gateTick = 20 * time.Millisecond
+const queueCheckInterval = 20 * time.Millisecond
 
-// gate owns the admission queue, the retry budget and the organisations'
-// rate limits of this node.
+// gate owns this node's admission queue, retry budget and organisations' rate limits.
 type gate struct {
 	mu      sync.Mutex
 	queue   *admission.Queue
 	budget  *admission.RetryBudget
 	limiter *admission.RateLimiter
 	waiting map[string]chan admission.Decision // by request ID
-	// queued wakes the watch: an idle gate needs no ticks.
-	queued chan struct{}
+	// wakeUp wakes the goroutine that expires wakeUp requests; an idle gate needs no ticker.
+	wakeUp chan struct{}
 }
 
 func newGate(s Settings) *gate {
@@ -31,7 +30,7 @@
 		budget:  admission.NewRetryBudget(admission.RetrySettings{}),
 		limiter: admission.NewRateLimiter(admission.RateSettings{Self: s.ID}),
 		waiting: map[string]chan admission.Decision{},
-		queued:  make(chan struct{}, 1),
+		wakeUp:  make(chan struct{}, 1),
 	}
 }
 
@@ -60,7 +59,7 @@
 	g.limiter.Granted(grant, time.Now())
 }
 
-// setNodes takes the live entry nodes, and those of this failure domain.
+// setNodes sets the IDs of the live entry nodes and of those in this failure domain.
 func (g *gate) setNodes(ids, domain []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -68,8 +67,8 @@
 	g.limiter.SetDomain(domain)
 }
 
-// rate takes one request from the organisation's limit.
-func (g *gate) rate(org string) *request.Failure {
+// checkRate counts one request against the organisation's checkRate limit, or refuses it.
+func (g *gate) checkRate(org string) *request.Failure {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	after, ok := g.limiter.Allow(org, time.Now())
@@ -79,8 +78,7 @@
 	return request.Refuse(request.CodeRateLimited, after, "the organisation's limit of requests a second is reached")
 }
 
-// enter waits until the request may run. A refusal comes at once, as soon as
-// it is decided.
+// enter waits until the request may run. It returns a refusal as soon as it is decided.
 func (g *gate) enter(ctx context.Context, r admission.Request) *request.Failure {
 	decided := make(chan admission.Decision, 1)
 	g.mu.Lock()
@@ -110,9 +108,8 @@
 	}
 }
 
-// abandon takes a request out of the queue whose time has ended. A decision
-// that came in the same moment has already left the queue: a run must be
-// given back, or the slot would be lost.
+// abandon removes a request whose context has ended from the queue. If it was admitted at the
+// same moment, its slot must be released, or it would be lost.
 func (g *gate) abandon(r admission.Request, decided chan admission.Decision) admission.Decision {
 	g.mu.Lock()
 	delete(g.waiting, r.ID)
@@ -129,7 +126,7 @@
 	return admission.Decision{ID: r.ID, Verdict: admission.Refused, Code: request.CodeDeadline, RetryAfter: retrySoon}
 }
 
-// leave gives the request's place back.
+// leave releases the request's slot and admits queued requests.
 func (g *gate) leave(id string, s admission.Sample) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -145,7 +142,7 @@
 			continue
 		}
 		delete(g.waiting, d.ID)
-		decided <- d // has room for the one decision that it ever gets
+		decided <- d // never blocks: buffered for the only decision
 	}
 }
 
@@ -153,7 +150,7 @@
 	if n.gate.retryAllowed() {
 		return true
 	}
-	if n.spentBudgets.allow(time.Now()) {
+	if n.retryBudgetLog.allow(time.Now()) {
 		event.RetryBudgetSpent.Log(n.deps.Log)
 	}
 	return false
@@ -167,26 +164,26 @@
 
 func (g *gate) wake() {
 	select {
-	case g.queued <- struct{}{}:
-	default: // the watch has not yet seen the last one
+	case g.wakeUp <- struct{}{}:
+	default: // a wake-up is already pending
 	}
 }
 
-// watch refuses what can no longer be in time.
-func (g *gate) watch(ctx context.Context) {
+// expireQueued refuses queued requests that can no longer meet their deadline, until ctx ends.
+func (g *gate) expireQueued(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-g.queued:
-			g.watchQueue(ctx)
+		case <-g.wakeUp:
+			g.expireUntilEmpty(ctx)
 		}
 	}
 }
 
-// watchQueue ticks as long as something waits.
-func (g *gate) watchQueue(ctx context.Context) {
-	ticker := time.NewTicker(gateTick)
+// expireUntilEmpty checks the queue periodically until it is empty.
+func (g *gate) expireUntilEmpty(ctx context.Context) {
+	ticker := time.NewTicker(queueCheckInterval)
 	defer ticker.Stop()
 	for g.tick(time.Now()) {
 		select {
@@ -197,14 +194,14 @@
 	}
 }
 
-// tick says whether anything still waits.
+// tick applies the decisions that are due and reports whether requests are still queued.
 func (g *gate) tick(now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	at, any := g.queue.Wake()
-	if any && !now.Before(at) {
+	at, waiting := g.queue.Wake()
+	if waiting && !now.Before(at) {
 		g.deliver(g.queue.Next(now))
-		_, any = g.queue.Wake()
+		_, waiting = g.queue.Wake()
 	}
-	return any
+	return waiting
 }
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -10,17 +10,16 @@
 )
 
 const (
-	limitService = "Limit"
-	limitCall    = limitService + ".Summarise"
-	collectCall  = limitService + ".Collect"
-	limitTick    = 250 * time.Millisecond
-	limitTimeout = time.Second
+	limitService     = "Limit"
+	summariseMethod  = limitService + ".Summarise"
+	collectMethod    = limitService + ".Collect"
+	exchangeInterval = 250 * time.Millisecond
+	limitTimeout     = time.Second
 )
 
-// limits exchanges summaries and shares of the organisations' rate limits with
-// the nodes that hold them, in large failure domains through a collector. A node
-// that cannot reach a holder falls back to a conservative share, so that the
-// limit holds over all nodes.
+// limits exchanges usage summaries and granted shares of the organisations' rate limits with
+// the nodes that hold them, in large failure domains through a collector. A node that cannot
+// reach a holder uses a conservative share, so that the limit holds over all nodes.
 type limits struct {
 	node *Node
 
@@ -60,8 +59,8 @@
 	return l.collector.Collect(s, time.Now())
 }
 
-// sums are the messages that are due of this node as a collector.
-func (l *limits) sums(now time.Time) []admission.Summary {
+// collectorSummaries returns the summaries that this node must send as a collector.
+func (l *limits) collectorSummaries(now time.Time) []admission.Summary {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.collector.Summaries(now)
@@ -74,7 +73,7 @@
 }
 
 func (l *limits) run(ctx context.Context) {
-	ticker := time.NewTicker(limitTick)
+	ticker := time.NewTicker(exchangeInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -88,19 +87,19 @@
 
 func (l *limits) exchange(ctx context.Context, now time.Time) {
 	for _, s := range l.node.gate.summaries(now) {
-		method, answer := limitCall, l.summarise
+		method, answer := summariseMethod, l.summarise
 		if s.Collect {
-			method, answer = collectCall, l.collect
+			method, answer = collectMethod, l.collect
 		}
-		l.ask(ctx, s, method, answer, l.node.gate.granted)
+		l.dispatch(ctx, s, method, answer, l.node.gate.granted)
 	}
-	for _, s := range l.sums(now) {
-		l.ask(ctx, s, limitCall, l.summarise, l.granted)
+	for _, s := range l.collectorSummaries(now) {
+		l.dispatch(ctx, s, summariseMethod, l.summarise, l.granted)
 	}
 }
 
-// ask gets a summary answered, here or by another node.
-func (l *limits) ask(ctx context.Context, s admission.Summary, method string, answer func(admission.Summary) admission.Grant, take func(admission.Grant)) {
+// dispatch has a summary answered at this node or by a peer and passes the grant to take.
+func (l *limits) dispatch(ctx context.Context, s admission.Summary, method string, answer func(admission.Summary) admission.Grant, take func(admission.Grant)) {
 	if s.To == l.node.settings.ID {
 		take(answer(s))
 		return
@@ -121,23 +120,23 @@
 	}
 }
 
-// limitReceiver answers the summaries of peers.
+// limitReceiver is the RPC receiver for the summaries of peers.
 type limitReceiver struct{ limits *limits }
 
-// Summarise takes one summary and returns the sender's shares.
+// Summarise answers a summary with the sender's shares. It never returns an error.
 func (r *limitReceiver) Summarise(s *admission.Summary, grant *admission.Grant) error {
 	*grant = r.limits.summarise(*s)
 	return nil
 }
 
-// Collect takes one summary of a node in this failure domain and returns its
-// parts of the domain's shares.
+// Collect answers the summary of a node in this failure domain with its part of the domain's
+// shares. It never returns an error.
 func (r *limitReceiver) Collect(s *admission.Summary, grant *admission.Grant) error {
 	*grant = r.limits.collect(*s)
 	return nil
 }
 
-// peerAddr is where a node's peers reach it, or empty.
+// peerAddr returns the address at which peers reach a node, or "" if the node is unknown.
 func (n *Node) peerAddr(id string) string {
 	for _, m := range n.members.View().Entries {
 		if m.ID == id {
@@ -147,17 +146,16 @@
 	return ""
 }
 
-// liveEntries are the IDs of the live entry nodes, and of those in a failure
-// domain.
-func liveEntries(v *membership.View, domain string) (all, own []string) {
+// liveEntries returns the IDs of all live entry nodes and of those in the failure domain.
+func liveEntries(v *membership.View, failureDomain string) (all, inDomain []string) {
 	for _, m := range v.Entries {
 		if m.State != membership.Live {
 			continue
 		}
 		all = append(all, m.ID)
-		if m.FailureDomain == domain {
-			own = append(own, m.ID)
+		if m.FailureDomain == failureDomain {
+			inDomain = append(inDomain, m.ID)
 		}
 	}
-	return all, own
+	return all, inDomain
 }
--- a/internal/node/limits_test.go
+++ b/internal/node/limits_test.go
@@ -8,11 +8,11 @@
 	"github.com/hickorybank/hickorybank/internal/admission"
 )
 
-// A failure domain grows beyond eight nodes, and its callers are refused down
-// to the nodes' reserves: the call of the collector, or its call of the holder,
-// does not get through between processes. Every node must get more than it may
-// use without a grant, a ninth of a tenth of the limit.
-func TestSharesComeThroughACollector(t *testing.T) {
+// Guards against rate limits that drop to the nodes' reserves when a failure domain grows beyond
+// eight nodes, because the calls to the collector or from it to the holder fail between
+// processes. Every node must get more than it may use without a grant, which is a ninth of a
+// tenth of the limit.
+func TestNodesOfALargeDomainGetSharesFromACollector(t *testing.T) {
 	const nodes, limit, reserve, atOnce = 9, 9000.0, 100.0, 4
 	all := domains
 	domains = all[:1]
@@ -28,7 +28,7 @@
 	f.await("shares beyond the reserve at every node", func() bool {
 		for i, n := range f.nodes {
 			for range atOnce {
-				if n.gate.rate("org") == nil {
+				if n.gate.checkRate("org") == nil {
 					passed[i]++
 				}
 			}
--- a/internal/node/measure.go
+++ b/internal/node/measure.go
@@ -13,18 +13,18 @@
 	now := time.Now()
 	o := telemetry.Observation{
 		Outcome: request.Completed, Version: answer.Version, Total: now.Sub(r.arrived), Cost: answer.Cost,
-		InputTokens: answer.Usage.InputTokens, OutputTokens: answer.Usage.OutputTokens, CachedTokens: r.cached,
+		InputTokens: answer.Usage.InputTokens, OutputTokens: answer.Usage.OutputTokens, CachedTokens: r.cachedTokens,
 	}
 	if !r.admitted.IsZero() {
 		o.Queued = r.admitted.Sub(r.arrived)
 	}
-	if !r.firstOut.IsZero() {
-		o.FirstToken = r.firstOut.Sub(r.arrived)
+	if !r.answerBegan.IsZero() {
+		o.FirstToken = r.answerBegan.Sub(r.arrived)
 	}
 	if r.sink.Streams() && o.OutputTokens > 1 {
-		o.TokenGap = now.Sub(r.firstOut) / time.Duration(o.OutputTokens-1)
+		o.TokenGap = now.Sub(r.answerBegan) / time.Duration(o.OutputTokens-1)
 	}
-	failed(&o, err)
+	recordFailure(&o, err)
 	r.node.metrics.Request(r.call.Org.Name, r.class.Name).Observe(&o)
 }
 
@@ -32,12 +32,12 @@
 func (r *callRun) measure(arrived time.Time, result callResult) {
 	o := telemetry.Observation{Outcome: request.Completed, Total: time.Since(arrived), FirstToken: result.took, Cost: r.call.Call.Cost}
 	if result.failure != nil {
-		failed(&o, result.failure)
+		recordFailure(&o, result.failure)
 	}
 	r.node.metrics.Request(r.call.Org.Name, r.class.Name).Observe(&o)
 }
 
-func failed(o *telemetry.Observation, err error) {
+func recordFailure(o *telemetry.Observation, err error) {
 	var f *request.Failure
 	if errors.As(err, &f) {
 		o.Outcome = f.Outcome
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -43,8 +43,8 @@
 	self     platform.VM
 
 	pool *peer.Pool
-	// syncPool is for configuration alone: its held calls run out of time by
-	// design, which drops the connection under every other call on it.
+	// syncPool serves configuration calls only. Their long polls time out by design, which
+	// closes the connection for every other call on it.
 	syncPool  *peer.Pool
 	peers     *peer.Server
 	members   *membership.Tracker
@@ -67,20 +67,19 @@
 	adminListener net.Listener
 	adminServer   *http.Server
 
-	running      atomic.Int64
-	spentBudgets throttle
-	stopping     *stopping
+	running        atomic.Int64
+	retryBudgetLog logLimiter
+	stopping       *stopping
 
-	listener net.Listener
-	server   *http.Server
-	// connections are the callers'.
-	connections *connections
+	listener    net.Listener
+	server      *http.Server
+	connections *connections // from callers
 	duties      *duty.Group
 	stop        context.CancelFunc
 }
 
-// New returns a node that is not yet started. The error names what is wrong
-// with the settings.
+// New returns a node that is not yet started. It returns an error when the session keys or
+// the operators' key hashes are invalid.
 func New(s Settings, d Deps) (*Node, error) {
 	sealer, err := seal.New(s.SessionKeys...)
 	if err != nil {
@@ -106,7 +105,8 @@
 	}, nil
 }
 
-// Start listens, joins the other nodes and begins to serve.
+// Start opens the listeners, joins the other nodes and begins to serve. The error is that of
+// the first listener or component that failed to start.
 func (n *Node) Start() error {
 	if err := n.listen(); err != nil {
 		return err
@@ -116,7 +116,7 @@
 	if err := n.register(); err != nil {
 		return err
 	}
-	if err := n.startParts(); err != nil {
+	if err := n.startComponents(); err != nil {
 		return err
 	}
 	n.serve()
@@ -127,9 +127,9 @@
 func (n *Node) listen() error {
 	listener, err := net.Listen("tcp", n.settings.Listen)
 	if err != nil {
-		return eris.Wrap(err, "listen for callers")
+		return eris.Wrapf(err, "listen for callers on %s", n.settings.Listen)
 	}
-	n.listener = n.secured(&callerListener{Listener: listener, all: n.connections})
+	n.listener = n.withTLS(&callerListener{Listener: listener, tracker: n.connections})
 	if err := n.listenOperators(); err != nil {
 		_ = listener.Close()
 		return err
@@ -145,8 +145,8 @@
 	return nil
 }
 
-// secured speaks TLS on a listener towards callers or operators, if set.
-func (n *Node) secured(l net.Listener) net.Listener {
+// withTLS wraps a listener for callers or operators in TLS if it is configured.
+func (n *Node) withTLS(l net.Listener) net.Listener {
 	if n.settings.TLS.Callers == nil {
 		return l
 	}
@@ -182,7 +182,7 @@
 	})
 }
 
-// buildVersions builds what carries version choice and roll-outs.
+// buildVersions builds the components for version selection and roll-outs.
 func (n *Node) buildVersions() {
 	n.share = share.New(share.Deps{
 		Chooser: n.chooser, Table: n.deps.Platform, Peers: n.pool, Members: n.entries, Self: n.self,
@@ -215,7 +215,7 @@
 	return n.peers.Register(suspectService, n.suspects.receiver())
 }
 
-func (n *Node) startParts() error {
+func (n *Node) startComponents() error {
 	n.peers.Serve()
 	if err := n.sync.Start(); err != nil {
 		return err
@@ -234,13 +234,13 @@
 	n.stop = cancel
 	n.server = &http.Server{
 		Handler: n.stopping.closing(api.New(n)), ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout,
-		ConnState: n.connections.changed,
+		ConnState: n.connections.stateChanged,
 	}
 	n.duties.Go(func() { _ = n.server.Serve(n.listener) }) // returns when closed
 	n.registerGauges()
 	n.serveOperators()
 	n.duties.Go(func() { n.upstreams.poll(ctx) })
-	n.duties.Go(func() { n.gate.watch(ctx) })
+	n.duties.Go(func() { n.gate.expireQueued(ctx) })
 	n.duties.Go(func() { n.suspects.run(ctx) })
 	n.duties.Go(func() { n.limits.run(ctx) })
 	for range raterWorkers {
@@ -248,19 +248,19 @@
 	}
 }
 
-// VM is this node as the platform's list should name it.
+// VM returns this node's entry for the platform's VM list.
 func (n *Node) VM() platform.VM { return n.self }
 
-// Addr is the address that callers reach the node at.
+// Addr returns the address of the listener for callers, as IP and port.
 func (n *Node) Addr() string { return n.self.Addr }
 
-// Snapshot returns the configuration in force here.
+// Snapshot returns the configuration in force at this node, or nil before the first one.
 func (n *Node) Snapshot() *config.Snapshot { return n.sync.Snapshot() }
 
-// entries are the entry VMs that this node knows.
+// entries returns the entry VMs that this node knows.
 func (n *Node) entries() []platform.VM { return n.members.View().EntryVMs() }
 
-// viewChanged is called with each new picture of the VMs.
+// viewChanged is called with each new membership view.
 func (n *Node) viewChanged(v *membership.View) {
 	n.upstreams.setView(v)
 	n.suspects.setPeers(v)
@@ -269,7 +269,7 @@
 	n.limits.setNodes(ids)
 }
 
-// applied is called with each configuration that comes into force here.
+// applied is called with each configuration that comes into force at this node.
 func (n *Node) applied(s *config.Snapshot) {
 	limits := rateLimits(s)
 	n.gate.setSnapshot(s, limits)
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -15,25 +15,25 @@
 
 var small = fleetSize{nodes: 2, engines: 3, services: 2, tokens: 4, tokenGap: time.Millisecond}
 
-// A dues statement is billed twice. The agent's program gets its answer late and
-// sends the request again with its key through another entry; both run. The
-// cause would be a bill for each run instead of one for each key.
-func TestRetryThroughAnotherNodeIsOneBill(t *testing.T) {
+// Guards against a request that is billed twice. The caller gets its answer late and resends
+// the request with the same key through another node, so both run. Bills must be kept per key,
+// not per run.
+func TestRetryThroughAnotherNodeIsBilledOnce(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	f := newFleet(t, small)
 	for _, n := range f.nodes {
 		r, err := f.chat(n, "dues@2", "draft-1", "statement")
 		is.NoErr(err)
-		is.True(whole(r, "statement", small.tokens))
+		is.True(isComplete(r, "statement", small.tokens))
 	}
 	is.Equal(f.bills()["draft-1"], 1)
 }
 
-// A settlement runs twice. Its answer is lost after the service took it; the
-// entry must not send it again, and the caller's retry through another entry
-// must not either. The cause would be a retry of a call that may have run.
-func TestLostAnswerOfSettlementRunsOnce(t *testing.T) {
+// Guards against a service call that runs twice. Its answer is lost after the service received
+// it. Neither the node nor the caller's retry through another node may send it again, since it
+// may have run.
+func TestServiceCallWithLostAnswerRunsOnce(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	f := newFleet(t, small)
@@ -53,9 +53,9 @@
 	is.Equal(runs, 1)
 }
 
-// A settlement's answer comes again to a retry through the other entry, and the
-// call is billed once. The same key with another body is refused, not run.
-func TestSettlementIsReplayed(t *testing.T) {
+// A retry with the same key through another node gets the recorded answer, and the call is
+// billed once. The same key with another body is refused and not run.
+func TestRetryGetsTheRecordedServiceAnswer(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	f := newFleet(t, small)
@@ -72,10 +72,10 @@
 	is.Equal(f.bills()["settle-2"], 1)
 }
 
-// One draft crashes each engine that runs it, and its caller sends it again with
-// new keys through both entries. At most two engines may be lost to it; then it
-// is refused, and others still get their answers.
-func TestCrashingRequestLosesTwoEngines(t *testing.T) {
+// Guards against one request that crashes every engine. It crashes each engine that runs it,
+// and its caller resends it with new keys through both nodes. At most two engines may crash;
+// then it is refused, and other requests still get their answers.
+func TestCrashingRequestCrashesAtMostTwoEngines(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	size := small
@@ -100,12 +100,12 @@
 	is.True(crashes <= 2)
 	r, err := f.chat(f.nodes[0], "dues@2", "", "innocent")
 	is.NoErr(err)
-	is.True(whole(r, "innocent", size.tokens))
+	is.True(isComplete(r, "innocent", size.tokens))
 }
 
-// The platform's table is down while drafts are written. Their bills wait in
-// other ways, the answers go out, and when the table is back each has one bill.
-func TestBillsWaitOutATableOutage(t *testing.T) {
+// The platform's table is down while requests run. The answers are sent, their bills are kept
+// elsewhere, and each request has one bill when the table is available again.
+func TestBillsSurviveATableOutage(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	size := small
@@ -116,7 +116,7 @@
 	for i, key := range keys {
 		f.await("answered in the outage", func() bool {
 			r, err := f.chat(f.nodes[i], "dues@2", key, "statement")
-			return err == nil && whole(r, "statement", size.tokens)
+			return err == nil && isComplete(r, "statement", size.tokens)
 		})
 	}
 	is.NoErr(f.store.SetFaults(fault.Change{Table: &fault.Fault{}}))
@@ -131,14 +131,14 @@
 	})
 }
 
-// An instructor's draft breaks off with its entry. The caller reads on through
-// the other one from the piece that it has, to the end, with one bill.
-func TestReadOnThroughAnotherNode(t *testing.T) {
+// A caller resumes a stream through another node after the last chunk it has. It gets the rest
+// of the answer, and there is one bill.
+func TestStreamResumesThroughAnotherNode(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	f := newFleet(t, small)
 	body := `{"model":"dues@2","stream":true,"messages":[{"role":"user","content":"statement"}]}`
-	r, err := f.post(f.nodes[0], sent{path: "/v1/chat/completions", key: "draft-3", body: body})
+	r, err := f.post(f.nodes[0], callerRequest{path: "/v1/chat/completions", key: "draft-3", body: body})
 	is.NoErr(err)
 	token := r.header.Get("Hickorybank-Stream")
 	is.True(token != "")
--- a/internal/node/heard.go
+++ b/internal/node/notices.go
@@ -11,8 +11,8 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// entryIDs are the IDs of all entry nodes; none while this one is not among them: it has
-// just started, and the others do not know of it.
+// entryIDs returns the sorted IDs of all entry nodes. It returns none while self is not among
+// them: this node has just started, and the others do not know it yet.
 func entryIDs(v *membership.View, self string) []string {
 	var ids []string
 	for _, vm := range v.EntryVMs() {
@@ -27,13 +27,13 @@
 	return ids
 }
 
-// hearing returns a context whose calls tell what the upstream's answers say of it.
-func (u *upstreams) hearing(ctx context.Context, vm platform.VM) context.Context {
-	return upstream.WithHeard(ctx, func(a notice.Response, at time.Time) { u.noticed(vm, a, at) })
+// withNotices returns a context whose calls report the notices in the upstream's answers.
+func (u *upstreams) withNotices(ctx context.Context, vm platform.VM) context.Context {
+	return upstream.WithHeard(ctx, func(a notice.Response, at time.Time) { u.applyNotice(vm, a, at) })
 }
 
-// noticed takes what an upstream said of itself in an answer.
-func (u *upstreams) noticed(vm platform.VM, a notice.Response, at time.Time) {
+// applyNotice applies the notice that an upstream sent about itself in an answer.
+func (u *upstreams) applyNotice(vm platform.VM, a notice.Response, at time.Time) {
 	for _, field := range a.InvalidFields {
 		u.node.metrics.Counter("hickorybank_unsound_answer_fields_total", "field", field).Inc()
 	}
@@ -41,6 +41,6 @@
 	u.balancer.ApplyNotice(vm.ID, a, at)
 	u.mu.Unlock()
 	if a.Leaving {
-		u.node.members.Observe(vm.Addr, membership.SaidLeaving) // which tells the other nodes
+		u.node.members.Observe(vm.Addr, membership.SaidLeaving) // also informs the other nodes
 	}
 }
--- a/internal/node/said_test.go
+++ b/internal/node/notices_test.go
@@ -12,9 +12,9 @@
 	"github.com/hickorybank/hickorybank/internal/standin/service"
 )
 
-// saidFleet is some entry nodes before two services, of which the first says something of
-// itself.
-func saidFleet(t *testing.T, nodes int, change func(f *service.Faults)) *fleet {
+// newNoticeFleet starts entry nodes and two service VMs. change configures the faults of the
+// first one, which sends notices about itself.
+func newNoticeFleet(t *testing.T, nodes int, change func(f *service.Faults)) *fleet {
 	f := newFleet(t, fleetSize{nodes: nodes, engines: 1, services: 2, tokens: 2})
 	err := f.services[0].ChangeFaults(func(faults *service.Faults) error {
 		change(faults)
@@ -24,7 +24,7 @@
 	return f
 }
 
-// settleAll has callers send calls to all nodes for a time.
+// settleAll sends calls to all nodes in turn for the given time.
 func (f *fleet) settleAll(length time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), length)
 	defer cancel()
@@ -37,25 +37,24 @@
 	}
 }
 
-// TestServiceThatNamesALimitGetsNoMore guards against a service in need that entry nodes go
-// on giving half of all calls.
-func TestServiceThatNamesALimitGetsNoMore(t *testing.T) {
+// Guards against nodes that keep sending half of all calls to a service VM that has announced
+// a rate limit.
+func TestServiceWithAnnouncedRateLimitGetsNoMoreCalls(t *testing.T) {
 	const perSecond, window = 1.0, 4
-	f := saidFleet(t, 2, func(faults *service.Faults) { faults.Said = host.Said{RateLimit: perSecond} })
-	f.settleAll(time.Second) // each node reads the limit
+	f := newNoticeFleet(t, 2, func(faults *service.Faults) { faults.Said = host.Said{RateLimit: perSecond} })
+	f.settleAll(time.Second) // each node receives the limit
 	before := f.services[0].Counts().Started
 	began := time.Now()
 	f.settleAll(window * time.Second)
 	seconds := time.Since(began).Seconds()
 	if got, most := f.services[0].Counts().Started-before, 1.5*perSecond*seconds+5; float64(got) > most {
-		t.Errorf("%d calls in %.1f s, %.0f may", got, seconds, most)
+		t.Errorf("service VM got %d calls in %.1f s, at most %.0f expected", got, seconds, most)
 	}
 }
 
-// TestServiceThatAsksForRestIsLeftAlone guards against calls for a service that has asked
-// the node for rest.
-func TestServiceThatAsksForRestIsLeftAlone(t *testing.T) {
-	f := saidFleet(t, 1, func(faults *service.Faults) { faults.Said = host.Said{RestMillis: 60_000} })
+// Guards against calls to a service VM that has announced a pause to the node.
+func TestServiceWithAnnouncedPauseGetsNoCalls(t *testing.T) {
+	f := newNoticeFleet(t, 1, func(faults *service.Faults) { faults.Said = host.Said{RestMillis: 60_000} })
 	f.settleAll(time.Second)
 	f.await("the node has been turned away", func() bool {
 		if _, err := f.settle(f.nodes[0], fmt.Sprint("until", time.Now().UnixNano()), "text"); err != nil {
@@ -66,6 +65,6 @@
 	before := f.services[0].Counts().Declined
 	f.settleAll(time.Second)
 	if late := f.services[0].Counts().Declined - before; late > 0 {
-		t.Errorf("%d calls for a service that has asked for rest", late)
+		t.Errorf("service VM got %d calls during the pause that it announced", late)
 	}
 }
--- a/internal/node/open_session.go
+++ b/internal/node/open_session.go
@@ -14,15 +14,15 @@
 type openedSession struct {
 	// version is empty while the session has none yet.
 	version string
-	// token is what goes back to the caller; empty while unknown.
+	// token is returned to the caller; it is empty for a new session.
 	token string
-	// begins asks for a token on the version that answers.
-	begins bool
+	// isNew means that the caller asked for a new session on the version that answers.
+	isNew bool
 }
 
 func (n *Node) openSession(call api.ChatCall, now time.Time) (openedSession, *request.Failure) {
 	if call.Session == "" {
-		return openedSession{begins: call.WantSession}, nil
+		return openedSession{isNew: call.WantSession}, nil
 	}
 	token, err := n.sessions.Read(call.Session, call.Org.Name, now)
 	if err != nil {
@@ -31,9 +31,10 @@
 	return openedSession{version: token.Version, token: call.Session}, nil
 }
 
-// tokenFor returns the token to send with an answer of the version.
-func (n *Node) tokenFor(s openedSession, org, version string) string {
-	if !s.begins {
+// sessionToken returns the session token to send with an answer of the version, or "" outside a
+// session.
+func (n *Node) sessionToken(s openedSession, org, version string) string {
+	if !s.isNew {
 		return s.token
 	}
 	text, err := n.sessions.Sign(session.Token{ID: uuid.NewString(), Org: org, Version: version, Started: time.Now().Unix()})
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -16,24 +16,24 @@
 	"github.com/hickorybank/hickorybank/internal/telemetry"
 )
 
-// operators is what the administration API answers from.
+// operators implements the data sources of the administration API.
 type operators struct{ node *Node }
 
-// listenOperators takes the operators' address, when one is set.
+// listenOperators opens the listener for operators if one is configured.
 func (n *Node) listenOperators() error {
 	if n.settings.AdminListen == "" {
 		return nil
 	}
 	listener, err := net.Listen("tcp", n.settings.AdminListen)
 	if err != nil {
-		return eris.Wrap(err, "listen for operators")
+		return eris.Wrapf(err, "listen for operators on %s", n.settings.AdminListen)
 	}
-	n.adminListener = n.secured(listener)
+	n.adminListener = n.withTLS(listener)
 	return nil
 }
 
-// AdminAddr is the address that operators reach the node at; empty when it
-// offers no administration API.
+// AdminAddr returns the address of the listener for operators, as IP and port. It is empty when
+// the node has no administration API.
 func (n *Node) AdminAddr() string {
 	if n.adminListener == nil {
 		return ""
@@ -41,8 +41,8 @@
 	return n.adminListener.Addr().String()
 }
 
-// serveOperators offers administration, metrics and health on the operators'
-// listener.
+// serveOperators serves the administration API, metrics, profiles and health checks on the
+// operators' listener.
 func (n *Node) serveOperators() {
 	if n.adminListener == nil {
 		return
@@ -62,8 +62,8 @@
 	n.duties.Go(func() { _ = n.adminServer.Serve(n.adminListener) }) // returns when closed
 }
 
-// operatorsOnly lets only bearers of an operator's key through: a profile costs
-// processor time and shows how the node works.
+// operatorsOnly requires an operator's key as bearer token: a profile costs processor time and
+// reveals internals of the node.
 func (n *Node) operatorsOnly(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		key, _ := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
@@ -75,18 +75,18 @@
 	})
 }
 
-// notReady says why no new work is taken, or nothing.
+// notReady returns the reasons why the node accepts no new work, or none.
 func (n *Node) notReady() []string {
 	if _, fail := n.admit(); fail != nil {
 		return []string{fail.Message}
 	}
-	if !n.upstreams.known() {
+	if !n.upstreams.anyReported() {
 		return []string{"no upstream has reported its load yet"}
 	}
 	return nil
 }
 
-// Confirmations tells how far a revision is in force.
+// Confirmations returns how many nodes have confirmed a revision and whether it is in force.
 func (o *operators) Confirmations(ctx context.Context, revision uint64) (admin.Confirmation, error) {
 	c, err := o.node.sync.Confirmations(ctx, revision)
 	return admin.Confirmation{
@@ -95,7 +95,7 @@
 	}, err
 }
 
-// Bills reads bills.
+// Bills returns one page of the bills that match the query.
 func (o *operators) Bills(ctx context.Context, q admin.BillQuery) (admin.BillPage, error) {
 	page, err := o.node.ledger.Bills(ctx, ledger.BillQuery{Org: q.Organisation, From: q.From, To: q.To, Cursor: q.Cursor})
 	out := admin.BillPage{Bills: make([]admin.Bill, 0, len(page.Bills)), Next: page.Next}
@@ -108,7 +108,8 @@
 	return out, err
 }
 
-// Nodes lists the entry nodes as this one sees them.
+// Nodes lists the entry nodes as this node sees them. Only its own entry has a revision and a
+// detail.
 func (o *operators) Nodes(context.Context) ([]admin.Node, error) {
 	var out []admin.Node
 	for _, m := range o.node.members.View().Entries {
@@ -134,7 +135,7 @@
 	}
 }
 
-// Upstreams lists the upstreams that this node deals with.
+// Upstreams lists the upstreams in this node's balancer.
 func (o *operators) Upstreams(context.Context) ([]admin.Upstream, error) {
 	states := upstreamStates(o.node.members.View())
 	var out []admin.Upstream
@@ -174,7 +175,7 @@
 	return states
 }
 
-// registerGauges offers the figures that are read when the page is.
+// registerGauges registers the gauges that are computed when the metrics are scraped.
 func (n *Node) registerGauges() {
 	n.metrics.Gauge("hickorybank_config_revision", func() float64 { return float64(n.sync.Status().Revision) })
 	n.metrics.Gauge("hickorybank_config_proof_age_seconds", func() float64 { return n.sync.Status().ProofAge.Seconds() })
--- a/internal/node/operators_versions.go
+++ b/internal/node/operators_versions.go
@@ -6,7 +6,7 @@
 	"github.com/hickorybank/hickorybank/internal/admin"
 )
 
-// Rollouts lists how far the versions are loaded.
+// Rollouts lists the stage of each version's roll-out.
 func (o *operators) Rollouts(ctx context.Context) ([]admin.Rollout, error) {
 	list, err := o.node.rollouts.Rollouts(ctx)
 	out := make([]admin.Rollout, 0, len(list))
@@ -18,7 +18,7 @@
 	return out, err
 }
 
-// Holds lists the versions that turned bad.
+// Holds lists the holds that were placed on versions because of bad results.
 func (o *operators) Holds(ctx context.Context) ([]admin.Hold, error) {
 	list, err := o.node.share.Holds(ctx)
 	out := make([]admin.Hold, 0, len(list))
@@ -30,7 +30,8 @@
 	return out, err
 }
 
-// Lift ends one term of a version's hold.
+// Lift ends one term of a version's hold. It returns false when there is no such term or a later
+// one. After an error that wraps [platform.ErrUnknown] the term may have ended.
 func (o *operators) Lift(ctx context.Context, version string, term uint64) (bool, error) {
 	return o.node.share.Lift(ctx, version, term)
 }
--- a/internal/node/path_bench_test.go
+++ b/internal/node/path_bench_test.go
@@ -15,43 +15,43 @@
 	"github.com/hickorybank/hickorybank/internal/rawhttp"
 )
 
-// pathCallers are fewer than a pool's first limit, so that none waits.
+// pathCallers is below a pool's initial concurrency limit, so that no request is queued.
 const pathCallers = 24
 
-// way is one kind of request, and how it is asked for.
-type way struct {
+// workload is one kind of request.
+type workload struct {
 	name   string
-	pieces int
+	chunks int
 	stream bool
-	burst  bool // the pieces come as fast as they can
+	burst  bool // chunks are sent without a gap
 	call   bool // of a plain service
 }
 
-// BenchmarkPath gives the processor time of a whole node's way of an answer,
-// its bill included, beside a bare relay of net/http that carries the same
-// answers of the upstream in the same run. What the bare sockets at both ends
-// take by themselves is measured in the run too and taken off both.
+// BenchmarkPath compares the processor time of an answer through a node, including its bill,
+// with that through a plain net/http relay. Both forward the same upstream's answers in the
+// same run. The processor time of the client's and upstream's sockets is measured in the same
+// run and subtracted from both.
 func BenchmarkPath(b *testing.B) {
-	for _, w := range []way{
+	for _, w := range []workload{
 		{name: "service", call: true},
-		{name: "whole16", pieces: 16},
-		{name: "stream16", pieces: 16, stream: true},
-		{name: "stream64", pieces: 64, stream: true},
-		{name: "burst64", pieces: 64, stream: true, burst: true},
+		{name: "whole16", chunks: 16},
+		{name: "stream16", chunks: 16, stream: true},
+		{name: "stream64", chunks: 64, stream: true},
+		{name: "burst64", chunks: 64, stream: true, burst: true},
 	} {
 		b.Run(w.name, func(b *testing.B) { measurePath(b, w) })
 	}
 }
 
-func measurePath(b *testing.B, w way) {
+func measurePath(b *testing.B, w workload) {
 	turns := make([]chan struct{}, pathCallers)
 	for i := range turns {
 		if w.stream && !w.burst {
 			turns[i] = make(chan struct{}, 1)
 		}
 	}
-	u := newBareUpstream(b, w.pieces, turns)
-	b.Cleanup(u.Close) // runs after the fleet's, which lets the connections go
+	u := newRawUpstream(b, w.chunks, turns)
+	b.Cleanup(u.Close) // runs after the fleet's cleanup, which closes the connections
 	f := newFleet(b, fleetSize{nodes: 1})
 	for _, vm := range []platform.VM{u.vm(platform.RoleEngine, "bare"), u.vm(platform.RoleService, "bareservice")} {
 		if err := f.store.RegisterVM(context.Background(), vm); err != nil {
@@ -63,31 +63,31 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	var nodeTime, relayTime, bareTime time.Duration
+	var nodeTime, relayTime, socketTime time.Duration
 	b.ResetTimer()
-	// In turns, so that other load on the machine meets all three alike.
+	// The three are measured alternately, so that other load on the machine affects all alike.
 	const rounds = 4
 	n := max(b.N/rounds/pathCallers, 1)
 	for range rounds {
-		bareTime += w.measure(b, u.Addr(), turns, n)
+		socketTime += w.measure(b, u.Addr(), turns, n)
 		relayTime += w.measure(b, relay.Addr(), turns, n)
 		nodeTime += w.measure(b, f.nodes[0].Addr(), turns, n)
 	}
 	b.StopTimer()
-	each := func(d time.Duration) float64 { return float64(d.Microseconds()) / float64(rounds*n*pathCallers) }
-	b.ReportMetric(0, "ns/op") // the wall clock of three ways says nothing
-	b.ReportMetric(each(nodeTime-bareTime), "node-cpu-µs")
-	b.ReportMetric(each(relayTime-bareTime), "relay-cpu-µs")
-	b.ReportMetric(each(bareTime), "sockets-cpu-µs")
-	b.ReportMetric(each(nodeTime-bareTime)/each(relayTime-bareTime), "to-relay")
+	perAnswer := func(d time.Duration) float64 { return float64(d.Microseconds()) / float64(rounds*n*pathCallers) }
+	b.ReportMetric(0, "ns/op") // the wall-clock time of all three together is meaningless
+	b.ReportMetric(perAnswer(nodeTime-socketTime), "node-cpu-µs")
+	b.ReportMetric(perAnswer(relayTime-socketTime), "relay-cpu-µs")
+	b.ReportMetric(perAnswer(socketTime), "sockets-cpu-µs")
+	b.ReportMetric(perAnswer(nodeTime-socketTime)/perAnswer(relayTime-socketTime), "to-relay")
 	relay.Close()
 }
 
-// measure returns the processor time of n answers for each caller.
-func (w way) measure(b *testing.B, addr string, turns []chan struct{}, n int) time.Duration {
+// measure returns the total processor time of n answers to each caller.
+func (w workload) measure(b *testing.B, addr string, turns []chan struct{}, n int) time.Duration {
 	callers := make([]*rawhttp.Caller, pathCallers)
 	for i := range callers {
-		callers[i] = &rawhttp.Caller{Ask: []byte(w.ask(i)), Turn: turns[i], Rest: w.pieces - 1}
+		callers[i] = &rawhttp.Caller{Ask: []byte(w.requestOf(i)), Turn: turns[i], Rest: w.chunks - 1}
 		if err := callers[i].Dial(addr); err != nil {
 			b.Fatal(err)
 		}
@@ -113,12 +113,12 @@
 	return processorTime(b) - began
 }
 
-func (w way) ask(caller int) string {
+func (w workload) requestOf(caller int) string {
 	if w.call {
 		return "GET /v1/services/billing/receipts/1 HTTP/1.1\r\nHost: router\r\nAuthorization: Bearer demo-cartagena\r\n\r\n"
 	}
 	body := fmt.Sprintf(`{"model":"dues@2","stream":%t,"messages":[{"role":"system","content":%q},{"role":"user","content":"%s%d."}]}`,
-		w.stream, strings.Repeat("dossier ", 500), bareMark, caller)
+		w.stream, strings.Repeat("dossier ", 500), callerMarker, caller)
 	return fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: router\r\nAuthorization: Bearer demo-cartagena\r\nX-Attempt-Id: a%d\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s",
 		caller, len(body), body)
 }
--- a/internal/node/pools.go
+++ b/internal/node/pools.go
@@ -6,8 +6,8 @@
 	"github.com/hickorybank/hickorybank/internal/admission"
 )
 
-// reportPools tells admission what the upstreams reported of their load, so
-// that its limits follow the upstreams and not latency alone.
+// reportPools passes the reported load of the upstreams to admission, so that its limits depend
+// on it and not on latency alone.
 func (n *Node) reportPools() {
 	snapshot := n.sync.Snapshot()
 	if snapshot == nil {
--- a/internal/node/priority.go
+++ b/internal/node/priority.go
@@ -2,7 +2,7 @@
 
 import "github.com/hickorybank/hickorybank/internal/config"
 
-// The priorities that engines get; a lower one runs first.
+// The priorities sent to engines; the lowest value runs first.
 const (
 	priorityImmediate = iota
 	priorityHeavy
--- a/internal/node/raters.go
+++ b/internal/node/raters.go
@@ -9,31 +9,33 @@
 )
 
 const (
-	raterRing    = 256
-	raterWorkers = 8 // a rating may take seconds
-	raterTimeout = 5 * time.Second
+	raterQueueSize = 256
+	raterWorkers   = 8 // a rating may take seconds
+	raterTimeout   = 5 * time.Second
 )
 
-// raters has sampled answers rated away from the callers' path.
+// raters rates sampled answers in the background, so that callers do not wait for it.
 type raters struct {
-	node *Node
-	ring chan sample
+	node  *Node
+	queue chan ratingSample
 }
 
-// sample is an answer to be rated.
-type sample struct {
-	req   platform.RateRequest
-	again bool
-	short bool
+// ratingSample is an answer to be rated.
+type ratingSample struct {
+	req           platform.RateRequest
+	twice         bool // rate it twice
+	afterLowScore bool // an earlier stage's answer scored below the threshold or got no score
 }
 
-func newRaters(n *Node) *raters { return &raters{node: n, ring: make(chan sample, raterRing)} }
+func newRaters(n *Node) *raters {
+	return &raters{node: n, queue: make(chan ratingSample, raterQueueSize)}
+}
 
-// offer puts an answer in line, or drops it when the ring is full: a sample
-// more or less does not matter, a caller's wait does.
-func (r *raters) offer(s sample) {
+// offer queues an answer, or drops it when the queue is full: losing a sample is harmless,
+// while blocking would delay a caller.
+func (r *raters) offer(s ratingSample) {
 	select {
-	case r.ring <- s:
+	case r.queue <- s:
 	default:
 	}
 }
@@ -43,27 +45,27 @@
 		select {
 		case <-ctx.Done():
 			return
-		case s := <-r.ring:
+		case s := <-r.queue:
 			r.rate(ctx, s)
 		}
 	}
 }
 
-func (r *raters) rate(ctx context.Context, s sample) {
-	o := choice.Observation{Version: s.req.Version, Class: s.req.Class, Sampled: true, IsFallback: s.short}
-	score, ok := r.once(ctx, s.req)
+func (r *raters) rate(ctx context.Context, s ratingSample) {
+	o := choice.Observation{Version: s.req.Version, Class: s.req.Class, Sampled: true, IsFallback: s.afterLowScore}
+	score, ok := r.score(ctx, s.req)
 	if !ok {
 		return
 	}
 	o.Score = score
-	if s.again {
-		o.Again, o.HasAgain = r.once(ctx, s.req)
+	if s.twice {
+		o.Again, o.HasAgain = r.score(ctx, s.req)
 	}
 	o.Now = time.Now()
 	r.node.chooser.Observe(o)
 }
 
-func (r *raters) once(ctx context.Context, req platform.RateRequest) (float64, bool) {
+func (r *raters) score(ctx context.Context, req platform.RateRequest) (float64, bool) {
 	ctx, cancel := context.WithTimeout(ctx, raterTimeout)
 	defer cancel()
 	score, err := r.node.deps.Platform.Rate(ctx, req)
--- a/internal/node/bare_test.go
+++ b/internal/node/raw_upstream_test.go
@@ -14,21 +14,21 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// bareUpstream is an engine and a plain service over bare TCP that spends as
-// little processor time as can be. It sends the next piece of an answer when
-// the caller has had the one before, as it is with a gap between tokens.
-type bareUpstream struct {
+// rawUpstream is an engine and a plain service over raw TCP that uses as little processor time
+// as possible. It sends the next chunk of an answer only after the caller has received the one
+// before, as an engine with a gap between tokens does.
+type rawUpstream struct {
 	*rawhttp.Server
-	pieces int
+	chunks int
 	turns  []chan struct{} // by caller
 }
 
-// bareMark stands before the caller's number in a body.
-const bareMark = "caller "
+// callerMarker precedes the caller's number in a request body.
+const callerMarker = "caller "
 
-func newBareUpstream(b testing.TB, pieces int, turns []chan struct{}) *bareUpstream {
+func newRawUpstream(b testing.TB, chunks int, turns []chan struct{}) *rawUpstream {
 	b.Helper()
-	u := &bareUpstream{pieces: pieces, turns: turns}
+	u := &rawUpstream{chunks: chunks, turns: turns}
 	server, err := rawhttp.Listen(u)
 	if err != nil {
 		b.Fatal(err)
@@ -37,7 +37,7 @@
 	return u
 }
 
-func (u *bareUpstream) vm(role platform.Role, name string) platform.VM {
+func (u *rawUpstream) vm(role platform.Role, name string) platform.VM {
 	vm := platform.VM{ID: name, Role: role, Addr: u.Addr(), FailureDomain: domains[0], State: platform.Live}
 	if role == platform.RoleService {
 		vm.Service = "billing"
@@ -45,11 +45,11 @@
 	return vm
 }
 
-// Head lets every body be read.
-func (u *bareUpstream) Head(net.Conn, *http.Request) bool { return true }
+// Head accepts every request, so that its body is read.
+func (u *rawUpstream) Head(net.Conn, *http.Request) bool { return true }
 
-// Answer streams to attempts of model work, and answers all else in one piece.
-func (u *bareUpstream) Answer(conn net.Conn, req *http.Request, body []byte) error {
+// Answer streams an answer to a chat attempt and sends a fixed body for any other request.
+func (u *rawUpstream) Answer(conn net.Conn, req *http.Request, body []byte) error {
 	if attempt := req.Header.Get("X-Attempt-Id"); attempt != "" {
 		return u.stream(conn, attempt, u.turnOf(body))
 	}
@@ -61,18 +61,18 @@
 	return err
 }
 
-func (u *bareUpstream) turnOf(body []byte) <-chan struct{} {
-	_, after, _ := bytes.Cut(body, []byte(bareMark))
+func (u *rawUpstream) turnOf(body []byte) <-chan struct{} {
+	_, after, _ := bytes.Cut(body, []byte(callerMarker))
 	caller := 0
 	_, _ = fmt.Sscan(string(after[:bytes.IndexByte(after, '.')]), &caller)
 	return u.turns[caller]
 }
 
-func (u *bareUpstream) stream(conn net.Conn, attempt string, turn <-chan struct{}) error {
+func (u *rawUpstream) stream(conn net.Conn, attempt string, turn <-chan struct{}) error {
 	if _, err := io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"); err != nil {
 		return err
 	}
-	for seq := 1; seq < u.pieces; seq++ {
+	for seq := 1; seq < u.chunks; seq++ {
 		event := fmt.Sprintf("id: %d\ndata: {\"attempt\":%q,\"seq\":%d,\"text\":\"token \"}\n\n", seq, attempt, seq)
 		if _, err := fmt.Fprintf(conn, "%x\r\n%s\r\n", len(event), event); err != nil {
 			return err
@@ -81,7 +81,7 @@
 			<-turn
 		}
 	}
-	event := fmt.Sprintf("id: %d\ndata: {\"attempt\":%q,\"seq\":%d,\"text\":\"end\",\"done\":true,\"finish_reason\":\"stop\",\"usage\":{\"input_tokens\":90,\"output_tokens\":%d,\"cached_tokens\":0}}\n\n", u.pieces, attempt, u.pieces, u.pieces)
+	event := fmt.Sprintf("id: %d\ndata: {\"attempt\":%q,\"seq\":%d,\"text\":\"end\",\"done\":true,\"finish_reason\":\"stop\",\"usage\":{\"input_tokens\":90,\"output_tokens\":%d,\"cached_tokens\":0}}\n\n", u.chunks, attempt, u.chunks, u.chunks)
 	_, err := fmt.Fprintf(conn, "%x\r\n%s\r\n0\r\n\r\n", len(event), event)
 	return err
 }
--- a/internal/node/read_on.go
+++ b/internal/node/read_on.go
@@ -14,21 +14,21 @@
 	"github.com/hickorybank/hickorybank/internal/streamtoken"
 )
 
-// adoption is a stream that was begun through another connection, perhaps at
-// another node.
+// adoption identifies a stream that was started on another connection, perhaps at another
+// node, and the last chunk that the caller has received.
 type adoption struct {
 	attempt string
 	after   int
 }
 
-// streamToken lets the caller read on through any node if its connection
-// breaks.
+// streamToken returns the token with which the caller can resume the stream through any node
+// if its connection breaks.
 func (r *chatRun) streamToken(session string) string {
-	all := r.spent
+	all := r.earlier
 	all.add(r, r.machine.Runs())
 	text, err := streamtoken.Seal(r.node.sealer, streamtoken.Token{
-		Org: r.call.Org.Name, Key: r.key(), Digest: r.digest, Class: r.class.Name, Version: r.try.version,
-		Attempt: r.try.attempt, VM: r.try.vm.ID, Session: session,
+		Org: r.call.Org.Name, Key: r.key(), Digest: r.digest, Class: r.class.Name, Version: r.current.version,
+		Attempt: r.current.attempt, VM: r.current.vm.ID, Session: session,
 		Started: time.Now().Unix(), SpentCost: all.cost, SpentInput: all.input, SpentOutput: all.output,
 	})
 	if err != nil {
@@ -37,9 +37,9 @@
 	return text
 }
 
-// ReadOn goes on with a stream whose connection broke. It is not new work: the
-// attempt runs already, so neither admission nor a withdrawal stands in its
-// way, and its bill has the same key.
+// ReadOn resumes a stream whose connection to the caller broke. It is not new work: the
+// attempt is already running, so neither admission nor the withdrawal of its version blocks it,
+// and its bill has the same key. The error is a *request.Failure.
 func (n *Node) ReadOn(ctx context.Context, call api.ReadOnCall, sink request.Sink) (request.Answer, error) {
 	n.running.Add(1)
 	defer n.running.Add(-1)
@@ -76,18 +76,18 @@
 		digest:  token.Digest,
 		plan:    choice.Plan{First: token.Version},
 		session: openedSession{version: token.Version, token: token.Session},
-		spent:   spent{cost: token.SpentCost, input: token.SpentInput, output: token.SpentOutput},
+		earlier: runTotals{cost: token.SpentCost, input: token.SpentInput, output: token.SpentOutput},
 		adopted: &adoption{attempt: token.Attempt, after: call.After},
 		id:      uuid.Must(uuid.NewV7()).String(),
-		try:     adoptedTry(token, version, vm, now),
+		current: adoptedAttempt(token, version, vm, now),
 	}, nil
 }
 
-func adoptedTry(token streamtoken.Token, version *config.Version, vm platform.VM, now time.Time) *try {
-	return &try{attempt: token.Attempt, version: version.Name, vm: vm, began: now, adopted: true}
+func adoptedAttempt(token streamtoken.Token, version *config.Version, vm platform.VM, now time.Time) *activeAttempt {
+	return &activeAttempt{attempt: token.Attempt, version: version.Name, vm: vm, began: now, adopted: true}
 }
 
-// engine finds an engine by its name, also one that takes no new work.
+// engine finds an engine by its ID, including one that accepts no new work.
 func (n *Node) engine(id string) (platform.VM, bool) {
 	for _, m := range n.members.View().Engines {
 		if m.ID == id {
--- a/internal/node/refusals.go
+++ b/internal/node/refusals.go
@@ -5,31 +5,31 @@
 	"github.com/hickorybank/hickorybank/internal/config"
 )
 
-// noName is the label of an organisation or class that is not known: what a
-// caller merely claims is no label, or callers could make any number of them.
-const noName = "unknown"
+// unknownLabel is the label of an unknown organisation or class. Names from unauthenticated or
+// invalid requests are not used as labels, or callers could create any number of time series.
+const unknownLabel = "unknown"
 
-// Refused counts a request that was refused and not run.
+// Refused counts a request that was refused and not run, by organisation, class and reason.
 func (n *Node) Refused(r api.Refusal) {
-	org := noName
+	org := unknownLabel
 	if r.Org != nil {
 		org = r.Org.Name
 	}
 	n.metrics.Refused(org, refusedClass(r), r.Reason)
 	if r.AtDoor {
-		n.metrics.Failed(r.Code) // any other was counted when it ended
+		n.metrics.Failed(r.Code) // others are counted when they end
 	}
 }
 
-// refusedClass is the class that the request would have run in.
+// refusedClass returns the name of the class that the request would have run in.
 func refusedClass(r api.Refusal) string {
 	if r.Snapshot == nil {
-		return noName
+		return unknownLabel
 	}
 	if class := declaredClass(r.Snapshot, r.Class, r.Model); class != nil {
 		return class.Name
 	}
-	return noName
+	return unknownLabel
 }
 
 func declaredClass(s *config.Snapshot, class, model string) *config.Class {
--- a/internal/node/refusals_test.go
+++ b/internal/node/refusals_test.go
@@ -9,9 +9,9 @@
 	"github.com/matryer/is"
 )
 
-// An organisation says that it is refused and no metric shows whose requests
-// are, of which class and why. What a caller claims without being known must
-// not become a label, or the page grows with what is made up.
+// Guards against refusals that no metric attributes to an organisation, class and reason.
+// Unverified names in a request must not become labels, or invented names would create any
+// number of time series.
 func TestRefusalsAreCountedByOrganisationClassAndReason(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -20,7 +20,7 @@
 	const chat = "/v1/chat/completions"
 	good := `{"model":"dues@2","messages":[{"role":"user","content":"x"}]}`
 	for i := range 3 {
-		for _, s := range []sent{
+		for _, s := range []callerRequest{
 			{path: chat, body: good}, // there is no engine
 			{path: chat, body: good, header: map[string]string{"Authorization": fmt.Sprint("Bearer made-up-", i)}},
 			{path: chat, body: "{", header: map[string]string{"Hickorybank-Class": "draft"}},
@@ -43,7 +43,7 @@
 		`hickorybank_failures_total{code="invalid_api_key"} 3`,
 		`hickorybank_failures_total{code="no_upstream"} 3`,
 	} {
-		is.True(strings.Contains(page, line+"\n")) // the page has the line
+		is.True(strings.Contains(page, line+"\n")) // the metric has this value
 	}
 	is.True(!strings.Contains(page, "made-up"))
 	is.Equal(strings.Count(page, "hickorybank_refusals_total{"), 5)
--- a/internal/node/resolve.go
+++ b/internal/node/resolve.go
@@ -6,17 +6,17 @@
 	"github.com/hickorybank/hickorybank/internal/request"
 )
 
-// target is what a chat call's names come down to.
+// target is the resolved destination of a chat call.
 type target struct {
 	class *config.Class
-	// versions may serve the call; none is withdrawn or not allowed.
+	// versions may serve the call; none is withdrawn or forbidden to the organisation.
 	versions []string
-	// pinned says that the caller or its session fixed the version.
+	// pinned means that the caller or its session determines the version.
 	pinned bool
 }
 
-// resolve turns the names in a call into a class and the versions that may
-// serve it. sessionVersion is empty outside a session.
+// resolve maps the names in a call to a class and the versions that may serve it.
+// sessionVersion is empty outside a session.
 func resolve(call api.ChatCall, sessionVersion string) (target, *request.Failure) {
 	s := call.Snapshot
 	names, pinned, fail := candidates(s, call.Model)
@@ -46,8 +46,8 @@
 	return target{class: class, versions: allowed, pinned: pinned}, nil
 }
 
-// candidates are the versions that a name covers: itself, its model's, or
-// those of the class's model.
+// candidates returns the versions that a name covers: the version itself, those of the named
+// model, or those of the named class's model. pinned is set when the name is a version.
 func candidates(s *config.Snapshot, name string) (names []string, pinned bool, fail *request.Failure) {
 	if s.Version(name) != nil {
 		return []string{name}, true, nil
@@ -76,8 +76,8 @@
 	return names
 }
 
-// classOf is the class that the call names, or else the first class of the
-// model that it names.
+// classOf returns the class that the call names, or else the first class of the model that it
+// names.
 func classOf(s *config.Snapshot, call api.ChatCall, names []string) (*config.Class, *request.Failure) {
 	if call.Class != "" {
 		if class := s.Class(call.Class); class != nil {
@@ -97,8 +97,8 @@
 	return nil, request.Refuse(request.CodeBadRequest, 0, "no class uses model "+model.Name+"; name one in Hickorybank-Class")
 }
 
-// noneAllowed says why: a withdrawn version is told from one that the
-// organisation may not use.
+// noneAllowed returns the refusal of a call for which no version is allowed. It distinguishes
+// a withdrawn version from one that the organisation may not use.
 func noneAllowed(s *config.Snapshot, org *config.Organisation, names []string, inSession bool) *request.Failure {
 	for _, name := range names {
 		v := s.Version(name)
@@ -112,7 +112,7 @@
 func withdrawn(version string, inSession bool) *request.Failure {
 	message := "version " + version + " is withdrawn"
 	if inSession {
-		// A session never moves silently: an examiner must see that the
+		// A session never changes its version silently: the user must be able to see that the
 		// wording comes from another version.
 		message += "; the session ends with it, begin a new one"
 	}
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -11,9 +11,9 @@
 	// ID is this VM's name in the platform's list.
 	ID            string
 	FailureDomain string
-	// Listen, PeerListen and AdminListen are IP and port for callers, for
-	// other entry nodes and for operators. An empty AdminListen offers no
-	// administration API here.
+	// Listen, PeerListen and AdminListen are the addresses (IP and port) of the listeners for
+	// callers, other entry nodes and operators. An empty AdminListen disables the
+	// administration API on this node.
 	Listen      string
 	PeerListen  string
 	AdminListen string
@@ -22,14 +22,14 @@
 	OperatorKeyHashes []string
 	// SessionKeys sign session tokens: the first signs, all verify.
 	SessionKeys [][]byte
-	// Seeds are peer addresses to ask while no VM list is known, as at a
-	// start during an outage of the platform.
+	// Seeds are peer addresses to query while no VM list is known, for instance when the node
+	// starts during an outage of the platform.
 	Seeds []string
-	// AddressTTL is how long callers may keep an address answer; 0: the default.
+	// AddressTTL is how long callers may cache the entry addresses; 0 selects the default.
 	AddressTTL time.Duration
-	// TLS is for the listeners and for calls between nodes; its zero value
-	// means plain TCP.
+	// TLS configures the listeners and the calls between nodes; its zero value means plain
+	// TCP.
 	TLS secure.Configs
-	// Seed spreads what must differ between nodes.
+	// Seed initialises the random choices that must differ between nodes.
 	Seed uint64
 }
--- a/internal/node/stop_conn_test.go
+++ b/internal/node/stop_conn_test.go
@@ -17,21 +17,21 @@
 	"github.com/sourcegraph/conc"
 )
 
-// keptCaller is a caller that keeps one connection to a node.
-type keptCaller struct {
+// keepAliveCaller is a caller that reuses one connection to a node.
+type keepAliveCaller struct {
 	conn net.Conn
 	in   *bufio.Reader
 }
 
-func newKeptCaller(t *testing.T, n *Node) *keptCaller {
+func newKeepAliveCaller(t *testing.T, n *Node) *keepAliveCaller {
 	t.Helper()
 	conn, err := net.Dial("tcp", n.Addr())
 	is.New(t).NoErr(err)
 	t.Cleanup(func() { _ = conn.Close() })
-	return &keptCaller{conn: conn, in: bufio.NewReader(conn)}
+	return &keepAliveCaller{conn: conn, in: bufio.NewReader(conn)}
 }
 
-func (c *keptCaller) read() (*http.Response, string, error) {
+func (c *keepAliveCaller) read() (*http.Response, string, error) {
 	res, err := http.ReadResponse(c.in, nil)
 	if err != nil {
 		return nil, "", err
@@ -40,73 +40,70 @@
 	return res, string(body), err
 }
 
-const keptAsk = "GET /v1/models HTTP/1.1\r\nHost: router\r\nAuthorization: Bearer demo-cartagena\r\n\r\n"
+const modelsRequest = "GET /v1/models HTTP/1.1\r\nHost: router\r\nAuthorization: Bearer demo-cartagena\r\n\r\n"
 
-// A caller that holds an old address for good sends on a connection that it
-// keeps. The node stops; the request's first bytes are on their way when the
-// grace is over and the node closes its idle connections, one with half a
-// header among them: the caller hears nothing and cannot know whether it ran.
-func TestStopBreaksOffNoRequestThatIsArriving(t *testing.T) {
+// Guards against a stop that breaks off a request in transit. A caller with an outdated address
+// has sent half a header on a reused connection when the stopping node closes its idle
+// connections. Without an answer it could not know whether the request ran.
+func TestStopAnswersARequestInTransit(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	f := newFleet(t, fleetSize{nodes: 1})
-	n := f.lone()
-	kept := newKeptCaller(t, n)
+	n := f.takeOnlyNode()
+	client := newKeepAliveCaller(t, n)
 	for range 2 {
-		_, err := io.WriteString(kept.conn, keptAsk)
+		_, err := io.WriteString(client.conn, modelsRequest)
 		is.NoErr(err)
-		res, _, err := kept.read()
+		res, _, err := client.read()
 		is.NoErr(err)
-		is.True(!res.Close) // in service connections are kept
+		is.True(!res.Close) // connections are kept open before the stop
 	}
-	half := len(keptAsk) / 2
-	_, err := io.WriteString(kept.conn, keptAsk[:half])
+	half := len(modelsRequest) / 2
+	_, err := io.WriteString(client.conn, modelsRequest[:half])
 	is.NoErr(err)
-	f.stopBehind(n)
+	f.stopInBackground(n)
 	f.await("the bills are flushed", func() bool { return !n.ledger.Ready() })
-	_, err = io.WriteString(kept.conn, keptAsk[half:])
+	_, err = io.WriteString(client.conn, modelsRequest[half:])
 	is.NoErr(err)
-	res, body, err := kept.read()
-	is.NoErr(err) // an answer, whatever it says
+	res, body, err := client.read()
+	is.NoErr(err) // the request gets an answer
 	is.True(res.Close)
 	is.True(strings.Contains(body, `"data"`))
 }
 
-// A caller that keeps its connection uses it when the node refuses new work.
-// It must hear with that answer that the connection ends, or its next request
-// meets the closing.
-func TestStopAnnouncesTheEndOfConnections(t *testing.T) {
+// Guards against an answer without "Connection: close" while the node refuses new work. The
+// caller would reuse the connection, and its next request would be broken off.
+func TestAnswersDuringStopCloseTheConnection(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	f := newFleet(t, fleetSize{nodes: 1})
-	n := f.lone()
-	kept := newKeptCaller(t, n)
-	f.stopBehind(n)
-	_, err := io.WriteString(kept.conn, keptAsk)
+	n := f.takeOnlyNode()
+	client := newKeepAliveCaller(t, n)
+	f.stopInBackground(n)
+	_, err := io.WriteString(client.conn, modelsRequest)
 	is.NoErr(err)
-	res, _, err := kept.read()
+	res, _, err := client.read()
 	is.NoErr(err)
 	is.Equal(res.StatusCode, http.StatusOK)
 	is.True(res.Close)
 }
 
-// Callers hold an old address for good and use it throughout a planned stop, on
-// kept connections where they may. On a connection that the node has accepted
-// each request must be answered: one that ends without an answer may have run.
-// A connection that the system resets with the listener was never accepted;
-// such ones are counted apart.
-func TestStopUnderLoadBreaksOffNothing(t *testing.T) {
+// Guards against requests that are broken off during a planned stop. Callers keep using the old
+// address, on reused connections where possible. Each request on an accepted connection must be
+// answered, since one without an answer may have run. Connections that the operating system
+// resets with the listener were never accepted and are counted separately.
+func TestStopUnderLoadAnswersEveryAcceptedRequest(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	f := newFleet(t, fleetSize{nodes: 1})
-	n := f.lone()
+	n := f.takeOnlyNode()
 	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 	defer cancel()
 	var answered, broken, reset atomic.Int64
 	var callers conc.WaitGroup
 	for range 32 {
 		callers.Go(func() {
-			for n.callOnKept(&answered, &broken, &reset) {
+			for n.callOnOneConnection(&answered, &broken, &reset) {
 			}
 		})
 	}
@@ -117,18 +114,18 @@
 	is.Equal(broken.Load(), int64(0))
 }
 
-// callOnKept asks on one connection until it ends; it is false when no new one
-// can be had.
-func (n *Node) callOnKept(answered, broken, reset *atomic.Int64) bool {
+// callOnOneConnection sends requests on one connection until it ends. It returns false if no connection
+// can be opened.
+func (n *Node) callOnOneConnection(answered, broken, reset *atomic.Int64) bool {
 	conn, err := net.Dial("tcp", n.Addr())
 	if err != nil {
 		return false
 	}
 	defer func() { _ = conn.Close() }()
-	c := keptCaller{conn: conn, in: bufio.NewReader(conn)}
+	c := keepAliveCaller{conn: conn, in: bufio.NewReader(conn)}
 	for {
-		time.Sleep(5 * time.Millisecond) // of a caller's own work
-		_, err := io.WriteString(conn, keptAsk)
+		time.Sleep(5 * time.Millisecond) // the caller's own processing time
+		_, err := io.WriteString(conn, modelsRequest)
 		var res *http.Response
 		if err == nil {
 			res, _, err = c.read()
@@ -148,8 +145,8 @@
 	}
 }
 
-// stopBehind orders a planned stop and returns when the node refuses new work.
-func (f *fleet) stopBehind(n *Node) {
+// stopInBackground starts a planned stop and returns when the node refuses new work.
+func (f *fleet) stopInBackground(n *Node) {
 	f.t.Helper()
 	var stop conc.WaitGroup
 	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
@@ -161,8 +158,8 @@
 	f.await("the node refuses", n.stopping.refusesNew)
 }
 
-// lone takes the only node out of the fleet, for a test that stops it itself.
-func (f *fleet) lone() *Node {
+// takeOnlyNode removes the only node from the fleet, for a test that stops it itself.
+func (f *fleet) takeOnlyNode() *Node {
 	n := f.nodes[0]
 	f.nodes = nil
 	return n
--- a/internal/node/stopping.go
+++ b/internal/node/stopping.go
@@ -10,30 +10,30 @@
 	"github.com/hickorybank/hickorybank/internal/membership"
 )
 
-const stopTick = 50 * time.Millisecond
+const stopInterval = 50 * time.Millisecond
 
 // stopping carries out a planned stop.
 type stopping struct {
 	node    *Node
 	refuses atomic.Bool
 
-	mu   sync.Mutex
-	core *membership.Stopping
+	mu      sync.Mutex
+	machine *membership.Stopping
 }
 
 func newStopping(n *Node) *stopping {
-	return &stopping{node: n, core: membership.NewStopping(membership.Settings{AnswerTTL: n.settings.AddressTTL}.WithDefaults())}
+	return &stopping{node: n, machine: membership.NewStopping(membership.Settings{AnswerTTL: n.settings.AddressTTL}.WithDefaults())}
 }
 
-// refusesNew says that new requests are refused, not run.
+// refusesNew reports whether new requests are refused.
 func (s *stopping) refusesNew() bool { return s.refuses.Load() }
 
-// run stops the node step by step. It returns when all that was accepted has
-// ended, or with ctx.
+// run carries out the steps of a planned stop. It returns when all accepted requests have
+// ended, or with the error of ctx.
 func (s *stopping) run(ctx context.Context) error {
-	ticker := time.NewTicker(stopTick)
+	ticker := time.NewTicker(stopInterval)
 	defer ticker.Stop()
-	if s.take(ctx, membership.StopOrdered) {
+	if s.handle(ctx, membership.StopOrdered) {
 		return nil
 	}
 	for {
@@ -41,38 +41,38 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-ticker.C:
-			if s.take(ctx, membership.Tick) {
+			if s.handle(ctx, membership.Tick) {
 				return nil
 			}
 		}
 	}
 }
 
-// take feeds one event and carries out its steps; it says whether the last
-// step was reached.
-func (s *stopping) take(ctx context.Context, e membership.StopEvent) bool {
+// handle handles one event, carries out the resulting steps and reports whether the last step was
+// reached.
+func (s *stopping) handle(ctx context.Context, e membership.StopEvent) bool {
 	s.mu.Lock()
-	steps := s.core.Step(time.Now(), e, int(s.node.running.Load()))
+	steps := s.machine.Step(time.Now(), e, int(s.node.running.Load()))
 	s.mu.Unlock()
 	for _, step := range steps {
-		if s.do(ctx, step) {
+		if s.carryOut(ctx, step) {
 			return true
 		}
 	}
 	return false
 }
 
-func (s *stopping) do(ctx context.Context, step membership.StopStep) bool {
+func (s *stopping) carryOut(ctx context.Context, step membership.StopStep) bool {
 	switch step {
 	case membership.LeaveAddresses:
 		return s.leave(ctx)
 	case membership.RefuseNew:
 		s.refuses.Store(true)
 	case membership.CloseIdle:
-		// Nothing is closed here: answers end their connections, and Close
-		// ends those that are left when they are quiet.
+		// Nothing to do: answers carry "Connection: close", and Close waits until the
+		// remaining connections are idle before it closes them.
 	case membership.Flush:
-		s.node.suspects.goodbye()
+		s.node.suspects.announceStop()
 		return s.flush(ctx)
 	case membership.Exit:
 		return true
@@ -80,9 +80,9 @@
 	return false
 }
 
-// closing names the end of the connection in each answer while new requests
-// are refused, so that its caller does not use it again. Connections are not
-// closed under requests that are on their way.
+// closing sets "Connection: close" in each answer while new requests are refused, so that the
+// caller does not reuse the connection. Otherwise closing it could break off a request that is
+// in transit.
 func (s *stopping) closing(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if s.refusesNew() {
@@ -95,24 +95,25 @@
 func (s *stopping) leave(ctx context.Context) bool {
 	s.node.members.MarkLeaving(s.node.settings.ID)
 	if s.node.sync.AnnounceLeaving(ctx) > 0 {
-		return s.take(ctx, membership.PeersMissed)
+		return s.handle(ctx, membership.PeersMissed)
 	}
-	return s.take(ctx, membership.PeersTold)
+	return s.handle(ctx, membership.PeersTold)
 }
 
 func (s *stopping) flush(ctx context.Context) bool {
 	if err := s.node.ledger.Close(ctx); err != nil {
 		return false
 	}
-	return s.take(ctx, membership.BillsFlushed)
+	return s.handle(ctx, membership.BillsFlushed)
 }
 
-// Close stops the node: it leaves the addresses, serves on until the answers
-// that name it have run out, finishes what runs, makes its bills safe and ends.
+// Close stops the node as planned. It removes the node from the entry addresses, serves until
+// cached address answers have expired, completes running requests, makes their bills durable
+// and stops all components. The error is that of ctx if it ended before the last step.
 func (n *Node) Close(ctx context.Context) error {
 	err := n.stopping.run(ctx)
-	_ = n.listener.Close() // callers that come now are refused by the system
-	n.connections.settle(ctx)
+	_ = n.listener.Close() // the operating system refuses new connections from here on
+	n.connections.waitIdle(ctx)
 	_ = n.server.Shutdown(ctx) // waits for answers that are still being written
 	_ = n.server.Close()
 	if n.adminServer != nil {
--- a/internal/node/stopping_test.go
+++ b/internal/node/stopping_test.go
@@ -8,11 +8,10 @@
 	"github.com/matryer/is"
 )
 
-// A caller keeps its connection to an entry that stops. The entry refuses its
-// request as not run and later closes what it takes for idle; the caller's next
-// request is on its way then and meets a closed connection. So each refusal must
-// name the end of its connection, and no answer before it.
-func TestRefusalNamesTheEndOfItsConnection(t *testing.T) {
+// Guards against a caller that reuses its connection to a stopping node. The node refuses its
+// request and later closes the idle connection, while the caller's next request is in transit.
+// So each refusal must carry "Connection: close", and no answer before the stop may.
+func TestRefusalDuringStopClosesTheConnection(t *testing.T) {
 	is := is.New(t)
 	var s stopping
 	server := httptest.NewServer(s.closing(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {})))
--- a/internal/node/suspects.go
+++ b/internal/node/suspects.go
@@ -15,32 +15,32 @@
 )
 
 const (
-	suspectService = "Suspect"
-	suspectStep    = suspectService + ".Step"
-	suspectTick    = 50 * time.Millisecond
-	suspectTimeout = time.Second
-	suspectRing    = 1024
+	suspectService    = "Suspect"
+	suspectStepMethod = suspectService + ".Step"
+	suspectInterval   = 50 * time.Millisecond
+	suspectTimeout    = time.Second
+	suspectQueueSize  = 1024
 )
 
-// suspects owns the tracker of requests that crash upstreams and carries its
-// messages.
+// suspects owns the tracker of requests that crash upstreams and exchanges its messages with
+// peers.
 type suspects struct {
-	node *Node
-	out  chan suspect.Message
+	node     *Node
+	outgoing chan suspect.Message
 
 	mu      sync.Mutex
 	tracker *suspect.Tracker
-	addrs   map[string]string // peer address by node
-	waiting map[string]chan suspect.Decision
+	addrs   map[string]string                // peer address by node ID
+	waiting map[string]chan suspect.Decision // by attempt
 }
 
 func newSuspects(n *Node) *suspects {
 	return &suspects{
-		node:    n,
-		out:     make(chan suspect.Message, suspectRing),
-		tracker: suspect.New(suspect.Settings{Self: n.settings.ID}, time.Now()),
-		addrs:   map[string]string{},
-		waiting: map[string]chan suspect.Decision{},
+		node:     n,
+		outgoing: make(chan suspect.Message, suspectQueueSize),
+		tracker:  suspect.New(suspect.Settings{Self: n.settings.ID}, time.Now()),
+		addrs:    map[string]string{},
+		waiting:  map[string]chan suspect.Decision{},
 	}
 }
 
@@ -51,8 +51,8 @@
 	clear(s.addrs)
 	for _, m := range v.Entries {
 		s.addrs[m.ID] = m.Peer
-		// One that cannot be reached at present may still run work: it
-		// counts until the platform's list drops it.
+		// An unreachable node may still run requests, so it counts until the platform's list
+		// drops it.
 		if m.ID != s.node.settings.ID {
 			ids = append(ids, m.ID)
 		}
@@ -61,13 +61,13 @@
 	s.flush()
 }
 
-// flush carries out what the tracker wants done; s.mu is held.
+// flush processes the tracker's pending messages, convictions and decisions; s.mu must be held.
 func (s *suspects) flush() {
 	ready := s.tracker.Ready()
 	for _, m := range ready.Messages {
 		select {
-		case s.out <- m:
-		default: // the ring is full; the tracker sends again what it misses
+		case s.outgoing <- m:
+		default: // the queue is full; the tracker repeats unanswered messages
 		}
 	}
 	for _, f := range ready.Convicted {
@@ -76,20 +76,21 @@
 	for _, d := range ready.Decisions {
 		if decided, ok := s.waiting[d.Attempt]; ok {
 			delete(s.waiting, d.Attempt)
-			decided <- d // has room for the one decision that it ever gets
+			decided <- d // never blocks: buffered for the only decision
 		}
 	}
 }
 
-// suspect says whether the request is known to have been at a crash, so that
-// its upstream must be one with little else to lose.
-func (s *suspects) suspect(f request.Fingerprint) bool {
+// isSuspect reports whether the request was in flight at a crash, so that it must run at an
+// upstream with few other requests.
+func (s *suspects) isSuspect(f request.Fingerprint) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.tracker.IsSuspect(f)
 }
 
-// admit asks whether an attempt may run at an upstream, and whether alone.
+// admit decides whether an attempt may run at an upstream. It waits for the peers' answers if
+// the tracker needs them, at most until ctx ends.
 func (s *suspects) admit(ctx context.Context, attempt string, f request.Fingerprint, vm string) suspect.Decision {
 	decided := make(chan suspect.Decision, 1)
 	s.mu.Lock()
@@ -100,19 +101,19 @@
 	s.flush()
 	s.mu.Unlock()
 	if d.Verdict != suspect.Wait {
-		return s.told(d)
+		return s.logDecision(d)
 	}
 	select {
 	case d = <-decided:
-		return s.told(d)
+		return s.logDecision(d)
 	case <-ctx.Done():
 		s.finished(attempt)
 		return suspect.Decision{Attempt: attempt, Verdict: suspect.Refuse, RetryAfter: retrySoon}
 	}
 }
 
-// told logs what became of a suspect.
-func (s *suspects) told(d suspect.Decision) suspect.Decision {
+// logDecision logs the decision about a suspect and returns it.
+func (s *suspects) logDecision(d suspect.Decision) suspect.Decision {
 	switch d.Verdict {
 	case suspect.RunAlone:
 		event.SuspectRunsAlone.Log(s.node.deps.Log, slog.String("request", d.Attempt))
@@ -122,9 +123,9 @@
 	return d
 }
 
-// started says whether the attempt may still be sent: the node may have learned
-// of a crash, or have been paused, since it was admitted.
-func (s *suspects) started(attempt string, f request.Fingerprint, vm string) bool {
+// mayStart records that the attempt is about to be sent and reports whether it still may be.
+// Since its admission the node may have been paused or informed of a crash.
+func (s *suspects) mayStart(attempt string, f request.Fingerprint, vm string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	may := s.tracker.Started(attempt, f, vm, time.Now())
@@ -132,7 +133,7 @@
 	return may
 }
 
-// completed tells that an attempt gave its whole answer, which clears it.
+// completed reports that an attempt returned its complete answer, which clears it.
 func (s *suspects) completed(attempt string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -148,8 +149,8 @@
 	s.flush()
 }
 
-// goodbye tells the peers that nothing is in flight here any more.
-func (s *suspects) goodbye() {
+// announceStop informs the peers that nothing is in flight at this node any more.
+func (s *suspects) announceStop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.tracker.Leave(time.Now())
@@ -164,7 +165,7 @@
 	s.flush()
 }
 
-// crashed tells that the upstream on which an attempt ran has crashed.
+// crashed reports that the upstream on which an attempt ran has crashed.
 func (s *suspects) crashed(vm string, epoch uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -174,13 +175,13 @@
 }
 
 func (s *suspects) run(ctx context.Context) {
-	ticker := time.NewTicker(suspectTick)
+	ticker := time.NewTicker(suspectInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case m := <-s.out:
+		case m := <-s.outgoing:
 			s.node.duties.Go(func() { s.send(ctx, m) })
 		case now := <-ticker.C:
 			s.tick(now)
@@ -204,19 +205,19 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, suspectTimeout)
 	defer cancel()
-	_ = s.node.pool.Call(ctx, addr, suspectStep, &m, &SuspectReply{}) // the tracker sends again what it misses
+	_ = s.node.pool.Call(ctx, addr, suspectStepMethod, &m, &SuspectReply{}) // the tracker repeats unanswered messages
 }
 
-// SuspectReply carries nothing: answers are messages of their own. It is
-// exported because net/rpc demands it.
+// SuspectReply is the empty reply of the RPC: the tracker's answers are messages of their own.
+// It is exported because net/rpc requires it.
 type SuspectReply struct{}
 
-// suspectReceiver takes the messages of peers.
+// suspectReceiver is the RPC receiver for the messages of peers.
 type suspectReceiver struct{ s *suspects }
 
 func (s *suspects) receiver() *suspectReceiver { return &suspectReceiver{s: s} }
 
-// Step takes one message.
+// Step processes one message of a peer. It never returns an error.
 func (r *suspectReceiver) Step(m *suspect.Message, _ *SuspectReply) error {
 	r.s.mu.Lock()
 	defer r.s.mu.Unlock()
--- a/internal/node/upstreams.go
+++ b/internal/node/upstreams.go
@@ -17,22 +17,22 @@
 )
 
 const (
-	pollTick    = 250 * time.Millisecond
-	pollTimeout = 2 * time.Second
-	pollsAtOnce = 16
+	pollInterval       = 250 * time.Millisecond
+	pollTimeout        = 2 * time.Second
+	maxConcurrentPolls = 16
 )
 
-// upstreams owns the balancer and asks upstreams for their load.
+// upstreams owns the balancer and polls upstreams for their load.
 type upstreams struct {
 	node *Node
 
 	mu       sync.Mutex
 	balancer *balance.Balancer
-	epochs   map[string]uint64 // by VM
-	asking   map[string]bool
+	epochs   map[string]uint64 // process epoch by VM ID
+	polling  map[string]bool   // VM IDs with a poll in flight
 
-	shortages throttle
-	roomless  throttle
+	shortageLog   logLimiter
+	noCapacityLog logLimiter
 }
 
 func newUpstreams(n *Node) *upstreams {
@@ -40,31 +40,31 @@
 		node:     n,
 		balancer: balance.New(balance.Settings{Seed: n.settings.Seed, SelfID: n.settings.ID, SelfDomain: n.settings.FailureDomain}),
 		epochs:   map[string]uint64{},
-		asking:   map[string]bool{},
+		polling:  map[string]bool{},
 	}
 }
 
-// setView takes the VMs in. Those that are leaving take no new work, whatever
-// the platform's lagging list still says; one that cannot be reached is left
-// to its breaker, which also finds out when it is back.
+// setView passes the upstreams to the balancer. Leaving upstreams get no new work, even if the
+// platform's list still shows them as live. An unreachable upstream stays listed: its circuit
+// breaker blocks it and detects its return.
 func (u *upstreams) setView(v *membership.View) {
 	var vms []platform.VM
 	for _, m := range v.Engines {
-		vms = append(vms, listed(m))
+		vms = append(vms, balancerMember(m))
 	}
 	for _, s := range v.Services {
 		for _, m := range s.Members {
-			vms = append(vms, listed(m))
+			vms = append(vms, balancerMember(m))
 		}
 	}
-	place := balance.NodeRankOf(v.EntryVMs(), u.node.settings.ID, u.node.settings.FailureDomain)
+	rank := balance.NodeRankOf(v.EntryVMs(), u.node.settings.ID, u.node.settings.FailureDomain)
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.balancer.SetMembers(vms, place, time.Now())
+	u.balancer.SetMembers(vms, rank, time.Now())
 	u.balancer.SetSenders(u.node.settings.ID, entryIDs(v, u.node.settings.ID))
 }
 
-func listed(m membership.Member) platform.VM {
+func balancerMember(m membership.Member) platform.VM {
 	vm := m.VM
 	if m.State == membership.Leaving {
 		vm.State = platform.Leaving
@@ -79,28 +79,27 @@
 	pick, ok := u.balancer.Pick(r)
 	u.mu.Unlock()
 	if !ok && pick.Shortage.Reason != balance.AllTried {
-		u.tellShortage(r, pick.Shortage)
+		u.logShortage(r, pick.Shortage)
 	}
 	return pick, ok
 }
 
-func (u *upstreams) tellShortage(r balance.Request, s balance.Shortage) {
-	if !u.shortages.allow(r.Now) {
+func (u *upstreams) logShortage(r balance.Request, s balance.Shortage) {
+	if !u.shortageLog.allow(r.Now) {
 		return
 	}
 	event.PoolShort.Log(u.node.deps.Log, slog.String("version", r.Version), slog.String("service", r.Service), slog.String("reason", string(s.Reason)))
 }
 
-// pool names the pool of upstreams that a version shares with others.
+// pool returns the name of the pool of upstreams that serves the version, perhaps with others.
 func (u *upstreams) pool(version string) string {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.balancer.PoolName(version)
 }
 
-// rooms says what there is room for, one entry for each version. A version
-// that no engine can run is told of here: no request is sent there any more
-// whose refusal would tell.
+// rooms returns the free capacity for each version. It also logs a version that no engine can
+// run: no request is sent to that version any more, so no refusal would show the shortage.
 func (u *upstreams) rooms(versions []string) []choice.Room {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -108,14 +107,14 @@
 	rooms := make([]choice.Room, len(versions))
 	for i, v := range versions {
 		rooms[i] = choice.Room(u.balancer.Room(v, now))
-		if rooms[i].None() && u.roomless.allow(now) {
-			event.PoolShort.Log(u.node.deps.Log, slog.String("version", v), slog.String("reason", "no usable engine has it"))
+		if rooms[i].None() && u.noCapacityLog.allow(now) {
+			event.PoolShort.Log(u.node.deps.Log, slog.String("version", v), slog.String("reason", "no usable engine has the version"))
 		}
 	}
 	return rooms
 }
 
-// loads sums up what the upstreams of each pool reported.
+// loads returns the reported load of each pool.
 func (u *upstreams) loads(versions, services []string) map[string]admission.PoolLoad {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -157,9 +156,8 @@
 	return u.balancer.Status(time.Now())
 }
 
-// known says that some upstream has reported what it has, or that there is
-// none to report.
-func (u *upstreams) known() bool {
+// anyReported reports whether any upstream has reported its load, or there are no upstreams.
+func (u *upstreams) anyReported() bool {
 	hosts := u.status()
 	for _, h := range hosts {
 		if h.ReportAge >= 0 {
@@ -169,25 +167,25 @@
 	return len(hosts) == 0
 }
 
-// poll asks for load reports as the balancer wants them.
+// poll requests load reports at the times set by the balancer, until ctx ends.
 func (u *upstreams) poll(ctx context.Context) {
-	slots := make(chan struct{}, pollsAtOnce)
-	ticker := time.NewTicker(pollTick)
+	slots := make(chan struct{}, maxConcurrentPolls)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			u.ask(ctx, slots)
+			u.pollDue(ctx, slots)
 			u.node.reportPools()
-			u.tellChanges()
+			u.logChanges()
 		}
 	}
 }
 
-// tellChanges logs what has changed of upstreams.
-func (u *upstreams) tellChanges() {
+// logChanges logs the state changes of upstreams.
+func (u *upstreams) logChanges() {
 	u.mu.Lock()
 	changes := u.balancer.Changes()
 	u.mu.Unlock()
@@ -206,62 +204,62 @@
 	balance.RestBegan:  event.RestBegan,
 }
 
-func (u *upstreams) ask(ctx context.Context, slots chan struct{}) {
+func (u *upstreams) pollDue(ctx context.Context, slots chan struct{}) {
 	for _, vm := range u.due() {
 		select {
 		case slots <- struct{}{}:
 			u.node.duties.Go(func() {
 				defer func() { <-slots }()
-				u.askOne(ctx, vm)
+				u.pollOne(ctx, vm)
 			})
 		default:
-			u.answered(vm.ID) // frozen upstreams hold all slots; it is asked later
+			u.pollEnded(vm.ID) // frozen upstreams occupy all slots; it is polled later
 		}
 	}
 }
 
-// due are the upstreams to ask now, without those whose answer is still out:
-// a frozen one must not gather calls.
+// due returns the upstreams to poll now. It leaves out those with a poll in flight, so that
+// calls to a frozen upstream do not accumulate.
 func (u *upstreams) due() []platform.VM {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	var due []platform.VM
 	for _, vm := range u.balancer.NeedPoll(time.Now()) {
-		if u.asking[vm.ID] {
+		if u.polling[vm.ID] {
 			continue
 		}
-		u.asking[vm.ID] = true
+		u.polling[vm.ID] = true
 		due = append(due, vm)
 	}
 	return due
 }
 
-func (u *upstreams) answered(vm string) {
+func (u *upstreams) pollEnded(vm string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	delete(u.asking, vm)
+	delete(u.polling, vm)
 }
 
-func (u *upstreams) askOne(ctx context.Context, vm platform.VM) {
-	defer u.answered(vm.ID)
+func (u *upstreams) pollOne(ctx context.Context, vm platform.VM) {
+	defer u.pollEnded(vm.ID)
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	report, err := u.node.deps.Engines.Load(u.hearing(ctx, vm), vm.Addr)
+	report, err := u.node.deps.Engines.Load(u.withNotices(ctx, vm), vm.Addr)
 	if err != nil {
-		u.failed(vm, err)
+		u.pollFailed(vm, err)
 		return
 	}
-	u.reported(vm, report)
+	u.pollSucceeded(vm, report)
 }
 
-func (u *upstreams) failed(vm platform.VM, err error) {
+func (u *upstreams) pollFailed(vm platform.VM, err error) {
 	u.mu.Lock()
 	u.balancer.PollFailed(vm.ID, time.Now())
 	u.mu.Unlock()
 	u.node.observe(vm.Addr, err)
 }
 
-func (u *upstreams) reported(vm platform.VM, r upstream.LoadReport) {
+func (u *upstreams) pollSucceeded(vm platform.VM, r upstream.LoadReport) {
 	u.mu.Lock()
 	u.balancer.Report(vm.ID, r, time.Now())
 	restarted := u.epochs[vm.ID] != r.Epoch
@@ -275,14 +273,14 @@
 	case r.Leaving:
 		u.node.members.Observe(vm.Addr, membership.SaidLeaving)
 	case restarted:
-		// A new process on the VM takes back what the old one said of itself.
+		// A new process on the VM invalidates the old one's announcement that it is leaving.
 		u.node.members.Observe(vm.Addr, membership.SaidServing)
 	default:
 		u.node.members.Observe(vm.Addr, membership.Reached)
 	}
 }
 
-// observe tells the membership what a call to an upstream showed of it.
+// observe reports the result of a call to an upstream to the membership tracker.
 func (n *Node) observe(addr string, err error) {
 	switch balance.OutcomeOf(err) {
 	case balance.Succeeded:
