--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -182,7 +182,7 @@
 	// A cascade rates its first answer in any case. Rating it here too would count it twice,
 	// also as evidence against its version.
 	if r.plan.Rate && (len(r.plan.Then) == 0 || r.belowThreshold) {
-		r.node.raters.offer(ratingSample{req: r.rateRequest(a.version, a.text.String()), twice: r.plan.RateAgain, afterLowScore: r.belowThreshold})
+		r.node.raters.offer(sample{req: r.rateRequest(a.version, a.text.String()), twice: r.plan.RateAgain, afterLowScore: r.belowThreshold})
 	}
 }
 
--- a/internal/node/raters.go
+++ b/internal/node/raters.go
@@ -17,23 +17,21 @@
 // raters rates sampled answers in the background, so that callers do not wait for it.
 type raters struct {
 	node  *Node
-	queue chan ratingSample
+	queue chan sample
 }
 
-// ratingSample is an answer to be rated.
-type ratingSample struct {
+// sample is an answer to be rated.
+type sample struct {
 	req           platform.RateRequest
 	twice         bool // rate it twice
 	afterLowScore bool // an earlier stage's answer scored below the threshold or got no score
 }
 
-func newRaters(n *Node) *raters {
-	return &raters{node: n, queue: make(chan ratingSample, raterQueueSize)}
-}
+func newRaters(n *Node) *raters { return &raters{node: n, queue: make(chan sample, raterQueueSize)} }
 
 // offer queues an answer, or drops it when the queue is full: losing a sample is harmless,
 // while blocking would delay a caller.
-func (r *raters) offer(s ratingSample) {
+func (r *raters) offer(s sample) {
 	select {
 	case r.queue <- s:
 	default:
@@ -51,7 +49,7 @@
 	}
 }
 
-func (r *raters) rate(ctx context.Context, s ratingSample) {
+func (r *raters) rate(ctx context.Context, s sample) {
 	o := choice.Observation{Version: s.req.Version, Class: s.req.Class, Sampled: true, IsFallback: s.afterLowScore}
 	score, ok := r.score(ctx, s.req)
 	if !ok {
