--- a/internal/progress/progress.go
+++ b/internal/progress/progress.go
@@ -14,9 +14,9 @@
 
 // Limits are the timeouts of one call.
 type Limits struct {
-	// First bounds the time to the first bytes, Pause the time between later reads, and
+	// FirstByte bounds the time to the first bytes, Pause the time between later reads, and
 	// Whole the total duration.
-	First, Pause, Whole time.Duration
+	FirstByte, Pause, Whole time.Duration
 }
 
 type contextKey struct{}
@@ -34,7 +34,7 @@
 	total, cancelTotal := context.WithTimeoutCause(parent, l.Whole, context.DeadlineExceeded)
 	ctx, cancel := context.WithCancelCause(total)
 	w := &idleTimer{timeout: l.Pause}
-	w.timer = time.AfterFunc(l.First, func() { cancel(context.DeadlineExceeded) })
+	w.timer = time.AfterFunc(l.FirstByte, func() { cancel(context.DeadlineExceeded) })
 	return context.WithValue(ctx, contextKey{}, w), func() {
 		w.timer.Stop()
 		cancel(context.Canceled)
