--- a/internal/progress/progress.go
+++ b/internal/progress/progress.go
@@ -14,9 +14,9 @@
 
 // Limits are the timeouts of one call.
 type Limits struct {
-	// FirstByte bounds the time to the first bytes, Pause the time between later reads, and
+	// FirstByte bounds the time to the first bytes, Idle the time between later reads, and
 	// Whole the total duration.
-	FirstByte, Pause, Whole time.Duration
+	FirstByte, Idle, Whole time.Duration
 }
 
 type contextKey struct{}
@@ -33,7 +33,7 @@
 func Context(parent context.Context, l Limits) (context.Context, context.CancelFunc) {
 	total, cancelTotal := context.WithTimeoutCause(parent, l.Whole, context.DeadlineExceeded)
 	ctx, cancel := context.WithCancelCause(total)
-	w := &idleTimer{timeout: l.Pause}
+	w := &idleTimer{timeout: l.Idle}
 	w.timer = time.AfterFunc(l.FirstByte, func() { cancel(context.DeadlineExceeded) })
 	return context.WithValue(ctx, contextKey{}, w), func() {
 		w.timer.Stop()
