--- a/internal/gateway/follow_table.go
+++ b/internal/gateway/follow_table.go
@@ -206,7 +206,7 @@
 // the wire, never completed over a link of 10 Mbit/s within a fixed limit, and each retry
 // started over. A table that stops responding is still detected within tableCallTimeout.
 func tableCallContext(ctx context.Context, wait time.Duration) (context.Context, context.CancelFunc) {
-	return progress.Context(ctx, progress.Limits{FirstByte: tableCallTimeout + wait, Idle: tableCallTimeout, Whole: tableCallTimeout + wait + maxTableTransfer})
+	return progress.Context(ctx, progress.Limits{FirstByte: tableCallTimeout + wait, Idle: tableCallTimeout, Total: tableCallTimeout + wait + maxTableTransfer})
 }
 
 // fetchFleet returns the changes of the list after a revision, or the whole list if the
--- a/internal/progress/progress.go
+++ b/internal/progress/progress.go
@@ -15,8 +15,8 @@
 // Limits are the timeouts of one call.
 type Limits struct {
 	// FirstByte bounds the time to the first bytes, Idle the time between later reads, and
-	// Whole the total duration.
-	FirstByte, Idle, Whole time.Duration
+	// Total the total duration.
+	FirstByte, Idle, Total time.Duration
 }
 
 type contextKey struct{}
@@ -31,7 +31,7 @@
 // of the limits is reached. Reads through [Reader] restart the idle timeout. The caller must
 // call the returned function to release the timers.
 func Context(parent context.Context, l Limits) (context.Context, context.CancelFunc) {
-	total, cancelTotal := context.WithTimeoutCause(parent, l.Whole, context.DeadlineExceeded)
+	total, cancelTotal := context.WithTimeoutCause(parent, l.Total, context.DeadlineExceeded)
 	ctx, cancel := context.WithCancelCause(total)
 	w := &idleTimer{timeout: l.Idle}
 	w.timer = time.AfterFunc(l.FirstByte, func() { cancel(context.DeadlineExceeded) })
--- a/internal/progress/progress_test.go
+++ b/internal/progress/progress_test.go
@@ -11,7 +11,7 @@
 	"github.com/matryer/is"
 )
 
-var limits = Limits{FirstByte: time.Second, Idle: 100 * time.Millisecond, Whole: 3 * time.Second}
+var limits = Limits{FirstByte: time.Second, Idle: 100 * time.Millisecond, Total: 3 * time.Second}
 
 // slowReader returns one byte after each pause, until ctx ends.
 type slowReader struct {
