--- a/internal/capacity/probe_request.go
+++ b/internal/capacity/probe_request.go
@@ -64,7 +64,7 @@
 	}
 	return m.CPU(func(n int) {
 		for range n {
-			if _, failed := signer.Read(text, orgName(0), start.Add(time.Minute)); failed != nil {
+			if _, failed := signer.Verify(text, orgName(0), start.Add(time.Minute)); failed != nil {
 				err = failed
 			}
 			if _, failed := signer.Sign(token); failed != nil {
--- a/internal/node/open_session.go
+++ b/internal/node/open_session.go
@@ -24,7 +24,7 @@
 	if call.Session == "" {
 		return openedSession{isNew: call.WantSession}, nil
 	}
-	token, err := n.sessions.Read(call.Session, call.Org.Name, now)
+	token, err := n.sessions.Verify(call.Session, call.Org.Name, now)
 	if err != nil {
 		return openedSession{}, request.Refuse(request.CodeBadRequest, 0, "Hickorybank-Session: "+err.Error())
 	}
--- a/internal/session/signer.go
+++ b/internal/session/signer.go
@@ -16,7 +16,7 @@
 	sealDomain = "hickorybank session 1"
 )
 
-// Errors of [Signer.Read], besides those of package seal.
+// Errors of [Signer.Verify], besides those of package seal.
 var (
 	ErrForeign = errors.New("another organisation's")
 	ErrTooOld  = errors.New("too old")
@@ -33,9 +33,9 @@
 // Sign signs the token and returns its text form for the caller.
 func (s *Signer) Sign(t Token) (string, error) { return s.sealer.Seal(sealDomain, t) }
 
-// Read verifies a token's signature, organisation and age. It returns [ErrForeign],
+// Verify verifies a token's signature, organisation and age. It returns [ErrForeign],
 // [ErrTooOld] or an error of package seal.
-func (s *Signer) Read(text, org string, now time.Time) (Token, error) {
+func (s *Signer) Verify(text, org string, now time.Time) (Token, error) {
 	var t Token
 	if err := s.sealer.Open(sealDomain, text, &t); err != nil {
 		return Token{}, err
--- a/internal/session/signer_test.go
+++ b/internal/session/signer_test.go
@@ -56,7 +56,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			_, err := s.Read(c.text, c.org, c.at)
+			_, err := s.Verify(c.text, c.org, c.at)
 			is.True(errors.Is(err, c.want))
 		})
 	}
@@ -68,7 +68,7 @@
 func TestSessionSurvivesKeyRotation(t *testing.T) {
 	is := is.New(t)
 	text, token := signToken(t, newSigner(t, oldKey))
-	got, err := newSigner(t, newKey, oldKey).Read(text, "sfax", start)
+	got, err := newSigner(t, newKey, oldKey).Verify(text, "sfax", start)
 	is.NoErr(err)
 	is.Equal(got, token)
 }
@@ -93,7 +93,7 @@
 	f.Add(text)
 	f.Add("e30.e30")
 	f.Fuzz(func(t *testing.T, in string) {
-		token, err := s.Read(in, "sfax", start)
+		token, err := s.Verify(in, "sfax", start)
 		if err == nil && in != text {
 			t.Fatalf("accepted a token that was not signed: %q as %+v", in, token)
 		}
