--- a/internal/api/refusal.go
+++ b/internal/api/refusal.go
@@ -39,6 +39,6 @@
 		return
 	}
 	r.Code = f.Code
-	r.Reason = f.Why()
+	r.Reason = f.ReasonOrCode()
 	s.router.Refused(r)
 }
--- a/internal/request/failure.go
+++ b/internal/request/failure.go
@@ -55,8 +55,8 @@
 	ReasonUndeclared  Reason = "undeclared_call"
 )
 
-// Why returns the reason, or the code when no reason is set.
-func (f *Failure) Why() Reason {
+// ReasonOrCode returns the reason, or the code when no reason is set.
+func (f *Failure) ReasonOrCode() Reason {
 	if f.Reason != "" {
 		return f.Reason
 	}
