--- a/internal/api/decode.go
+++ b/internal/api/decode.go
@@ -116,7 +116,7 @@
 
 // usageApart takes anything but a clear wish as none, as engines do.
 func usageApart(raw json.RawMessage) bool {
-	options, _ := request.Object(raw)
+	options, _ := request.SplitObject(raw)
 	return string(options["include_usage"]) == "true"
 }
 
@@ -124,7 +124,7 @@
 // no object is left to the decoder, whose error says why.
 func fieldsOf(body []byte) (request.Fields, *request.Failure) {
 	if json.Valid(body) {
-		if fields, ok := request.Object(body); ok {
+		if fields, ok := request.SplitObject(body); ok {
 			return fields, nil
 		}
 	}
@@ -161,7 +161,7 @@
 	if string(raw) == "null" {
 		return message{}, true
 	}
-	fields, ok := request.Object(raw)
+	fields, ok := request.SplitObject(raw)
 	if !ok {
 		return message{}, false
 	}
--- a/internal/request/split.go
+++ b/internal/request/split.go
@@ -6,10 +6,10 @@
 	"unicode/utf8"
 )
 
-// Object splits a JSON object into its members without copying the values. The data must be
+// SplitObject splits a JSON object into its members without copying the values. The data must be
 // valid JSON; ok is false when it is not an object. The last value of a duplicate name
 // applies, as in encoding/json.
-func Object(data []byte) (fields Fields, ok bool) {
+func SplitObject(data []byte) (fields Fields, ok bool) {
 	s := splitter{rest: data}
 	if s.peek() != '{' {
 		return nil, false
--- a/internal/request/split_test.go
+++ b/internal/request/split_test.go
@@ -24,7 +24,7 @@
 		is := is.New(t)
 		var members map[string]json.RawMessage
 		isObject := bytes.HasPrefix(bytes.TrimLeft(in, " \t\r\n"), []byte("{"))
-		got, ok := Object(in)
+		got, ok := SplitObject(in)
 		is.Equal(ok, isObject)
 		if ok {
 			is.NoErr(json.Unmarshal(in, &members))
