--- a/internal/api/decode.go
+++ b/internal/api/decode.go
@@ -147,7 +147,7 @@
 }
 
 func messagesOf(raw json.RawMessage) ([]message, bool) {
-	list, ok := request.List(raw)
+	list, ok := request.SplitArray(raw)
 	messages := make([]message, len(list))
 	for i, element := range list {
 		if messages[i], ok = messageOf(element); !ok {
--- a/internal/request/split.go
+++ b/internal/request/split.go
@@ -24,9 +24,9 @@
 	return fields, true
 }
 
-// List splits a JSON array into its elements without copying them. The data must be valid
+// SplitArray splits a JSON array into its elements without copying them. The data must be valid
 // JSON; ok is false when it is not an array.
-func List(data []byte) (elements []json.RawMessage, ok bool) {
+func SplitArray(data []byte) (elements []json.RawMessage, ok bool) {
 	s := splitter{rest: data}
 	if s.peek() != '[' {
 		return nil, false
--- a/internal/request/split_test.go
+++ b/internal/request/split_test.go
@@ -34,7 +34,7 @@
 			checkBody(t, members, body)
 		}
 		var elements []json.RawMessage
-		if list, ok := List(in); ok {
+		if list, ok := SplitArray(in); ok {
 			is.NoErr(json.Unmarshal(in, &elements))
 			is.Equal(len(list), len(elements))
 			for i := range list {
