--- a/internal/capacity/probe_request.go
+++ b/internal/capacity/probe_request.go
@@ -33,9 +33,9 @@
 			c.Picked("engine-00001")
 			attempt := strconv.Itoa(id) + ".1"
 			for i := 1; i < pieces; i++ {
-				c.Piece(upstream.Chunk{Attempt: attempt, Seq: i, Text: "token"})
+				c.ChunkReceived(upstream.Chunk{Attempt: attempt, Seq: i, Text: "token"})
 			}
-			c.Piece(upstream.Chunk{Attempt: attempt, Seq: pieces, Done: true})
+			c.ChunkReceived(upstream.Chunk{Attempt: attempt, Seq: pieces, Done: true})
 			c.BillSafe()
 		}
 	}), nil
--- a/internal/capacity/relayrouter.go
+++ b/internal/capacity/relayrouter.go
@@ -78,7 +78,7 @@
 		if err != nil {
 			return request.Answer{}, err
 		}
-		for _, d := range chat.Piece(chunk) {
+		for _, d := range chat.ChunkReceived(chunk) {
 			if emit, ok := d.(lifecycle.Emit); ok {
 				if err := sink.Text(emit.Seq, emit.Text); err != nil {
 					return request.Answer{}, err
--- a/internal/lifecycle/chat.go
+++ b/internal/lifecycle/chat.go
@@ -106,8 +106,8 @@
 	return c.fallBackOrFail(code, retryAfter, message)
 }
 
-// Piece is the event that a chunk of an answer arrived. Chunks of another attempt are ignored.
-func (c *Chat) Piece(chunk upstream.Chunk) []Decision {
+// ChunkReceived is the event that a chunk of an answer arrived. Chunks of another attempt are ignored.
+func (c *Chat) ChunkReceived(chunk upstream.Chunk) []Decision {
 	if c.phase != running || chunk.Attempt != c.current.id {
 		return nil
 	}
--- a/internal/lifecycle/script_test.go
+++ b/internal/lifecycle/script_test.go
@@ -53,7 +53,7 @@
 			chunk.FinishReason = "stop"
 			chunk.Usage = upstream.Usage{InputTokens: 1, OutputTokens: chunk.Seq}
 		}
-		return c.Piece(chunk)
+		return c.ChunkReceived(chunk)
 	case "broke":
 		return c.Broke(textArg(t, d, "attempt"), reachArg(t, d), d.HasArg("resuming"))
 	case "said-failed":
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -146,7 +146,7 @@
 		return r.machine.Broke(r.current.attempt, upstream.MaybeRun, false)
 	}
 	r.chunkReceived(chunk)
-	decisions := r.machine.Piece(chunk)
+	decisions := r.machine.ChunkReceived(chunk)
 	if chunk.Done && !r.machine.Running() {
 		r.completed(chunk)
 	}
