--- a/internal/lifecycle/chat.go
+++ b/internal/lifecycle/chat.go
@@ -94,9 +94,9 @@
 	return c.fallBackOrFail(code, retryAfter, message)
 }
 
-// Unsent is the event that the check before sending failed for an attempt that Picked
+// NotSent is the event that the check before sending failed for an attempt that Picked
 // started. No byte of it was sent.
-func (c *Chat) Unsent(code request.Code, retryAfter time.Duration, message string) []Decision {
+func (c *Chat) NotSent(code request.Code, retryAfter time.Duration, message string) []Decision {
 	if c.phase != running || c.current.lastSeq > 0 {
 		return nil
 	}
--- a/internal/lifecycle/script_test.go
+++ b/internal/lifecycle/script_test.go
@@ -46,7 +46,7 @@
 	case "none":
 		return c.Refused(request.CodeNoUpstream, time.Second, "no upstream")
 	case "unsent":
-		return c.Unsent(request.CodeWithdrawn, 0, "withdrawn")
+		return c.NotSent(request.CodeWithdrawn, 0, "withdrawn")
 	case "piece":
 		chunk := upstream.Chunk{Attempt: textArg(t, d, "attempt"), Seq: intArg(t, d, "seq"), Text: strings.TrimSpace(d.Input), Done: d.HasArg("done")}
 		if chunk.Done {
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -96,13 +96,13 @@
 	r.current.attempt = d.Attempt
 	body, err := r.call.Fields.BodyFor(d.Version)
 	if err != nil {
-		return r.machine.Unsent(request.CodeBadRequest, 0, err.Error())
+		return r.machine.NotSent(request.CodeBadRequest, 0, err.Error())
 	}
 	if !r.node.suspects.mayStart(r.id, r.fingerprint, r.current.vm.ID) {
-		return r.machine.Unsent(request.CodeSuspect, retrySoon, "the request is suspected of crashing upstreams and may not run at present")
+		return r.machine.NotSent(request.CodeSuspect, retrySoon, "the request is suspected of crashing upstreams and may not run at present")
 	}
 	if fail := r.mayRun(d.Version); fail != nil {
-		return r.machine.Unsent(fail.Code, fail.RetryAfter, fail.Message)
+		return r.machine.NotSent(fail.Code, fail.RetryAfter, fail.Message)
 	}
 	stream, err := r.node.deps.Engines.Start(r.node.upstreams.withNotices(r.withStallTimer(ctx), r.current.vm), r.current.vm.Addr, upstream.Attempt{
 		ID: d.Attempt, Version: d.Version, Priority: priority(r.class.Kind), PrefixHash: r.call.PrefixHash, Body: body,
