--- a/internal/capacity/probe_request.go
+++ b/internal/capacity/probe_request.go
@@ -36,7 +36,7 @@
 				c.ChunkReceived(upstream.Chunk{Attempt: attempt, Seq: i, Text: "token"})
 			}
 			c.ChunkReceived(upstream.Chunk{Attempt: attempt, Seq: pieces, Done: true})
-			c.BillSafe()
+			c.BillDurable()
 		}
 	}), nil
 }
--- a/internal/capacity/relayrouter.go
+++ b/internal/capacity/relayrouter.go
@@ -86,7 +86,7 @@
 			}
 		}
 		if chunk.Done {
-			chat.BillSafe()
+			chat.BillDurable()
 			return request.Answer{Version: versionName0, FinishReason: chunk.FinishReason, Usage: chunk.Usage}, nil
 		}
 	}
--- a/internal/lifecycle/chat.go
+++ b/internal/lifecycle/chat.go
@@ -175,8 +175,8 @@
 	return []Decision{Pick{Version: c.version()}}
 }
 
-// BillSafe is the event that the bill is durable.
-func (c *Chat) BillSafe() []Decision {
+// BillDurable is the event that the bill is durable.
+func (c *Chat) BillDurable() []Decision {
 	if c.phase != billing {
 		return nil
 	}
--- a/internal/lifecycle/script_test.go
+++ b/internal/lifecycle/script_test.go
@@ -65,7 +65,7 @@
 		}
 		return c.Rated(score, d.HasArg("score"))
 	case "billed":
-		return c.BillSafe()
+		return c.BillDurable()
 	case "unbilled":
 		return c.BillFailed()
 	case "convicted":
--- a/internal/node/chat_run.go
+++ b/internal/node/chat_run.go
@@ -194,7 +194,7 @@
 		if err != nil {
 			return r.machine.BillFailed()
 		}
-		return r.machine.BillSafe()
+		return r.machine.BillDurable()
 	case <-ctx.Done():
 		return r.interrupted(ctx)
 	}
