--- a/internal/lifecycle/chat_failure.go
+++ b/internal/lifecycle/chat_failure.go
@@ -7,10 +7,10 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// Broke is the event that sending an attempt, resuming it or reading its stream failed. With
+// ConnectionFailed is the event that sending an attempt, resuming it or reading its stream failed. With
 // resuming set, reach is that of the resumption and says nothing about whether the attempt
 // ran.
-func (c *Chat) Broke(attempt string, reach upstream.Reach, resuming bool) []Decision {
+func (c *Chat) ConnectionFailed(attempt string, reach upstream.Reach, resuming bool) []Decision {
 	if c.phase != running || attempt != c.current.id {
 		return nil
 	}
--- a/internal/lifecycle/script_test.go
+++ b/internal/lifecycle/script_test.go
@@ -55,7 +55,7 @@
 		}
 		return c.ChunkReceived(chunk)
 	case "broke":
-		return c.Broke(textArg(t, d, "attempt"), reachArg(t, d), d.HasArg("resuming"))
+		return c.ConnectionFailed(textArg(t, d, "attempt"), reachArg(t, d), d.HasArg("resuming"))
 	case "said-failed":
 		return c.Failed(textArg(t, d, "attempt"))
 	case "rated":
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -143,7 +143,7 @@
 	if chunk.Attempt != r.current.attempt {
 		// The stream carries another attempt's answer. Nothing that follows on it can be
 		// trusted, and none of it may reach this request's caller.
-		return r.machine.Broke(r.current.attempt, upstream.MaybeRun, false)
+		return r.machine.ConnectionFailed(r.current.attempt, upstream.MaybeRun, false)
 	}
 	r.chunkReceived(chunk)
 	decisions := r.machine.ChunkReceived(chunk)
@@ -206,7 +206,7 @@
 		r.node.suspects.crashed(r.current.vm.ID, r.current.epoch)
 		r.current.concluded = true
 	}
-	return r.machine.Broke(r.current.attempt, reachOf(err), resuming)
+	return r.machine.ConnectionFailed(r.current.attempt, reachOf(err), resuming)
 }
 
 // engineFailed reports whether err is a failure that the engine itself reported, as opposed to
