--- a/internal/lifecycle/chat_failure.go
+++ b/internal/lifecycle/chat_failure.go
@@ -23,9 +23,9 @@
 	return c.resume()
 }
 
-// Failed is the event that the upstream reported the attempt's failure. There is nothing to
+// EngineFailed is the event that the upstream reported the attempt's failure. There is nothing to
 // resume.
-func (c *Chat) Failed(attempt string) []Decision {
+func (c *Chat) EngineFailed(attempt string) []Decision {
 	if c.phase != running || attempt != c.current.id {
 		return nil
 	}
--- a/internal/lifecycle/script_test.go
+++ b/internal/lifecycle/script_test.go
@@ -57,7 +57,7 @@
 	case "broke":
 		return c.ConnectionFailed(textArg(t, d, "attempt"), reachArg(t, d), d.HasArg("resuming"))
 	case "said-failed":
-		return c.Failed(textArg(t, d, "attempt"))
+		return c.EngineFailed(textArg(t, d, "attempt"))
 	case "rated":
 		var score float64
 		if d.HasArg("score") {
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -200,7 +200,7 @@
 	r.node.observe(r.current.vm.Addr, err)
 	if r.engineFailed(err) {
 		r.node.chooser.ObserveError(r.current.version, r.class.Name, time.Now())
-		return r.machine.Failed(r.current.attempt)
+		return r.machine.EngineFailed(r.current.attempt)
 	}
 	if resuming && !r.current.adopted && (streamLost(err) || r.node.hasCrashed(r.current.vm, r.current.epoch)) {
 		r.node.suspects.crashed(r.current.vm.ID, r.current.epoch)
