--- a/internal/lifecycle/call.go
+++ b/internal/lifecycle/call.go
@@ -225,7 +225,7 @@
 	return c.failUnlessEnded(request.CodeDeadline, retryAfter, "the deadline has passed")
 }
 
-// CallerGone is the event that the caller has disconnected.
+// CallerDisconnected is the event that the caller has disconnected.
 func (c *Call) CallerGone() []Decision {
 	return c.failUnlessEnded(request.CodeCancelled, 0, "the caller has gone")
 }
--- a/internal/lifecycle/chat_failure.go
+++ b/internal/lifecycle/chat_failure.go
@@ -102,10 +102,10 @@
 	return c.cancelAndFail(request.CodeDeadline, retryAfter, "the deadline has passed")
 }
 
-// CallerGone is the event that the caller has disconnected. A bill in progress is still
+// CallerDisconnected is the event that the caller has disconnected. A bill in progress is still
 // written, outside this state machine. The attempt of a resumable stream is not cancelled, so
 // that the caller can resume it through another node; its engine drops it after a time.
-func (c *Chat) CallerGone() []Decision {
+func (c *Chat) CallerDisconnected() []Decision {
 	if c.phase == running && c.emitted && c.settings.Resumable {
 		return c.fail(request.CodeCancelled, 0, "the caller has gone")
 	}
--- a/internal/lifecycle/script_test.go
+++ b/internal/lifecycle/script_test.go
@@ -73,7 +73,7 @@
 	case "expired":
 		return c.Expired(2 * time.Second)
 	case "gone":
-		return c.CallerGone()
+		return c.CallerDisconnected()
 	}
 	t.Fatalf("unknown command %s", d.Cmd)
 	return nil
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -134,7 +134,7 @@
 // read reads the next chunk.
 func (r *chatRun) read(ctx context.Context) []lifecycle.Decision {
 	if !r.current.stream.Ready() && !r.flush() {
-		return r.machine.CallerGone()
+		return r.machine.CallerDisconnected()
 	}
 	chunk, err := r.current.stream.Next()
 	if err != nil {
--- a/internal/node/chat_run.go
+++ b/internal/node/chat_run.go
@@ -90,13 +90,13 @@
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return r.machine.Expired(retrySoon)
 	}
-	return r.machine.CallerGone()
+	return r.machine.CallerDisconnected()
 }
 
 func (r *chatRun) flushAndCarryOut(ctx context.Context, d lifecycle.Decision) []lifecycle.Decision {
 	if _, ok := d.(lifecycle.Emit); !ok && !r.flush() {
 		// The decision is carried out nevertheless: it may be the bill.
-		gone := r.machine.CallerGone()
+		gone := r.machine.CallerDisconnected()
 		return append(r.carryOut(ctx, d), gone...)
 	}
 	return r.carryOut(ctx, d)
@@ -129,7 +129,7 @@
 func (r *chatRun) emit(d lifecycle.Emit) []lifecycle.Decision {
 	r.beginAnswer(d.Version)
 	if r.sink.Text(d.Seq, d.Text) != nil {
-		return r.machine.CallerGone()
+		return r.machine.CallerDisconnected()
 	}
 	r.unflushed = true
 	return nil
