--- a/internal/lifecycle/call.go
+++ b/internal/lifecycle/call.go
@@ -226,7 +226,7 @@
 }
 
 // CallerDisconnected is the event that the caller has disconnected.
-func (c *Call) CallerGone() []Decision {
+func (c *Call) CallerDisconnected() []Decision {
 	return c.failUnlessEnded(request.CodeCancelled, 0, "the caller has gone")
 }
 
--- a/internal/lifecycle/script_test.go
+++ b/internal/lifecycle/script_test.go
@@ -124,7 +124,7 @@
 	case "expired":
 		return c.Expired(2 * time.Second)
 	case "gone":
-		return c.CallerGone()
+		return c.CallerDisconnected()
 	}
 	t.Fatalf("unknown command %s", d.Cmd)
 	return nil
--- a/internal/node/call_run.go
+++ b/internal/node/call_run.go
@@ -147,7 +147,7 @@
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return r.machine.Expired(retrySoon)
 	}
-	return r.machine.CallerGone()
+	return r.machine.CallerDisconnected()
 }
 
 func (r *callRun) carryOutAll(ctx context.Context, decisions []lifecycle.Decision) {
