--- a/internal/lifecycle/chat.go
+++ b/internal/lifecycle/chat.go
@@ -24,7 +24,7 @@
 type Chat struct {
 	settings ChatSettings
 	phase    phase
-	stage    int // index into s.Versions
+	stage    int // index into settings.Versions
 	current  *attempt
 	fallback *attempt // the completed attempt of an earlier stage
 	excluded []string
@@ -106,7 +106,8 @@
 	return c.fallBackOrFail(code, retryAfter, message)
 }
 
-// ChunkReceived is the event that a chunk of an answer arrived. Chunks of another attempt are ignored.
+// ChunkReceived is the event that a chunk of an answer arrived. Chunks of another attempt are
+// ignored.
 func (c *Chat) ChunkReceived(chunk upstream.Chunk) []Decision {
 	if c.phase != running || chunk.Attempt != c.current.id {
 		return nil
--- a/internal/lifecycle/chat_failure.go
+++ b/internal/lifecycle/chat_failure.go
@@ -7,9 +7,9 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// ConnectionFailed is the event that sending an attempt, resuming it or reading its stream failed. With
-// resuming set, reach is that of the resumption and says nothing about whether the attempt
-// ran.
+// ConnectionFailed is the event that sending an attempt, resuming it or reading its stream
+// failed. With resuming set, reach is that of the resumption and says nothing about whether the
+// attempt ran.
 func (c *Chat) ConnectionFailed(attempt string, reach upstream.Reach, resuming bool) []Decision {
 	if c.phase != running || attempt != c.current.id {
 		return nil
--- a/internal/node/stop_conn_test.go
+++ b/internal/node/stop_conn_test.go
@@ -114,8 +114,8 @@
 	is.Equal(broken.Load(), int64(0))
 }
 
-// callOnOneConnection sends requests on one connection until it ends. It returns false if no connection
-// can be opened.
+// callOnOneConnection sends requests on one connection until it ends. It returns false if no
+// connection can be opened.
 func (n *Node) callOnOneConnection(answered, broken, reset *atomic.Int64) bool {
 	conn, err := net.Dial("tcp", n.Addr())
 	if err != nil {
--- a/internal/request/split_test.go
+++ b/internal/request/split_test.go
@@ -8,8 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// FuzzObject compares Object and List with encoding/json: both must yield the same members
-// with the same bytes, and BodyFor must change only model and stream.
+// FuzzObject compares SplitObject and SplitArray with encoding/json: both must yield the same
+// members with the same bytes, and BodyFor must change only model and stream.
 func FuzzObject(f *testing.F) {
 	for _, s := range []string{
 		`{}`, `[]`, ` { "a" : 1 , "b":[ {"c":"]}\""} , null ] } `, `{"a":"\\","a":{},"b":-1.5e3}`, `{"\u0061\"":true}`,
--- a/internal/session/signer_test.go
+++ b/internal/session/signer_test.go
@@ -34,7 +34,7 @@
 
 // Guards against a session token that is accepted although it is forged, expired or another
 // organisation's.
-func TestReadRefusesForeignExpiredAndForgedTokens(t *testing.T) {
+func TestVerifyRefusesForeignExpiredAndForgedTokens(t *testing.T) {
 	s := newSigner(t, oldKey)
 	text, _ := signToken(t, s)
 	foreign, _ := signToken(t, newSigner(t, newKey))
