--- a/internal/fleet/choose.go
+++ b/internal/fleet/choose.go
@@ -21,12 +21,13 @@
 	Weight float64
 	// Tokens is the prompt's length; 0 for plain services.
 	Tokens int
-	// PrefixBlocks are the blocks of the prompt's prefix that other requests may share, in order.
+	// PrefixBlocks are the blocks of the prompt's prefix that other requests may share, in
+	// order.
 	PrefixBlocks []PrefixBlock
 	// Tried are the IDs of the upstreams that this request was already sent to.
 	Tried []string
-	// MaxUpstreams is the maximum number of usable upstreams of the service that are considered, in
-	// order of their IDs; 0 for all.
+	// MaxUpstreams is the maximum number of usable upstreams of the service that are
+	// considered, in order of their IDs; 0 for all.
 	MaxUpstreams int
 	// Regions are the regions that may run the request; nil for all.
 	Regions []string
--- a/internal/fleet/delay.go
+++ b/internal/fleet/delay.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// ExpectedWait returns how long an attempt is expected to wait until its response starts, by the
-// recent waits of its group; 0 if it is unknown.
+// ExpectedWait returns how long an attempt is expected to wait until its response starts,
+// by the recent waits of its group; 0 if it is unknown.
 func (f *Fleet) ExpectedWait(spec *AttemptSpec, now time.Time) time.Duration {
 	d := f.waitEstimates[workloadKey{spec.Service, spec.Model}]
 	if d == nil {
--- a/internal/fleet/evacuate.go
+++ b/internal/fleet/evacuate.go
@@ -44,14 +44,14 @@
 // IsLeaving reports whether an upstream has permanently stopped taking new work.
 func (f *Fleet) IsLeaving(u *Upstream) bool { return u.isLeaving() }
 
-// StillAccepts reports whether an attempt may still be sent to the upstream that was chosen for
-// it. It may not if the upstream is leaving, in back-off or evacuated by now.
+// StillAccepts reports whether an attempt may still be sent to the upstream that was chosen
+// for it. It may not if the upstream is leaving, in back-off or evacuated by now.
 func (f *Fleet) StillAccepts(u *Upstream, now time.Time) bool {
 	return !f.evacuated[u.Domain] && !u.isLeaving() && !now.Before(u.backoffUntil())
 }
 
-// FullyEvacuatedServices returns the services that have upstreams ready for new work, but only in
-// evacuated failure domains. They are sorted by name.
+// FullyEvacuatedServices returns the services that have upstreams ready for new work, but
+// only in evacuated failure domains. They are sorted by name.
 func (f *Fleet) FullyEvacuatedServices(now time.Time) (services []string) {
 	for service, ups := range f.services {
 		ready := func(u *Upstream) bool { return u.ready(now) }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -97,9 +97,9 @@
 	}
 }
 
-// MarkReplaced marks an upstream whose address responded that it belongs to another one. The
-// upstream has ended, but it stays listed until its entry expires. It is not removed here,
-// so that all nodes agree on the list.
+// MarkReplaced marks an upstream whose address responded that it belongs to another one.
+// The upstream has ended, but it stays listed until its entry expires. It is not removed
+// here, so that all nodes agree on the list.
 func (f *Fleet) MarkReplaced(u *Upstream) { u.replaced = true }
 
 // Drop removes an upstream that the table no longer lists. It reports whether the upstream
@@ -117,8 +117,9 @@
 	return true
 }
 
-// MarkUnlisted marks an upstream as unlisted: the table does not list it now but may list it again.
-// The upstream continues to serve. MarkUnlisted reports whether the upstream was listed before.
+// MarkUnlisted marks an upstream as unlisted: the table does not list it now but may list
+// it again. The upstream continues to serve. MarkUnlisted reports whether the upstream was
+// listed before.
 func (f *Fleet) MarkUnlisted(id string) bool {
 	u := f.byID[id]
 	if u == nil || u.unlisted {
@@ -141,8 +142,8 @@
 	return all
 }
 
-// EffectiveRecords returns the records that the table lists, sorted by ID, with Draining set
-// for all upstreams that are leaving by their own responses.
+// EffectiveRecords returns the records that the table lists, sorted by ID, with Draining
+// set for all upstreams that are leaving by their own responses.
 func (f *Fleet) EffectiveRecords(now time.Time) []Record {
 	all := f.Records(now)
 	for i := range all {
--- a/internal/fleet/notices.go
+++ b/internal/fleet/notices.go
@@ -6,10 +6,10 @@
 	"github.com/hickorybank/hickorybank/internal/notice"
 )
 
-// ApplyResponse applies what a response announces about its upstream. The response was read at
-// the time at. It returns the resulting changes at this node.
-func (f *Fleet) ApplyResponse(u *Upstream, a notice.Response, at, now time.Time) []notice.Change {
-	return f.notices.ApplyResponse(u.announced, a, at, now)
+// ApplyResponse applies what a response announces about its upstream. The response was read
+// at the time at. It returns the resulting changes at this node.
+func (f *Fleet) ApplyResponse(u *Upstream, response notice.Response, at, now time.Time) []notice.Change {
+	return f.notices.ApplyResponse(u.announced, response, at, now)
 }
 
 // ApplyNotice applies a peer's report of an upstream's response. It returns the resulting
--- a/internal/fleet/rank.go
+++ b/internal/fleet/rank.go
@@ -11,8 +11,8 @@
 	// middleRank is the rank of an attempt with the mean work and the highest priority.
 	middleRank = 3
 	// rankPerDoubling is the increase in rank for each doubling of the work. With a whole
-	// rank, the longest prompts wait behind all others and are late: under load they achieve
-	// 0.63 of their possible value instead of 0.68.
+	// rank, the longest prompts wait behind all others and are late: under load they
+	// achieve 0.63 of their possible value instead of 0.68.
 	rankPerDoubling = 0.5
 	// rankPerPriority is the increase in rank for each step of the request's priority.
 	rankPerPriority = 1.0
--- a/internal/fleet/reading.go
+++ b/internal/fleet/reading.go
@@ -50,8 +50,8 @@
 // prefill.
 func effectiveTokens(tokens float64) float64 { return tokens * (1 + tokens/attentionDoublingTokens) }
 
-// TimeToFirstEvent returns the expected time until the response starts, at an upstream with the
-// usual prefix cache; 0 if it is unknown.
+// TimeToFirstEvent returns the expected time until the response starts, at an upstream with
+// the usual prefix cache; 0 if it is unknown.
 func (f *Fleet) TimeToFirstEvent(spec *AttemptSpec, now time.Time) time.Duration {
 	r := f.prefillEstimates[workloadKey{spec.Service, spec.Model}]
 	if r == nil || r.perToken == 0 {
--- a/internal/fleet/warm_up.go
+++ b/internal/fleet/warm_up.go
@@ -8,7 +8,7 @@
 
 // WarmUp bounds the requests to an upstream of a service right after its start.
 type WarmUp struct {
-	// Duration is the duration of the warm-up.
+	// Duration is how long the warm-up lasts.
 	Duration time.Duration
 	// Rate is the sustained rate in requests per second from all nodes together; 0 for no
 	// bound.
@@ -31,8 +31,8 @@
 // rates; none if they are not known yet.
 func (f *Fleet) SetSenders(self string, nodes []string) { f.senders.Set(self, nodes) }
 
-// ConnectionRefused records that a connection to the upstream's address was refused. The upstream
-// may restart under its ID, and warm up, before the table shows it.
+// ConnectionRefused records that a connection to the upstream's address was refused. The
+// upstream may restart under its ID, and warm up, before the table shows it.
 func (f *Fleet) ConnectionRefused(u *Upstream, now time.Time) {
 	if w := f.warmUps[u.Service]; w.Rate > 0 {
 		u.extendWarmUp(now.Add(w.Duration))
--- a/internal/fleet/work.go
+++ b/internal/fleet/work.go
@@ -13,7 +13,8 @@
 	uncachedTokens float64
 }
 
-// Begin records an attempt that is sent to u. The result is passed to ResponseStarted and End.
+// Begin records an attempt that is sent to u. The result is passed to ResponseStarted and
+// End.
 func (f *Fleet) Begin(u *Upstream, spec *AttemptSpec, now time.Time) *Work {
 	amount := f.attemptWork(u, spec, nil, now)
 	f.takeTokens(u, now)
@@ -30,7 +31,8 @@
 	return &Work{amount: amount, key: workloadKey{spec.Service, spec.Model}, sentAt: now, uncachedTokens: f.uncachedTokens(u, spec, now)}
 }
 
-// ResponseStarted records the start of an attempt's response, which means that its prefill is done.
+// ResponseStarted records the start of an attempt's response, which means that its prefill
+// is done.
 func (f *Fleet) ResponseStarted(u *Upstream, w *Work, now time.Time) {
 	if !w.responseStarted {
 		f.observeWait(w, now)
--- a/internal/notice/parse.go
+++ b/internal/notice/parse.go
@@ -14,57 +14,57 @@
 const maxBackoff = 10 * time.Minute
 
 // ParseLeaving parses the value of the header field that announces a shutdown.
-func (a *Response) ParseLeaving(field, text string) {
+func (response *Response) ParseLeaving(field, text string) {
 	switch text {
 	case "", "0", "false":
 	case "1", "true":
-		a.Leaving = true
+		response.Leaving = true
 	default:
-		a.InvalidFields = append(a.InvalidFields, field)
+		response.InvalidFields = append(response.InvalidFields, field)
 	}
 }
 
-// ParseBackoff parses the value of the header field that requests a back-off: seconds with an
-// optional fraction, or an HTTP date. A date is relative to the response's own date, or to
-// the local clock if the response has none.
-func (a *Response) ParseBackoff(field, text, date string) {
+// ParseBackoff parses the value of the header field that requests a back-off: seconds with
+// an optional fraction, or an HTTP date. A date is relative to the response's own date, or
+// to the local clock if the response has none.
+func (response *Response) ParseBackoff(field, text, date string) {
 	if text == "" {
 		return
 	}
 	if seconds, err := strconv.ParseFloat(text, 64); err == nil {
 		if math.IsNaN(seconds) || seconds < 0 {
-			a.InvalidFields = append(a.InvalidFields, field)
+			response.InvalidFields = append(response.InvalidFields, field)
 			return
 		}
-		a.Backoff = time.Duration(min(seconds, maxBackoff.Seconds()) * float64(time.Second))
+		response.Backoff = time.Duration(min(seconds, maxBackoff.Seconds()) * float64(time.Second))
 		return
 	}
 	until, err := http.ParseTime(text)
 	if err != nil {
-		a.InvalidFields = append(a.InvalidFields, field)
+		response.InvalidFields = append(response.InvalidFields, field)
 		return
 	}
 	from, err := http.ParseTime(date)
 	if err != nil {
 		from = time.Now()
 	}
-	a.Backoff = min(max(until.Sub(from), 0), maxBackoff)
+	response.Backoff = min(max(until.Sub(from), 0), maxBackoff)
 }
 
 // ParseLimit parses the value of the header field that advertises a rate limit. An empty
 // value means no limit.
-func (a *Response) ParseLimit(field, text string) {
+func (response *Response) ParseLimit(field, text string) {
 	if text == "" {
 		return
 	}
 	v, err := strconv.ParseFloat(text, 64)
 	if err != nil || math.IsNaN(v) || v < 0 || v > maxLimit {
-		a.LimitInvalid = true
-		a.InvalidFields = append(a.InvalidFields, field)
+		response.LimitInvalid = true
+		response.InvalidFields = append(response.InvalidFields, field)
 		return
 	}
-	a.Limit = Limit{Named: true, PerSecond: v}
+	response.Limit = Limit{Named: true, PerSecond: v}
 	if v == 0 {
-		a.InvalidFields = append(a.InvalidFields, field) // the upstream accepts no requests while it advertises 0
+		response.InvalidFields = append(response.InvalidFields, field) // the upstream accepts no requests while it advertises 0
 	}
 }
--- a/internal/notice/register.go
+++ b/internal/notice/register.go
@@ -52,19 +52,19 @@
 	return s
 }
 
-// ApplyResponse applies a response that this node read at the time at. It returns the resulting
-// changes at this node.
-func (r *Register) ApplyResponse(s *State, a Response, at, now time.Time) (changes []Change) {
-	if a.Leaving && s.setLeaving(now) {
+// ApplyResponse applies a response that this node read at the time at. It returns the
+// resulting changes at this node.
+func (r *Register) ApplyResponse(s *State, response Response, at, now time.Time) (changes []Change) {
+	if response.Leaving && s.setLeaving(now) {
 		changes = append(changes, r.markReportable(s, Change{Kind: Leaving}))
 	}
-	if a.Backoff > 0 && s.setBackoff(a.Backoff, at, now) {
+	if response.Backoff > 0 && s.setBackoff(response.Backoff, at, now) {
 		changes = append(changes, Change{Kind: BackoffBegan, Until: s.backoffUntil})
 	}
-	if a.LimitInvalid {
+	if response.LimitInvalid {
 		return changes
 	}
-	if c := r.applyResponseLimit(s, a.Limit, at, now); c.Kind != None {
+	if c := r.applyResponseLimit(s, response.Limit, at, now); c.Kind != None {
 		changes = append(changes, c)
 	}
 	return changes
@@ -81,8 +81,8 @@
 	return r.markReportable(s, s.setLimit(l, r.origin, seq, at, now))
 }
 
-// ApplyReport applies a peer's report and returns the resulting changes at this node. If this
-// node's limit state is newer and differs, it is reported to the peers again.
+// ApplyReport applies a peer's report and returns the resulting changes at this node. If
+// this node's limit state is newer and differs, it is reported to the peers again.
 func (r *Register) ApplyReport(p Report, now time.Time) (changes []Change) {
 	s := r.StateOf(p.Start)
 	if p.Leaving && s.setLeaving(now) {
--- a/internal/pacing/named.go
+++ b/internal/pacing/named.go
@@ -13,8 +13,8 @@
 	minProbeRate = 0.25
 )
 
-// AdvertisedBound returns the bound of an upstream that advertises a rate limit in requests per
-// second.
+// AdvertisedBound returns the bound of an upstream that advertises a rate limit in requests
+// per second.
 func AdvertisedBound(perSecond float64) Bound {
 	maxArrivals := advertisedFactor*perSecond*advertisedWindow.Seconds() + advertisedSlack
 	return Bound{Rate: max(perSecond, minProbeRate), MaxArrivals: maxArrivals, Window: advertisedWindow}
