--- a/internal/logring/writer.go
+++ b/internal/logring/writer.go
@@ -1,5 +1,5 @@
-// Package logring writes log lines beside the work that logs them: a full ring
-// or a reader that does not read drops lines instead of blocking a request.
+// Package logring writes log lines asynchronously. It drops lines instead of
+// blocking a request when the queue is full or the log's reader is blocked.
 package logring
 
 import (
@@ -10,50 +10,51 @@
 )
 
 const (
-	// ringLines is how many lines may wait.
-	ringLines = 2048
-	// perSecond bounds the lines of the usual course in a second, burst how
-	// many may come at once. Lines on failures are not held to it.
-	perSecond = 400
-	burst     = 800
-	// batchBytes is how much is written at a time.
+	// queueLines is the capacity of the queue of unwritten lines.
+	queueLines = 2048
+	// infoLinesPerSecond and infoLineBurst are the rate limit of lines below warning
+	// level. Lines on failures are exempt.
+	infoLinesPerSecond = 400
+	infoLineBurst      = 800
+	// batchBytes is the size from which a batch is written without further delay.
 	batchBytes = 16 << 10
-	// gather is how long lines are gathered for one write, as each costs a
-	// call of the system.
-	gather = 50 * time.Millisecond
+	// batchDelay is how long lines are collected for one write, since each write
+	// costs a system call.
+	batchDelay = 50 * time.Millisecond
 )
 
-// Writer is an io.Writer that never blocks. Each Write is one line.
+// Writer is an io.Writer that never blocks. Each call of Write is one line.
 type Writer struct {
-	to      io.Writer
+	dest    io.Writer
 	lines   chan []byte
 	done    chan struct{}
 	once    sync.Once
 	dropped atomic.Int64
 }
 
-// New starts a writer to an underlying one.
-func New(to io.Writer) *Writer {
-	w := &Writer{to: to, lines: make(chan []byte, ringLines), done: make(chan struct{})}
+// New starts a writer that writes to dest in the background; Close ends it.
+func New(dest io.Writer) *Writer {
+	w := &Writer{dest: dest, lines: make(chan []byte, queueLines), done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// Write takes a line or drops it.
+// Write queues a copy of the line, or drops and counts it when the queue is full.
+// It never returns an error.
 func (w *Writer) Write(line []byte) (int, error) {
-	own := append([]byte(nil), line...)
+	queued := append([]byte(nil), line...)
 	select {
-	case w.lines <- own:
+	case w.lines <- queued:
 	default:
 		w.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
-// Dropped returns how many lines were dropped so far.
+// Dropped returns how many lines a full queue has dropped since the start.
 func (w *Writer) Dropped() int64 { return w.dropped.Load() }
 
-// Close writes what waits and ends the writer. No Write may follow.
+// Close writes the queued lines and ends the writer. Write must not be called afterwards.
 func (w *Writer) Close() {
 	w.once.Do(func() { close(w.lines) })
 	<-w.done
@@ -64,15 +65,15 @@
 	var batch []byte
 	for line := range w.lines {
 		batch = append(batch[:0], line...)
-		timer := time.NewTimer(gather)
+		timer := time.NewTimer(batchDelay)
 		batch = w.collect(batch, timer.C)
 		timer.Stop()
-		_, _ = w.to.Write(batch) // nobody is left to be told
+		_, _ = w.dest.Write(batch) // there is no other place to report a failed log write
 	}
 }
 
-// collect adds lines until the batch is full, time is over or the ring closes.
-func (w *Writer) collect(batch []byte, over <-chan time.Time) []byte {
+// collect adds lines until the batch is full, the timeout expires or the queue is closed.
+func (w *Writer) collect(batch []byte, timeout <-chan time.Time) []byte {
 	for len(batch) < batchBytes {
 		select {
 		case line, ok := <-w.lines:
@@ -80,7 +81,7 @@
 				return batch
 			}
 			batch = append(batch, line...)
-		case <-over:
+		case <-timeout:
 			return batch
 		}
 	}
--- a/internal/logring/writer_test.go
+++ b/internal/logring/writer_test.go
@@ -15,60 +15,61 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// Nobody reads the log: its reader hangs. Requests go on, lines are dropped,
-// and what was kept comes out when the reader goes on.
-func TestFullLogBlocksNobody(t *testing.T) {
+// Guards against requests that block on logging when the log's reader hangs.
+// Lines beyond the queue are dropped; the queued ones are written once the reader continues.
+func TestFullQueueDropsLinesWithoutBlocking(t *testing.T) {
 	is := is.New(t)
-	to := &gate{open: make(chan struct{})}
-	w := New(to)
-	for range 3 * ringLines {
+	dest := &blockedWriter{released: make(chan struct{})}
+	w := New(dest)
+	for range 3 * queueLines {
 		n, err := w.Write([]byte("line\n"))
 		is.NoErr(err)
 		is.Equal(n, 5)
 	}
 	is.True(w.Dropped() > 0)
-	close(to.open)
+	close(dest.released)
 	w.Close()
-	is.Equal(int64(strings.Count(to.text(), "line\n"))+w.Dropped(), int64(3*ringLines))
+	is.Equal(int64(strings.Count(dest.text(), "line\n"))+w.Dropped(), int64(3*queueLines))
 }
 
-type gate struct {
-	open chan struct{}
-	mu   sync.Mutex
-	buf  bytes.Buffer
+// blockedWriter blocks each write until released is closed.
+type blockedWriter struct {
+	released chan struct{}
+	mu       sync.Mutex
+	buf      bytes.Buffer
 }
 
-func (g *gate) Write(p []byte) (int, error) {
-	<-g.open
+func (g *blockedWriter) Write(p []byte) (int, error) {
+	<-g.released
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.buf.Write(p)
 }
 
-func (g *gate) text() string {
+func (g *blockedWriter) text() string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.buf.String()
 }
 
-// Under load the usual lines are bounded; a failure's line always comes.
-func TestUsualLinesGiveWayToFailures(t *testing.T) {
+// Guards against a flood of informational lines that displaces the lines on failures.
+func TestOnlyLinesBelowWarningAreRateLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var out bytes.Buffer
 		limit := NewLimit(slog.NewTextHandler(&out, nil))
 		log := slog.New(limit).With("node", "n1").WithGroup("g")
-		for range 5 * burst {
+		for range 5 * infoLineBurst {
 			log.Info("usual")
 		}
 		log.Warn("failure")
-		is.Equal(strings.Count(out.String(), "usual"), burst)
+		is.Equal(strings.Count(out.String(), "usual"), infoLineBurst)
 		is.Equal(strings.Count(out.String(), "failure"), 1)
-		is.Equal(limit.Missed(), int64(4*burst))
+		is.Equal(limit.Missed(), int64(4*infoLineBurst))
 		time.Sleep(time.Second)
-		for range burst {
+		for range infoLineBurst {
 			log.Info("later")
 		}
-		is.Equal(strings.Count(out.String(), "later"), perSecond)
+		is.Equal(strings.Count(out.String(), "later"), infoLinesPerSecond)
 	})
 }
