--- a/internal/telemetry/bounds.go
+++ b/internal/telemetry/bounds.go
@@ -1,18 +1,20 @@
 package telemetry
 
-// Bounds are how many label values are kept apart. Zero fields take defaults.
+// Bounds limit the cardinality of labels: how many label values get series of their
+// own. Zero fields take the defaults.
 type Bounds struct {
-	// Requests is how many pairs of organisation and class.
+	// Requests bounds the pairs of organisation and class.
 	Requests int
-	// Versions is how many versions.
+	// Versions bounds the model versions.
 	Versions int
-	// Codes is how many failure codes.
+	// Codes bounds the failure codes.
 	Codes int
-	// Refusals is how many triples of organisation, class and reason.
+	// Refusals bounds the triples of organisation, class and reason.
 	Refusals int
 }
 
-// The defaults suit ten organisations with six classes many times over.
+// Defaults of the fields of [Bounds]. They exceed the needs of ten organisations with
+// six classes several times over.
 const (
 	DefaultRequests = 512
 	DefaultVersions = 128
@@ -36,5 +38,5 @@
 	return b
 }
 
-// other is the label of all that is beyond a bound.
-const other = "other"
+// otherLabel is the label value under which everything beyond a bound counts.
+const otherLabel = "other"
--- a/internal/telemetry/doc.go
+++ b/internal/telemetry/doc.go
@@ -1,8 +1,8 @@
-// Package telemetry holds the metrics of a node and answers /metrics, /healthz
+// Package telemetry holds the metrics of a node and serves /metrics, /healthz
 // and /readyz.
 //
-// Labels are bounded: beyond a stated number of organisations with their
-// classes, or of versions, what comes later counts under the label "other", so
-// that neither the memory nor the page grows with what passes through. Handles
-// are resolved once; observing allocates nothing.
+// The cardinality of labels is bounded. Once the bound on organisations with their
+// classes, or on versions, is reached, new values count under the label "other".
+// Neither memory nor the metrics page grows with traffic. Handles are resolved
+// once; observing allocates nothing.
 package telemetry
--- a/internal/telemetry/family.go
+++ b/internal/telemetry/family.go
@@ -6,30 +6,30 @@
 	"sync/atomic"
 )
 
-// family is the handles of one kind of metric by their labels, at most a
-// number of them; later labels share the handles of their "other".
+// family caches the handles of one kind of metric by label values, up to a limit.
+// Label values beyond it share the handle of their overflow key.
 type family[K comparable, V any] struct {
-	most    int
-	build   func(K) V
-	otherOf func(K) K
-	// known is replaced as a whole, so that reading takes no lock.
-	known atomic.Pointer[map[K]V]
-	mu    sync.Mutex
-	count int
+	limit    int
+	create   func(K) V
+	overflow func(K) K
+	// handles is copied on write, so that reads take no lock.
+	handles atomic.Pointer[map[K]V]
+	mu      sync.Mutex
+	count   int
 }
 
-func newFamily[K comparable, V any](most int, build func(K) V, otherOf func(K) K) *family[K, V] {
-	f := &family[K, V]{most: most, build: build, otherOf: otherOf}
-	f.known.Store(new(map[K]V))
+func newFamily[K comparable, V any](limit int, create func(K) V, overflow func(K) K) *family[K, V] {
+	f := &family[K, V]{limit: limit, create: create, overflow: overflow}
+	f.handles.Store(new(map[K]V))
 	return f
 }
 
 func (f *family[K, V]) get(key K) V {
-	known := *f.known.Load()
-	if v, ok := known[key]; ok {
+	handles := *f.handles.Load()
+	if v, ok := handles[key]; ok {
 		return v
 	}
-	if v, ok := known[f.otherOf(key)]; ok {
+	if v, ok := handles[f.overflow(key)]; ok {
 		return v
 	}
 	return f.add(key)
@@ -38,23 +38,23 @@
 func (f *family[K, V]) add(key K) V {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	known := *f.known.Load()
-	if v, ok := known[key]; ok {
+	handles := *f.handles.Load()
+	if v, ok := handles[key]; ok {
 		return v
 	}
-	if f.count >= f.most {
-		key = f.otherOf(key)
-		if v, ok := known[key]; ok {
+	if f.count >= f.limit {
+		key = f.overflow(key)
+		if v, ok := handles[key]; ok {
 			return v
 		}
 	}
 	f.count++
-	v := f.build(key)
-	next := maps.Clone(known)
-	if next == nil {
-		next = map[K]V{}
+	v := f.create(key)
+	updated := maps.Clone(handles)
+	if updated == nil {
+		updated = map[K]V{}
 	}
-	next[key] = v
-	f.known.Store(&next)
+	updated[key] = v
+	f.handles.Store(&updated)
 	return v
 }
--- a/internal/telemetry/health.go
+++ b/internal/telemetry/health.go
@@ -6,13 +6,13 @@
 	"strings"
 )
 
-// Healthz answers that the process lives and serves.
+// Healthz returns the liveness handler: it answers 200 while the process serves HTTP.
 func Healthz() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { plainText(w, http.StatusOK, "ok") })
 }
 
-// Readyz answers whether new work is taken. The check returns why not, one
-// reason an entry, or none.
+// Readyz returns the readiness handler: 200 when check returns no reasons, else 503
+// with one reason a line. Each entry says why the node accepts no new work.
 func Readyz(check func() []string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if reasons := check(); len(reasons) > 0 {
@@ -26,5 +26,5 @@
 func plainText(w http.ResponseWriter, status int, text string) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.WriteHeader(status)
-	_, _ = io.WriteString(w, text+"\n") // the reader may have gone
+	_, _ = io.WriteString(w, text+"\n") // the client may have disconnected
 }
--- a/internal/telemetry/label.go
+++ b/internal/telemetry/label.go
@@ -5,12 +5,12 @@
 	"strings"
 )
 
-// label is one label of a metric.
+// label is the name and value of one metric label.
 type label struct {
 	name, value string
 }
 
-// metricName is a metric's name with its labels in the exposition form.
+// metricName returns a metric's name with its labels in the Prometheus exposition format.
 func metricName(name string, labels ...label) string {
 	if len(labels) == 0 {
 		return name
--- a/internal/telemetry/refusal.go
+++ b/internal/telemetry/refusal.go
@@ -6,14 +6,14 @@
 	"github.com/hickorybank/hickorybank/internal/request"
 )
 
-// refusalLabels are the labels of a refused request.
+// refusalLabels are the label values of the refusal counter.
 type refusalLabels struct {
 	organisation, class string
 	reason              request.Reason
 }
 
 func (l refusalLabels) other() refusalLabels {
-	return refusalLabels{organisation: other, class: other, reason: l.reason}
+	return refusalLabels{organisation: otherLabel, class: otherLabel, reason: l.reason}
 }
 
 func (s *Set) newRefusal(l refusalLabels) *metrics.Counter {
@@ -21,8 +21,8 @@
 		label{"organisation", l.organisation}, label{"class", l.class}, label{"reason", string(l.reason)}))
 }
 
-// Refused counts a request that was refused and not run. The reason is one of
-// a fixed set; the caller bounds the names to those of the configuration.
+// Refused counts a request that was refused and not run. The reason is one of a
+// fixed set; the calling code passes only names that the configuration contains.
 func (s *Set) Refused(organisation, class string, reason request.Reason) {
 	s.refusals.get(refusalLabels{organisation: organisation, class: class, reason: reason}).Inc()
 }
--- a/internal/telemetry/request.go
+++ b/internal/telemetry/request.go
@@ -8,7 +8,7 @@
 	"github.com/hickorybank/hickorybank/internal/request"
 )
 
-// Request is the metrics of one organisation's requests of one class.
+// Request holds the metrics of one organisation's requests of one class.
 type Request struct {
 	set      *Set
 	outcomes outcomeCounters
@@ -24,13 +24,13 @@
 	cached *metrics.Counter
 }
 
-// requestLabels are the labels of a Request.
+// requestLabels are the label values of a Request.
 type requestLabels struct {
 	organisation, class string
 }
 
 func (l requestLabels) other() requestLabels {
-	return requestLabels{organisation: other, class: l.class}
+	return requestLabels{organisation: otherLabel, class: l.class}
 }
 
 func (l requestLabels) pairs() []label {
@@ -56,7 +56,7 @@
 	}
 }
 
-// Observe counts one finished request.
+// Observe records one finished request, and counts its failure code and version.
 func (r *Request) Observe(o *Observation) {
 	r.outcomes.inc(o.Outcome)
 	observe(r.queued, o.Queued)
@@ -81,7 +81,7 @@
 	}
 }
 
-// outcomeCounters is one counter for each outcome.
+// outcomeCounters holds a counter for each outcome of a request.
 type outcomeCounters struct {
 	completed *metrics.Counter
 	notRun    *metrics.Counter
@@ -90,8 +90,8 @@
 
 func newOutcomeCounters(set *metrics.Set, name string, labels []label) outcomeCounters {
 	counter := func(o request.Outcome) *metrics.Counter {
-		with := append(append([]label(nil), labels...), label{"outcome", string(o)})
-		return set.NewCounter(metricName(name, with...))
+		withOutcome := append(append([]label(nil), labels...), label{"outcome", string(o)})
+		return set.NewCounter(metricName(name, withOutcome...))
 	}
 	return outcomeCounters{completed: counter(request.Completed), notRun: counter(request.NotRun), unknown: counter(request.Unknown)}
 }
--- a/internal/telemetry/set.go
+++ b/internal/telemetry/set.go
@@ -8,7 +8,7 @@
 	"github.com/hickorybank/hickorybank/internal/request"
 )
 
-// Set is the metrics of one node. It is safe for concurrent use.
+// Set holds the metrics of one node. It is safe for concurrent use.
 type Set struct {
 	set      *metrics.Set
 	requests *family[requestLabels, *Request]
@@ -17,13 +17,13 @@
 	refusals *family[refusalLabels, *metrics.Counter]
 }
 
-// New returns an empty set.
+// New returns an empty set with bounds on its labels.
 func New(b Bounds) *Set {
 	b = b.withDefaults()
 	s := &Set{set: metrics.NewSet()}
 	s.requests = newFamily(b.Requests, func(l requestLabels) *Request { return newRequest(s, l) }, requestLabels.other)
-	s.versions = newFamily(b.Versions, s.newVersion, func(string) string { return other })
-	s.codes = newFamily(b.Codes, s.newCode, func(request.Code) request.Code { return other })
+	s.versions = newFamily(b.Versions, s.newVersion, func(string) string { return otherLabel })
+	s.codes = newFamily(b.Codes, s.newCode, func(request.Code) request.Code { return otherLabel })
 	s.refusals = newFamily(b.Refusals, s.newRefusal, refusalLabels.other)
 	return s
 }
@@ -42,34 +42,35 @@
 	return s.requests.get(requestLabels{organisation: organisation, class: class})
 }
 
-// Failed counts a failure, also of what never became a request, such as a
-// call without a key.
+// Failed counts a failure by its code. It includes calls that are rejected before
+// they become a request, such as one without a key.
 func (s *Set) Failed(code request.Code) { s.codes.get(code).Inc() }
 
-// Answered counts an attempt at a version.
+// Answered counts the outcome of a request that a model version served.
 func (s *Set) Answered(version string, o request.Outcome) { s.versions.get(version).inc(o) }
 
-// Gauge registers a figure that is read when the page is. Labels are pairs of
-// name and value; the caller bounds them.
+// Gauge registers a value that is read at each scrape. Labels are pairs of name and
+// value; the calling code bounds their cardinality.
 func (s *Set) Gauge(name string, read func() float64, labels ...string) {
 	s.set.GetOrCreateGauge(metricName(name, pairsOf(labels)...), read)
 }
 
-// Counter returns a counter of its own. Labels are pairs of name and value; the
-// caller bounds them.
+// Counter returns the counter with a name and labels, and creates it on first use.
+// Labels are pairs of name and value; the calling code bounds their cardinality.
 func (s *Set) Counter(name string, labels ...string) *metrics.Counter {
 	return s.set.GetOrCreateCounter(metricName(name, pairsOf(labels)...))
 }
 
-// Histogram returns a histogram of its own, of seconds by the name's custom.
-// Labels are pairs of name and value; the caller bounds them.
+// Histogram returns the histogram with a name and labels, and creates it on first use.
+// Values are in seconds where the name ends in _seconds. Labels are pairs of name and
+// value; the calling code bounds their cardinality.
 func (s *Set) Histogram(name string, labels ...string) *metrics.Histogram {
 	return s.set.GetOrCreateHistogram(metricName(name, pairsOf(labels)...))
 }
 
 func pairsOf(labels []string) []label {
 	if len(labels)%2 != 0 {
-		panic("labels come in pairs of name and value")
+		panic("telemetry: labels must be pairs of name and value")
 	}
 	pairs := make([]label, 0, len(labels)/2)
 	for i := 0; i < len(labels); i += 2 {
@@ -78,7 +79,7 @@
 	return pairs
 }
 
-// Handler answers /metrics with this set and the process's own figures.
+// Handler serves /metrics: this set and the metrics of the process.
 func (s *Set) Handler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -16,7 +16,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func page(s *Set) string {
+func scrape(s *Set) string {
 	w := httptest.NewRecorder()
 	s.Handler().ServeHTTP(w, httptest.NewRequest("GET", "/metrics", nil))
 	return w.Body.String()
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestPageShowsWhatWasObserved(t *testing.T) {
+func TestMetricsPageShowsObservations(t *testing.T) {
 	is := is.New(t)
 	s := New(Bounds{})
 	s.Request("tolu", "draft").Observe(completed())
@@ -39,7 +39,7 @@
 	s.Gauge("hickorybank_upstreams", func() float64 { return 2 }, "state", "live")
 	s.Counter("hickorybank_retries_total").Inc()
 	s.Histogram("hickorybank_commit_seconds", "table", "bills").Update(0.1)
-	got := page(s)
+	got := scrape(s)
 	for _, line := range []string{
 		`hickorybank_requests_total{organisation="tolu",class="draft",outcome="completed"} 1`,
 		`hickorybank_requests_total{organisation="tolu",class="draft",outcome="not_run"} 1`,
@@ -62,10 +62,10 @@
 	}
 }
 
-// A program calls under thousands of organisations, or a roll-out names a new
-// version every day. The page must stay as it is: what is beyond the bound
-// counts together, and nothing is lost from the sums.
-func TestLabelsAreBounded(t *testing.T) {
+// Guards against a metrics page that grows without bound when callers use thousands
+// of organisation names or every roll-out adds a version. Values beyond the bound
+// count together, and the sums stay complete.
+func TestLabelsBeyondBoundCountAsOther(t *testing.T) {
 	is := is.New(t)
 	s := New(Bounds{Requests: 3, Versions: 2, Codes: 2, Refusals: 5})
 	var all conc.WaitGroup
@@ -79,7 +79,7 @@
 		})
 	}
 	all.Wait()
-	got := page(s)
+	got := scrape(s)
 	is.Equal(strings.Count(got, "hickorybank_requests_total{"), (3+1)*3)
 	is.Equal(strings.Count(got, "hickorybank_answers_total{"), (2+1)*3)
 	is.Equal(strings.Count(got, "hickorybank_failures_total{"), 2+1)
