--- a/internal/rawhttp/caller.go
+++ b/internal/rawhttp/caller.go
@@ -10,20 +10,22 @@
 	"github.com/rotisserie/eris"
 )
 
-// Caller asks for one answer after another over bare TCP.
+// Caller is an HTTP client that sends one prepared request after another over a TCP
+// connection.
 type Caller struct {
-	// Ask is the whole request as it goes over the wire.
+	// Ask holds the encoded request, head and body.
 	Ask []byte
-	// Turn lets the upstream send its next piece; nil for answers in one piece.
+	// Turn receives a value for each event after which the upstream may send the next;
+	// nil for a response without events.
 	Turn chan<- struct{}
-	// Rest is for how many pieces the upstream waits.
+	// Rest is the number of events for which the upstream waits for Turn.
 	Rest int
 
 	conn net.Conn
 	in   *bufio.Reader
 }
 
-// Dial connects the caller.
+// Dial opens the connection to a host and port.
 func (c *Caller) Dial(addr string) error {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -33,13 +35,13 @@
 	return nil
 }
 
-// SetDeadline bounds all that the caller waits for.
+// SetDeadline sets the deadline of all reads and writes on the connection.
 func (c *Caller) SetDeadline(t time.Time) error { return c.conn.SetDeadline(t) }
 
-// Close ends the connection.
+// Close closes the connection.
 func (c *Caller) Close() { _ = c.conn.Close() }
 
-// Run asks once and reads the whole answer. Any state but 200 is an error.
+// Run sends the request once and reads the whole response. Any status but 200 is an error.
 func (c *Caller) Run() error {
 	if _, err := c.conn.Write(c.Ask); err != nil {
 		return err
@@ -49,7 +51,7 @@
 		return err
 	}
 	if res.StatusCode != http.StatusOK {
-		text, _ := io.ReadAll(res.Body) // for the message only
+		text, _ := io.ReadAll(res.Body) // only the error message uses it
 		return eris.Errorf("status %d: %s", res.StatusCode, text)
 	}
 	if c.Turn == nil {
@@ -59,7 +61,7 @@
 	return c.follow(bufio.NewReader(res.Body))
 }
 
-// follow reads the events and lets the upstream send the next for each.
+// follow reads events to the end of the stream and releases the next after each.
 func (c *Caller) follow(in *bufio.Reader) error {
 	for events := 0; ; {
 		line, err := in.ReadSlice('\n')
--- a/internal/rawhttp/doc.go
+++ b/internal/rawhttp/doc.go
@@ -1,4 +1,4 @@
-// Package rawhttp has HTTP peers over bare TCP, for tests that must see each
-// byte of a connection and for measurements whose own part of the processor
-// time must be small. None of it is in the way of a caller's request.
+// Package rawhttp provides minimal HTTP clients and servers over TCP. They serve tests
+// that must see each byte of a connection and benchmarks whose harness must use
+// little processor time. No production request passes through them.
 package rawhttp
--- a/internal/rawhttp/relay.go
+++ b/internal/rawhttp/relay.go
@@ -11,41 +11,41 @@
 	"github.com/sourcegraph/conc"
 )
 
-// attemptHeader names an attempt towards an engine.
+// attemptHeader carries the ID of an attempt to an engine.
 const attemptHeader = "X-Attempt-Id"
 
-// Relay is the least that stands between a caller and an upstream with
-// net/http: the body read, one request on, the bytes passed on as they come.
+// Relay is a minimal reverse proxy built on net/http, the baseline of benchmarks. It
+// reads the body, sends one request and flushes each part of the response at once.
 type Relay struct {
-	listener  net.Listener
-	server    *http.Server
-	transport *http.Transport
-	to        string
-	serving   conc.WaitGroup
+	listener   net.Listener
+	server     *http.Server
+	transport  *http.Transport
+	target     string
+	goroutines conc.WaitGroup
 }
 
-// NewRelay starts a relay to a host and port.
-func NewRelay(to string) (*Relay, error) {
+// NewRelay starts a relay on a free loopback port to a target host and port.
+func NewRelay(target string) (*Relay, error) {
 	listener, err := net.Listen("tcp", loopback)
 	if err != nil {
 		return nil, eris.Wrap(err, "listen")
 	}
-	r := &Relay{listener: listener, to: to, transport: &http.Transport{MaxIdleConnsPerHost: 64, DisableCompression: true}}
+	r := &Relay{listener: listener, target: target, transport: &http.Transport{MaxIdleConnsPerHost: 64, DisableCompression: true}}
 	r.server = &http.Server{Handler: r}
-	r.serving.Go(func() { _ = r.server.Serve(listener) }) // returns when closed
+	r.goroutines.Go(func() { _ = r.server.Serve(listener) }) // returns after Shutdown
 	return r, nil
 }
 
 // Addr is the host and port that the relay listens on.
 func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
-// ServeHTTP relays one request.
+// ServeHTTP forwards one request; an unreachable target gives 502.
 func (r *Relay) ServeHTTP(w http.ResponseWriter, in *http.Request) {
 	body, err := io.ReadAll(in.Body)
 	if err != nil {
 		return
 	}
-	out, err := http.NewRequestWithContext(in.Context(), in.Method, "http://"+r.to+in.URL.Path, bytes.NewReader(body))
+	out, err := http.NewRequestWithContext(in.Context(), in.Method, "http://"+r.target+in.URL.Path, bytes.NewReader(body))
 	if err != nil {
 		return
 	}
@@ -57,21 +57,21 @@
 	}
 	defer func() { _ = res.Body.Close() }()
 	w.Header()["Content-Type"] = res.Header["Content-Type"]
-	flush := http.NewResponseController(w)
-	buffer := make([]byte, 4<<10)
+	controller := http.NewResponseController(w)
+	buf := make([]byte, 4<<10)
 	for {
-		n, err := res.Body.Read(buffer)
-		_, _ = w.Write(buffer[:n])
+		n, err := res.Body.Read(buf)
+		_, _ = w.Write(buf[:n])
 		if err != nil {
 			return
 		}
-		_ = flush.Flush()
+		_ = controller.Flush()
 	}
 }
 
-// Close ends the relay when its requests have ended.
+// Close waits for running requests and stops the relay.
 func (r *Relay) Close() {
 	_ = r.server.Shutdown(context.Background())
-	r.serving.Wait()
+	r.goroutines.Wait()
 	r.transport.CloseIdleConnections()
 }
--- a/internal/rawhttp/server.go
+++ b/internal/rawhttp/server.go
@@ -11,31 +11,31 @@
 	"github.com/sourcegraph/conc"
 )
 
-// loopback is any free port of this machine.
+// loopback selects a free port of the loopback interface.
 const loopback = "127.0.0.1:0"
 
-// Server reads requests from connections without net/http's server.
+// Server accepts connections and reads requests without net/http's server.
 type Server struct {
-	listener net.Listener
-	handler  Handler
-	duties   conc.WaitGroup
+	listener   net.Listener
+	handler    Handler
+	goroutines conc.WaitGroup
 
 	mu    sync.Mutex
 	conns []net.Conn
 }
 
-// Handler does with a request what it likes. Each call has the connection to
-// itself until it returns.
+// Handler serves requests by writing to the connection itself. Each call has
+// exclusive use of the connection until it returns.
 type Handler interface {
-	// Head is called when a request's header has come, and says whether its
-	// body is to be read.
+	// Head is called when a request's header has been read. It returns whether to
+	// read the body; false closes the connection.
 	Head(conn net.Conn, req *http.Request) bool
-	// Answer is called when a request has come whole; an error closes the
+	// Answer is called when the whole request has been read. An error closes the
 	// connection.
 	Answer(conn net.Conn, req *http.Request, body []byte) error
 }
 
-// ErrClose is an answer's word that the connection is to be closed.
+// ErrClose is returned by [Handler].Answer to close the connection deliberately.
 var ErrClose = eris.New("the connection is closed on purpose")
 
 // Listen starts a server on a free port of loopback.
@@ -45,21 +45,21 @@
 		return nil, eris.Wrap(err, "listen")
 	}
 	s := &Server{listener: listener, handler: h}
-	s.duties.Go(s.accept)
+	s.goroutines.Go(s.accept)
 	return s, nil
 }
 
 // Addr is the host and port that the server listens on.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Conns counts the connections that were ever accepted.
+// Conns returns how many connections have been accepted since the start.
 func (s *Server) Conns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// CloseConns closes every connection; new ones are accepted.
+// CloseConns closes all connections; the server goes on accepting new ones.
 func (s *Server) CloseConns() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -68,11 +68,11 @@
 	}
 }
 
-// Close ends the server and waits for its handler's calls.
+// Close stops the server and waits for running calls of the handler.
 func (s *Server) Close() {
 	_ = s.listener.Close()
 	s.CloseConns()
-	s.duties.Wait()
+	s.goroutines.Wait()
 }
 
 func (s *Server) accept() {
@@ -84,7 +84,7 @@
 		s.mu.Lock()
 		s.conns = append(s.conns, conn)
 		s.mu.Unlock()
-		s.duties.Go(func() { s.serve(conn) })
+		s.goroutines.Go(func() { s.serve(conn) })
 	}
 }
 
