--- a/internal/exchange/conn.go
+++ b/internal/exchange/conn.go
@@ -9,7 +9,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// conn is one connection to an upstream. One exchange at a time uses it.
+// conn is a connection to an upstream. It carries one exchange at a time.
 type conn struct {
 	net.Conn
 	addr      string
@@ -19,14 +19,13 @@
 	reused    bool
 }
 
-// alive tells whether an idle connection may carry another request.
+// isHealthy reports whether an idle connection may carry another request.
 //
-// It guards against sending on a connection that the upstream has closed, or
-// on which it has sent bytes that belong to no request: both show as something
-// to read while nothing was asked. What the kernel has already received is
-// seen; what is still on its way is not, so an unsafe request also asks for a
-// connection that was used recently.
-func (c *conn) alive() bool {
+// It detects a connection that the upstream has closed, or on which it has sent
+// unsolicited bytes: both make the idle connection readable. The check sees only what
+// the kernel has received, not what is still in transit. A request that is not
+// idempotent therefore also requires a recently used connection ([Request].MaxIdle).
+func (c *conn) isHealthy() bool {
 	if c.in.Buffered() > 0 {
 		return false
 	}
@@ -34,29 +33,30 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	noData := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, e := unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = e == unix.EAGAIN
+		noData = e == unix.EAGAIN
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && noData
 }
 
-// tune sets the time-outs that notice an upstream which fell silent.
-func tune(c net.Conn, silent time.Duration) error {
+// setUserTimeout sets TCP_USER_TIMEOUT, so that an upstream that stops acknowledging
+// data breaks the connection within the timeout.
+func setUserTimeout(c net.Conn, timeout time.Duration) error {
 	tcp := c.(*net.TCPConn)
 	raw, err := tcp.SyscallConn()
 	if err != nil {
 		return err
 	}
-	var set error
+	var optErr error
 	err = raw.Control(func(fd uintptr) {
-		set = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silent.Milliseconds()))
+		optErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return set
+	return optErr
 }
--- a/internal/exchange/do.go
+++ b/internal/exchange/do.go
@@ -11,61 +11,64 @@
 	"time"
 )
 
-// Do sends the request to an address once and returns the head of its answer.
-// When ctx ends, the connection is closed, which tells the upstream to stop.
+// Do sends the request to a host and port once and returns once the head of the
+// response is read. When ctx ends, the connection is closed, so that the upstream
+// can stop its work. The failure is nil exactly when the response is not.
 func (p *Pool) Do(ctx context.Context, addr string, req *Request) (*Response, *Failure) {
-	c, err := p.take(ctx, addr, req.MaxIdle)
+	c, err := p.acquire(ctx, addr, req.MaxIdle)
 	if err != nil {
-		return nil, &Failure{Reason: reasonOf(ctx, NotConnected), Err: err}
+		return nil, &Failure{Reason: reasonUnlessCancelled(ctx, NotConnected), Err: err}
 	}
 	if req.Stands != nil && !req.Stands() {
-		p.put(c, 0)
+		p.release(c, 0)
 		return nil, &Failure{Reason: Withdrawn, Err: errWithdrawn}
 	}
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
-	written := make(chan error, 1)
-	sent := send(c, req, written)
+	writeResult := make(chan error, 1)
+	sent := send(c, req, writeResult)
 	resp, failure := readHead(c, req)
 	if failure != nil {
 		failure.Sent = sent
 		stop()
-		_ = c.Close() // the failure counts
-		failure.Reason = reasonOf(ctx, failure.Reason)
+		_ = c.Close() // the exchange's failure is returned
+		failure.Reason = reasonUnlessCancelled(ctx, failure.Reason)
 		return nil, failure
 	}
 	r := &Response{
 		Status: resp.StatusCode, Header: resp.Header, Length: resp.ContentLength, At: time.Now(), Reused: c.reused,
-		body: resp.Body, conn: c, pool: p, written: written, stop: stop,
-		close: resp.Close || resp.ContentLength < 0 && len(resp.TransferEncoding) == 0,
+		body: resp.Body, conn: c, pool: p, writeResult: writeResult, stop: stop,
+		closeAfter: resp.Close || resp.ContentLength < 0 && len(resp.TransferEncoding) == 0,
 	}
 	return r, nil
 }
 
 var errWithdrawn = errors.New("the upstream takes no new work any more")
 
-func reasonOf(ctx context.Context, reason Reason) Reason {
+// reasonUnlessCancelled returns Cancelled if ctx has ended, else the given reason.
+func reasonUnlessCancelled(ctx context.Context, reason Reason) Reason {
 	if ctx.Err() != nil {
 		return Cancelled
 	}
 	return reason
 }
 
-// send writes the request, a long one beside the reading of its answer. It
-// returns false only when the kernel took no byte of it.
-func send(c *conn, req *Request, written chan<- error) (sent bool) {
+// send writes the request; a large one is written concurrently with the reading of the
+// response. It returns false only when the kernel accepted no byte of the request.
+func send(c *conn, req *Request, writeResult chan<- error) (sent bool) {
 	data := encode(req)
-	if len(data) <= oneWrite {
+	if len(data) <= maxSyncWriteBytes {
 		n, err := c.Write(data)
-		written <- err
+		writeResult <- err
 		return err == nil || n > 0
 	}
 	go func() {
 		_, err := c.Write(data)
-		written <- err
+		writeResult <- err
 	}()
 	return true
 }
 
+// encode returns the request in its HTTP/1.1 wire format.
 func encode(req *Request) []byte {
 	var b bytes.Buffer
 	b.Grow(512 + len(req.Body))
@@ -91,15 +94,14 @@
 	return b.Bytes()
 }
 
-// readHead reads the head of the answer to req. An answer with another ID is a
-// late or repeated one to an earlier request: it is read over, since the
-// answer to this one follows.
+// readHead reads the head of the response to req. A response with another ID is a late or
+// repeated one to an earlier request. It is skipped, since the response to req follows.
 func readHead(c *conn, req *Request) (*http.Response, *Failure) {
-	ask := &http.Request{Method: req.Method}
-	for range strayAnswers {
-		resp, err := http.ReadResponse(c.in, ask)
+	httpRequest := &http.Request{Method: req.Method}
+	for range maxStrayResponses {
+		resp, err := http.ReadResponse(c.in, httpRequest)
 		if err != nil {
-			return nil, &Failure{Sent: true, Reason: broken(err), Err: err}
+			return nil, &Failure{Sent: true, Reason: readFailureReason(err), Err: err}
 		}
 		if resp.StatusCode/100 == 1 {
 			continue
@@ -110,15 +112,16 @@
 		if resp.Header.Get(req.IDField) == "" || resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
 			return nil, &Failure{Sent: true, Reason: Garbled, Err: errors.New("answer names no request")}
 		}
-		if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, strayBytes)); err != nil {
-			return nil, &Failure{Sent: true, Reason: broken(err), Err: err}
+		if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxStrayBodyBytes)); err != nil {
+			return nil, &Failure{Sent: true, Reason: readFailureReason(err), Err: err}
 		}
 	}
 	return nil, &Failure{Sent: true, Reason: Garbled, Err: errors.New("only answers to other requests")}
 }
 
-// broken tells bytes that are no answer from a connection that ended.
-func broken(err error) Reason {
+// readFailureReason distinguishes malformed bytes from a connection that ended. net/http
+// gives no error types for the former, so the text decides.
+func readFailureReason(err error) Reason {
 	text := err.Error()
 	if strings.Contains(text, "malformed") || strings.Contains(text, "invalid") {
 		return Garbled
@@ -126,6 +129,6 @@
 	return Broken
 }
 
-// Deadline bounds the reading of the next bytes of the body; the zero time
-// lifts the bound.
+// Deadline sets the deadline for reads of the body; the zero time removes it. It
+// returns the error of the connection.
 func (r *Response) Deadline(t time.Time) error { return r.conn.SetReadDeadline(t) }
--- a/internal/exchange/doc.go
+++ b/internal/exchange/doc.go
@@ -1,9 +1,9 @@
-// Package exchange sends one request to one upstream over HTTP/1.1 and reads
-// its answer.
+// Package exchange is an HTTP/1.1 client that sends one request to one upstream, once,
+// and reads its response.
 //
-// It exists beside net/http's client because the router must know, of each
-// byte, whether it may have reached an upstream: net/http sends some requests
-// again by itself when a kept connection breaks, and asks for compressed
-// bodies. Here nothing is sent twice, a connection with any doubt about its
-// framing is closed, and a failure says whether the request may have run.
+// It replaces net/http's client because the router must know whether any byte of a
+// request may have reached an upstream. net/http resends some requests by itself
+// when a reused connection breaks, and requests compressed bodies. Here nothing is
+// sent twice, and a connection whose framing is in doubt is closed. A failure
+// states whether the request may have run.
 package exchange
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -21,8 +21,9 @@
 
 const idField = "Request-Id"
 
-// server serves each connection by a script.
-func server(t *testing.T, serve func(c net.Conn, in *bufio.Reader, conn int)) string {
+// startServer starts a server that calls serve for each connection, with the connection's
+// number from 0, and returns its address.
+func startServer(t *testing.T, serve func(c net.Conn, in *bufio.Reader, conn int)) string {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -38,7 +39,7 @@
 			}
 			go func() {
 				serve(c, bufio.NewReader(c), n)
-				_ = c.Close() // the script is over
+				_ = c.Close() // serve has returned
 			}()
 		}
 	}()
@@ -58,18 +59,18 @@
 	return req, err
 }
 
-func answer(c net.Conn, id, body string) {
+func writeResponse(c net.Conn, id, body string) {
 	_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nRequest-Id: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body) // the client may have gone
 }
 
-func request(id string) *Request {
+func newRequest(id string) *Request {
 	return &Request{Method: http.MethodPost, Target: "/a/b?c", Host: "h.example", IDField: idField, ID: id,
 		Fields: []Field{{idField, id}}, Body: []byte("body"), HasBody: true}
 }
 
-func get(t *testing.T, p *Pool, addr, id string) (string, *Failure) {
+func exchangeBody(t *testing.T, p *Pool, addr, id string) (string, *Failure) {
 	t.Helper()
-	resp, failure := p.Do(context.Background(), addr, request(id))
+	resp, failure := p.Do(context.Background(), addr, newRequest(id))
 	if failure != nil {
 		return "", failure
 	}
@@ -81,73 +82,72 @@
 	return string(data), nil
 }
 
-// Two requests follow each other on one connection.
-func TestConnectionIsKept(t *testing.T) {
+// Guards against a new connection for each request where the previous one is reusable.
+func TestConnectionIsReused(t *testing.T) {
 	is := is.New(t)
-	addr := server(t, func(c net.Conn, in *bufio.Reader, _ int) {
+	addr := startServer(t, func(c net.Conn, in *bufio.Reader, _ int) {
 		for {
 			req, err := readRequest(in)
 			if err != nil {
 				return
 			}
-			answer(c, req.Header.Get(idField), req.RequestURI)
+			writeResponse(c, req.Header.Get(idField), req.RequestURI)
 		}
 	})
 	p := NewPool(Settings{})
 	defer p.Close()
 	for i := range 3 {
-		body, failure := get(t, p, addr, fmt.Sprint(i))
+		body, failure := exchangeBody(t, p, addr, fmt.Sprint(i))
 		is.True(failure == nil)
 		is.Equal(body, "/a/b?c")
 	}
 	is.Equal(p.Opened(), int64(1))
 }
 
-// An upstream reads a request and its connection breaks. Nothing may be sent
-// again by itself: the request may have run.
-func TestNothingIsSentTwice(t *testing.T) {
+// Guards against resending a request when a reused connection breaks after the upstream
+// has read it: the request may have run.
+func TestBrokenReusedConnectionDoesNotResend(t *testing.T) {
 	is := is.New(t)
-	var seen atomic.Int32
-	addr := server(t, func(c net.Conn, in *bufio.Reader, conn int) {
+	var received atomic.Int32
+	addr := startServer(t, func(c net.Conn, in *bufio.Reader, conn int) {
 		for k := 0; ; k++ {
 			req, err := readRequest(in)
 			if err != nil {
 				return
 			}
-			seen.Add(1)
+			received.Add(1)
 			if conn == 0 && k == 1 {
-				return // the kept connection breaks under the second request
+				return // the reused connection breaks after the second request
 			}
-			answer(c, req.Header.Get(idField), "ok")
+			writeResponse(c, req.Header.Get(idField), "ok")
 		}
 	})
 	p := NewPool(Settings{})
 	defer p.Close()
-	_, failure := get(t, p, addr, "1")
+	_, failure := exchangeBody(t, p, addr, "1")
 	is.True(failure == nil)
-	_, failure = get(t, p, addr, "2")
+	_, failure = exchangeBody(t, p, addr, "2")
 	is.True(failure != nil)
 	is.True(failure.Sent)
-	is.Equal(seen.Load(), int32(2))
+	is.Equal(received.Load(), int32(2))
 }
 
-// A stream is read with a time limit for its next event, and ends. The next
-// request on the kept connection waits longer for its answer than what was left
-// of that limit: it failed as if the upstream had broken off, and was sent to
-// another one although its answer was on the way.
-func TestLimitOfOneAnswerDoesNotEndTheNext(t *testing.T) {
+// Guards against a read deadline of one response that still applies to the next on the same
+// connection. The next request then fails as if the upstream had broken off, and goes
+// to another upstream although its response is in transit.
+func TestBodyDeadlineDoesNotApplyToNextResponse(t *testing.T) {
 	is := is.New(t)
-	passed := make(chan struct{})
-	addr := server(t, func(c net.Conn, in *bufio.Reader, _ int) {
+	limitPassed := make(chan struct{})
+	addr := startServer(t, func(c net.Conn, in *bufio.Reader, _ int) {
 		for k := 0; ; k++ {
 			req, err := readRequest(in)
 			if err != nil {
 				return
 			}
 			if k == 1 {
-				<-passed
+				<-limitPassed
 			}
-			answer(c, req.Header.Get(idField), "ok")
+			writeResponse(c, req.Header.Get(idField), "ok")
 		}
 	})
 	p := NewPool(Settings{})
@@ -159,23 +159,23 @@
 	_, err := io.ReadAll(resp)
 	is.NoErr(err)
 	resp.Close()
-	time.AfterFunc(2*limit, func() { close(passed) })
-	body, failure := get(t, p, addr, "2")
+	time.AfterFunc(2*limit, func() { close(limitPassed) })
+	body, failure := exchangeBody(t, p, addr, "2")
 	is.True(failure == nil)
 	is.Equal(body, "ok")
 	is.Equal(p.Opened(), int64(1))
 }
 
-// Nobody listens: the failure says that nothing was sent, so that even work
-// that may not repeat can go elsewhere.
-func TestFailureBeforeTheFirstByte(t *testing.T) {
+// Guards against a refused connection that is reported as if the request may have run:
+// a request that is not idempotent could then not go to another upstream.
+func TestConnectFailureReportsNothingSent(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
 	addr := l.Addr().String()
 	is.NoErr(l.Close())
 	p := NewPool(Settings{})
-	_, failure := get(t, p, addr, "1")
+	_, failure := exchangeBody(t, p, addr, "1")
 	is.True(failure != nil)
 	is.True(!failure.Sent)
 	is.Equal(failure.Reason, NotConnected)
@@ -183,51 +183,51 @@
 	is.True(strings.Contains(failure.Error(), "not_connected"))
 }
 
-// An upstream sends a second answer after a complete one. The next request
-// must not get it: the connection is not used again.
-func TestExtraAnswerReachesNobody(t *testing.T) {
+// Guards against an unsolicited second response being taken for the response to the next
+// request: the connection must not be reused.
+func TestExtraResponseIsNotDelivered(t *testing.T) {
 	is := is.New(t)
-	addr := server(t, func(c net.Conn, in *bufio.Reader, _ int) {
+	addr := startServer(t, func(c net.Conn, in *bufio.Reader, _ int) {
 		for {
 			req, err := readRequest(in)
 			if err != nil {
 				return
 			}
 			id := req.Header.Get(idField)
-			answer(c, id, "mine-"+id)
-			answer(c, id, "extra")
+			writeResponse(c, id, "mine-"+id)
+			writeResponse(c, id, "extra")
 		}
 	})
 	p := NewPool(Settings{})
 	defer p.Close()
 	for i := range 20 {
-		body, failure := get(t, p, addr, fmt.Sprint(i))
+		body, failure := exchangeBody(t, p, addr, fmt.Sprint(i))
 		is.True(failure == nil)
 		is.Equal(body, fmt.Sprintf("mine-%d", i))
 	}
 }
 
-// An earlier request's answer comes where this one's is expected. Its ID tells
-// that it is another's; the right answer follows.
-func TestLateAnswerOfAnotherIsReadOver(t *testing.T) {
+// Guards against delivering a late response to an earlier request, which its ID identifies.
+// The response to this request follows on the same connection.
+func TestLateResponseToEarlierRequestIsSkipped(t *testing.T) {
 	is := is.New(t)
-	addr := server(t, func(c net.Conn, in *bufio.Reader, _ int) {
+	addr := startServer(t, func(c net.Conn, in *bufio.Reader, _ int) {
 		req, err := readRequest(in)
 		if err != nil {
 			return
 		}
-		answer(c, "earlier", "not yours")
-		answer(c, req.Header.Get(idField), "yours")
+		writeResponse(c, "earlier", "not yours")
+		writeResponse(c, req.Header.Get(idField), "yours")
 	})
 	p := NewPool(Settings{})
 	defer p.Close()
-	body, failure := get(t, p, addr, "7")
+	body, failure := exchangeBody(t, p, addr, "7")
 	is.True(failure == nil)
 	is.Equal(body, "yours")
 }
 
-// What comes back is no answer, or names no request.
-func TestGarbledAnswers(t *testing.T) {
+// Guards against accepting bytes that are not a response, or a response without a request ID.
+func TestMalformedResponses(t *testing.T) {
 	for _, text := range []string{
 		"garbage garbage\r\n\r\n",
 		"HTTP/1.1 abc OK\r\n\r\n",
@@ -235,13 +235,13 @@
 		"HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\n",
 		"",
 	} {
-		addr := server(t, func(c net.Conn, in *bufio.Reader, _ int) {
+		addr := startServer(t, func(c net.Conn, in *bufio.Reader, _ int) {
 			if _, err := readRequest(in); err == nil {
 				_, _ = io.WriteString(c, text) // the client may have gone
 			}
 		})
 		p := NewPool(Settings{})
-		_, failure := get(t, p, addr, "1")
+		_, failure := exchangeBody(t, p, addr, "1")
 		if failure == nil || !failure.Sent {
 			t.Errorf("%q: %v", text, failure)
 		}
@@ -249,50 +249,50 @@
 	}
 }
 
-// An answer without a length ends with its connection. If it is reset instead,
-// the answer is not complete.
-func TestAnswerWithoutLength(t *testing.T) {
+// A response without a length ends with its connection. Guards against taking one whose
+// connection is reset for a complete one.
+func TestResponseWithoutLength(t *testing.T) {
 	is := is.New(t)
 	var reset atomic.Bool
-	addr := server(t, func(c net.Conn, in *bufio.Reader, _ int) {
+	addr := startServer(t, func(c net.Conn, in *bufio.Reader, _ int) {
 		if _, err := readRequest(in); err != nil {
 			return
 		}
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nRequest-Id: 1\r\n\r\npart") // as above
 		if reset.Load() {
-			_ = c.(*net.TCPConn).SetLinger(0) // a reset is wanted
+			_ = c.(*net.TCPConn).SetLinger(0) // makes Close send a reset
 		}
 	})
 	p := NewPool(Settings{})
 	defer p.Close()
-	body, failure := get(t, p, addr, "1")
+	body, failure := exchangeBody(t, p, addr, "1")
 	is.True(failure == nil)
 	is.Equal(body, "part")
 	reset.Store(true)
-	_, failure = get(t, p, addr, "1")
+	_, failure = exchangeBody(t, p, addr, "1")
 	is.True(failure != nil)
 }
 
-// An upstream answers before it has read a long body, and reads on. The rest
-// of the body must not become the next request's bytes.
-func TestEarlyAnswerToALongBody(t *testing.T) {
+// Guards against reusing a connection on which the upstream responds before it has read a
+// long body: the rest of the body would precede the next request.
+func TestResponseBeforeBodyIsWrittenClosesConnection(t *testing.T) {
 	is := is.New(t)
 	var conns atomic.Int32
 	stop := make(chan struct{})
-	addr := server(t, func(c net.Conn, in *bufio.Reader, _ int) {
+	addr := startServer(t, func(c net.Conn, in *bufio.Reader, _ int) {
 		conns.Add(1)
 		req, err := http.ReadRequest(in)
 		if err != nil {
 			return
 		}
-		answer(c, req.Header.Get(idField), "early")
+		writeResponse(c, req.Header.Get(idField), "early")
 		<-stop
 	})
 	p := NewPool(Settings{})
 	defer p.Close()
 	defer close(stop)
 	for i := range 2 {
-		req := request(fmt.Sprint(i))
+		req := newRequest(fmt.Sprint(i))
 		req.Body = make([]byte, 32<<20) // more than the kernel's buffers hold
 		resp, failure := p.Do(context.Background(), addr, req)
 		is.True(failure == nil)
@@ -305,17 +305,17 @@
 	is.Equal(conns.Load(), int32(2))
 }
 
-// A kept connection was closed by its upstream while idle. That shows before
-// anything is sent, and a new one is opened.
-func TestDeadIdleConnectionIsNotUsed(t *testing.T) {
+// Guards against sending on an idle connection that the upstream has closed; a new
+// connection is opened instead.
+func TestClosedIdleConnectionIsNotReused(t *testing.T) {
 	is := is.New(t)
 	closed := make(chan struct{})
-	addr := server(t, func(c net.Conn, in *bufio.Reader, conn int) {
+	addr := startServer(t, func(c net.Conn, in *bufio.Reader, conn int) {
 		req, err := readRequest(in)
 		if err != nil {
 			return
 		}
-		answer(c, req.Header.Get(idField), "ok")
+		writeResponse(c, req.Header.Get(idField), "ok")
 		if conn == 0 {
 			_ = c.Close() // while it is idle at the client
 			close(closed)
@@ -323,30 +323,30 @@
 	})
 	p := NewPool(Settings{})
 	defer p.Close()
-	_, failure := get(t, p, addr, "1")
+	_, failure := exchangeBody(t, p, addr, "1")
 	is.True(failure == nil)
 	<-closed
 	for deadline := time.Now().Add(10 * time.Second); ; {
 		p.mu.Lock()
 		c := p.idle[addr][0]
-		alive := c.alive()
+		healthy := c.isHealthy()
 		p.mu.Unlock()
-		if !alive || time.Now().After(deadline) {
+		if !healthy || time.Now().After(deadline) {
 			break
 		}
 	}
-	_, failure = get(t, p, addr, "2")
+	_, failure = exchangeBody(t, p, addr, "2")
 	is.True(failure == nil)
 	is.Equal(p.Opened(), int64(2))
 }
 
-// The caller gives up while it waits: the exchange ends, and the upstream sees
-// its connection close.
-func TestCancelledExchange(t *testing.T) {
+// Guards against an upstream that works on after its request is cancelled: the exchange
+// ends, and the upstream's connection is closed.
+func TestCancellationClosesConnection(t *testing.T) {
 	is := is.New(t)
 	reading := make(chan struct{})
 	gone := make(chan struct{})
-	addr := server(t, func(c net.Conn, in *bufio.Reader, _ int) {
+	addr := startServer(t, func(c net.Conn, in *bufio.Reader, _ int) {
 		if _, err := readRequest(in); err != nil {
 			return
 		}
@@ -360,23 +360,23 @@
 		<-reading
 		cancel()
 	}()
-	_, failure := p.Do(ctx, addr, request("1"))
+	_, failure := p.Do(ctx, addr, newRequest("1"))
 	is.True(failure != nil)
 	is.Equal(failure.Reason, Cancelled)
 	is.True(failure.Sent)
 	<-gone
 }
 
-// An upstream says how long it keeps idle connections.
-func TestKeepAliveIsHonoured(t *testing.T) {
+// Guards against reusing a connection beyond the idle time-out that its upstream states.
+func TestKeepAliveTimeoutOfUpstreamIsHonoured(t *testing.T) {
 	is := is.New(t)
-	is.Equal(keepFor(http.Header{"Keep-Alive": {"max=5, timeout=3"}}), 3*time.Second-keepAliveMargin)
-	is.Equal(keepFor(http.Header{}), time.Duration(0))
-	is.Equal(keepFor(http.Header{"Keep-Alive": {"timeout=soon"}}), time.Nanosecond)
+	is.Equal(keepAliveTimeout(http.Header{"Keep-Alive": {"max=5, timeout=3"}}), 3*time.Second-keepAliveMargin)
+	is.Equal(keepAliveTimeout(http.Header{}), time.Duration(0))
+	is.Equal(keepAliveTimeout(http.Header{"Keep-Alive": {"timeout=soon"}}), time.Nanosecond)
 	p := NewPool(Settings{MaxIdlePerUpstream: 1})
 	a, b := net.Pipe()
-	p.put(&conn{Conn: a, addr: "x", in: bufio.NewReader(a)}, time.Second)
-	p.put(&conn{Conn: b, addr: "x", in: bufio.NewReader(b)}, time.Second)
+	p.release(&conn{Conn: a, addr: "x", in: bufio.NewReader(a)}, time.Second)
+	p.release(&conn{Conn: b, addr: "x", in: bufio.NewReader(b)}, time.Second)
 	is.Equal(len(p.idle["x"]), 1)
 	p.Sweep(time.Now())
 	is.Equal(len(p.idle["x"]), 1)
--- a/internal/exchange/failure.go
+++ b/internal/exchange/failure.go
@@ -2,35 +2,38 @@
 
 import "fmt"
 
-// Failure says why an exchange brought no answer.
+// Failure is the error of an exchange without a response.
 type Failure struct {
 	// Sent is false only when no byte of the request can have reached the
-	// upstream.
+	// upstream; the request is then safe to send elsewhere.
 	Sent   bool
 	Reason Reason
-	Err    error
+	// Err is the cause, for example an error of the connection.
+	Err error
 }
 
-// Reason is a failure's kind.
+// Reason classifies a failure, as logs show it.
 type Reason string
 
 const (
-	// NotConnected: no connection could be opened.
+	// NotConnected means that no connection could be opened.
 	NotConnected Reason = "not_connected"
-	// Broken: the connection ended before a whole answer head.
+	// Broken means that the connection ended before the head of the response was complete.
 	Broken Reason = "broken"
-	// Garbled: what came back is no answer, or another request's.
+	// Garbled means that the received bytes are not an HTTP response, or that the
+	// response belongs to another request.
 	Garbled Reason = "garbled"
-	// Withdrawn: the request was taken back before any byte of it was sent.
+	// Withdrawn means that [Request].Stands was false once there was a connection;
+	// nothing was sent.
 	Withdrawn Reason = "withdrawn"
-	// Cancelled: the caller gave the exchange up, or its time was over.
+	// Cancelled means that the exchange's context was cancelled or its deadline expired.
 	Cancelled Reason = "cancelled"
 )
 
-// Error describes the failure.
+// Error returns the reason, whether the request may have been sent, and the cause.
 func (f *Failure) Error() string {
 	return fmt.Sprintf("%s (sent: %t): %v", f.Reason, f.Sent, f.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns Err.
 func (f *Failure) Unwrap() error { return f.Err }
--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// Pool keeps connections to upstreams.
+// Pool keeps idle connections to upstreams for reuse. It is safe for concurrent use.
 type Pool struct {
 	settings Settings
 	dialer   net.Dialer
 
 	mu   sync.Mutex
 	idle map[string][]*conn
-	// opened counts connections opened since the start.
+	// opened counts the connections opened since the start.
 	opened int64
 }
 
-// NewPool returns an empty pool.
+// NewPool returns an empty pool; Close closes its idle connections.
 func NewPool(s Settings) *Pool {
 	s = s.withDefaults()
 	return &Pool{
@@ -35,14 +35,14 @@
 	}
 }
 
-// Opened returns how many connections were opened.
+// Opened returns how many connections were opened since the start.
 func (p *Pool) Opened() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.opened
 }
 
-// Forget closes the idle connections to an address.
+// Forget closes the idle connections to a host and port.
 func (p *Pool) Forget(addr string) {
 	p.mu.Lock()
 	list := p.idle[addr]
@@ -62,17 +62,17 @@
 	}
 }
 
-// Sweep closes connections that have been idle for too long.
+// Sweep closes the connections whose idle time-out has passed at the time now.
 func (p *Pool) Sweep(now time.Time) {
 	p.mu.Lock()
-	var old []*conn
+	var expired []*conn
 	for addr, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
 			if now.Before(c.idleUntil) {
 				kept = append(kept, c)
 			} else {
-				old = append(old, c)
+				expired = append(expired, c)
 			}
 		}
 		if len(kept) == 0 {
@@ -82,24 +82,24 @@
 		}
 	}
 	p.mu.Unlock()
-	closeAll(old)
+	closeAll(expired)
 }
 
-// take returns the most recently used idle connection that still lives, or
-// opens one.
-func (p *Pool) take(ctx context.Context, addr string, maxIdle time.Duration) (*conn, error) {
+// acquire returns the most recently used healthy idle connection, or opens one. maxIdle
+// bounds how long it may have been idle; 0 for no bound of the request's own.
+func (p *Pool) acquire(ctx context.Context, addr string, maxIdle time.Duration) (*conn, error) {
 	for {
 		c := p.pop(addr)
 		if c == nil {
-			return p.open(ctx, addr)
+			return p.dial(ctx, addr)
 		}
 		now := time.Now()
 		recent := maxIdle == 0 || now.Sub(c.idleSince) <= maxIdle
-		if recent && now.Before(c.idleUntil) && c.alive() {
+		if recent && now.Before(c.idleUntil) && c.isHealthy() {
 			c.reused = true
 			return c, nil
 		}
-		_ = c.Close() // idle and unusable: nothing is lost
+		_ = c.Close() // an idle connection carries no request
 	}
 }
 
@@ -115,23 +115,23 @@
 	return c
 }
 
-func (p *Pool) open(ctx context.Context, addr string) (*conn, error) {
+func (p *Pool) dial(ctx context.Context, addr string) (*conn, error) {
 	nc, err := p.dialer.DialContext(ctx, "tcp4", addr)
 	if err != nil {
 		return nil, err
 	}
-	if err := tune(nc, p.settings.SilentTimeout); err != nil {
-		_ = nc.Close() // the error of the option counts
+	if err := setUserTimeout(nc, p.settings.SilentTimeout); err != nil {
+		_ = nc.Close() // the error of the socket option is returned
 		return nil, err
 	}
 	p.mu.Lock()
 	p.opened++
 	p.mu.Unlock()
-	return &conn{Conn: nc, addr: addr, in: bufio.NewReaderSize(nc, readBuffer)}, nil
+	return &conn{Conn: nc, addr: addr, in: bufio.NewReaderSize(nc, readBufferBytes)}, nil
 }
 
-// put keeps a connection for later requests.
-func (p *Pool) put(c *conn, keep time.Duration) {
+// release returns a connection to the pool for up to keep, or Settings.MaxIdle if keep is 0.
+func (p *Pool) release(c *conn, keep time.Duration) {
 	now := time.Now()
 	if keep <= 0 {
 		keep = p.settings.MaxIdle
@@ -141,7 +141,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.idle[c.addr]) >= p.settings.MaxIdlePerUpstream {
-		_ = c.Close() // one too many: nothing is lost
+		_ = c.Close() // the pool is full; an idle connection carries no request
 		return
 	}
 	p.idle[c.addr] = append(p.idle[c.addr], c)
@@ -149,6 +149,6 @@
 
 func closeAll(list []*conn) {
 	for _, c := range list {
-		_ = c.Close() // idle: nothing is lost
+		_ = c.Close() // an idle connection carries no request
 	}
 }
--- a/internal/exchange/request.go
+++ b/internal/exchange/request.go
@@ -2,29 +2,28 @@
 
 import "time"
 
-// Field is one header field, in the order and spelling in which it is sent.
+// Field is a header field. Fields are sent in the given order and spelling.
 type Field struct{ Name, Value string }
 
-// Request is one attempt.
+// Request is one attempt to send a caller's request to an upstream.
 type Request struct {
 	Method string
-	// Target is the raw path and query.
+	// Target is the raw path and query of the request line.
 	Target string
 	Host   string
 	Fields []Field
 	Body   []byte
-	// HasBody tells a body of no bytes from no body.
+	// HasBody distinguishes an empty body from no body.
 	HasBody bool
-	// IDField and ID name the header that upstreams echo and its value: an
-	// answer with another ID belongs to another request.
+	// IDField is the header field that upstreams echo, and ID its value. A response
+	// with another ID belongs to another request. An empty IDField disables the check.
 	IDField string
 	ID      string
-	// MaxIdle bounds how long a kept connection may have been idle to carry
-	// this request; 0 for the pool's own bound. A connection that its upstream
-	// has dropped in silence loses what is sent on it, which cannot be sent
-	// again where the work is not idempotent.
+	// MaxIdle bounds how long a reused connection may have been idle; 0 for the pool's
+	// own bound. A request on a connection that its upstream has silently dropped is
+	// lost, and cannot be resent where it is not idempotent.
 	MaxIdle time.Duration
-	// Stands tells, once there is a connection, whether the request is still to be sent; nil
-	// where it is.
+	// Stands is called once there is a connection and reports whether to send the request;
+	// false fails the exchange with Withdrawn. Nil always sends.
 	Stands func() bool
 }
--- a/internal/exchange/response.go
+++ b/internal/exchange/response.go
@@ -8,73 +8,74 @@
 	"time"
 )
 
-// Response is an upstream's answer. Close it when done with it; a second Close
-// does nothing.
+// Response is an upstream's response with its body still to be read. It must be closed;
+// a second Close does nothing.
 type Response struct {
 	Status int
 	Header http.Header
-	// Length is the body's length, or -1 where the answer does not say.
+	// Length is the Content-Length in bytes, or -1 if it is not stated.
 	Length int64
-	// At is when the head of the answer was read.
+	// At is the time when the head of the response was read.
 	At time.Time
-	// Reused tells whether a kept connection carried it.
+	// Reused reports whether the exchange used an idle connection of the pool.
 	Reused bool
 
-	body    io.Reader
-	whole   bool
-	conn    *conn
-	pool    *Pool
-	written <-chan error
-	stop    func() bool
-	close   bool
-	closed  bool
+	body        io.Reader
+	complete    bool
+	conn        *conn
+	pool        *Pool
+	writeResult <-chan error
+	stop        func() bool
+	closeAfter  bool
+	closed      bool
 }
 
-// Read reads the body. io.EOF means that the answer is whole; an answer that
-// was cut short ends in another error.
+// Read reads the body. It returns io.EOF only at the end of a complete body; a truncated
+// body ends in another error.
 func (r *Response) Read(p []byte) (int, error) {
 	n, err := r.body.Read(p)
 	if err == io.EOF {
-		r.whole = true
+		r.complete = true
 	}
 	return n, err
 }
 
-// Close ends the exchange. The connection is kept only when the answer was
-// whole and nothing about its framing is in doubt; else it is closed, which
-// also tells the upstream to stop.
+// Close ends the exchange. The connection returns to the pool only when the body was
+// read to its end and the framing is not in doubt. Otherwise it is closed, so that
+// the upstream can stop its work.
 func (r *Response) Close() {
 	if r.closed {
 		return
 	}
 	r.closed = true
-	undisturbed := r.stop()
-	// The time limit of this answer's parts must not end the next one.
-	lifted := r.conn.SetReadDeadline(time.Time{}) == nil
-	if !undisturbed || !lifted || !r.reusable() {
-		_ = r.conn.Close() // the answer is whole, or given up
+	notCancelled := r.stop()
+	// The read deadline of this response must not apply to the next one.
+	deadlineCleared := r.conn.SetReadDeadline(time.Time{}) == nil
+	if !notCancelled || !deadlineCleared || !r.reusable() {
+		_ = r.conn.Close() // the response is complete or abandoned
 		return
 	}
-	r.pool.put(r.conn, keepFor(r.Header))
+	r.pool.release(r.conn, keepAliveTimeout(r.Header))
 }
 
+// reusable reports whether the connection may carry another request.
 func (r *Response) reusable() bool {
-	if !r.whole || r.close || r.conn.in.Buffered() > 0 {
+	if !r.complete || r.closeAfter || r.conn.in.Buffered() > 0 {
 		return false
 	}
 	select {
-	case err := <-r.written:
-		// An answer that came before the request was written out leaves bytes
-		// of this body where the next request would begin.
+	case err := <-r.writeResult:
+		// If the response precedes the end of the request's body, the rest of that
+		// body would precede the next request on the connection.
 		return err == nil
 	default:
 		return false
 	}
 }
 
-// keepFor reads how long the upstream keeps an idle connection; 0 if it does
-// not say.
-func keepFor(h http.Header) time.Duration {
+// keepAliveTimeout returns how long to keep an idle connection by the upstream's Keep-Alive
+// header, less a margin; 0 if it states no time-out.
+func keepAliveTimeout(h http.Header) time.Duration {
 	for _, part := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(name, "timeout") {
--- a/internal/exchange/settings.go
+++ b/internal/exchange/settings.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Settings of a [Pool]. Zero values take the defaults named here.
+// Settings configures a [Pool]. Zero values take the defaults in parentheses.
 type Settings struct {
-	// DialTimeout bounds the opening of a connection (500 ms: a hundred round
-	// trips between failure domains; an upstream that takes longer is dark).
+	// DialTimeout bounds the opening of a connection (500 ms: a hundred round trips
+	// between failure domains; an upstream that takes longer is unreachable).
 	DialTimeout time.Duration
-	// SilentTimeout is how long sent bytes may stay unacknowledged, and an
-	// open connection silent to probes, before it counts as broken (2 s).
+	// SilentTimeout is how long sent bytes or keep-alive probes may stay unacknowledged
+	// before the connection counts as broken (2 s).
 	SilentTimeout time.Duration
-	// MaxIdle is how long an unused connection is kept where the upstream does
-	// not say (4 s).
+	// MaxIdle is how long an idle connection is kept where the upstream states no
+	// time-out (4 s).
 	MaxIdle time.Duration
-	// MaxIdlePerUpstream bounds the unused connections kept (16).
+	// MaxIdlePerUpstream bounds the idle connections kept for one upstream (16).
 	MaxIdlePerUpstream int
 }
 
@@ -22,24 +22,25 @@
 	defaultSilentTimeout = 2 * time.Second
 	defaultMaxIdle       = 4 * time.Second
 	defaultMaxIdleConns  = 16
-	// probeInterval is the gap between probes of a silent connection.
+	// probeInterval is the interval of TCP keep-alive probes.
 	probeInterval = time.Second
-	// oneWrite is the largest request that is written before its answer is
-	// read; a larger one is written beside the reading, since an upstream may
-	// answer before it has taken a long body and then block the writer.
-	oneWrite = 64 << 10
-	// readBuffer is the buffer of a connection.
-	readBuffer = 4 << 10
-	// keepAliveMargin is taken off the idle time that an upstream states, for
-	// what is on its way when the upstream closes.
+	// maxSyncWriteBytes is the largest request that is written before its response is
+	// read. A larger one is written concurrently, since an upstream may respond before
+	// it has read a long body and then block the writer.
+	maxSyncWriteBytes = 64 << 10
+	// readBufferBytes is the size of a connection's read buffer.
+	readBufferBytes = 4 << 10
+	// keepAliveMargin is subtracted from the idle time-out that an upstream states, so
+	// that no request is in transit when the upstream closes the connection.
 	keepAliveMargin = 300 * time.Millisecond
-	// strayAnswers is how many answers to other requests are read over before
-	// the connection is given up.
-	strayAnswers = 3
-	// strayBytes bounds the body of such an answer.
-	strayBytes = 1 << 20
+	// maxStrayResponses is how many responses to other requests are skipped before
+	// the connection is closed.
+	maxStrayResponses = 3
+	// maxStrayBodyBytes bounds how much of the body of such a response is read.
+	maxStrayBodyBytes = 1 << 20
 )
 
+// withDefaults returns the settings with defaults in place of zero values.
 func (s Settings) withDefaults() Settings {
 	if s.DialTimeout == 0 {
 		s.DialTimeout = defaultDialTimeout
--- a/internal/exchange/withdrawn_test.go
+++ b/internal/exchange/withdrawn_test.go
@@ -8,8 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// TestWithdrawnRequestIsNotSent guards against a request that goes out although its upstream
-// has said, while the connection was opened, that it takes nothing more.
+// TestWithdrawnRequestIsNotSent guards against sending a request to an upstream that has
+// announced, while the connection was being opened, that it accepts no new requests.
 func TestWithdrawnRequestIsNotSent(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
