--- a/internal/event/admin.go
+++ b/internal/event/admin.go
@@ -2,7 +2,7 @@
 
 import "log/slog"
 
-// Events 1700 to 1799: operators, and the commands that they run.
+// Events 1700 to 1799: operators' requests to the administration interface.
 var (
 	ConfigurationAccepted = define(1700, slog.LevelInfo, "configuration change was accepted")
 	AdminRefused          = define(1701, slog.LevelInfo, "operator's request was refused")
--- a/internal/event/catalogue.go
+++ b/internal/event/catalogue.go
@@ -4,7 +4,7 @@
 
 var catalogue []Event
 
-// define registers an event; a number used twice is a broken invariant.
+// define registers an event. It panics if the number is already in use.
 func define(number int, level slog.Level, name string) Event {
 	for _, e := range catalogue {
 		if e.Number == number {
@@ -16,5 +16,5 @@
 	return e
 }
 
-// Catalogue returns all events, in order of definition.
+// Catalogue returns a copy of the list of all events, in the order of their definition.
 func Catalogue() []Event { return append([]Event(nil), catalogue...) }
--- a/internal/event/catalogue_test.go
+++ b/internal/event/catalogue_test.go
@@ -13,15 +13,16 @@
 	"github.com/matryer/is"
 )
 
-const page = "../../docs/EVENTS.md"
+const catalogueFile = "../../docs/EVENTS.md"
 
-// blocks are the numbers of each part of the product, a hundred each.
+// firstNumber and lastNumber are the range of event numbers. Each part of the product
+// has a block of a hundred numbers in it.
 const (
 	firstNumber = 1000
 	lastNumber  = 1999
 )
 
-// row is one line of the page's tables: number, level, event, what to do.
+// row is a row of the tables in docs/EVENTS.md: number, level, event, what to do.
 type row struct {
 	number int
 	level  string
@@ -29,9 +30,9 @@
 	advice string
 }
 
-func readPage(t *testing.T) []row {
+func readCatalogueFile(t *testing.T) []row {
 	t.Helper()
-	data, err := os.ReadFile(page)
+	data, err := os.ReadFile(catalogueFile)
 	is.New(t).NoErr(err)
 	var rows []row
 	for _, line := range strings.Split(string(data), "\n") {
@@ -41,7 +42,7 @@
 			continue
 		}
 		if len(cells) != 4 {
-			t.Errorf("%s: not four cells: %s", page, line)
+			t.Errorf("%s: row does not have four cells: %s", catalogueFile, line)
 			continue
 		}
 		rows = append(rows, row{number, strings.TrimSpace(cells[1]), strings.TrimSpace(cells[2]), strings.TrimSpace(cells[3])})
@@ -51,42 +52,41 @@
 
 func levelName(l slog.Level) string { return strings.ToLower(l.String()) }
 
-// Somebody on call looks up the number of a log line. The page must have it,
-// with the level and the words of the line, and must not tell of events that
-// the product does not log.
-func TestPageAndCatalogueAgree(t *testing.T) {
+// Guards against event numbers that an operator can't look up in docs/EVENTS.md, a level or
+// name there that differs from the log's, and documented events that do not exist.
+func TestDocumentedEventsMatchCatalogue(t *testing.T) {
 	is := is.New(t)
-	known := map[int]Event{}
+	byNumber := map[int]Event{}
 	for _, e := range Catalogue() {
-		known[e.Number] = e
+		byNumber[e.Number] = e
 	}
-	seen := map[int]bool{}
-	rows := readPage(t)
+	listed := map[int]bool{}
+	rows := readCatalogueFile(t)
 	is.True(slices.IsSortedFunc(rows, func(a, b row) int { return cmp.Compare(a.number, b.number) })) // in order
 	for _, r := range rows {
-		e, ok := known[r.number]
-		if !ok || seen[r.number] {
-			t.Errorf("%s: %d is not in the catalogue, or stands twice", page, r.number)
+		e, ok := byNumber[r.number]
+		if !ok || listed[r.number] {
+			t.Errorf("%s: %d is not in the catalogue, or is listed twice", catalogueFile, r.number)
 			continue
 		}
-		seen[r.number] = true
+		listed[r.number] = true
 		if r.name != e.Name || r.level != levelName(e.Level) || r.advice == "" {
-			t.Errorf("%s: %d is %q, %s, with advice; the page has %q, %s, %q", page, e.Number, e.Name, levelName(e.Level), r.name, r.level, r.advice)
+			t.Errorf("%s: %d is %q, %s, with advice; the page has %q, %s, %q", catalogueFile, e.Number, e.Name, levelName(e.Level), r.name, r.level, r.advice)
 		}
 	}
 	for _, e := range Catalogue() {
-		if !seen[e.Number] {
-			t.Errorf("%s: add\n| %d | %s | %s | (what to do) |", page, e.Number, levelName(e.Level), e.Name)
+		if !listed[e.Number] {
+			t.Errorf("%s: add\n| %d | %s | %s | (what to do) |", catalogueFile, e.Number, levelName(e.Level), e.Name)
 		}
 	}
 }
 
-func TestNumbersAndNamesAreUnique(t *testing.T) {
+func TestNumbersAndNamesAreUniqueAndInRange(t *testing.T) {
 	is := is.New(t)
 	names := map[string]int{}
 	for _, e := range Catalogue() {
 		is.True(e.Number >= firstNumber && e.Number <= lastNumber)
-		is.Equal(names[e.Name], 0) // the name's other number
+		is.Equal(names[e.Name], 0) // the other event with the same name
 		names[e.Name] = e.Number
 	}
 }
--- a/internal/event/choice.go
+++ b/internal/event/choice.go
@@ -2,7 +2,7 @@
 
 import "log/slog"
 
-// Events 1500 to 1599: version choice, exposure and holds.
+// Events 1500 to 1599: choice of model versions, their exposure and holds.
 var (
 	VersionHeld       = define(1500, slog.LevelError, "version turned bad and is held")
 	HoldLearned       = define(1501, slog.LevelWarn, "version is held; another node found it bad")
--- a/internal/event/doc.go
+++ b/internal/event/doc.go
@@ -1,4 +1,4 @@
-// Package event holds the numbered log events of the router. Each event has a
-// number that never changes its meaning, a name and a level; docs/EVENTS.md is
-// the catalogue for people, and a test compares the two.
+// Package event defines the numbered log events of the router. Each event has a number
+// whose meaning never changes, a name and a level. docs/EVENTS.md documents them
+// for operators; a test checks that both agree.
 package event
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -5,16 +5,16 @@
 	"log/slog"
 )
 
-// Event is one entry of the catalogue.
+// Event is a kind of log record, identified by its number.
 type Event struct {
-	// Number is the stable number, for example 1001.
+	// Number is the stable number, for example 1001; the attribute "event" of the record.
 	Number int
 	// Name is the message of the log record.
 	Name  string
 	Level slog.Level
 }
 
-// Log writes the event with its number and attributes.
+// Log writes a record with the event's level, name and number, and further attributes.
 func (e Event) Log(l *slog.Logger, attrs ...slog.Attr) {
 	all := make([]slog.Attr, 0, len(attrs)+1)
 	all = append(all, slog.Int("event", e.Number))
--- a/internal/event/forward.go
+++ b/internal/event/forward.go
@@ -2,8 +2,8 @@
 
 import "log/slog"
 
-// Events 1900 to 1999: forwarded requests, upstreams that register themselves,
-// and what nodes tell each other.
+// Events 1900 to 1999: forwarded requests, registered upstreams, the platform's table, and
+// the exchange of state between nodes.
 var (
 	ForwardStarted    = define(1900, slog.LevelInfo, "gateway is serving")
 	ForwardStopping   = define(1901, slog.LevelInfo, "gateway is stopping")
--- a/internal/event/load.go
+++ b/internal/event/load.go
@@ -2,7 +2,7 @@
 
 import "log/slog"
 
-// Events 1600 to 1699: upstream choice, admission and suspects.
+// Events 1600 to 1699: upstream selection, retries, and requests suspected of crashing upstreams.
 var (
 	BreakerOpened    = define(1600, slog.LevelWarn, "upstream's breaker opened")
 	BreakerClosed    = define(1601, slog.LevelInfo, "upstream's breaker closed")
--- a/internal/event/platform.go
+++ b/internal/event/platform.go
@@ -2,7 +2,7 @@
 
 import "log/slog"
 
-// Events 1100 to 1199: the platform, its client and its stand-in.
+// Events 1100 to 1199: the stand-in of the platform.
 var (
 	PlatformServing        = define(1100, slog.LevelInfo, "stand-in platform is serving")
 	PlatformClosed         = define(1101, slog.LevelInfo, "stand-in platform is closed")
--- a/internal/event/upstream.go
+++ b/internal/event/upstream.go
@@ -2,7 +2,7 @@
 
 import "log/slog"
 
-// Events 1200 to 1299: stand-in upstreams and the clients that reach upstreams.
+// Events 1200 to 1299: stand-in upstreams and engines.
 var (
 	StandinListening = define(1200, slog.LevelInfo, "stand-in upstream is listening")
 	StandinClosed    = define(1201, slog.LevelInfo, "stand-in upstream has closed")
