--- a/internal/event/rollout.go
+++ b/internal/event/rollout.go
@@ -10,5 +10,5 @@
 	RolloutOrderFail = define(1803, slog.LevelWarn, "order to an engine failed")
 	RolloutStale     = define(1804, slog.LevelWarn, "engine refused an order with an old fencing number")
 	RolloutRowBad    = define(1805, slog.LevelError, "row of the roll-outs cannot be read")
-	RolloutStage     = define(1806, slog.LevelInfo, "version came to another stage of its roll-out")
+	RolloutStage     = define(1806, slog.LevelInfo, "version reached another stage of its roll-out")
 )
