--- a/internal/logring/limit.go
+++ b/internal/logring/limit.go
@@ -45,8 +45,8 @@
 	return &Limit{Handler: l.Handler.WithGroup(name), bucket: l.bucket}
 }
 
-// Missed returns how many lines the rate limit has dropped since the start.
-func (l *Limit) Missed() int64 {
+// Dropped returns how many lines the rate limit has dropped since the start.
+func (l *Limit) Dropped() int64 {
 	l.bucket.mu.Lock()
 	defer l.bucket.mu.Unlock()
 	return l.bucket.dropped
--- a/internal/logring/writer_test.go
+++ b/internal/logring/writer_test.go
@@ -65,7 +65,7 @@
 		log.Warn("failure")
 		is.Equal(strings.Count(out.String(), "usual"), infoLineBurst)
 		is.Equal(strings.Count(out.String(), "failure"), 1)
-		is.Equal(limit.Missed(), int64(4*infoLineBurst))
+		is.Equal(limit.Dropped(), int64(4*infoLineBurst))
 		time.Sleep(time.Second)
 		for range infoLineBurst {
 			log.Info("later")
