--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -11,12 +11,12 @@
 // Route defines how requests of one host and path prefix are served.
 type Route struct {
 	Name string
-	// Text is the digest of the encoded route in the configuration; 0 if unknown. A
+	// SourceDigest is the digest of the encoded route in the configuration; 0 if unknown. A
 	// later table reuses the route where the digest is the same.
-	Text   uint64
-	Host   string
-	Prefix string
-	Kind   Kind
+	SourceDigest uint64
+	Host         string
+	Prefix       string
+	Kind         Kind
 	// Shares are the services that serve the route; at least one.
 	Shares []Share
 	// Timeout bounds the time from a request's arrival to its response.
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -34,8 +34,8 @@
 		bySourceDigest: make(map[uint64]*Route, len(routes)),
 	}
 	for _, r := range routes {
-		if r.Text != 0 {
-			t.bySourceDigest[r.Text] = r
+		if r.SourceDigest != 0 {
+			t.bySourceDigest[r.SourceDigest] = r
 		}
 		host := canonicalHost(r.Host)
 		if t.byHost[host] == nil {
--- a/internal/route/table_test.go
+++ b/internal/route/table_test.go
@@ -79,7 +79,7 @@
 // its decoded route.
 func TestRouteIsFoundBySourceDigest(t *testing.T) {
 	is := is.New(t)
-	tab := New(1, Limits{}, []*Route{{Name: "a", Text: 7}, {Name: "b"}}, nil, nil)
+	tab := New(1, Limits{}, []*Route{{Name: "a", SourceDigest: 7}, {Name: "b"}}, nil, nil)
 	is.Equal(tab.Read(7).Name, "a")
 	is.Equal(tab.Read(8), nil)
 	is.Equal(tab.Read(0), nil)
