--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -74,9 +74,9 @@
 	return h.regions
 }
 
-// Read returns the route that was decoded from a text with this digest, or nil. It may
+// RouteByDigest returns the route that was decoded from a text with this digest, or nil. It may
 // be called on a nil table.
-func (t *Table) Read(text uint64) *Route {
+func (t *Table) RouteByDigest(text uint64) *Route {
 	if t == nil || text == 0 {
 		return nil
 	}
--- a/internal/route/table_test.go
+++ b/internal/route/table_test.go
@@ -80,10 +80,10 @@
 func TestRouteIsFoundBySourceDigest(t *testing.T) {
 	is := is.New(t)
 	tab := New(1, Limits{}, []*Route{{Name: "a", SourceDigest: 7}, {Name: "b"}}, nil, nil)
-	is.Equal(tab.Read(7).Name, "a")
-	is.Equal(tab.Read(8), nil)
-	is.Equal(tab.Read(0), nil)
-	is.Equal((*Table)(nil).Read(7), nil)
+	is.Equal(tab.RouteByDigest(7).Name, "a")
+	is.Equal(tab.RouteByDigest(8), nil)
+	is.Equal(tab.RouteByDigest(0), nil)
+	is.Equal((*Table)(nil).RouteByDigest(7), nil)
 }
 
 func TestMatchAgreesWithLinearScan(t *testing.T) {
