--- a/internal/gateway/serve_request.go
+++ b/internal/gateway/serve_request.go
@@ -98,7 +98,7 @@
 	if !j.config.Keyed {
 		return nil
 	}
-	org := j.config.Holder(j.headers.Key)
+	org := j.config.OrganisationByKey(j.headers.Key)
 	if org == nil {
 		if j.route.Public {
 			return nil
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -89,8 +89,8 @@
 // Service returns the service with a name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// Holder returns the organisation to which an API key belongs, or nil.
-func (t *Table) Holder(key string) *Organisation {
+// OrganisationByKey returns the organisation to which an API key belongs, or nil.
+func (t *Table) OrganisationByKey(key string) *Organisation {
 	if key == "" {
 		return nil
 	}
--- a/internal/route/table_test.go
+++ b/internal/route/table_test.go
@@ -46,9 +46,9 @@
 	is := is.New(t)
 	table := testTable()
 	is.True(table.Keyed)
-	is.Equal(table.Holder("k2").Name, "org")
-	is.Equal(table.Holder(""), nil)
-	is.Equal(table.Holder("k3"), nil)
+	is.Equal(table.OrganisationByKey("k2").Name, "org")
+	is.Equal(table.OrganisationByKey(""), nil)
+	is.Equal(table.OrganisationByKey("k3"), nil)
 	is.True(table.Service("s1") != nil)
 	is.Equal(table.Service("s3"), nil)
 }
