--- a/internal/route/service.go
+++ b/internal/route/service.go
@@ -20,9 +20,9 @@
 type Engine struct {
 	// Slots is the number of requests that run in one batch.
 	Slots int
-	// Memory is the capacity for tokens of prompts and answers.
-	Memory int
-	Models []Model
+	// TokenCapacity is the capacity for tokens of prompts and answers.
+	TokenCapacity int
+	Models        []Model
 }
 
 // Model is a model that an engine can run.
