--- a/internal/gateway/attempt_timer.go
+++ b/internal/gateway/attempt_timer.go
@@ -49,7 +49,7 @@
 	if !a.movable() {
 		return p
 	}
-	late := lateDelay(a.job.route.Goal, time.Until(a.job.deadline))
+	late := lateDelay(a.job.route.LatencyGoal, time.Until(a.job.deadline))
 	first := late
 	if a.usualDelay > 0 {
 		first = min(max(time.Duration(moveDelayFactor*float64(a.usualDelay)), minMoveDelay), late)
@@ -102,7 +102,7 @@
 // attempts must be left for the request.
 func (a *attempt) movable() bool {
 	j := a.job
-	if j.route.Kind != route.Stream || !j.route.Repeatable() || j.route.Goal <= 0 {
+	if j.route.Kind != route.Stream || !j.route.Repeatable() || j.route.LatencyGoal <= 0 {
 		return false
 	}
 	needed := 2 // this one and its replacement
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -90,7 +90,7 @@
 // nextAttempt chooses an upstream for the next attempt. Without any it waits briefly, as
 // one may be available again within moments.
 func (j *job) nextAttempt() *attempt {
-	until := j.start.Add(time.Duration(upstreamWaitFraction * float64(j.route.Goal)))
+	until := j.start.Add(time.Duration(upstreamWaitFraction * float64(j.route.LatencyGoal)))
 	for {
 		if j.ctx.Err() != nil || !j.mayAttempt() {
 			return nil
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -127,7 +127,7 @@
 	smallest, largest := j.attemptSpec(canary.Rule{}), j.attemptSpec(canary.Rule{})
 	smallest.Model, largest.Model = models[0], models[len(models)-1]
 	return cascade.State{
-		Models: models, Attempts: j.attemptsLeft(), Resumed: j.lastEvent != "", Left: j.route.Goal - now.Sub(j.start),
+		Models: models, Attempts: j.attemptsLeft(), Resumed: j.lastEvent != "", Left: j.route.LatencyGoal - now.Sub(j.start),
 		Smallest: n.fleet.TimeToFirstEvent(&smallest, now), Largest: n.fleet.TimeToFirstEvent(&largest, now),
 	}
 }
@@ -142,7 +142,7 @@
 	largest.Model = j.route.Models[len(j.route.Models)-1]
 	return cascade.State{
 		Models: j.route.Models, Attempts: j.attemptsLeft(), Load: load,
-		Left: j.route.Goal - time.Since(j.start), Largest: n.fleet.TimeToFirstEvent(&largest, time.Now()),
+		Left: j.route.LatencyGoal - time.Since(j.start), Largest: n.fleet.TimeToFirstEvent(&largest, time.Now()),
 	}
 }
 
@@ -153,11 +153,11 @@
 		return time.Time{}
 	}
 	if events == 0 && !j.answerStarted {
-		return time.Now().Add(time.Duration(firstEventStallFactor * float64(j.route.Goal)))
+		return time.Now().Add(time.Duration(firstEventStallFactor * float64(j.route.LatencyGoal)))
 	}
 	gap := j.route.GapGoal
 	if gap <= 0 {
-		gap = j.route.Goal
+		gap = j.route.LatencyGoal
 	}
 	return time.Now().Add(time.Duration(eventStallFactor * float64(gap)))
 }
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -21,8 +21,8 @@
 	Shares []Share
 	// Timeout bounds the time from a request's arrival to its response.
 	Timeout time.Duration
-	// Goal is the latency goal: of a stream's first event, else of the whole response.
-	Goal time.Duration
+	// LatencyGoal is the latency goal: of a stream's first event, else of the whole response.
+	LatencyGoal time.Duration
 	// GapGoal is the latency goal of the gap between two events of a stream.
 	GapGoal time.Duration
 	// MaxAttempts bounds the number of upstreams to which one request is sent.
