--- a/internal/exchange/do.go
+++ b/internal/exchange/do.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		return nil, &Failure{Reason: reasonUnlessCancelled(ctx, NotConnected), Err: err}
 	}
-	if req.Stands != nil && !req.Stands() {
+	if req.ShouldSend != nil && !req.ShouldSend() {
 		p.release(c, 0)
 		return nil, &Failure{Reason: Withdrawn, Err: errWithdrawn}
 	}
--- a/internal/exchange/request.go
+++ b/internal/exchange/request.go
@@ -23,7 +23,7 @@
 	// own bound. A request on a connection that its upstream has silently dropped is
 	// lost, and cannot be resent where it is not idempotent.
 	MaxIdle time.Duration
-	// Stands is called once there is a connection and reports whether to send the request;
+	// ShouldSend is called once there is a connection and reports whether to send the request;
 	// false fails the exchange with Withdrawn. Nil always sends.
-	Stands func() bool
+	ShouldSend func() bool
 }
--- a/internal/exchange/withdrawn_test.go
+++ b/internal/exchange/withdrawn_test.go
@@ -25,7 +25,7 @@
 		got <- n
 	}()
 	p := NewPool(Settings{})
-	_, failure := p.Do(context.Background(), l.Addr().String(), &Request{Method: "GET", Target: "/", Stands: func() bool { return false }})
+	_, failure := p.Do(context.Background(), l.Addr().String(), &Request{Method: "GET", Target: "/", ShouldSend: func() bool { return false }})
 	is.True(failure != nil)
 	is.Equal(failure.Reason, Withdrawn)
 	is.True(!failure.Sent)
