--- a/internal/exchange/do.go
+++ b/internal/exchange/do.go
@@ -35,7 +35,7 @@
 		return nil, failure
 	}
 	r := &Response{
-		Status: resp.StatusCode, Header: resp.Header, Length: resp.ContentLength, At: time.Now(), Reused: c.reused,
+		Status: resp.StatusCode, Header: resp.Header, Length: resp.ContentLength, HeadReadAt: time.Now(), Reused: c.reused,
 		body: resp.Body, conn: c, pool: p, writeResult: writeResult, stop: stop,
 		closeAfter: resp.Close || resp.ContentLength < 0 && len(resp.TransferEncoding) == 0,
 	}
--- a/internal/exchange/response.go
+++ b/internal/exchange/response.go
@@ -15,8 +15,8 @@
 	Header http.Header
 	// Length is the Content-Length in bytes, or -1 if it is not stated.
 	Length int64
-	// At is the time when the head of the response was read.
-	At time.Time
+	// HeadReadAt is the time when the head of the response was read.
+	HeadReadAt time.Time
 	// Reused reports whether the exchange used an idle connection of the pool.
 	Reused bool
 
