--- a/internal/rawhttp/caller.go
+++ b/internal/rawhttp/caller.go
@@ -13,8 +13,8 @@
 // Caller is an HTTP client that sends one prepared request after another over a TCP
 // connection.
 type Caller struct {
-	// Ask holds the encoded request, head and body.
-	Ask []byte
+	// Request holds the encoded request, head and body.
+	Request []byte
 	// Turn receives a value for each event after which the upstream may send the next;
 	// nil for a response without events.
 	Turn chan<- struct{}
@@ -43,7 +43,7 @@
 
 // Run sends the request once and reads the whole response. Any status but 200 is an error.
 func (c *Caller) Run() error {
-	if _, err := c.conn.Write(c.Ask); err != nil {
+	if _, err := c.conn.Write(c.Request); err != nil {
 		return err
 	}
 	res, err := http.ReadResponse(c.in, nil)
