--- a/internal/rawhttp/caller.go
+++ b/internal/rawhttp/caller.go
@@ -15,9 +15,9 @@
 type Caller struct {
 	// Request holds the encoded request, head and body.
 	Request []byte
-	// Turn receives a value for each event after which the upstream may send the next;
+	// Release receives a value for each event after which the upstream may send the next;
 	// nil for a response without events.
-	Turn chan<- struct{}
+	Release chan<- struct{}
 	// Rest is the number of events for which the upstream waits for Turn.
 	Rest int
 
@@ -54,7 +54,7 @@
 		text, _ := io.ReadAll(res.Body) // only the error message uses it
 		return eris.Errorf("status %d: %s", res.StatusCode, text)
 	}
-	if c.Turn == nil {
+	if c.Release == nil {
 		_, err = io.Copy(io.Discard, res.Body)
 		return err
 	}
@@ -76,7 +76,7 @@
 		}
 		events++
 		if events <= c.Rest {
-			c.Turn <- struct{}{}
+			c.Release <- struct{}{}
 		}
 	}
 }
