--- a/internal/node/chunk_test.go
+++ b/internal/node/chunk_test.go
@@ -24,7 +24,7 @@
 	is.NoErr(f.store.RegisterVM(context.Background(), u.vm(platform.RoleEngine, "bare")))
 	f.await("the node knows the engine", func() bool { return f.knows(f.nodes[0], fleetSize{nodes: 1, engines: 1}) })
 	w := workload{chunks: chunks, stream: true}
-	c := rawhttp.Caller{Request: []byte(w.requestOf(0)), Release: turn, Rest: chunks - 1}
+	c := rawhttp.Caller{Request: []byte(w.requestOf(0)), Release: turn, HeldEvents: chunks - 1}
 	is.NoErr(c.Dial(f.nodes[0].Addr()))
 	defer c.Close()
 	is.NoErr(c.SetDeadline(time.Now().Add(waitLimit)))
--- a/internal/node/path_bench_test.go
+++ b/internal/node/path_bench_test.go
@@ -87,7 +87,7 @@
 func (w workload) measure(b *testing.B, addr string, turns []chan struct{}, n int) time.Duration {
 	callers := make([]*rawhttp.Caller, pathCallers)
 	for i := range callers {
-		callers[i] = &rawhttp.Caller{Request: []byte(w.requestOf(i)), Release: turns[i], Rest: w.chunks - 1}
+		callers[i] = &rawhttp.Caller{Request: []byte(w.requestOf(i)), Release: turns[i], HeldEvents: w.chunks - 1}
 		if err := callers[i].Dial(addr); err != nil {
 			b.Fatal(err)
 		}
--- a/internal/rawhttp/caller.go
+++ b/internal/rawhttp/caller.go
@@ -18,8 +18,8 @@
 	// Release receives a value for each event after which the upstream may send the next;
 	// nil for a response without events.
 	Release chan<- struct{}
-	// Rest is the number of events for which the upstream waits for Turn.
-	Rest int
+	// HeldEvents is the number of events for which the upstream waits for Turn.
+	HeldEvents int
 
 	conn net.Conn
 	in   *bufio.Reader
@@ -65,7 +65,7 @@
 func (c *Caller) follow(in *bufio.Reader) error {
 	for events := 0; ; {
 		line, err := in.ReadSlice('\n')
-		if err == io.EOF && events > c.Rest {
+		if err == io.EOF && events > c.HeldEvents {
 			return nil
 		}
 		if err != nil {
@@ -75,7 +75,7 @@
 			continue
 		}
 		events++
-		if events <= c.Rest {
+		if events <= c.HeldEvents {
 			c.Release <- struct{}{}
 		}
 	}
