--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -143,7 +143,7 @@
 	shutdownCtx, cancel := context.WithTimeout(ctx, n.settings.Grace-stopReserve-time.Since(began))
 	defer cancel()
 	if err := front.Shutdown(shutdownCtx); err != nil {
-		event.ForwardCut.Log(n.log, slog.Int64("active", n.active.Load()), slog.String("err", err.Error()))
+		event.ForwardGraceExpired.Log(n.log, slog.Int64("active", n.active.Load()), slog.String("err", err.Error()))
 	}
 }
 
