--- a/internal/event/forward.go
+++ b/internal/event/forward.go
@@ -13,7 +13,7 @@
 	ForwardAnswered     = define(1910, slog.LevelInfo, "forwarded request was answered")
 	ForwardRefused      = define(1911, slog.LevelInfo, "forwarded request was refused; it has not run")
 	ForwardFailed       = define(1912, slog.LevelWarn, "forwarded request failed; it may have run")
-	ForwardLeft         = define(1913, slog.LevelInfo, "caller disconnected before its response")
+	ForwardCallerLeft   = define(1913, slog.LevelInfo, "caller disconnected before its response")
 	ForwardBroken       = define(1914, slog.LevelWarn, "response was cut off before its end")
 	ForwardAttempt      = define(1920, slog.LevelInfo, "attempt did not serve the request")
 	ForwardEscalated    = define(1921, slog.LevelInfo, "smaller model's confidence was low; a larger model answers")
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -69,7 +69,7 @@
 // callerLeft ends a request whose caller has disconnected; no answer is possible.
 func (j *job) callerLeft() {
 	j.outcome = "caller_left"
-	j.node.logEvent(event.ForwardLeft, j, slog.Bool("begun", j.answerStarted))
+	j.node.logEvent(event.ForwardCallerLeft, j, slog.Bool("begun", j.answerStarted))
 	j.observe(statusClientClosedRequest)
 	panic(http.ErrAbortHandler) // closes the connection without a proper end of the answer
 }
--- a/internal/gateway/serve_request.go
+++ b/internal/gateway/serve_request.go
@@ -137,7 +137,7 @@
 	case errors.As(err, &tooLarge):
 		return bodyTooLarge
 	case err != nil:
-		n.logEvent(event.ForwardLeft, j, slog.String("at", "body"), slog.String("err", err.Error()))
+		n.logEvent(event.ForwardCallerLeft, j, slog.String("at", "body"), slog.String("err", err.Error()))
 		panic(http.ErrAbortHandler) // the body is incomplete, so no answer is possible
 	}
 	j.body, j.bodyRead = body, true
