--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -222,6 +222,6 @@
 	n.mu.Unlock()
 	n.pool.Forget(a.addr)
 	if fresh {
-		n.logEvent(event.ForwardStrike, j, slog.String("upstream", a.id), slog.Int("strikes", strikes))
+		n.logEvent(event.ForwardUpstreamCrashed, j, slog.String("upstream", a.id), slog.Int("strikes", strikes))
 	}
 }
