--- a/internal/event/forward.go
+++ b/internal/event/forward.go
@@ -19,7 +19,7 @@
 	ForwardEscalated       = define(1921, slog.LevelInfo, "smaller model's confidence was low; a larger model answers")
 	ForwardResumed         = define(1922, slog.LevelInfo, "stream continues at another upstream")
 	ForwardUpstreamCrashed = define(1923, slog.LevelWarn, "upstream crashed while it ran a request")
-	ForwardUnsure          = define(1924, slog.LevelInfo, "smaller model's confidence was low; its answer is kept because the retry budget is short")
+	ForwardLowConfidence   = define(1924, slog.LevelInfo, "smaller model's confidence was low; its answer is kept because the retry budget is short")
 	FleetChanged           = define(1930, slog.LevelInfo, "upstream's record changed")
 	FleetGone              = define(1931, slog.LevelInfo, "upstream is no longer listed")
 	FleetKept              = define(1932, slog.LevelWarn, "upstreams disappeared while the table was unreachable; they are kept for a while")
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -109,7 +109,7 @@
 	}
 	if !j.node.allowRetry(j.service, cascade.Reserve(reply.Confidence)) {
 		// Without a further attempt the small model's answer is the only one.
-		j.node.logEvent(event.ForwardUnsure, j, attrs...)
+		j.node.logEvent(event.ForwardLowConfidence, j, attrs...)
 		return ""
 	}
 	j.node.logEvent(event.ForwardEscalated, j, attrs...)
