--- a/internal/event/forward.go
+++ b/internal/event/forward.go
@@ -35,7 +35,7 @@
 	TableCut               = define(1944, slog.LevelInfo, "transfer of newer routes was interrupted")
 	SourceLost             = define(1942, slog.LevelWarn, "platform's table does not respond")
 	SourceBack             = define(1943, slog.LevelInfo, "platform's table responds again")
-	TableUnsound           = define(1946, slog.LevelWarn, "field of the configuration is invalid; it is ignored")
+	ConfigFieldInvalid     = define(1946, slog.LevelWarn, "field of the configuration is invalid; it is ignored")
 	SourceCalled           = define(1945, slog.LevelDebug, "call of the platform's table")
 	PeerChanged            = define(1950, slog.LevelInfo, "peer's state changed")
 	PeerLost               = define(1951, slog.LevelInfo, "peer does not respond")
--- a/internal/gateway/orders.go
+++ b/internal/gateway/orders.go
@@ -135,7 +135,7 @@
 	event.TableApplied.Log(n.log, slog.Int64("version", table.Version), slog.String("from", from), slog.Int("bytes", len(doc)),
 		slog.Duration("decoding", time.Since(began)))
 	for _, field := range table.Unsound {
-		event.TableUnsound.Log(n.log, slog.Int64("version", table.Version), slog.String("field", field))
+		event.ConfigFieldInvalid.Log(n.log, slog.Int64("version", table.Version), slog.String("field", field))
 	}
 	n.configActivated()
 	return nil
