--- a/internal/gateway/follow_config.go
+++ b/internal/gateway/follow_config.go
@@ -194,7 +194,7 @@
 // abort logs a transfer that failed and leaves its peer alone for a while.
 func (f *configFetch) abort(peer gossip.Member, began time.Time, err error) {
 	f.backOff(peer, failedBackoff)
-	event.TableCut.Log(f.node.log, slog.String("peer", peer.ID), slog.Int64("version", f.node.configVersion()),
+	event.TableTransferInterrupted.Log(f.node.log, slog.String("peer", peer.ID), slog.Int64("version", f.node.configVersion()),
 		slog.Int64("heard", f.node.newestPeerVersion.Load()), slog.Int("received", f.receiver.Received()),
 		slog.Duration("after", time.Since(began)), slog.String("err", err.Error()))
 }
