--- a/internal/exchange/conn.go
+++ b/internal/exchange/conn.go
@@ -24,7 +24,7 @@
 // It detects a connection that the upstream has closed, or on which it has sent
 // unsolicited bytes: both make the idle connection readable. The check sees only what
 // the kernel has received, not what is still in transit. A request that is not
-// idempotent therefore also requires a recently used connection ([Request].MaxIdle).
+// idempotent therefore also requires a recently used connection ([Request.MaxIdle]).
 func (c *conn) isHealthy() bool {
 	if c.in.Buffered() > 0 {
 		return false
--- a/internal/exchange/failure.go
+++ b/internal/exchange/failure.go
@@ -23,7 +23,7 @@
 	// Garbled means that the received bytes are not an HTTP response, or that the
 	// response belongs to another request.
 	Garbled Reason = "garbled"
-	// Withdrawn means that [Request].Stands was false once there was a connection;
+	// Withdrawn means that [Request.ShouldSend] returned false once there was a connection;
 	// nothing was sent.
 	Withdrawn Reason = "withdrawn"
 	// Cancelled means that the exchange's context was cancelled or its deadline expired.
--- a/internal/rawhttp/caller.go
+++ b/internal/rawhttp/caller.go
@@ -18,7 +18,7 @@
 	// Release receives a value for each event after which the upstream may send the next;
 	// nil for a response without events.
 	Release chan<- struct{}
-	// HeldEvents is the number of events for which the upstream waits for Turn.
+	// HeldEvents is the number of events for which the upstream waits for Release.
 	HeldEvents int
 
 	conn net.Conn
--- a/internal/rawhttp/server.go
+++ b/internal/rawhttp/server.go
@@ -35,7 +35,7 @@
 	Answer(conn net.Conn, req *http.Request, body []byte) error
 }
 
-// ErrClose is returned by [Handler].Answer to close the connection deliberately.
+// ErrClose is returned by [Handler.Answer] to close the connection deliberately.
 var ErrClose = eris.New("the connection is closed on purpose")
 
 // Listen starts a server on a free port of loopback.
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -19,11 +19,12 @@
 	Kind         Kind
 	// Shares are the services that serve the route; at least one.
 	Shares []Share
-	// Timeout bounds the time from a request's arrival to its response.
+	// Timeout bounds the total time that a request may take.
 	Timeout time.Duration
-	// LatencyGoal is the latency goal: of a stream's first event, else of the whole response.
+	// LatencyGoal is the time within which a stream's first event, or else the whole
+	// response, counts as on time.
 	LatencyGoal time.Duration
-	// GapGoal is the latency goal of the gap between two events of a stream.
+	// GapGoal is the longest gap between events of a stream that counts as on time.
 	GapGoal time.Duration
 	// MaxAttempts bounds the number of upstreams to which one request is sent.
 	MaxAttempts int
--- a/internal/telemetry/set.go
+++ b/internal/telemetry/set.go
@@ -46,7 +46,7 @@
 // they become a request, such as one without a key.
 func (s *Set) Failed(code request.Code) { s.codes.get(code).Inc() }
 
-// Answered counts the outcome of a request that a model version served.
+// Answered counts an attempt at a model version by its outcome.
 func (s *Set) Answered(version string, o request.Outcome) { s.versions.get(version).inc(o) }
 
 // Gauge registers a value that is read at each scrape. Labels are pairs of name and
