--- a/internal/exchange/request.go
+++ b/internal/exchange/request.go
@@ -10,7 +10,9 @@
 	Method string
 	// Target is the raw path and query of the request line.
 	Target string
-	Host   string
+	// Host is the value of the Host header.
+	Host string
+	// Fields are the header fields apart from Host and Content-Length.
 	Fields []Field
 	Body   []byte
 	// HasBody distinguishes an empty body from no body.
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -14,9 +14,11 @@
 	// SourceDigest is the digest of the encoded route in the configuration; 0 if unknown. A
 	// later table reuses the route where the digest is the same.
 	SourceDigest uint64
-	Host         string
-	Prefix       string
-	Kind         Kind
+	// Host is the host name of the requests, in any case.
+	Host string
+	// Prefix is the prefix of the requests' raw paths.
+	Prefix string
+	Kind   Kind
 	// Shares are the services that serve the route; at least one.
 	Shares []Share
 	// Timeout bounds the total time that a request may take.
--- a/internal/route/service.go
+++ b/internal/route/service.go
@@ -4,7 +4,8 @@
 
 // Service describes a group of interchangeable upstreams.
 type Service struct {
-	Name       string
+	Name string
+	// HealthPath is the path of the upstreams' health check.
 	HealthPath string
 	// MaxConns bounds the connections to one upstream, summed over all nodes.
 	MaxConns int
@@ -36,15 +37,18 @@
 // Limits bound the size of a caller's request, and how long reading its header or
 // waiting for the next request may take.
 type Limits struct {
-	HeaderBytes   int
-	BodyBytes     int64
+	HeaderBytes int
+	BodyBytes   int64
+	// HeaderTimeout bounds the reading of a request's header.
 	HeaderTimeout time.Duration
-	IdleTimeout   time.Duration
+	// IdleTimeout bounds the wait for the next request on a connection.
+	IdleTimeout time.Duration
 }
 
 // Organisation is a customer, identified by its API keys.
 type Organisation struct {
 	Name string
+	// Keys are the organisation's API keys.
 	Keys []string
 	// Priority overrides the route's priority if HasPriority is set.
 	Priority    int
--- a/internal/telemetry/observation.go
+++ b/internal/telemetry/observation.go
@@ -9,6 +9,7 @@
 // Observation holds the measurements of one finished request. Durations of 0 were
 // not measured and are not observed.
 type Observation struct {
+	// Outcome is how the request ended.
 	Outcome request.Outcome
 	// Code is the failure code; empty for a completed request.
 	Code request.Code
@@ -28,5 +29,6 @@
 	Cost         int64
 	InputTokens  int
 	OutputTokens int
+	// CachedTokens is how many input tokens the upstream had cached.
 	CachedTokens int
 }
