--- a/internal/route/service.go
+++ b/internal/route/service.go
@@ -5,7 +5,8 @@
 // Service describes a group of interchangeable upstreams.
 type Service struct {
 	Name string
-	// HealthPath is the path of the upstreams' health check.
+	// HealthPath is the configured path of the upstreams' health check; the gateway does
+	// not use it.
 	HealthPath string
 	// MaxConns bounds the connections to one upstream, summed over all nodes.
 	MaxConns int
@@ -34,12 +35,12 @@
 	Cost float64
 }
 
-// Limits bound the size of a caller's request, and how long reading its header or
-// waiting for the next request may take.
+// Limits are the configured limits on callers' requests and connections. The gateway
+// applies BodyBytes and IdleTimeout.
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int64
-	// HeaderTimeout bounds the reading of a request's header.
+	// HeaderTimeout is the limit on reading a request's header.
 	HeaderTimeout time.Duration
 	// IdleTimeout bounds the wait for the next request on a connection.
 	IdleTimeout time.Duration
