--- a/internal/choice/share/holdrow.go
+++ b/internal/choice/share/holdrow.go
@@ -49,7 +49,7 @@
 		return h, nil
 	}
 	if err := json.Unmarshal(row.Value, &h); err != nil {
-		return h, eris.Wrap(err, "decode row "+row.Key)
+		return h, eris.Wrap(err, "row "+row.Key)
 	}
 	h.Version = strings.TrimPrefix(row.Key, holdPrefix)
 	return h, nil
@@ -80,7 +80,7 @@
 			return h, nil
 		}
 	}
-	return h, eris.New("row " + key + ": every attempt to write it conflicted with another writer")
+	return h, eris.New("row " + key + " is written by others all the time")
 }
 
 func holdTxn(key string, version uint64, h choice.Hold) platform.Txn {
--- a/internal/node/upstreams.go
+++ b/internal/node/upstreams.go
@@ -108,7 +108,7 @@
 	for i, v := range versions {
 		rooms[i] = choice.Room(u.balancer.Room(v, now))
 		if rooms[i].None() && u.noCapacityLog.allow(now) {
-			event.PoolShort.Log(u.node.deps.Log, slog.String("version", v), slog.String("reason", "no usable engine has the version"))
+			event.PoolShort.Log(u.node.deps.Log, slog.String("version", v), slog.String("reason", "no usable engine has it"))
 		}
 	}
 	return rooms
--- a/internal/notice/answer.go
+++ b/internal/notice/answer.go
@@ -4,7 +4,7 @@
 
 // Response is what the header fields of one response announce about its upstream.
 type Response struct {
-	// Limit is the advertised rate limit. It is not valid if LimitUnsound is set.
+	// Limit is the advertised rate limit. It is not valid if LimitInvalid is set.
 	Limit        Limit
 	LimitInvalid bool
 	// Leaving is set if the upstream announces that it shuts down.
--- a/internal/rollout/record.go
+++ b/internal/rollout/record.go
@@ -69,7 +69,7 @@
 		return r, nil
 	}
 	if err := json.Unmarshal(value, &r); err != nil {
-		return Record{}, eris.Wrap(err, "decode the row of the roll-outs")
+		return Record{}, eris.Wrap(err, "row of the roll-outs")
 	}
 	return r, nil
 }
