--- a/internal/transfer/doc.go
+++ b/internal/transfer/doc.go
@@ -1,12 +1,12 @@
-// Package transfer carries an update of a document between nodes, in pieces.
+// Package transfer sends an update of a document between nodes in pieces of bounded size.
 //
-// A document that is sent in one call has a time limit that knows nothing of its
-// size: over a narrow link it is cut, all that has come is lost, and the next try
-// begins anew. Here the asker takes one piece after the other, each small enough for
-// a fixed limit; it goes on where it stopped, also at another node; and a sender
-// serves no more askers at a time than its link carries soon. Those that it has
-// served serve the others, so that the time to reach all nodes grows with the
-// logarithm of their number.
+// A call that carries a whole document has a fixed timeout, whatever the document's size.
+// Over a slow link such a call times out, the received bytes are lost and the next attempt
+// starts from zero. Here the receiver requests one piece at a time, each small enough for a
+// fixed timeout, and resumes where it stopped, also at another sender. A sender limits its
+// concurrent transfers to what its link can carry soon, and refers further receivers to the
+// nodes that it has served. The time to reach all nodes therefore grows with the logarithm
+// of their number.
 //
-// [Sender] and [Receiver] are cores without I/O: questions, answers and times go in.
+// [Sender] and [Receiver] do no I/O and have no clock: callers pass in messages and times.
 package transfer
--- a/internal/transfer/message.go
+++ b/internal/transfer/message.go
@@ -1,37 +1,41 @@
 package transfer
 
-// PieceSize is the most bytes of a piece. Over 10 Mbit/s one takes 26 ms, and 0.2 s
-// beside another transfer and callers that fill half of the link: well within the
-// limit of a call.
+// PieceSize is the maximum size of a piece in bytes. Over 10 Mbit/s a piece takes 26 ms,
+// and 0.2 s beside another transfer and callers that use half of the link: well within the
+// timeout of a call.
 const PieceSize = 32 << 10
 
-// Ask asks a node for the next piece of what leads from the state that the asker has
-// to the newest one.
+// Ask requests the next piece of the update that leads from the requester's state to the
+// newest state.
 type Ask struct {
-	// From names the asker.
+	// From is the ID of the requesting node.
 	From string
-	// Known is the state that the asker has; 0 for none.
+	// Known is the tag of the requester's state; 0 for none.
 	Known uint64
-	// Whole asks for the whole document: an update to the known state did not fit.
+	// Whole requests the full document, because an update could not be applied to the
+	// known state.
 	Whole bool
-	// Update names the update that the asker has begun, and Offset is how many of its
-	// bytes it has; both 0 at the beginning. At the end, Offset is its size.
+	// Update identifies the update in progress, and Offset is the number of its bytes
+	// already received; both are 0 at the start. An Offset equal to the update's size
+	// acknowledges completion.
 	Update uint64
 	Offset int
 }
 
-// Piece answers an ask.
+// Piece is the response to an [Ask].
 type Piece struct {
-	// To is the state that the update leads to; 0 when the sender has nothing newer.
+	// To is the tag of the state that the update leads to; 0 if the sender has nothing
+	// newer.
 	To uint64
-	// Update names the update by a digest of its bytes, Size is how many it has.
+	// Update identifies the update by a hash of its bytes; Size is its length in bytes.
 	Update uint64
 	Size   int
-	// Offset is where Data begins: 0 where the sender does not have what the asker
-	// has begun.
+	// Offset is the position of Data in the update. It is 0 if the sender does not have
+	// the update that the requester has in progress.
 	Offset int
 	Data   []byte
-	// Busy says that the sender serves others; Others have the same and may be asked.
+	// Busy is set if the sender is at its limit of concurrent transfers. Others are the
+	// IDs of nodes that have the same state and may be asked instead.
 	Busy   bool
 	Others []string
 }
--- a/internal/transfer/receiver.go
+++ b/internal/transfer/receiver.go
@@ -7,93 +7,96 @@
 	"github.com/hickorybank/hickorybank/internal/archive"
 )
 
-// MostBytes bounds an update: more than any document packs to.
-const MostBytes = 16 << 20
+// MaxUpdateBytes is the maximum size of an update. No packed document is larger.
+const MaxUpdateBytes = 16 << 20
 
-// Receiver puts the pieces of one update together. It is not safe for concurrent use.
+// Receiver assembles an update from its pieces. It is not safe for concurrent use.
 type Receiver struct {
-	from  string
-	known uint64
-	whole bool
-	name  uint64
-	data  []byte
+	nodeID   string
+	known    uint64
+	wantFull bool
+	updateID uint64
+	data     []byte
 }
 
-// NewReceiver returns a receiver of a node.
-func NewReceiver(from string) *Receiver { return &Receiver{from: from} }
+// NewReceiver returns a receiver that requests pieces under the given node ID.
+func NewReceiver(nodeID string) *Receiver { return &Receiver{nodeID: nodeID} }
 
-// Begin sets the state that the node has. What has come of an update to another one
-// is dropped.
+// Begin sets the tag of the node's current state; 0 for none. If the tag differs from the
+// last one, the pieces received so far are discarded.
 func (r *Receiver) Begin(known uint64) {
 	if known != r.known {
 		r.reset()
-		r.whole = false
+		r.wantFull = false
 	}
 	r.known = known
 }
 
-// Known is the state that the update leads from.
+// Known returns the tag of the state that the update starts from.
 func (r *Receiver) Known() uint64 { return r.known }
 
-// Ask is what to ask next.
+// Ask returns the next request to send.
 func (r *Receiver) Ask() Ask {
-	return Ask{From: r.from, Known: r.known, Whole: r.whole, Update: r.name, Offset: len(r.data)}
+	return Ask{From: r.nodeID, Known: r.known, Whole: r.wantFull, Update: r.updateID, Offset: len(r.data)}
 }
 
-// Received is how many bytes of the update have come.
+// Received returns the number of bytes received of the current update.
 func (r *Receiver) Received() int { return len(r.data) }
 
-// Take takes a piece; whole is set once the update is complete. A piece of another
-// update than the one begun begins that.
-func (r *Receiver) Take(p Piece) (whole bool, err error) {
-	if p.Update != r.name {
+// Take adds a piece and reports whether the update is complete. A piece of a different
+// update replaces the one in progress. A piece that does not continue the update, or an
+// update larger than [MaxUpdateBytes], is an error and discards what was received.
+func (r *Receiver) Take(p Piece) (complete bool, err error) {
+	if p.Update != r.updateID {
 		r.reset()
-		r.name = p.Update
+		r.updateID = p.Update
 	}
-	if p.Offset != len(r.data) || len(r.data)+len(p.Data) > p.Size || p.Size > MostBytes {
+	if p.Offset != len(r.data) || len(r.data)+len(p.Data) > p.Size || p.Size > MaxUpdateBytes {
 		r.reset()
-		return false, eris.Errorf("piece at %d of %d does not follow on %d", p.Offset, p.Size, len(r.data))
+		return false, eris.Errorf("piece of %d bytes at offset %d of %d does not continue the %d bytes received (limit %d)", len(p.Data), p.Offset, p.Size, len(r.data), MaxUpdateBytes)
 	}
 	r.data = append(r.data, p.Data...)
 	return len(r.data) == p.Size, nil
 }
 
-// Update returns the complete update. One that is damaged, or that does not fit, is
-// asked for whole next.
-func (r *Receiver) Update(to *archive.Archive) (*archive.Archive, error) {
-	next, err := r.apply(to)
+// Update applies the complete update to the current state and returns the new state. If the
+// update is corrupt or cannot be applied, it returns an error and the next request asks for
+// the full document.
+func (r *Receiver) Update(current *archive.Archive) (*archive.Archive, error) {
+	next, err := r.apply(current)
 	if err != nil {
 		r.reset()
-		r.whole = true
+		r.wantFull = true
 	}
 	return next, err
 }
 
-func (r *Receiver) apply(to *archive.Archive) (*archive.Archive, error) {
+func (r *Receiver) apply(current *archive.Archive) (*archive.Archive, error) {
 	u, err := r.Decode()
 	if err != nil {
 		return nil, err
 	}
-	return to.Take(u)
+	return current.Take(u)
 }
 
-// Decode returns the complete update, not yet applied.
+// Decode returns the complete update without applying it. It returns an error if the data
+// does not match the update's hash.
 func (r *Receiver) Decode() (archive.Update, error) {
-	if xxhash.Sum64(r.data) != r.name {
-		return archive.Update{}, eris.New("update is damaged")
+	if xxhash.Sum64(r.data) != r.updateID {
+		return archive.Update{}, eris.New("update is corrupt: its hash does not match")
 	}
 	return archive.DecodeUpdate(r.data)
 }
 
-// AskWhole has the whole document asked for, whatever the node has.
+// AskWhole makes the next request ask for the full document, whatever state the node has.
 func (r *Receiver) AskWhole() {
-	if !r.whole {
+	if !r.wantFull {
 		r.reset()
-		r.whole = true
+		r.wantFull = true
 	}
 }
 
 func (r *Receiver) reset() {
-	r.name = 0
+	r.updateID = 0
 	r.data = nil
 }
--- a/internal/transfer/sender.go
+++ b/internal/transfer/sender.go
@@ -11,74 +11,75 @@
 )
 
 const (
-	// queueTime is how much of its link's time a sender promises at once: what it
-	// queues more delays news and callers by as much, and those that it has served
-	// first could serve the others meanwhile.
-	queueTime = 100 * time.Millisecond
-	// DefaultLink stands in where the bandwidth is not known, in bytes a second.
-	DefaultLink = 1.25e6
-	// forgetAfter is when an asker that does not ask on is no longer served: more
-	// than a call's limit.
-	forgetAfter = 1500 * time.Millisecond
-	// servedFor is how long a node that was served is named to others.
-	servedFor = 5 * time.Second
-	// mostOthers bounds the nodes named in an answer.
-	mostOthers = 4
+	// maxQueueTime is the maximum transmission time of the data that a sender has in flight.
+	// More would delay gossip and callers by as much, while nodes already served could
+	// serve the others.
+	maxQueueTime = 100 * time.Millisecond
+	// DefaultBytesPerSecond is the assumed bandwidth of a link whose bandwidth is unknown.
+	DefaultBytesPerSecond = 1.25e6
+	// requesterTimeout is the time without a request after which a transfer is dropped. It is
+	// longer than the timeout of a call.
+	requesterTimeout = 1500 * time.Millisecond
+	// servedRetention is how long a served node is named as an alternative.
+	servedRetention = 5 * time.Second
+	// maxAlternatives is the maximum number of alternatives in a response.
+	maxAlternatives = 4
 )
 
-// Sender answers askers with updates of a document. It is safe for concurrent use.
+// Sender serves updates of a document to other nodes. It is safe for concurrent use.
 type Sender struct {
-	// room is how many bytes may be under way at once.
-	room int
+	// maxInFlightBytes is the limit of unacknowledged bytes over all transfers.
+	maxInFlightBytes int
 
 	mu      sync.Mutex
 	doc     *archive.Archive
-	updates map[base]*update
-	askers  map[string]*asker
-	served  map[string]servedAsker
+	updates map[updateBase]*update
+	active  map[string]*activeTransfer
+	served  map[string]servedNode
 }
 
-// base is what an update leads from.
-type base struct {
+// updateBase identifies the starting point of an update.
+type updateBase struct {
 	known uint64
-	whole bool
+	full  bool
 }
 
 // update is an encoded update.
 type update struct {
 	to   uint64
-	name uint64
+	id   uint64
 	data []byte
 }
 
-// asker is a node that is being served.
-type asker struct {
+// activeTransfer is the state of a transfer to one node.
+type activeTransfer struct {
 	*update
-	// offset is the end of what it has, pending the bytes after that which are on
-	// their way.
-	offset, pending int
-	at              time.Time
+	// received is the number of bytes that the node has, inFlight the number sent after
+	// those and not yet acknowledged.
+	received, inFlight int
+	lastSent           time.Time
 }
 
-type servedAsker struct {
+type servedNode struct {
 	to uint64
 	at time.Time
 }
 
-// NewSender returns a sender without a document. bytesPerSecond is the bandwidth of
-// its link; 0 if it is not known.
+// NewSender returns a sender without a document. bytesPerSecond is the bandwidth of the
+// node's link; 0 means unknown and selects [DefaultBytesPerSecond].
 func NewSender(bytesPerSecond float64) *Sender {
 	if bytesPerSecond <= 0 {
-		bytesPerSecond = DefaultLink
+		bytesPerSecond = DefaultBytesPerSecond
 	}
 	return &Sender{
-		room:    int(bytesPerSecond * queueTime.Seconds()),
-		updates: map[base]*update{}, askers: map[string]*asker{}, served: map[string]servedAsker{},
+		maxInFlightBytes: int(bytesPerSecond * maxQueueTime.Seconds()),
+		updates:          map[updateBase]*update{}, active: map[string]*activeTransfer{}, served: map[string]servedNode{},
 	}
 }
 
-// Set takes the newest state. Askers that are being served get the rest of what they
-// have begun: with a change every moment, none would ever end otherwise.
+// Set replaces the document by a newer state; an older one is ignored. Transfers in
+// progress continue with the update that they started: otherwise frequent changes would
+// prevent any transfer from completing.
 func (s *Sender) Set(doc *archive.Archive) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,96 +90,96 @@
 	clear(s.updates)
 }
 
-// Answer answers an ask.
+// Answer returns the response to a request received at now.
 func (s *Sender) Answer(a Ask, now time.Time) Piece {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.forget(now)
-	served := s.askers[a.From]
-	if served == nil || served.name != a.Update {
-		delete(s.askers, a.From)
-		return s.begin(a, now)
+	s.expire(now)
+	current := s.active[a.From]
+	if current == nil || current.id != a.Update {
+		delete(s.active, a.From)
+		return s.startTransfer(a, now)
 	}
-	served.offset = min(max(a.Offset, 0), len(served.data))
-	served.pending = 0
-	if served.offset == len(served.data) {
-		delete(s.askers, a.From)
-		s.served[a.From] = servedAsker{served.to, now}
-		return Piece{To: served.to, Update: served.name, Size: served.offset, Offset: served.offset}
+	current.received = min(max(a.Offset, 0), len(current.data))
+	current.inFlight = 0
+	if current.received == len(current.data) {
+		delete(s.active, a.From)
+		s.served[a.From] = servedNode{current.to, now}
+		return Piece{To: current.to, Update: current.id, Size: current.received, Offset: current.received}
 	}
-	return served.next(now)
+	return current.nextPiece(now)
 }
 
-// begin serves an asker that is not being served.
-func (s *Sender) begin(a Ask, now time.Time) Piece {
+// startTransfer starts a transfer, unless the sender has nothing newer or is busy.
+func (s *Sender) startTransfer(a Ask, now time.Time) Piece {
 	if s.doc.Tag() <= a.Known {
 		return Piece{}
 	}
-	u := s.update(base{a.Known, a.Whole})
-	next := &asker{update: u}
-	if a.Update == u.name {
-		next.offset = min(max(a.Offset, 0), len(u.data)) // it began at another sender
+	u := s.update(updateBase{a.Known, a.Whole})
+	started := &activeTransfer{update: u}
+	if a.Update == u.id {
+		started.received = min(max(a.Offset, 0), len(u.data)) // resumes a transfer from another sender
 	}
-	if len(s.askers) > 0 && s.pending()+next.first() > s.room {
-		return Piece{To: u.to, Busy: true, Others: s.others(a.From, u.to)}
+	if len(s.active) > 0 && s.inFlight()+started.nextSize() > s.maxInFlightBytes {
+		return Piece{To: u.to, Busy: true, Others: s.alternatives(a.From, u.to)}
 	}
-	s.askers[a.From] = next
-	return next.next(now)
+	s.active[a.From] = started
+	return started.nextPiece(now)
 }
 
-// update returns the update from a base to the newest state.
-func (s *Sender) update(from base) *update {
+// update returns the update from a base to the newest state, encoded once for each base.
+func (s *Sender) update(from updateBase) *update {
 	if u := s.updates[from]; u != nil {
 		return u
 	}
-	data := s.doc.Update(from.known, from.whole).Encode()
-	u := &update{to: s.doc.Tag(), name: xxhash.Sum64(data), data: data}
+	data := s.doc.Update(from.known, from.full).Encode()
+	u := &update{to: s.doc.Tag(), id: xxhash.Sum64(data), data: data}
 	s.updates[from] = u
 	return u
 }
 
-// pending is how many bytes are on their way.
-func (s *Sender) pending() int {
+// inFlight returns the number of unacknowledged bytes over all transfers.
+func (s *Sender) inFlight() int {
 	sum := 0
-	for _, a := range s.askers {
-		sum += a.pending
+	for _, a := range s.active {
+		sum += a.inFlight
 	}
 	return sum
 }
 
-// others names nodes that have a state, or soon will.
-func (s *Sender) others(but string, to uint64) []string {
+// alternatives returns the IDs of a few nodes that were served this state or a newer one.
+func (s *Sender) alternatives(except string, to uint64) []string {
 	var names []string
 	for name, v := range s.served {
-		if v.to >= to && name != but {
+		if v.to >= to && name != except {
 			names = append(names, name)
 		}
 	}
 	rand.Shuffle(len(names), func(i, k int) { names[i], names[k] = names[k], names[i] })
-	return names[:min(len(names), mostOthers)]
+	return names[:min(len(names), maxAlternatives)]
 }
 
-// forget drops askers that do not ask on.
-func (s *Sender) forget(now time.Time) {
-	for name, a := range s.askers {
-		if now.Sub(a.at) > forgetAfter {
-			delete(s.askers, name)
+// expire drops transfers without recent requests and old entries of served nodes.
+func (s *Sender) expire(now time.Time) {
+	for name, a := range s.active {
+		if now.Sub(a.lastSent) > requesterTimeout {
+			delete(s.active, name)
 		}
 	}
 	for name, v := range s.served {
-		if now.Sub(v.at) > servedFor {
+		if now.Sub(v.at) > servedRetention {
 			delete(s.served, name)
 		}
 	}
 }
 
-// first is the size of the next piece.
-func (a *asker) first() int { return min(len(a.data)-a.offset, PieceSize) }
+// nextSize returns the size of the next piece in bytes.
+func (a *activeTransfer) nextSize() int { return min(len(a.data)-a.received, PieceSize) }
 
-// next is the next piece.
-func (a *asker) next(now time.Time) Piece {
-	n := a.first()
-	a.pending = n
-	a.at = now
-	return Piece{To: a.to, Update: a.name, Size: len(a.data), Offset: a.offset, Data: a.data[a.offset : a.offset+n]}
+// nextPiece is the nextPiece piece.
+func (a *activeTransfer) nextPiece(now time.Time) Piece {
+	n := a.nextSize()
+	a.inFlight = n
+	a.lastSent = now
+	return Piece{To: a.to, Update: a.id, Size: len(a.data), Offset: a.received, Data: a.data[a.received : a.received+n]}
 }
--- a/internal/transfer/transfer_test.go
+++ b/internal/transfer/transfer_test.go
@@ -14,12 +14,11 @@
 
 var start = time.Unix(1_000_000, 0)
 
-// document is a state whose packed size is about the given one: its text is not
-// compressible.
+// document returns a state with about the given packed size: its text is incompressible.
 func document(tag uint64, size int) *archive.Archive {
 	var text bytes.Buffer
 	x := tag*0x9e3779b97f4a7c15 + 1
-	for text.Len() < 2*size { // two hexadecimal digits pack to about a byte
+	for text.Len() < 2*size { // two hexadecimal digits pack to about one byte
 		x ^= x << 13
 		x ^= x >> 7
 		x ^= x << 17
@@ -28,33 +27,33 @@
 	return archive.New(tag, fmt.Appendf(nil, `{"version":%d,"text":%q}`, tag, text.String()), nil)
 }
 
-// take asks a sender until it has served, is busy or has nothing; most bounds the
-// asks.
-func take(t *testing.T, s *Sender, r *Receiver, now time.Time, most int) (asks int, last Piece) {
+// receive sends requests until the transfer completes, the sender is busy or has nothing
+// newer, or maxAsks is reached.
+func receive(t *testing.T, s *Sender, r *Receiver, now time.Time, maxAsks int) (asks int, last Piece) {
 	t.Helper()
-	for asks = 1; asks <= most; asks++ {
+	for asks = 1; asks <= maxAsks; asks++ {
 		last = s.Answer(r.Ask(), now)
 		if last.Busy || last.To == 0 {
 			return asks, last
 		}
-		whole, err := r.Take(last)
+		complete, err := r.Take(last)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if whole {
-			s.Answer(r.Ask(), now) // says that all has come
+		if complete {
+			s.Answer(r.Ask(), now) // acknowledges completion
 			return asks, last
 		}
 	}
-	return most, last
+	return maxAsks, last
 }
 
-func TestUpdateComesInPieces(t *testing.T) {
+func TestUpdateIsSentInPieces(t *testing.T) {
 	is := is.New(t)
 	doc := document(3, 5*PieceSize)
 	s, r := NewSender(0), NewReceiver("a")
 	s.Set(doc)
-	asks, last := take(t, s, r, start, 100)
+	asks, last := receive(t, s, r, start, 100)
 	is.Equal(asks, (last.Size+PieceSize-1)/PieceSize)
 	is.True(asks >= 5)
 	got, err := r.Update(nil)
@@ -65,30 +64,30 @@
 	is.Equal(s.Answer(r.Ask(), start).To, uint64(0)) // nothing newer
 }
 
-// A node's transfer is cut when its sender is lost. It goes on at another one where
-// it stopped: what has come over a narrow link is not sent again.
-func TestTransferGoesOnAtAnotherSender(t *testing.T) {
+// Guards against sending the same bytes twice when a sender fails: the transfer resumes at
+// another sender with the bytes already received.
+func TestTransferResumesAtAnotherSender(t *testing.T) {
 	is := is.New(t)
 	doc := document(3, 5*PieceSize)
-	one, other, r := NewSender(0), NewSender(0), NewReceiver("a")
-	one.Set(doc)
-	other.Set(archive.New(3, doc.Raw(), nil))
-	take(t, one, r, start, 3)
-	had := r.Received()
-	is.Equal(had, 3*PieceSize)
-	p := other.Answer(r.Ask(), start)
-	is.Equal(p.Offset, had)
+	first, second, r := NewSender(0), NewSender(0), NewReceiver("a")
+	first.Set(doc)
+	second.Set(archive.New(3, doc.Raw(), nil))
+	receive(t, first, r, start, 3)
+	received := r.Received()
+	is.Equal(received, 3*PieceSize)
+	p := second.Answer(r.Ask(), start)
+	is.Equal(p.Offset, received)
 	_, err := r.Take(p)
 	is.NoErr(err)
-	take(t, other, r, start, 100)
+	receive(t, second, r, start, 100)
 	got, err := r.Update(nil)
 	is.NoErr(err)
 	is.True(bytes.Equal(got.Raw(), doc.Raw()))
 }
 
-// A configuration changes every 0.3 s and a transfer takes a second: it would never
-// end if each change began it anew.
-func TestChangesDoNotEndATransfer(t *testing.T) {
+// Guards against a transfer that never completes: changes every 0.3 s would restart a
+// transfer that takes a second.
+func TestChangeDoesNotRestartTransfer(t *testing.T) {
 	is := is.New(t)
 	s, r := NewSender(0), NewReceiver("a")
 	s.Set(document(1, 4*PieceSize))
@@ -107,9 +106,10 @@
 	is.Equal(got.Tag(), uint64(1))
 }
 
-// Twenty nodes ask one with a link of 10 Mbit/s at the same moment. It serves few at
-// a time, so that its link is never full for long, and names those that it has served.
-func TestSenderServesFewAtATime(t *testing.T) {
+// Twenty nodes send requests to one node with a link of 10 Mbit/s at once. The sender limits
+// its concurrent transfers, so that its link is not saturated for long, and refers the
+// others to nodes that it has served.
+func TestSenderLimitsConcurrentTransfers(t *testing.T) {
 	is := is.New(t)
 	s := NewSender(1.25e6)
 	s.Set(document(3, 5*PieceSize))
@@ -122,19 +122,19 @@
 	}
 	is.Equal(len(served), 3) // 3 x 32 kB in 0.1 s
 	r := NewReceiver("n0")
-	take(t, s, r, start, 100)
+	receive(t, s, r, start, 100)
 	p := s.Answer(NewReceiver("n9").Ask(), start)
 	is.True(!p.Busy) // there is room again
 	p = s.Answer(NewReceiver("n10").Ask(), start)
 	is.True(p.Busy)
 	is.Equal(p.Others, []string{"n0"})
-	// Those that are lost are forgotten.
-	p = s.Answer(NewReceiver("n10").Ask(), start.Add(forgetAfter+time.Second))
+	// Transfers without requests expire.
+	p = s.Answer(NewReceiver("n10").Ask(), start.Add(requesterTimeout+time.Second))
 	is.True(!p.Busy)
 }
 
-// A sender with a bandwidth of 200 Mbit/s serves many.
-func TestWideSenderServesMany(t *testing.T) {
+// A sender with a link of 200 Mbit/s serves 20 nodes at once.
+func TestSenderWithHighBandwidthServesMany(t *testing.T) {
 	is := is.New(t)
 	s := NewSender(25e6)
 	s.Set(document(3, 5*PieceSize))
@@ -143,8 +143,9 @@
 	}
 }
 
-// An update that does not fit what the node has is asked for whole.
-func TestUpdateThatDoesNotFitIsAskedForWhole(t *testing.T) {
+// An update that cannot be applied to the node's state is followed by a request for the full
+// document.
+func TestUpdateThatDoesNotApplyIsRequestedInFull(t *testing.T) {
 	is := is.New(t)
 	s, r := NewSender(0), NewReceiver("a")
 	var doc *archive.Archive
@@ -152,20 +153,19 @@
 	doc = doc.Replace(2, []byte(`{"a":[1,2,3,4]}`))
 	s.Set(doc)
 	r.Begin(1)
-	take(t, s, r, start, 9)
-	mine := archive.New(1, []byte(`{"a":[7,2,3]}`), nil) // another writer's
-	_, err := r.Update(mine)
+	receive(t, s, r, start, 9)
+	conflicting := archive.New(1, []byte(`{"a":[7,2,3]}`), nil) // another writer's
+	_, err := r.Update(conflicting)
 	is.True(err != nil)
 	is.True(r.Ask().Whole)
-	take(t, s, r, start, 9)
-	got, err := r.Update(mine)
+	receive(t, s, r, start, 9)
+	got, err := r.Update(conflicting)
 	is.NoErr(err)
 	is.Equal(string(got.Raw()), `{"a":[1,2,3,4]}`)
 }
 
-// Pieces that are damaged, doubled, of another update or of another place never make
-// a document that the sender does not have.
-func TestPiecesInAnyOrderMakeNoOtherDocument(t *testing.T) {
+// Corrupt, duplicate, misplaced or mixed pieces never produce a document that no sender has.
+func TestInvalidPiecesNeverYieldUnknownDocument(t *testing.T) {
 	docs := []*archive.Archive{document(1, 3*PieceSize), document(2, 2*PieceSize), document(3, 10)}
 	var all []Piece
 	for _, doc := range docs {
