--- a/internal/peer/caller.go
+++ b/internal/peer/caller.go
@@ -6,15 +6,17 @@
 )
 
 var (
-	// ErrNotSent says that the peer could not be connected to.
+	// ErrNotSent reports that no connection to the peer could be made. The call has had
+	// no effect.
 	ErrNotSent = errors.New("peer could not be reached")
-	// ErrUnknown says that the answer did not come: the peer may have acted.
+	// ErrUnknown reports that the call was sent but no response arrived. The call may have
+	// taken effect.
 	ErrUnknown = errors.New("peer's answer did not come")
 )
 
-// Caller calls a method of a peer, for example "Ledger.Append". Args and
-// reply are gob-encoded. An error that the method itself returned comes as
-// net/rpc's ServerError.
+// Caller calls a method of a peer, for example "Ledger.Append". Args and reply are
+// gob-encoded. Errors are [ErrNotSent], [ErrUnknown], or [net/rpc.ServerError] for an error
+// that the method itself returned.
 type Caller interface {
 	Call(ctx context.Context, addr, method string, args, reply any) error
 }
--- a/internal/peer/doc.go
+++ b/internal/peer/doc.go
@@ -1,6 +1,6 @@
-// Package peer carries calls between the router's own processes over net/rpc.
+// Package peer makes calls between the router's own processes over net/rpc.
 //
-// A call fails in one of two ways: [ErrNotSent], when no byte can have reached
-// the peer, and [ErrUnknown], when the peer may have acted although no answer
-// came. Callers must not repeat the second kind blindly.
+// A call fails in one of two ways. After [ErrNotSent] no byte has reached the peer. After
+// [ErrUnknown] the call may have taken effect although no response arrived, so that only
+// idempotent calls may be retried.
 package peer
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -40,7 +40,7 @@
 	return server, NewPool()
 }
 
-func TestCallAnswers(t *testing.T) {
+func TestCallReturnsReplyOrMethodError(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	is := is.New(t)
 	server, pool := start(t, &echo{})
@@ -50,15 +50,13 @@
 	is.NoErr(pool.Call(context.Background(), server.Addr(), "Echo.Say", "hello", &reply))
 	is.Equal(reply, "hello")
 	err := pool.Call(context.Background(), server.Addr(), "Echo.Say", "fail", &reply)
-	var fromMethod rpc.ServerError
-	is.True(errors.As(err, &fromMethod)) // the method's own error
+	var methodErr rpc.ServerError
+	is.True(errors.As(err, &methodErr)) // the method's own error
 }
 
-// A caller's request is lost when a peer that could not be reached at all is
-// taken for one that may have acted: nothing dares to try elsewhere. First
-// the peer goes, then it is called. The cause is a refused connection, which
-// must be told apart from a lost answer.
-func TestCallToGonePeerIsNotSent(t *testing.T) {
+// Guards against losing a request: if a refused connection were reported like a lost
+// response, no caller could safely retry elsewhere. The peer stops, then it is called.
+func TestCallToStoppedPeerIsNotSent(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -70,10 +68,8 @@
 	is.True(errors.Is(err, ErrNotSent))
 }
 
-// An entry hangs after one of its peers is frozen. First a call enters the
-// peer and gets no answer, then the caller's time ends, then it calls again.
-// The cause would be a pool that kept the stuck connection; the second call
-// must go over a new one and be answered.
+// Guards against a pool that keeps a stuck connection, which would block every later call to
+// the peer. A call to a frozen peer times out; the next call must use a new connection.
 func TestCallAfterFrozenPeerUsesNewConnection(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	is := is.New(t)
@@ -94,10 +90,10 @@
 	server.Close()
 }
 
-// A node of a large fleet runs out of memory after some days. Duties move, so
-// that it has called each other node once, and every connection stays. The cause
-// would be a pool that never closes an idle connection; one in use must stay.
-func TestIdleConnectionsEnd(t *testing.T) {
+// Guards against a node that accumulates a connection to every other node and runs out of
+// memory, as roles move between nodes over days. Idle connections are closed; those in use
+// stay open.
+func TestIdleConnectionsAreClosed(t *testing.T) {
 	is := is.New(t)
 	server, pool := start(t, &echo{})
 	defer server.Close()
@@ -105,10 +101,10 @@
 	var reply string
 	is.NoErr(pool.Call(context.Background(), server.Addr(), "Echo.Say", "hello", &reply))
 	now := time.Now()
-	busy := pool.kept(server.Addr(), now)
-	is.True(pool.kept(server.Addr(), now.Add(2*idleLimit)) == busy) // in use
+	busy := pool.acquireExisting(server.Addr(), now)
+	is.True(pool.acquireExisting(server.Addr(), now.Add(2*idleTimeout)) == busy) // in use
 	pool.release(busy)
 	pool.release(busy)
-	is.True(pool.kept(server.Addr(), time.Now().Add(4*idleLimit)) == nil) // idle
+	is.True(pool.acquireExisting(server.Addr(), time.Now().Add(4*idleTimeout)) == nil) // idle
 	is.NoErr(pool.Call(context.Background(), server.Addr(), "Echo.Say", "again", &reply))
 }
--- a/internal/peer/pool.go
+++ b/internal/peer/pool.go
@@ -14,49 +14,52 @@
 
 const (
 	defaultDialTimeout = time.Second
-	// Duties move from node to node, so that in time each node has called
-	// every other one. Without an end to idle connections a node of a fleet
-	// of 1,600 would hold one to each.
-	idleLimit = time.Minute
-	sweepGap  = 10 * time.Second
+	// idleTimeout is the time after its last call at which a connection is closed. Roles
+	// move between nodes, so that over time each node calls every other one: without a
+	// timeout a node in a fleet of 1,600 would hold a connection to each.
+	idleTimeout = time.Minute
+	// sweepInterval is the minimum time between two searches for idle connections.
+	sweepInterval = 10 * time.Second
 )
 
-// Pool is a [Caller] that keeps one connection to each peer it calls.
+// Pool is a [Caller] that keeps one connection to each peer that it calls, and closes it
+// after a minute without calls. It is safe for concurrent use.
 type Pool struct {
 	dial func(ctx context.Context, addr string) (net.Conn, error)
 
-	mu    sync.Mutex
-	conns map[string]*conn
-	swept time.Time
-	done  bool
+	mu        sync.Mutex
+	conns     map[string]*conn
+	lastSweep time.Time
+	closed    bool
 }
 
 // conn is the connection to one peer.
 type conn struct {
-	client *rpc.Client
-	calls  int       // in flight
-	used   time.Time // end of the last call
+	client   *rpc.Client
+	inFlight int       // number of running calls
+	lastUsed time.Time // end of the last call
 }
 
-// NewPool returns a pool that dials TCP in the clear.
+// NewPool returns a pool that dials unencrypted TCP.
 func NewPool() *Pool { return NewSecurePool(nil) }
 
-// NewSecurePool returns a pool that dials TCP, in TLS when secure is not nil.
-func NewSecurePool(secure *tls.Config) *Pool {
-	plain := &net.Dialer{Timeout: defaultDialTimeout}
+// NewSecurePool returns a pool that dials TLS over TCP, or unencrypted TCP if tlsConfig is
+// nil.
+func NewSecurePool(tlsConfig *tls.Config) *Pool {
+	netDialer := &net.Dialer{Timeout: defaultDialTimeout}
 	dial := func(ctx context.Context, addr string) (net.Conn, error) {
-		if secure == nil {
-			return plain.DialContext(ctx, "tcp", addr)
+		if tlsConfig == nil {
+			return netDialer.DialContext(ctx, "tcp", addr)
 		}
-		return (&tls.Dialer{NetDialer: plain, Config: secure}).DialContext(ctx, "tcp", addr)
+		return (&tls.Dialer{NetDialer: netDialer, Config: tlsConfig}).DialContext(ctx, "tcp", addr)
 	}
 	return &Pool{dial: dial, conns: map[string]*conn{}}
 }
 
-// Call calls a method and waits for its answer or the end of ctx. When ctx
-// ends first the call may still take effect at the peer.
+// Call calls a method and waits for its response or the end of ctx. If ctx ends first, Call
+// returns [ErrUnknown]: the call may still take effect at the peer.
 func (p *Pool) Call(ctx context.Context, addr, method string, args, reply any) error {
-	c, err := p.take(ctx, addr)
+	c, err := p.acquire(ctx, addr)
 	if err != nil {
 		return eris.Wrap(ErrNotSent, err.Error())
 	}
@@ -64,43 +67,46 @@
 	call := c.client.Go(method, args, reply, make(chan *rpc.Call, 1))
 	select {
 	case <-ctx.Done():
-		// The connection may be stuck at a frozen peer. Without dropping
-		// it each later call would wait out its own timeout too.
+		// The connection may be stuck at a frozen peer. If it were kept, each
+		// later call would time out as well.
 		p.drop(addr, c)
 		return eris.Wrap(ErrUnknown, ctx.Err().Error())
 	case <-call.Done:
-		return p.answered(addr, c, call.Error)
+		return p.finish(addr, c, call.Error)
 	}
 }
 
-func (p *Pool) answered(addr string, c *conn, err error) error {
-	var fromMethod rpc.ServerError
-	if err == nil || errors.As(err, &fromMethod) {
+// finish returns the error of a completed call. It drops the connection unless the method
+// itself returned the error.
+func (p *Pool) finish(addr string, c *conn, err error) error {
+	var methodErr rpc.ServerError
+	if err == nil || errors.As(err, &methodErr) {
 		return err
 	}
 	p.drop(addr, c)
 	return eris.Wrap(ErrUnknown, err.Error())
 }
 
-// take returns the connection to a peer, counted as in use.
-func (p *Pool) take(ctx context.Context, addr string) (*conn, error) {
-	if c := p.kept(addr, time.Now()); c != nil {
+// acquire returns the connection to a peer, dialling if there is none, and counts a call on it.
+func (p *Pool) acquire(ctx context.Context, addr string) (*conn, error) {
+	if c := p.acquireExisting(addr, time.Now()); c != nil {
 		return c, nil
 	}
-	dialled, err := p.dial(ctx, addr)
+	netConn, err := p.dial(ctx, addr)
 	if err != nil {
 		return nil, err
 	}
-	return p.keep(addr, rpc.NewClient(dialled))
+	return p.add(addr, rpc.NewClient(netConn))
 }
 
-func (p *Pool) kept(addr string, now time.Time) *conn {
+// acquireExisting returns the open connection to a peer and counts a call on it, or nil.
+func (p *Pool) acquireExisting(addr string, now time.Time) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.sweep(now)
+	p.closeIdle(now)
 	c := p.conns[addr]
 	if c != nil {
-		c.calls++
+		c.inFlight++
 	}
 	return c
 }
@@ -108,38 +114,38 @@
 func (p *Pool) release(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c.calls--
-	c.used = time.Now()
+	c.inFlight--
+	c.lastUsed = time.Now()
 }
 
-// sweep closes what has been idle for long; p.mu is held.
-func (p *Pool) sweep(now time.Time) {
-	if now.Sub(p.swept) < sweepGap {
+// closeIdle closes connections that have been idle for idleTimeout; p.mu is held.
+func (p *Pool) closeIdle(now time.Time) {
+	if now.Sub(p.lastSweep) < sweepInterval {
 		return
 	}
-	p.swept = now
+	p.lastSweep = now
 	for addr, c := range p.conns {
-		if c.calls == 0 && now.Sub(c.used) > idleLimit {
+		if c.inFlight == 0 && now.Sub(c.lastUsed) > idleTimeout {
 			delete(p.conns, addr)
 			_ = c.client.Close()
 		}
 	}
 }
 
-// keep stores a new connection, or closes it when another call was faster.
-func (p *Pool) keep(addr string, client *rpc.Client) (*conn, error) {
+// add stores a new connection, or closes it if a concurrent call has stored one already.
+func (p *Pool) add(addr string, client *rpc.Client) (*conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.done {
+	if p.closed {
 		_ = client.Close()
 		return nil, net.ErrClosed
 	}
 	if other, ok := p.conns[addr]; ok {
 		_ = client.Close()
-		other.calls++
+		other.inFlight++
 		return other, nil
 	}
-	c := &conn{client: client, calls: 1}
+	c := &conn{client: client, inFlight: 1}
 	p.conns[addr] = c
 	return c, nil
 }
@@ -153,11 +159,11 @@
 	_ = c.client.Close()
 }
 
-// Close closes all connections.
+// Close closes all connections. Later calls fail with [ErrNotSent].
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.done = true
+	p.closed = true
 	for addr, c := range p.conns {
 		_ = c.client.Close()
 		delete(p.conns, addr)
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -12,49 +12,51 @@
 	"github.com/hickorybank/hickorybank/internal/duty"
 )
 
-// Server answers peers.
+// Server serves the calls of peers over net/rpc.
 type Server struct {
-	rpc      *rpc.Server
-	secure   *tls.Config
-	listener net.Listener
-	duties   duty.Group
-
-	mu    sync.Mutex
-	conns map[net.Conn]struct{}
-	done  bool
+	rpc       *rpc.Server
+	tlsConfig *tls.Config
+	listener  net.Listener
+	tasks     duty.Group
+
+	mu     sync.Mutex
+	conns  map[net.Conn]struct{}
+	closed bool
 }
 
-// NewServer returns a server without methods that speaks in the clear.
+// NewServer returns a server without methods that serves unencrypted TCP.
 func NewServer() *Server { return NewSecureServer(nil) }
 
-// NewSecureServer returns a server without methods, which speaks TLS when
-// secure is not nil.
-func NewSecureServer(secure *tls.Config) *Server {
-	return &Server{rpc: rpc.NewServer(), secure: secure, conns: map[net.Conn]struct{}{}}
+// NewSecureServer returns a server without methods that serves TLS over TCP, or unencrypted
+// TCP if tlsConfig is nil.
+func NewSecureServer(tlsConfig *tls.Config) *Server {
+	return &Server{rpc: rpc.NewServer(), tlsConfig: tlsConfig, conns: map[net.Conn]struct{}{}}
 }
 
-// Register offers the methods of receiver under a name, in net/rpc's form.
+// Register makes the methods of receiver callable under a service name, by the rules of
+// net/rpc. It returns an error if receiver has no suitable methods or the name is taken.
 func (s *Server) Register(name string, receiver any) error {
 	return eris.Wrap(s.rpc.RegisterName(name, receiver), "register "+name)
 }
 
-// Listen takes the address, so that it is known before anything is served.
+// Listen binds the address. It is separate from [Server.Serve] so that [Server.Addr] is known
+// before calls are served.
 func (s *Server) Listen(addr string) error {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
-		return eris.Wrap(err, "listen for peers")
+		return eris.Wrapf(err, "listen for peers on %s", addr)
 	}
-	if s.secure != nil {
-		listener = tls.NewListener(listener, s.secure)
+	if s.tlsConfig != nil {
+		listener = tls.NewListener(listener, s.tlsConfig)
 	}
 	s.listener = listener
 	return nil
 }
 
-// Serve begins to answer. All methods must be registered before.
-func (s *Server) Serve() { s.duties.Go(s.accept) }
+// Serve starts accepting connections and returns. All methods must be registered before.
+func (s *Server) Serve() { s.tasks.Go(s.accept) }
 
-// Start listens and serves.
+// Start calls [Server.Listen] and [Server.Serve].
 func (s *Server) Start(addr string) error {
 	if err := s.Listen(addr); err != nil {
 		return err
@@ -63,7 +65,8 @@
 	return nil
 }
 
-// Addr is the address that peers reach the server at.
+// Addr returns the address that the server listens on. It must be called after
+// [Server.Listen].
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
 func (s *Server) accept() {
@@ -79,7 +82,7 @@
 			_ = conn.Close()
 			return
 		}
-		s.duties.Go(func() { s.serve(conn) })
+		s.tasks.Go(func() { s.serve(conn) })
 	}
 }
 
@@ -90,24 +93,25 @@
 	s.mu.Unlock()
 }
 
+// track records a connection to be closed by Close; it returns false after Close.
 func (s *Server) track(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.done {
+	if s.closed {
 		return false
 	}
 	s.conns[conn] = struct{}{}
 	return true
 }
 
-// Close stops listening, cuts the connections and waits for their ends.
+// Close stops listening, closes all connections and waits for their goroutines.
 func (s *Server) Close() {
 	s.mu.Lock()
-	s.done = true
+	s.closed = true
 	for conn := range s.conns {
 		_ = conn.Close()
 	}
 	s.mu.Unlock()
 	_ = s.listener.Close()
-	s.duties.Wait()
+	s.tasks.Wait()
 }
