--- a/internal/transfer/sender.go
+++ b/internal/transfer/sender.go
@@ -176,7 +176,7 @@
 // nextSize returns the size of the next piece in bytes.
 func (a *activeTransfer) nextSize() int { return min(len(a.data)-a.received, PieceSize) }
 
-// nextPiece is the nextPiece piece.
+// nextPiece returns the next piece and marks it as in flight.
 func (a *activeTransfer) nextPiece(now time.Time) Piece {
 	n := a.nextSize()
 	a.inFlight = n
