--- a/internal/gossip/derived.go
+++ b/internal/gossip/derived.go
@@ -1,15 +1,14 @@
 package gossip
 
-// derived is what follows from a roster's members, as far as it was asked for since
-// they changed. They change seldom, and each message and each look for a reader asks
-// for it: worked out each time, 168 idle nodes took 86 s of processor for what takes
-// 45 s (TestSpreadAtSize).
+// derived caches values computed from a roster's members since their last change. Members
+// change rarely, but each message and each search for a reader needs these values. Without
+// the cache, 168 idle nodes used 86 s of processor time instead of 45 s (TestSpreadAtSize).
 type derived struct {
-	alive  []Member
-	groups [][]Member
-	own    []Member
-	circle []Member
-	digest Digest
-	hash   uint64
-	hashed bool
+	alive       []Member
+	groups      [][]Member
+	group       []Member
+	leaderGroup []Member
+	digest      Digest
+	hash        uint64
+	hashed      bool
 }
--- a/internal/gossip/digest.go
+++ b/internal/gossip/digest.go
@@ -8,21 +8,22 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// bucketCount is how many parts a roster is compared by: with 1,600 members a part that
-// differs has 25.
+// bucketCount is the number of buckets by which rosters are compared. With 1,600 members a
+// bucket has 25.
 const bucketCount = 64
 
-// Digest are hashes of a roster's parts, by which two nodes find out where they differ.
+// Digest holds a hash of each bucket of a roster, by which two nodes find the members in
+// which they differ.
 //
-// It guards against news that grow with the fleet: with a hash of the whole alone, two
-// nodes that differed in one member told each other all of them, and in a fleet of
-// hundreds some member or other has always just changed.
+// It keeps messages small in large fleets. With a hash of the whole roster alone, two nodes
+// that differ in one member would send each other all of them, and in a fleet of hundreds
+// some member has always just changed.
 //
-// Only members that live count. A node that has started since never hears of those that
-// were dead before, and would differ from all others until they have forgotten them.
+// Only live members count. A node never learns of members that died before it started, and
+// would otherwise differ from all others until they have dropped those members.
 type Digest []uint32
 
-// Digest returns the hashes of the roster's parts.
+// Digest returns the hashes of the roster's buckets.
 func (r *Roster) Digest() Digest {
 	if r.derived.digest == nil {
 		r.derived.digest = r.digest()
@@ -38,7 +39,7 @@
 	return d
 }
 
-// Hash is the same on nodes that know the same members to live.
+// Hash returns a hash of the live members. It is equal on nodes that agree on them.
 func (r *Roster) Hash() uint64 {
 	if !r.derived.hashed {
 		r.derived.hash, r.derived.hashed = r.hash(), true
@@ -54,24 +55,24 @@
 	return sum
 }
 
-// Differing returns the members, dead ones too, of the parts in which a peer's roster
-// differs from this one. A peer's digest of another length tells nothing: then these are
+// Differing returns the members, dead ones included, of the buckets in which a peer's roster
+// differs from this one. If the peer's digest has a different number of buckets, it returns
 // all members.
-func (r *Roster) Differing(theirs Digest, now time.Time) []Member {
+func (r *Roster) Differing(remote Digest, now time.Time) []Member {
 	known := r.Known(now)
-	if len(theirs) != bucketCount {
+	if len(remote) != bucketCount {
 		return known
 	}
 	own := r.Digest()
 	return slices.DeleteFunc(known, func(m Member) bool {
 		b := bucketOf(m.ID)
-		return own[b] == theirs[b]
+		return own[b] == remote[b]
 	})
 }
 
 func bucketOf(id string) int { return int(xxhash.Sum64String(id) % bucketCount) }
 
-// hash names one state of a member.
+// hash identifies one state of a member.
 func (m *Member) hash() uint64 {
 	b := make([]byte, 0, 64)
 	b = append(b, m.ID...)
--- a/internal/gossip/digest_test.go
+++ b/internal/gossip/digest_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// compare has two rosters exchange what differs, as two nodes do.
-func compare(a, b *Roster, now time.Time) (told int) {
+// syncRosters exchanges the differing members of two rosters, as two nodes do.
+func syncRosters(a, b *Roster, now time.Time) (sent int) {
 	fromA := a.Differing(b.Digest(), now)
 	asked := a.Digest()
 	b.Merge(fromA, now)
@@ -19,10 +19,10 @@
 	return len(fromA) + len(fromB)
 }
 
-// A deployment of three hundred nodes is being restarted, one after the other: whenever
-// two nodes met, one of them had not heard of the last start, and both told each other
-// of all three hundred. They tell of the part of the roster that differs.
-func TestOneChangeCostsAPartOfTheRoster(t *testing.T) {
+// Guards against full exchanges in a rolling restart of 300 nodes: one of two nodes has
+// usually not received the latest start, and both would send all 300 members. They exchange
+// only the bucket that differs.
+func TestOneChangeTransfersOneBucket(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	a, b := NewRoster(member("a", 1)), NewRoster(member("b", 1))
@@ -31,32 +31,31 @@
 		all = append(all, member(fmt.Sprintf("m%d", i), 1))
 	}
 	a.Merge(all, now)
-	compare(a, b, now)
+	syncRosters(a, b, now)
 	is.Equal(a.Hash(), b.Hash())
 	a.Merge([]Member{member("m7", 2)}, now)
 	is.True(a.Hash() != b.Hash())
-	told := compare(a, b, now)
-	is.True(told <= 20)
+	sent := syncRosters(a, b, now)
+	is.True(sent <= 20)
 	is.True(b.Lives("m7", 2))
 	is.Equal(a.Hash(), b.Hash())
 }
 
-// A member dies. A node that starts afterwards never hears of it, and knows the same as
-// the others all the same: it told and was told of all members until they had forgotten
-// the dead one.
-func TestTheDeadDoNotKeepRostersApart(t *testing.T) {
+// Guards against repeated exchanges after a member dies. A node that starts later never
+// learns of the dead member; its hash must still equal that of the others.
+func TestDeadMembersDoNotAffectHash(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	a, fresh := NewRoster(member("a", 1)), NewRoster(member("f", 1))
 	a.Merge([]Member{member("c", 1)}, now)
 	a.Unreached("c", now)
 	a.Unreached("c", now)
-	compare(a, fresh, now)
+	syncRosters(a, fresh, now)
 	is.Equal(a.Hash(), fresh.Hash())
 }
 
-// Whatever happened, two nodes that have compared their rosters know the same.
-func TestComparedRostersAgree(t *testing.T) {
+// Two nodes that have synced their rosters agree, whatever happened before.
+func TestSyncedRostersAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		rosters := []*Roster{NewRoster(member("n0", 1)), NewRoster(member("n1", 1)), NewRoster(member("n2", 1))}
@@ -71,15 +70,15 @@
 			case 2:
 				r.Merge([]Member{member(fmt.Sprintf("m%d", rapid.IntRange(0, 200).Draw(t, "member")), rapid.Int64Range(1, 3).Draw(t, "born"))}, now)
 			default:
-				compare(r, other, now)
+				syncRosters(r, other, now)
 			}
 		}
 		a, b := rosters[0], rosters[1]
-		for range 2 { // a mark of death is lifted by its subject, and that is told again
-			compare(a, b, now)
+		for range 2 { // a member refutes its dead mark, and the refutation is sent back
+			syncRosters(a, b, now)
 		}
 		if a.Hash() != b.Hash() {
-			t.Fatalf("%v and %v", a.Known(now), b.Known(now))
+			t.Fatalf("rosters differ after syncing: %v and %v", a.Known(now), b.Known(now))
 		}
 	})
 }
--- a/internal/gossip/doc.go
+++ b/internal/gossip/doc.go
@@ -1,7 +1,7 @@
-// Package gossip keeps the nodes of a deployment informed of each other and of
-// what each has learned, without a call a request and without a message
-// between all pairs: every node exchanges news with a few others in turn.
+// Package gossip spreads membership and shared state between the nodes of a deployment. Each
+// node exchanges messages with a few others in turn, so that requests need no extra calls
+// and nodes need no message between every pair.
 //
-// A [Roster] is a core without I/O: members and times go in, who lives comes
-// out. A [Peer] carries the messages by net/rpc.
+// A [Roster] tracks the members and does no I/O. [Server] and [Client] exchange the messages
+// over net/rpc.
 package gossip
--- a/internal/gossip/flight_role.go
+++ b/internal/gossip/flight_role.go
@@ -2,17 +2,18 @@
 
 import "slices"
 
-// FlightRole says with whom a node exchanges what is under way at upstreams.
+// FlightRole is a node's place in the exchange of in-flight work at upstreams.
 //
 // Members report to their group's leader, leaders to the first leader of their failure
-// domain, and those to each other. So what crosses failure domains grows with their number
-// and not with that of the groups.
+// domain, and first leaders to each other. Traffic between failure domains therefore grows
+// with the number of domains, not of groups.
 type FlightRole struct {
-	// To is whom the node reports to; empty where it is the first leader of its domain.
+	// To is the node that this node reports to; empty for the first leader of a domain.
 	To Member
-	// Leads is set where the node reports for its group.
+	// Leads is set if the node reports for its group.
 	Leads bool
-	// Others are the first leaders of the other failure domains, for the first one of this.
+	// Others are the first leaders of the other failure domains; set only for the first
+	// leader of a domain.
 	Others []Member
 }
 
--- a/internal/gossip/flight_role_test.go
+++ b/internal/gossip/flight_role_test.go
@@ -8,10 +8,10 @@
 	"github.com/matryer/is"
 )
 
-// TestFlightsCrossDomainsSeldom guards against bytes between failure domains that grow with
-// the square of the fleet: the leaders of all groups exchanged with each other what is under
-// way at all upstreams, and with 300 VMs that was most of what the deployment cost.
-func TestFlightsCrossDomainsSeldom(t *testing.T) {
+// TestFlightExchangesBetweenDomainsAreBounded guards against traffic between failure
+// domains that grows with the square of the fleet. If the leaders of all groups exchanged
+// reports with each other, that would be most of the traffic of 300 VMs.
+func TestFlightExchangesBetweenDomainsAreBounded(t *testing.T) {
 	for _, size := range []struct{ domains, perDomain, crossings int }{
 		{4, 2, 0}, {4, 21, 6}, {4, 75, 6}, {6, 50, 15}, {38, 42, 703},
 	} {
@@ -21,7 +21,7 @@
 			role := r.FlightRole()
 			for _, other := range role.Others {
 				if id < other.ID {
-					crossings++ // of two one calls
+					crossings++ // one of the two makes the call
 				}
 			}
 			if role.To.ID != "" {
@@ -31,17 +31,17 @@
 		}
 		t.Logf("%d domains of %d: %d exchanges between first leaders, %d reports", size.domains, size.perDomain, crossings, reports)
 		if crossings > size.crossings {
-			t.Errorf("%d domains of %d: %d exchanges between domains", size.domains, size.perDomain, crossings)
+			t.Errorf("%d domains of %d: %d exchanges between domains, above the limit", size.domains, size.perDomain, crossings)
 		}
 	}
 }
 
-// TestFlightsReachAllNodes guards against a node that does not hear of some others' work:
-// after a few rounds each knows the sum over all.
-func TestFlightsReachAllNodes(t *testing.T) {
+// TestFlightSumsReachAllNodes guards against a node that misses other nodes' work: after a few
+// rounds each node has the sum over all nodes.
+func TestFlightSumsReachAllNodes(t *testing.T) {
 	rosters := rostersOf(3, 60)
 	sums := map[string]*FlightSums{}
-	heard := map[string]int{}
+	attempts := map[string]int{}
 	for id := range rosters {
 		sums[id] = NewFlightSums()
 	}
@@ -59,10 +59,10 @@
 				report := s.Report(id, role, now)
 				s.TakeRest(sums[role.To.ID].Answer(report, role.To.ID, now).Flight, report.Flight, now)
 			}
-			heard[id] = int(s.All(now).Counts[0])
+			attempts[id] = int(s.All(now).Counts[0])
 		}
 	}
-	for id, count := range heard {
+	for id, count := range attempts {
 		if count != len(rosters) {
 			t.Errorf("%s knows of %d of %d attempts", id, count, len(rosters))
 		}
--- a/internal/gossip/flight_sums.go
+++ b/internal/gossip/flight_sums.go
@@ -6,41 +6,41 @@
 	"github.com/hickorybank/hickorybank/internal/fleet"
 )
 
-// FlightReport is what a node, a group or a failure domain has under way at upstreams.
+// FlightReport is the in-flight work of a node, a group or a failure domain at upstreams.
 type FlightReport struct {
-	// From names the node, or the leader of the group or domain.
+	// From is the ID of the node, or of the leader of the group or domain.
 	From string
-	// Group is set when Flight is the sum over the leader's group, Domain when it is that
+	// Group is set if Flight is the sum over the leader's group, Domain if it is the sum
 	// over its failure domain.
 	Group, Domain bool
 	Flight        fleet.Flight
 }
 
-// reportKeeps is how long a report counts: some rounds of news.
-const reportKeeps = 800 * time.Millisecond
+// reportTTL is how long a report counts: a few rounds of reports.
+const reportTTL = 800 * time.Millisecond
 
-// FlightSums collects what nodes have under way. A group's leader keeps the reports of its
-// members, and the first leader of a failure domain the sums of the domain's other groups
-// and of the other domains, so that each node sends and hears one message a round, however
-// many nodes there are.
+// FlightSums adds up the in-flight work of nodes. A group's leader keeps the reports of its
+// members. The first leader of a failure domain also keeps the sums of the domain's other
+// groups and of the other domains. An ordinary member thus sends and receives one message
+// per round, however many nodes there are. FlightSums is not safe for concurrent use.
 type FlightSums struct {
-	members, groups, domains map[string]received
-	// rest is what nodes have that report to others, as the node heard to which this one
-	// reports.
-	rest received
+	members, groups, domains map[string]timedFlight
+	// rest is the work of all nodes that do not report to this one, from the response of
+	// the node that this one reports to.
+	rest timedFlight
 }
 
-type received struct {
+type timedFlight struct {
 	flight fleet.Flight
 	at     time.Time
 }
 
-// NewFlightSums returns sums of no reports.
+// NewFlightSums returns sums without reports.
 func NewFlightSums() *FlightSums {
-	return &FlightSums{members: map[string]received{}, groups: map[string]received{}, domains: map[string]received{}}
+	return &FlightSums{members: map[string]timedFlight{}, groups: map[string]timedFlight{}, domains: map[string]timedFlight{}}
 }
 
-// Take takes a report in place of the sender's last one.
+// Take records a report in place of the sender's previous one.
 func (s *FlightSums) Take(r FlightReport, now time.Time) {
 	to := s.members
 	switch {
@@ -49,17 +49,17 @@
 	case r.Group:
 		to = s.groups
 	}
-	to[r.From] = received{r.Flight, now}
+	to[r.From] = timedFlight{r.Flight, now}
 }
 
-// TakeRest takes the sum over all nodes from the one to which this one reports, less what
-// was reported.
+// TakeRest records the response of the node that this one reports to: all is the sum over
+// all nodes, and reported is this node's own part of it, which is subtracted.
 func (s *FlightSums) TakeRest(all, reported fleet.Flight, now time.Time) {
-	s.rest = received{fleet.Subtract(all, reported), now}
+	s.rest = timedFlight{fleet.Subtract(all, reported), now}
 }
 
-// Answer takes a report and returns its answer: the sum over this failure domain to another
-// domain, else that over all nodes.
+// Answer records a report and returns the response: the sum over this failure domain if the
+// report is from another domain, otherwise the sum over all nodes.
 func (s *FlightSums) Answer(in FlightReport, self string, now time.Time) FlightReport {
 	s.Take(in, now)
 	if in.Domain {
@@ -68,33 +68,34 @@
 	return FlightReport{From: self, Flight: s.All(now)}
 }
 
-// Report is what this node reports to another one: for its group if it leads that.
+// Report returns this node's report to another node; it covers the group if this node leads
+// one.
 func (s *FlightSums) Report(self string, role FlightRole, now time.Time) FlightReport {
 	return FlightReport{From: self, Group: role.Leads, Flight: s.Group(now)}
 }
 
-// Group is the sum over the members of this node's group.
+// Group returns the sum over the members of this node's group.
 func (s *FlightSums) Group(now time.Time) fleet.Flight { return sum(s.members, now) }
 
-// Domain is the sum over the groups of this node's failure domain.
+// Domain returns the sum over the groups of this node's failure domain.
 func (s *FlightSums) Domain(now time.Time) fleet.Flight {
 	return fleet.Sum(sum(s.members, now), sum(s.groups, now))
 }
 
-// All is the sum over all nodes.
+// All returns the sum over all nodes.
 func (s *FlightSums) All(now time.Time) fleet.Flight {
 	all := []fleet.Flight{sum(s.members, now), sum(s.groups, now), sum(s.domains, now)}
-	if now.Sub(s.rest.at) <= reportKeeps {
+	if now.Sub(s.rest.at) <= reportTTL {
 		all = append(all, s.rest.flight)
 	}
 	return fleet.Sum(all...)
 }
 
-// sum adds the reports that still count, and drops the others.
-func sum(reports map[string]received, now time.Time) fleet.Flight {
+// sum adds up the reports younger than reportTTL and deletes the others.
+func sum(reports map[string]timedFlight, now time.Time) fleet.Flight {
 	var flights []fleet.Flight
 	for from, p := range reports {
-		if now.Sub(p.at) > reportKeeps {
+		if now.Sub(p.at) > reportTTL {
 			delete(reports, from)
 			continue
 		}
--- a/internal/gossip/flight_sums_test.go
+++ b/internal/gossip/flight_sums_test.go
@@ -13,15 +13,15 @@
 	return fleet.Flight{Keys: []uint32{key}, Counts: []uint16{count}, Work: []uint32{uint32(count) * 100}}
 }
 
-// A reader sums what its members and the other groups have under way. A node's
-// later report replaces its earlier one, and one that has fallen silent no longer
-// counts: its work is over or will show in its upstreams' words.
-func TestReaderSumsWhatIsUnderWay(t *testing.T) {
+// A leader adds up the reports of its members and of other groups. A node's newer report
+// replaces its older one. The report of a silent node expires: its work has ended, or shows
+// in the load that its upstreams report.
+func TestFlightSumsReplaceAndExpireReports(t *testing.T) {
 	is := is.New(t)
 	s := NewFlightSums()
 	now := time.Unix(1000, 0)
 	s.Take(FlightReport{From: "silent", Flight: flight(1, 9)}, now)
-	later := now.Add(reportKeeps + time.Millisecond)
+	later := now.Add(reportTTL + time.Millisecond)
 	s.Take(FlightReport{From: "a", Flight: flight(1, 5)}, later)
 	s.Take(FlightReport{From: "a", Flight: flight(1, 2)}, later)
 	s.Take(FlightReport{From: "b", Flight: flight(1, 3)}, later)
--- a/internal/gossip/member.go
+++ b/internal/gossip/member.go
@@ -1,27 +1,26 @@
 package gossip
 
-// Member is one run of a node.
+// Member is a process of a node, as known to its peers.
 type Member struct {
-	// ID is the node's name, and Born tells its runs apart: a later run of the
-	// same node has a greater one.
+	// ID is the node's name. Born identifies the process: it increases with each restart of
+	// the node.
 	ID   string
 	Born int64
-	// Beat grows with each change that the member itself makes to its entry.
+	// Beat increases with each change that the member makes to its own entry.
 	Beat uint64
-	// Front is where callers connect, Peer where nodes do.
+	// Front is the address for callers, Peer the address for other nodes.
 	Front, Peer    string
 	Domain, Region string
-	// Link is the bandwidth of the member's link in bytes a second; 0 if it is not
-	// known.
+	// Link is the bandwidth of the member's link in bytes per second; 0 if unknown.
 	Link float64
 	// Ready members can serve; leaving ones take no new callers.
 	Ready, Leaving bool
-	// Dead is set by a peer that could not reach the member; the member itself
-	// lifts it with a greater Beat.
+	// Dead is set by a peer that could not reach the member. The member refutes it with a
+	// greater Beat.
 	Dead bool
 }
 
-// newer tells whether m supersedes old.
+// newer reports whether m supersedes old.
 func (m *Member) newer(old *Member) bool {
 	if m.Born != old.Born {
 		return m.Born > old.Born
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -10,71 +10,70 @@
 	"github.com/hickorybank/hickorybank/internal/notice"
 )
 
-// Message is what one node tells another, both ways of an exchange.
+// Message is the request and the response of an exchange between two nodes.
 type Message struct {
 	From string
 	Born int64
-	// RosterHash tells whether both know the same members. Where they don't, the answer
-	// has the Digest of the one who was asked; the asker sends its own with the Members
-	// that it has in the parts that differ, and is answered with those of the other.
+	// RosterHash shows whether both nodes know the same members. If they differ, the
+	// response carries the responder's Digest. The requester then sends its own Digest with
+	// its Members of the buckets that differ, and receives the responder's Members of them.
 	RosterHash uint64
 	Digest     Digest
 	Members    []Member
-	// ConfigVersion is the version of the configuration in force at the
-	// sender; 0 for none.
-	// The configuration itself is not told: who has an older one takes it piece by
-	// piece, so that news are small and come in time whatever its size.
+	// ConfigVersion is the version of the configuration in force at the sender; 0 for
+	// none. The configuration itself is not sent: a node with an older one fetches it in
+	// pieces, so that messages stay small and arrive in time whatever its size.
 	ConfigVersion int64
-	// Proof tells how fresh the sender's knowledge of the table is.
+	// Proof shows how recent the sender's reading of the table is.
 	Proof Proof
-	// Edits lead from the list of upstreams that the receiver has to the sender's;
-	// Fleet is the whole, told where that is not known. Neither where both have the
-	// same.
+	// Edits lead from the receiver's list of upstreams to the sender's. Fleet is the full
+	// list, sent if the receiver's list is unknown. Both are empty if the lists are equal.
 	Edits fleet.Edits
 	Fleet []fleet.Record
-	// Lapsed are upstreams that the sender tries though the table no longer lists them;
-	// told to a node that knows no list yet.
+	// Lapsed are upstreams that the sender tries although the table no longer lists them.
+	// They are sent to a node that has no list yet.
 	Lapsed []fleet.Record
-	// Orders are the roll-outs that the sender knows, Tallies the counts.
+	// Orders are the rollouts that the sender knows, Tallies their counts.
 	Orders  []Order
 	Tallies []canary.Tally
 	// Evacuations are the orders to evacuate failure domains that the sender knows,
-	// ended ones too.
+	// including ended ones.
 	Evacuations []evacuation.Order
 	// Pins are sessions that stay on the old version.
 	Pins []canary.Pin
 	// Strikes are requests that crashed upstreams.
 	Strikes []crashguard.Strike
-	// Notices are what upstreams have said of themselves in answers: what has changed, and
-	// some of the rest.
+	// Notices are the states that upstreams report in their responses: all that changed,
+	// and some of the others.
 	Notices []notice.Report
 }
 
-// Proof is a reading of the table, by the sender or by whom it heard from.
+// Proof describes the latest reading of the table, made by the sender or by a node that it
+// received the reading from.
 type Proof struct {
-	// Age is how long ago the reading of the list began; negative for none.
+	// Age is the time since the reading of the list began; negative for none.
 	Age time.Duration
 	// Steady is how long the sender has had such readings without a gap.
 	Steady time.Duration
-	// OrdersAge is how long ago operators' changes were read; negative for never.
+	// OrdersAge is the time since operators' changes were read; negative for never.
 	OrdersAge time.Duration
-	// ListClock and OrdersClock are the table's own clock at these readings: they tell
-	// readings apart and which is the later. By its age alone a reading would be younger
-	// at each node that hears of it, by the time that the word was on its way.
+	// ListClock and OrdersClock are the table's own clock at these readings. They identify
+	// and order readings. Age alone does not: at each node that receives a reading it is
+	// too small by the transit time of the message.
 	ListClock, OrdersClock time.Duration
-	// OrdersPending says that the sender reads them for its group, and that a large
-	// change is on its way to it.
+	// OrdersPending is set if the sender reads operators' changes for its group and is
+	// still fetching a large change.
 	OrdersPending bool
-	// Away is how long ago the sender, or who reads for it, last could not read the table,
-	// where nothing has been read since; 0 else.
+	// Away is the time since the sender, or its reader, last failed to read the table, if
+	// nothing has been read since; otherwise 0.
 	Away time.Duration
 	// FleetRevision and OrdersRevision are the revisions that were read.
 	FleetRevision, OrdersRevision uint64
-	// FleetHash tells whether the receiver has the same list.
+	// FleetHash shows whether the receiver has the same list.
 	FleetHash uint64
 }
 
-// Order is a roll-out and how long it has been under way.
+// Order is a rollout and the time since its start.
 type Order struct {
 	canary.Order
 	Age time.Duration
--- a/internal/gossip/peer.go
+++ b/internal/gossip/peer.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// callTimeout bounds one exchange. Connections between nodes may fall
-	// silent without a reset; only a time-out shows it. What is exchanged is small
-	// whatever the size of the documents that it speaks of.
+	// callTimeout bounds one exchange. A connection between nodes may go silent without a
+	// reset, which only a timeout detects. Messages are small, whatever the size of the
+	// documents that they refer to.
 	callTimeout = 700 * time.Millisecond
-	// pieceTimeout bounds the transfer of one piece of a document: five times what
-	// one takes over 10 Mbit/s beside another transfer and callers that fill half of
-	// the link.
+	// pieceTimeout bounds the transfer of one piece of a document. It is five times the
+	// duration over 10 Mbit/s beside another transfer and callers that use half of the
+	// link.
 	pieceTimeout = time.Second
-	// dialTimeout bounds the opening of a connection to a peer.
+	// dialTimeout bounds opening a connection to a peer.
 	dialTimeout = 400 * time.Millisecond
 	// service is the name of the net/rpc service.
 	service = "Gossip"
@@ -29,17 +29,18 @@
 
 var errTimeout = errors.New("peer did not answer in time")
 
-// Exchanger answers a peer's message with this node's own.
+// Exchanger handles the calls of peers.
 type Exchanger interface {
+	// Exchange merges a peer's message and returns this node's message.
 	Exchange(in Message) Message
-	// Flights takes a report; it returns the sum over all groups to a member,
-	// and over this node's group to another group's reader.
+	// Flights records a report of in-flight work. It returns the sum over this failure
+	// domain to another domain's leader, otherwise the sum over all nodes.
 	Flights(in FlightReport) FlightReport
-	// Piece answers a peer that asks for a newer configuration.
+	// Piece returns a piece of a newer configuration.
 	Piece(in transfer.Ask) transfer.Piece
 }
 
-// Server answers peers.
+// Server serves the calls of peers over net/rpc.
 type Server struct {
 	listener net.Listener
 	rpc      *rpc.Server
@@ -49,36 +50,36 @@
 }
 
 // handler is the net/rpc service.
-type handler struct{ to Exchanger }
+type handler struct{ exchanger Exchanger }
 
-// Exchange is the method that peers call.
+// Exchange exchanges messages with a peer.
 func (h *handler) Exchange(in Message, out *Message) error {
-	*out = h.to.Exchange(in)
+	*out = h.exchanger.Exchange(in)
 	return nil
 }
 
-// Flights is the method by which peers report what they have under way.
+// Flights takes a peer's report of in-flight work.
 func (h *handler) Flights(in FlightReport, out *FlightReport) error {
-	*out = h.to.Flights(in)
+	*out = h.exchanger.Flights(in)
 	return nil
 }
 
-// Piece is the method by which peers take a newer configuration.
+// Piece sends a piece of a newer configuration to a peer.
 func (h *handler) Piece(in transfer.Ask, out *transfer.Piece) error {
-	*out = h.to.Piece(in)
+	*out = h.exchanger.Piece(in)
 	return nil
 }
 
-// NewServer serves peers on a listener.
-func NewServer(l net.Listener, to Exchanger) (*Server, error) {
+// NewServer returns a server for a listener; [Server.Serve] starts it.
+func NewServer(l net.Listener, exchanger Exchanger) (*Server, error) {
 	s := &Server{listener: l, rpc: rpc.NewServer(), conns: map[net.Conn]bool{}}
-	if err := s.rpc.RegisterName(service, &handler{to}); err != nil {
+	if err := s.rpc.RegisterName(service, &handler{exchanger}); err != nil {
 		return nil, err
 	}
 	return s, nil
 }
 
-// Serve accepts peers until the listener is closed.
+// Serve accepts connections until the listener is closed.
 func (s *Server) Serve() {
 	for {
 		c, err := s.listener.Accept()
@@ -99,7 +100,7 @@
 	s.mu.Unlock()
 }
 
-// Close stops serving.
+// Close closes the listener and all connections.
 func (s *Server) Close() {
 	_ = s.listener.Close() // the node stops
 	s.mu.Lock()
@@ -109,7 +110,8 @@
 	}
 }
 
-// Client calls peers and keeps a connection to each that it has called lately.
+// Client calls peers and keeps a connection to each peer called recently. It is safe for
+// concurrent use.
 type Client struct {
 	network network.Network
 
@@ -118,14 +120,14 @@
 }
 
 type peerConn struct {
-	rpc  *rpc.Client
-	used time.Time
+	rpc      *rpc.Client
+	lastUsed time.Time
 }
 
 const (
-	// keepConn is how long an unused connection to a peer is kept: three times as long
-	// as a node's far contacts are apart in the mean.
-	keepConn = 30 * time.Second
+	// connIdleTimeout is how long an unused connection is kept: three times the mean interval
+	// between a node's contacts with distant peers.
+	connIdleTimeout = 30 * time.Second
 )
 
 // NewClient returns a client without connections.
@@ -133,22 +135,25 @@
 	return &Client{network: n, conns: map[string]*peerConn{}}
 }
 
-// Exchange sends a message to a peer and returns its answer.
+// Exchange sends a message to a peer and returns its response. It fails if the peer does not
+// respond within 700 ms.
 func (c *Client) Exchange(addr string, in Message) (Message, error) {
 	return call[Message, Message](c, addr, "Exchange", in, callTimeout)
 }
 
-// Flights sends a report to a peer and returns its answer.
+// Flights sends a report to a peer and returns its response. It fails if the peer does not
+// respond within 700 ms.
 func (c *Client) Flights(addr string, in FlightReport) (FlightReport, error) {
 	return call[FlightReport, FlightReport](c, addr, "Flights", in, callTimeout)
 }
 
-// Piece asks a peer for a piece of a newer configuration.
+// Piece requests a piece of a newer configuration from a peer. It fails if the peer does not
+// respond within 1 s.
 func (c *Client) Piece(addr string, in transfer.Ask) (transfer.Piece, error) {
 	return call[transfer.Ask, transfer.Piece](c, addr, "Piece", in, pieceTimeout)
 }
 
-// call calls a method of a peer.
+// call calls a method of a peer and drops the connection on any error.
 func call[In, Out any](c *Client, addr, method string, in In, limit time.Duration) (out Out, err error) {
 	conn, err := c.conn(addr)
 	if err != nil {
@@ -175,13 +180,13 @@
 	defer c.mu.Unlock()
 	now := time.Now()
 	for a, p := range c.conns {
-		if a != addr && now.Sub(p.used) > keepConn {
-			_ = p.rpc.Close() // unused
+		if a != addr && now.Sub(p.lastUsed) > connIdleTimeout {
+			_ = p.rpc.Close() // idle
 			delete(c.conns, a)
 		}
 	}
 	if p := c.conns[addr]; p != nil {
-		p.used = now
+		p.lastUsed = now
 		return p.rpc, nil
 	}
 	c.mu.Unlock()
@@ -191,12 +196,12 @@
 		return nil, err
 	}
 	if other := c.conns[addr]; other != nil {
-		// Another call was faster; it may be under way on its connection.
+		// A concurrent call has stored a connection, and may be using it.
 		_ = nc.Close()
-		other.used = now
+		other.lastUsed = now
 		return other.rpc, nil
 	}
-	p := &peerConn{rpc: rpc.NewClient(nc), used: now}
+	p := &peerConn{rpc: rpc.NewClient(nc), lastUsed: now}
 	c.conns[addr] = p
 	return p.rpc, nil
 }
--- a/internal/gossip/peer_test.go
+++ b/internal/gossip/peer_test.go
@@ -25,8 +25,8 @@
 
 func (echo) Piece(in transfer.Ask) transfer.Piece { return transfer.Piece{To: in.Known + 1} }
 
-// A peer answers, its connection breaks, and it is called again.
-func TestExchangeOverABrokenConnection(t *testing.T) {
+// A peer responds, its connection breaks, and it is called again over a new one.
+func TestExchangeAfterConnectionBreaks(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
@@ -45,7 +45,7 @@
 	is.Equal(out.ConfigVersion, int64(7))
 	s.mu.Lock()
 	for conn := range s.conns {
-		_ = conn.Close() // it breaks
+		_ = conn.Close() // breaks the connection
 	}
 	s.mu.Unlock()
 	for tries := 0; ; tries++ {
@@ -61,8 +61,8 @@
 	c.Close()
 }
 
-// A peer takes the call and never answers: the call ends by itself.
-func TestSilentPeer(t *testing.T) {
+// A peer accepts the connection and never responds: the call must time out.
+func TestCallToSilentPeerTimesOut(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
@@ -73,29 +73,29 @@
 	is.Equal(err, errTimeout)
 }
 
-// together answers an exchange only when as many are under way as wanted.
-type together struct {
+// barrierExchanger responds to an exchange only once the wanted number of exchanges is running.
+type barrierExchanger struct {
 	echo
 	wanted *sync.WaitGroup
 }
 
-func (t together) Exchange(in Message) Message {
+func (t barrierExchanger) Exchange(in Message) Message {
 	t.wanted.Done()
 	t.wanted.Wait()
 	return t.echo.Exchange(in)
 }
 
-// Two duties of a node call a peer that it has no connection to, at the same moment.
-// Both opened one, the second closed the first, and the first call failed although the
-// peer lives: a missed answer of two that mark it dead.
-func TestTwoFirstCallsAtOnce(t *testing.T) {
+// Guards against concurrent first calls to a peer that replace each other's connection. Both
+// calls open one; closing the other's would fail its call, and two failures in a row mark a
+// live peer dead.
+func TestConcurrentFirstCallsShareConnection(t *testing.T) {
 	is := is.New(t)
 	for range 20 {
 		l, err := net.Listen("tcp4", "127.0.0.1:0")
 		is.NoErr(err)
 		var both sync.WaitGroup
 		both.Add(2)
-		s, err := NewServer(l, together{wanted: &both})
+		s, err := NewServer(l, barrierExchanger{wanted: &both})
 		is.NoErr(err)
 		go s.Serve()
 		c := NewClient(&network.OS{})
--- a/internal/gossip/roster.go
+++ b/internal/gossip/roster.go
@@ -7,33 +7,34 @@
 )
 
 const (
-	// forgetAfter is when a dead member is dropped.
-	forgetAfter = 60 * time.Second
-	// missesToDie is how many calls in a row a member may leave unanswered.
-	missesToDie = 2
-	// groupSize is how many members share one reader of the table.
-	groupSize = 24
+	// deadRetention is how long a dead member is remembered.
+	deadRetention = 60 * time.Second
+	// maxMisses is the number of failed calls in a row after which a member counts as dead.
+	maxMisses = 2
+	// maxGroupSize is the maximum number of members of a group, and of groups that share one
+	// reader of the table.
+	maxGroupSize = 24
 )
 
 type entry struct {
 	Member
 	misses int
-	died   time.Time
+	diedAt time.Time
 }
 
-// Roster is what a node knows of its peers.
+// Roster is a node's view of the members. It does no I/O and is not safe for concurrent use.
 //
-// Entries change only when a member's state does, so that two nodes which
-// agree find it out by a hash. A member that does not answer is marked dead by
-// whoever calls it; the mark spreads, and the member lifts it if it lives.
+// An entry changes only when the member's state does, so that two nodes can compare their
+// rosters by a hash. A caller marks a member that does not respond as dead. The mark
+// spreads, and a live member refutes it.
 type Roster struct {
 	self    Member
 	members map[string]*entry
-	// derived is what follows from the members; empty once they have changed.
+	// derived caches values computed from the members; it is reset when they change.
 	derived derived
 }
 
-// NewRoster returns a roster that knows only its own node.
+// NewRoster returns a roster that contains only its own node.
 func NewRoster(self Member) *Roster {
 	self.Beat = 1
 	return &Roster{self: self, members: map[string]*entry{}}
@@ -42,7 +43,7 @@
 // Self returns this node's own entry.
 func (r *Roster) Self() Member { return r.self }
 
-// SetSelf takes this node's own state; it reports whether that changed.
+// SetSelf sets this node's own state and reports whether it changed.
 func (r *Roster) SetSelf(ready, leaving bool) bool {
 	if r.self.Ready == ready && r.self.Leaving == leaving {
 		return false
@@ -54,11 +55,11 @@
 	return true
 }
 
-// Merge takes what a peer knows. It returns the members that are new or have
-// changed their state.
-func (r *Roster) Merge(news []Member, now time.Time) []Member {
+// Merge merges members received from a peer at now. It returns the members that are new or
+// have changed state.
+func (r *Roster) Merge(received []Member, now time.Time) []Member {
 	var changed []Member
-	for _, m := range news {
+	for _, m := range received {
 		if m.ID == r.self.ID {
 			r.refute(m)
 			continue
@@ -69,7 +70,7 @@
 		}
 		e := &entry{Member: m}
 		if m.Dead {
-			e.died = now
+			e.diedAt = now
 		}
 		r.derived = derived{}
 		r.members[m.ID] = e
@@ -78,7 +79,7 @@
 	return changed
 }
 
-// refute lifts a mark of death from this node's own entry.
+// refute removes a dead mark from this node's own entry by a greater Beat.
 func (r *Roster) refute(m Member) {
 	if m.Born == r.self.Born && m.Dead && m.Beat >= r.self.Beat {
 		r.derived = derived{}
@@ -86,11 +87,11 @@
 	}
 }
 
-// Known returns all members, this node first.
+// Known returns all members, this node first, and drops those dead for 60 s.
 func (r *Roster) Known(now time.Time) []Member {
 	all := []Member{r.self}
 	for id, e := range r.members {
-		if e.Dead && now.Sub(e.died) > forgetAfter {
+		if e.Dead && now.Sub(e.diedAt) > deadRetention {
 			r.derived = derived{}
 			delete(r.members, id)
 			continue
@@ -101,8 +102,8 @@
 	return all
 }
 
-// Alive returns the members that live, this node included, in order of their
-// IDs. The caller may not change them.
+// Alive returns the live members, this node included, sorted by ID. The caller must not
+// modify the slice.
 func (r *Roster) Alive() []Member {
 	if r.derived.alive == nil {
 		r.derived.alive = r.alive()
@@ -121,12 +122,12 @@
 	return all
 }
 
-// Others returns the members that live, without this node.
+// Others returns the live members without this node.
 func (r *Roster) Others() []Member {
 	return slices.DeleteFunc(slices.Clone(r.Alive()), func(m Member) bool { return m.ID == r.self.ID })
 }
 
-// Lives tells whether a run of a node lives.
+// Lives reports whether the process of a node with the given start is alive.
 func (r *Roster) Lives(node string, born int64) bool {
 	if node == r.self.ID {
 		return born == r.self.Born
@@ -135,34 +136,34 @@
 	return e != nil && e.Born == born && !e.Dead
 }
 
-// Answered notes that a member answered.
+// Answered records that a member responded.
 func (r *Roster) Answered(id string) {
 	if e := r.members[id]; e != nil {
 		e.misses = 0
 	}
 }
 
-// Unreached notes that a member did not answer; it reports whether the member
-// now counts as dead and did not before.
+// Unreached records that a member did not respond, and reports whether this call marked it
+// dead.
 func (r *Roster) Unreached(id string, now time.Time) bool {
 	e := r.members[id]
 	if e == nil {
 		return false
 	}
 	e.misses++
-	if e.Dead || e.misses < missesToDie {
+	if e.Dead || e.misses < maxMisses {
 		return false
 	}
 	r.derived = derived{}
 	e.Dead = true
-	e.died = now
+	e.diedAt = now
 	return true
 }
 
-// Groups returns the members that live in groups of neighbours, each with its
-// leader first: the member that hears for the group what is read of the table, and reads
-// it where it leads its circle as well. All nodes that know the same members agree on
-// them. The caller may not change them.
+// Groups returns the live members in groups, each with its leader first. The leader obtains
+// the contents of the table for its group, and reads the table itself if it is first in its
+// group of leaders ([Roster.Circle]). All nodes that know the same members compute the same
+// groups. The caller must not modify them.
 func (r *Roster) Groups() [][]Member {
 	if r.derived.groups == nil {
 		r.derived.groups = groupsOf(r.Alive())
@@ -179,8 +180,8 @@
 		return strings.Compare(a.ID, b.ID)
 	})
 	var groups [][]Member
-	for _, part := range byDomain(all) {
-		count := (len(part) + groupSize - 1) / groupSize
+	for _, part := range splitByDomain(all) {
+		count := (len(part) + maxGroupSize - 1) / maxGroupSize
 		for i := range count {
 			groups = append(groups, readerFirst(part[i*len(part)/count:(i+1)*len(part)/count]))
 		}
@@ -188,17 +189,17 @@
 	return groups
 }
 
-// byDomain splits members in order of their failure domains between two domains, so that
-// a part holds as many whole domains as fit into a group, or one that does not: what a
-// reader tells its group then crosses no border between large domains.
-func byDomain(all []Member) (parts [][]Member) {
+// splitByDomain splits members, sorted by failure domain, at domain borders. Each part holds as
+// many whole domains as fit into a group, or one larger domain. Messages from a leader to its
+// group then do not cross between large domains.
+func splitByDomain(all []Member) (parts [][]Member) {
 	start, end := 0, 0 // a part of whole domains, so far
 	for end < len(all) {
 		next := end
 		for next < len(all) && all[next].Domain == all[end].Domain {
 			next++
 		}
-		if start < end && next-start > groupSize {
+		if start < end && next-start > maxGroupSize {
 			parts = append(parts, all[start:end])
 			start = end
 		}
@@ -210,43 +211,44 @@
 	return parts
 }
 
-// Circle returns the leaders, the first members, of the groups in this node's part of the
-// deployment, the one that reads the table for them first. It is empty where this node
-// leads no group. The caller may not change it.
+// Circle returns the leaders of this node's and neighbouring groups, of which the first reads
+// the table for all of them. It is empty if this node leads no group. The caller must not
+// modify it.
 func (r *Roster) Circle() []Member {
-	if r.derived.circle == nil {
-		r.derived.circle = r.circleOf(r.Groups())
+	if r.derived.leaderGroup == nil {
+		r.derived.leaderGroup = r.leaderGroupIn(r.Groups())
 	}
-	return r.derived.circle
+	return r.derived.leaderGroup
 }
 
-func (r *Roster) circleOf(groups [][]Member) []Member {
+func (r *Roster) leaderGroupIn(groups [][]Member) []Member {
 	var leaders []Member
 	for _, group := range groups {
 		leaders = append(leaders, group[0])
 	}
-	for circle := range slices.Chunk(leaders, groupSize) {
-		if slices.ContainsFunc(circle, func(m Member) bool { return m.ID == r.self.ID }) {
-			return readerFirst(circle)
+	for group := range slices.Chunk(leaders, maxGroupSize) {
+		if slices.ContainsFunc(group, func(m Member) bool { return m.ID == r.self.ID }) {
+			return readerFirst(group)
 		}
 	}
 	return []Member{}
 }
 
-// readerFirst puts the member that reads for the others first.
+// readerFirst returns a copy of the group with its reader in the first place.
 func readerFirst(group []Member) []Member {
 	group = slices.Clone(group)
-	if reader := readerOf(group); reader > 0 {
+	if reader := readerIndex(group); reader > 0 {
 		group[0], group[reader] = group[reader], group[0]
 	}
 	return group
 }
 
-// readerOf returns the member that reads for a group: of those that can serve the
-// first with the widest link, as the reader takes changes whole from the table. With
-// 870 kB the last of 40 nodes had them after 0.33 s in place of 1.65 s where one in ten
-// has 200 Mbit/s and the others 10.
-func readerOf(group []Member) int {
+// readerIndex returns the index of the member that reads for a group, or -1. It is the first
+// member with the highest bandwidth among those that are ready and not leaving, because the
+// reader fetches full changes from the table. With changes of 870 kB, and 200 Mbit/s on one
+// node in ten and 10 Mbit/s on the others, the last of 40 nodes has a change after 0.33 s
+// instead of 1.65 s.
+func readerIndex(group []Member) int {
 	reader := -1
 	for i, m := range group {
 		if m.Ready && !m.Leaving && (reader < 0 || m.Link > group[reader].Link) {
@@ -256,15 +258,15 @@
 	return reader
 }
 
-// Group returns this node's own group. The caller may not change it.
+// Group returns this node's own group, its leader first. The caller must not modify it.
 func (r *Roster) Group() []Member {
-	if r.derived.own == nil {
-		r.derived.own = r.ownOf(r.Groups())
+	if r.derived.group == nil {
+		r.derived.group = r.groupIn(r.Groups())
 	}
-	return r.derived.own
+	return r.derived.group
 }
 
-func (r *Roster) ownOf(groups [][]Member) []Member {
+func (r *Roster) groupIn(groups [][]Member) []Member {
 	for _, group := range groups {
 		if slices.ContainsFunc(group, func(m Member) bool { return m.ID == r.self.ID }) {
 			return group
--- a/internal/gossip/roster_test.go
+++ b/internal/gossip/roster_test.go
@@ -14,35 +14,35 @@
 	return Member{ID: id, Born: born, Domain: "d-" + id[:1], Front: id + ":1", Peer: id + ":2"}
 }
 
-func tell(from, to *Roster, now time.Time) { to.Merge(from.Known(now), now) }
+func sendKnown(from, to *Roster, now time.Time) { to.Merge(from.Known(now), now) }
 
-// A node is cut off and does not answer. It is marked dead everywhere, and
-// lives again as soon as it is heard, though the others had it dead.
-func TestMarkOfDeathSpreadsAndIsLifted(t *testing.T) {
+// A node is unreachable and gets marked dead on all nodes. Once it is reachable again, it
+// refutes the mark on all nodes.
+func TestDeadMarkSpreadsAndIsRefuted(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	a, b, c := NewRoster(member("a", 1)), NewRoster(member("b", 1)), NewRoster(member("c", 1))
 	for _, r := range []*Roster{a, b} {
-		tell(c, r, now)
+		sendKnown(c, r, now)
 	}
-	tell(a, b, now)
-	tell(b, a, now)
-	is.True(!a.Unreached("c", now)) // one missed call is none
+	sendKnown(a, b, now)
+	sendKnown(b, a, now)
+	is.True(!a.Unreached("c", now)) // one failed call is not enough
 	is.True(a.Unreached("c", now))
-	tell(a, b, now)
+	sendKnown(a, b, now)
 	is.True(!b.Lives("c", 1))
-	tell(c, b, now)
-	is.True(!b.Lives("c", 1)) // the same word as before the mark
-	tell(b, c, now)           // c hears that it counts as dead
-	tell(c, b, now)
+	sendKnown(c, b, now)
+	is.True(!b.Lives("c", 1)) // an entry as old as the mark
+	sendKnown(b, c, now)      // c learns that it is marked dead
+	sendKnown(c, b, now)
 	is.True(b.Lives("c", 1))
-	tell(b, a, now)
+	sendKnown(b, a, now)
 	is.True(a.Lives("c", 1))
 }
 
-// A process is killed and started again: its new run replaces the old one, and
-// news of the old run changes nothing.
-func TestNewRunReplacesTheOld(t *testing.T) {
+// A process is killed and restarted: the new process replaces the old one, and late entries
+// of the old process change nothing.
+func TestNewRunReplacesOldRun(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	a := NewRoster(member("a", 1))
@@ -50,31 +50,31 @@
 	for range 5 {
 		old.SetSelf(!old.Self().Ready, false)
 	}
-	tell(old, a, now)
-	tell(fresh, a, now)
-	tell(old, a, now)
+	sendKnown(old, a, now)
+	sendKnown(fresh, a, now)
+	sendKnown(old, a, now)
 	is.True(a.Lives("b", 2))
 	is.True(!a.Lives("b", 1))
 }
 
-// Dead members are forgotten, and nobody brings them back.
-func TestDeadMembersAreForgotten(t *testing.T) {
+// Dead members are dropped after a while, and a peer's dead entry does not bring them back.
+func TestDeadMembersAreDroppedForGood(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	a, b := NewRoster(member("a", 1)), NewRoster(member("b", 1))
 	c := NewRoster(member("c", 1))
-	tell(c, a, now)
+	sendKnown(c, a, now)
 	a.Unreached("c", now)
 	a.Unreached("c", now)
-	later := now.Add(forgetAfter + time.Second)
+	later := now.Add(deadRetention + time.Second)
 	dead := a.Known(now)
 	is.Equal(len(a.Known(later)), 1)
 	b.Merge(dead, later)
 	is.Equal(len(b.Known(later)), 2) // a and b
 }
 
-// Whatever order news travels in, nodes that have heard all know the same, and
-// their hashes say so.
+// Nodes that have exchanged all entries agree, in whatever order these travelled, and so do
+// their hashes.
 func TestRostersConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
@@ -88,7 +88,7 @@
 			a, b := node.Draw(t, "a"), node.Draw(t, "b")
 			switch rapid.IntRange(0, 2).Draw(t, "what") {
 			case 0:
-				tell(all[a], all[b], now)
+				sendKnown(all[a], all[b], now)
 			case 1:
 				all[a].SetSelf(rapid.Bool().Draw(t, "ready"), false)
 			case 2:
@@ -97,24 +97,24 @@
 		}
 		for range 4 * count {
 			for i := range all {
-				tell(all[i], all[(i+1)%count], now)
-				tell(all[(i+1)%count], all[i], now)
+				sendKnown(all[i], all[(i+1)%count], now)
+				sendKnown(all[(i+1)%count], all[i], now)
 			}
 		}
 		for _, r := range all {
 			if r.Hash() != r.hash() || !slices.Equal(r.Alive(), r.alive()) {
-				t.Fatalf("%v: what follows is not up to date", r.Known(now))
+				t.Fatalf("%v: cached values are out of date", r.Known(now))
 			}
 			if r.Hash() != all[0].Hash() || len(r.Alive()) != count {
-				t.Fatalf("%v and %v", r.Known(now), all[0].Known(now))
+				t.Fatalf("rosters differ after all exchanges: %v and %v", r.Known(now), all[0].Known(now))
 			}
 		}
 	})
 }
 
-// Groups hold every living member once, are bounded, and have a ready reader
-// where there is one.
-func TestGroups(t *testing.T) {
+// Groups contain each live member once, are bounded, and start with a ready member that does
+// not leave.
+func TestGroupsCoverMembersWithReadyReader(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	r := NewRoster(member("a00", 1))
@@ -127,14 +127,14 @@
 	}
 	seen := map[string]int{}
 	for _, g := range r.Groups() {
-		is.True(len(g) <= groupSize)
+		is.True(len(g) <= maxGroupSize)
 		is.True(g[0].Ready && !g[0].Leaving)
 		for _, m := range g {
 			seen[m.ID]++
 		}
 	}
 	is.Equal(len(seen), 80)
-	// The widest link reads; among equals the first.
+	// The member with the highest bandwidth reads; among equals the first.
 	wide := member("b77", 1)
 	wide.Ready, wide.Beat, wide.Link = true, 2, 25e6
 	r.Merge([]Member{wide}, now)
@@ -150,8 +150,8 @@
 	is.True(own)
 }
 
-// Groups of large failure domains do not cross their borders, where each word of a reader
-// would; those of small ones are joined, as each reader costs calls of the table.
+// Groups of large failure domains do not span domains, which would add traffic between
+// them. Small domains share a group, because each reader adds calls to the table.
 func TestGroupsFollowFailureDomains(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, c := range []struct {
@@ -182,9 +182,9 @@
 	}
 }
 
-// Hundreds of nodes have dozens of groups. One leader in each circle of them reads the
-// table, the one with the widest link; all leaders agree on it, and nobody else reads.
-func TestOneLeaderOfACircleReads(t *testing.T) {
+// Hundreds of nodes have dozens of groups. In each group of leaders only the one with the
+// highest bandwidth reads the table, and all leaders agree on it.
+func TestOneReaderPerLeaderGroup(t *testing.T) {
 	for _, c := range []struct{ nodes, circles int }{{18, 1}, {295, 1}, {1600, 3}} {
 		t.Run(fmt.Sprint(c.nodes), func(t *testing.T) {
 			is := is.New(t)
@@ -203,7 +203,7 @@
 			readers := map[string]bool{}
 			for _, group := range known(all[0]).Groups() {
 				circle := known(group[0]).Circle()
-				is.True(len(circle) > 0 && len(circle) <= groupSize)
+				is.True(len(circle) > 0 && len(circle) <= maxGroupSize)
 				readers[circle[0].ID] = true
 				for _, m := range circle {
 					is.True(m.Link <= circle[0].Link)
