--- a/internal/membership/answer.go
+++ b/internal/membership/answer.go
@@ -2,9 +2,10 @@
 
 import "time"
 
-// Answer tells a caller which entry addresses to use.
+// Answer is the response to a caller that requests entry addresses.
 type Answer struct {
+	// Addresses are the entry addresses to use, the preferred one first.
 	Addresses []string
-	// TTL is how long the answer may be kept.
+	// TTL is how long the caller may cache the answer.
 	TTL time.Duration
 }
--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -1,8 +1,7 @@
-// Package membership keeps each node's picture of the VMs: the entry nodes,
-// the engines and the plain services, and which of them are live, leaving or
-// suspected gone. The platform's list lags and may be wrong; what the node
-// itself sees of a VM, and what the VM says of itself, go before it.
+// Package membership maintains each node's view of the VMs: the entry nodes, the engines and
+// the plain services, each live, leaving or suspected dead. The platform's list lags and may
+// be wrong, so that a node's own observations and a VM's own reports take precedence.
 //
-// It also answers callers which entry addresses to use and for how long, and
-// decides the order of steps by which a node stops without cutting a request.
+// The package also selects the entry addresses for callers, and determines the steps of a
+// planned stop that interrupts no request.
 package membership
--- a/internal/membership/outcome.go
+++ b/internal/membership/outcome.go
@@ -1,18 +1,18 @@
 package membership
 
-// Outcome is what a node saw of a VM.
+// Outcome is a node's observation of a VM.
 type Outcome uint8
 
 // The outcomes.
 const (
-	// Reached means that the VM answered.
+	// Reached means that the VM responded.
 	Reached Outcome = iota
 	// ConnectFailed means that no connection could be made.
 	ConnectFailed
-	// Broken means that a connection broke or an answer did not come.
+	// Broken means that a connection broke or no response arrived.
 	Broken
-	// SaidLeaving means that the VM said itself that it leaves.
+	// SaidLeaving means that the VM reported that it is leaving.
 	SaidLeaving
-	// SaidServing means that the VM said itself that it serves.
+	// SaidServing means that the VM reported that it is serving.
 	SaidServing
 )
--- a/internal/membership/record.go
+++ b/internal/membership/record.go
@@ -6,31 +6,33 @@
 	"github.com/hickorybank/hickorybank/internal/platform"
 )
 
-// brokenLimit is how many connections in a row must break before a VM is
-// suspected: one may break for many reasons, a refused one for few.
-const brokenLimit = 3
+// maxBroken is the number of connections in a row that must break before a VM is suspected.
+// A single connection may break for many reasons; a refused connection has few and makes the
+// VM a suspect at once.
+const maxBroken = 3
 
-// record is what is known of one VM.
+// record is the information about one VM.
 type record struct {
 	vm platform.VM
-	// listedLeaving says that a list has shown it leaving.
+	// listedLeaving is set if the last list showed the VM leaving.
 	listedLeaving bool
-	// saidLeaving is its own word, or a peer's that heard it.
-	saidLeaving bool
-	// broken counts the connections that broke since it last answered.
-	broken int
-	// suspectUntil is when it is tried again; gap doubles with each failure.
+	// reportedLeaving is set if the VM reported, directly or through a peer, that it is
+	// leaving.
+	reportedLeaving bool
+	// brokenCount counts the connections that broke since the VM last responded.
+	brokenCount int
+	// suspectUntil is when the VM is tried again; backoff doubles with each failure.
 	suspectUntil time.Time
-	gap          time.Duration
-	// load in [0,1] is what it reports of itself.
+	backoff      time.Duration
+	// load is the load in [0,1] that the VM reports.
 	load float64
 }
 
-// state is what this node thinks of the VM. Leaving goes before Suspect: a VM
-// that leaves is expected to go.
+// state returns the VM's state. Leaving takes precedence over Suspect, because a leaving VM is
+// expected to become unreachable.
 func (r *record) state(now time.Time) State {
 	switch {
-	case r.saidLeaving || r.vm.State == platform.Leaving:
+	case r.reportedLeaving || r.vm.State == platform.Leaving:
 		return Leaving
 	case now.Before(r.suspectUntil):
 		return Suspect
@@ -39,59 +41,59 @@
 	}
 }
 
-// list takes what a newer list says. The list lags: it may show a VM live that
-// has said it leaves, so that its word stands until the list, having shown it
-// leaving, shows it live again.
-func (r *record) list(vm platform.VM) {
+// updateFromList applies the entry of a newer list. The list lags and may show a VM live that
+// has reported leaving. The report therefore stands until the list has shown the VM leaving
+// and then live again.
+func (r *record) updateFromList(vm platform.VM) {
 	if r.listedLeaving && vm.State != platform.Leaving {
-		r.saidLeaving = false
+		r.reportedLeaving = false
 	}
 	r.listedLeaving = vm.State == platform.Leaving
 	r.vm = vm
 }
 
-// observe takes what was seen of the VM; it returns whether that may change
-// its state.
+// observe records an observation and reports whether it may change the VM's state.
 func (r *record) observe(o Outcome, now time.Time, s Settings) bool {
 	switch o {
 	case Reached:
 		return r.reached()
 	case SaidServing:
-		changed := r.saidLeaving
-		r.saidLeaving = false
+		changed := r.reportedLeaving
+		r.reportedLeaving = false
 		return r.reached() || changed
 	case SaidLeaving:
-		changed := !r.saidLeaving
-		r.saidLeaving = true
+		changed := !r.reportedLeaving
+		r.reportedLeaving = true
 		return changed
 	case Broken:
-		r.broken++
-		if r.broken < brokenLimit {
+		r.brokenCount++
+		if r.brokenCount < maxBroken {
 			return false
 		}
 	}
 	return r.suspect(now, s)
 }
 
+// reached clears the recorded failures and reports whether the VM was a suspect.
 func (r *record) reached() bool {
 	changed := !r.suspectUntil.IsZero()
-	r.broken = 0
+	r.brokenCount = 0
 	r.suspectUntil = time.Time{}
-	r.gap = 0
+	r.backoff = 0
 	return changed
 }
 
-// accused says whether something stands against the VM.
-func (r *record) accused() bool { return r.broken > 0 || !r.suspectUntil.IsZero() }
+// failing reports whether there are failures that a response would clear.
+func (r *record) failing() bool { return r.brokenCount > 0 || !r.suspectUntil.IsZero() }
 
-// suspect takes the VM out for a while. The list may show a dead VM live for
-// as long as it lags, so that the list cannot bring it back: an answer does,
-// or the end of the while, after which one failure takes it out for longer.
+// suspect makes the VM a suspect for a period that doubles with each failure in a row, and
+// reports whether it did. The list may show a dead VM as live for as long as it lags, so that
+// only a response or the end of the period makes the VM live again.
 func (r *record) suspect(now time.Time, s Settings) bool {
 	if now.Before(r.suspectUntil) {
-		return false // calls that failed together count once
+		return false // calls that fail together count once
 	}
-	r.gap = min(max(2*r.gap, s.SuspectFor), s.LongestSuspect)
-	r.suspectUntil = now.Add(r.gap)
+	r.backoff = min(max(2*r.backoff, s.SuspectFor), s.LongestSuspect)
+	r.suspectUntil = now.Add(r.backoff)
 	return true
 }
--- a/internal/membership/script_test.go
+++ b/internal/membership/script_test.go
@@ -11,8 +11,8 @@
 	"github.com/hickorybank/hickorybank/internal/platform"
 )
 
-// epoch is where the scripts' times begin.
-var epoch = time.Unix(1_000_000, 0)
+// scriptStart is the time 0 of the scripts.
+var scriptStart = time.Unix(1_000_000, 0)
 
 var outcomes = map[string]Outcome{
 	"reached": Reached, "connect-failed": ConnectFailed, "broken": Broken,
@@ -26,12 +26,11 @@
 	if err != nil {
 		d.Fatalf(t, "%v", err)
 	}
-	return epoch.Add(offset)
+	return scriptStart.Add(offset)
 }
 
-// Scripts of the core: list at=T read=T (lines of VMs), see at=T ADDRESS
-// OUTCOME, view at=T.
-func TestMembersByScript(t *testing.T) {
+// Commands of the scripts: list at=T (lines of VMs), see at=T ADDRESS OUTCOME, view at=T.
+func TestMembersScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata/members", func(t *testing.T, path string) {
 		self := platform.VM{ID: "self", Role: platform.RoleEntry, Addr: "10.0.0.1:1", FailureDomain: "a"}
 		c := NewCore(Settings{}, self)
@@ -51,7 +50,7 @@
 	})
 }
 
-// parseVMs reads lines: ID ROLE[/SERVICE] ADDRESS DOMAIN STATE.
+// parseVMs parses lines of the form ID ROLE[/SERVICE] ADDRESS DOMAIN STATE.
 func parseVMs(t *testing.T, d *datadriven.TestData) []platform.VM {
 	var vms []platform.VM
 	for _, line := range strings.Split(d.Input, "\n") {
@@ -75,8 +74,8 @@
 	return b.String()
 }
 
-// Scripts of a stop: EVENT at=T running=N prints the steps.
-func TestStoppingByScript(t *testing.T) {
+// Commands of the scripts: EVENT at=T running=N prints the steps to take.
+func TestStoppingScripts(t *testing.T) {
 	events := map[string]StopEvent{
 		"stop": StopOrdered, "told": PeersTold, "missed": PeersMissed, "tick": Tick, "flushed": BillsFlushed,
 	}
--- a/internal/membership/settings.go
+++ b/internal/membership/settings.go
@@ -2,30 +2,28 @@
 
 import "time"
 
-// Settings are the static settings of the membership. The zero value of a
-// field means its default.
+// Settings are the static settings of the membership. A zero field means its default.
 type Settings struct {
-	// AnswerTTL is how long callers may keep an answer with addresses.
+	// AnswerTTL is how long callers may cache an answer with addresses.
 	AnswerTTL time.Duration
-	// AnswerSize is how many addresses an answer has at most.
+	// AnswerSize is the maximum number of addresses in an answer.
 	AnswerSize int
-	// SuspectFor is how long a VM that could not be reached stays a suspect
-	// before it is tried again; it doubles with each failure in a row up to
-	// LongestSuspect.
+	// SuspectFor is how long an unreachable VM is a suspect before it is tried again. The
+	// time doubles with each failure in a row, up to LongestSuspect.
 	SuspectFor     time.Duration
 	LongestSuspect time.Duration
-	// TellTime is how long after the peers were told that this node stops
-	// the last of them may still name it: a notice's way down their trees.
+	// TellTime is how long peers that were notified of this node's stop may still name it
+	// in answers: the time that a notice takes down their trees.
 	TellTime time.Duration
-	// ListTime is the same for peers that could not be told, and learn it
-	// from the platform's list.
+	// ListTime is the same for peers that could not be notified and learn of the stop from
+	// the platform's list.
 	ListTime time.Duration
-	// LingerTime is how long connections stay open for an answer "not run"
-	// after new requests are refused.
+	// LingerTime is how long connections stay open after new requests are refused, so that
+	// late requests get the response "not run".
 	LingerTime time.Duration
 }
 
-// The defaults.
+// Defaults of [Settings].
 const (
 	DefaultAnswerTTL      = 5 * time.Second
 	DefaultAnswerSize     = 4
@@ -36,7 +34,7 @@
 	DefaultLingerTime     = 2 * time.Second
 )
 
-// WithDefaults returns the settings with every zero replaced by its default.
+// WithDefaults returns the settings with each zero field replaced by its default.
 func (s Settings) WithDefaults() Settings {
 	setDefault(&s.AnswerTTL, DefaultAnswerTTL)
 	setDefault(&s.AnswerSize, DefaultAnswerSize)
--- a/internal/membership/spread.go
+++ b/internal/membership/spread.go
@@ -5,63 +5,62 @@
 	"slices"
 )
 
-// spread picks at most size addresses for a caller by weighted rendezvous
-// hashing: callers fall evenly on the VMs, in proportion to the room they
-// have, and a VM that goes moves only its own callers. The failure domains
-// take turns.
+// pickAddresses selects at most size addresses for a caller by weighted rendezvous hashing.
+// Callers are distributed over the VMs in proportion to free capacity, and a VM that leaves
+// moves only its own callers. The addresses alternate between failure domains.
 //
-// A VM that leaves is never named; suspects are only where nobody else is
-// left, since then this node is cut off more likely than all of them gone.
-func spread(entries []Member, caller string, size int) []string {
-	picked := pickSpread(entries, caller, size, Live)
+// Leaving VMs are never selected. Suspects are selected only if no VM is live: then this
+// node is more likely cut off than all other VMs dead.
+func pickAddresses(entries []Member, caller string, size int) []string {
+	picked := pickInState(entries, caller, size, Live)
 	if len(picked) == 0 {
-		picked = pickSpread(entries, caller, size, Suspect)
+		picked = pickInState(entries, caller, size, Suspect)
 	}
 	return picked
 }
 
-// scored is a VM with its score and its turn: its place among the best of its
-// failure domain.
-type scored struct {
+// candidate is a VM with its score and its rank among the best VMs of its failure domain.
+type candidate struct {
 	addr  string
 	score float64
-	turn  int
+	rank  int
 }
 
-func pickSpread(entries []Member, caller string, size int, state State) []string {
-	best := map[string][]scored{} // by failure domain, the best first
+// pickInState selects addresses among the VMs in one state.
+func pickInState(entries []Member, caller string, size int, state State) []string {
+	best := map[string][]candidate{} // by failure domain, the best first
 	key := hash(caller)
 	for i := range entries {
 		if m := &entries[i]; m.State == state {
-			best[m.FailureDomain] = insert(best[m.FailureDomain], scored{addr: m.Addr, score: weightedScore(key, m)}, size)
+			best[m.FailureDomain] = insertByScore(best[m.FailureDomain], candidate{addr: m.Addr, score: weightedScore(key, m)}, size)
 		}
 	}
-	var list []scored
+	var ordered []candidate
 	for _, domain := range best {
-		for turn := range domain {
-			domain[turn].turn = turn
+		for rank := range domain {
+			domain[rank].rank = rank
 		}
-		list = append(list, domain...)
+		ordered = append(ordered, domain...)
 	}
-	slices.SortFunc(list, func(a, b scored) int {
-		return cmp.Or(cmp.Compare(a.turn, b.turn), cmp.Compare(b.score, a.score), cmp.Compare(a.addr, b.addr))
+	slices.SortFunc(ordered, func(a, b candidate) int {
+		return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(b.score, a.score), cmp.Compare(a.addr, b.addr))
 	})
 	picked := []string{}
-	for _, s := range list[:min(len(list), size)] {
+	for _, s := range ordered[:min(len(ordered), size)] {
 		picked = append(picked, s.addr)
 	}
 	return picked
 }
 
-// insert keeps the best few in order.
-func insert(list []scored, s scored, size int) []scored {
-	place := len(list)
-	for place > 0 && list[place-1].score < s.score {
+// insertByScore inserts a candidate in order of descending score and keeps the best size.
+func insertByScore(candidates []candidate, c candidate, size int) []candidate {
+	place := len(candidates)
+	for place > 0 && candidates[place-1].score < c.score {
 		place--
 	}
 	if place == size {
-		return list
+		return candidates
 	}
-	list = slices.Insert(list, place, s)
-	return list[:min(len(list), size)]
+	candidates = slices.Insert(candidates, place, c)
+	return candidates[:min(len(candidates), size)]
 }
--- a/internal/membership/spread_test.go
+++ b/internal/membership/spread_test.go
@@ -16,7 +16,9 @@
 	return Member{VM: vm, State: state}
 }
 
-func TestAnswersAreBoundedAndNameNobodyWhoLeaves(t *testing.T) {
+// Guards against answers with VMs that are leaving or suspected while others are live, and
+// against answers from fewer failure domains than possible.
+func TestPickedAddressesAreLiveAndBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		domains := rapid.IntRange(1, 5).Draw(t, "domains")
 		var entries []Member
@@ -32,12 +34,12 @@
 			}
 		}
 		size := rapid.IntRange(1, 6).Draw(t, "size")
-		picked := spread(entries, "caller", size)
+		picked := pickAddresses(entries, "caller", size)
 		if len(live) == 0 {
 			return
 		}
 		if len(picked) != min(size, len(live)) {
-			t.Fatalf("%d addresses of %d live", len(picked), len(live))
+			t.Fatalf("picked %d addresses of %d live ones", len(picked), len(live))
 		}
 		seen := map[string]bool{}
 		for _, addr := range picked {
@@ -47,60 +49,60 @@
 			seen[live[addr]] = true
 		}
 		if len(seen) < min(len(picked), len(liveDomains)) {
-			t.Fatalf("%v stand in %d of %d failure domains", picked, len(seen), len(liveDomains))
+			t.Fatalf("%v are in %d of %d failure domains", picked, len(seen), len(liveDomains))
 		}
 	})
 }
 
-// While every other node seems gone, this node is cut off more likely: callers
-// still get addresses, but never one that leaves.
-func TestSuspectsAreNamedOnlyWhenNobodyElseIsLeft(t *testing.T) {
+// If all other nodes are suspects, this node is probably cut off: callers still get their
+// addresses, but never that of a leaving node.
+func TestSuspectsArePickedOnlyWithoutLiveVMs(t *testing.T) {
 	is := is.New(t)
 	entries := []Member{entry(0, 1, Suspect), entry(1, 1, Leaving), entry(2, 1, Suspect)}
-	picked := spread(entries, "c", 4)
+	picked := pickAddresses(entries, "c", 4)
 	slices.Sort(picked)
 	is.Equal(picked, []string{"addr0", "addr2"})
-	is.Equal(spread([]Member{entry(0, 1, Leaving)}, "c", 4), []string{})
+	is.Equal(pickAddresses([]Member{entry(0, 1, Leaving)}, "c", 4), []string{})
 }
 
-func firsts(entries []Member, callers int) map[string]int {
+func firstChoices(entries []Member, callers int) map[string]int {
 	counts := map[string]int{}
 	for i := range callers {
-		counts[spread(entries, fmt.Sprint("caller", i), 4)[0]]++
+		counts[pickAddresses(entries, fmt.Sprint("caller", i), 4)[0]]++
 	}
 	return counts
 }
 
-func TestCallersFallEvenlyAndByRoom(t *testing.T) {
+func TestCallersSpreadByFreeCapacity(t *testing.T) {
 	is := is.New(t)
 	const callers = 8000
 	var entries []Member
 	for i := range 8 {
 		entries = append(entries, entry(i, 4, Live))
 	}
-	even := firsts(entries, callers)
+	even := firstChoices(entries, callers)
 	for _, m := range entries {
-		is.True(even[m.Addr] > callers/10 && even[m.Addr] < callers*3/20) // an eighth, more or less
+		is.True(even[m.Addr] > callers/10 && even[m.Addr] < callers*3/20) // about an eighth
 	}
 	entries[0].Load = 0.75
-	loaded := firsts(entries, callers)
-	is.True(loaded["addr0"] < even["addr0"]/2) // a quarter of the room
+	loaded := firstChoices(entries, callers)
+	is.True(loaded["addr0"] < even["addr0"]/2) // a quarter of the capacity is free
 	is.True(loaded["addr0"] > 0)
 }
 
-func TestALossMovesOnlyItsOwnCallers(t *testing.T) {
+func TestLeavingVMMovesOnlyItsOwnCallers(t *testing.T) {
 	is := is.New(t)
 	var entries []Member
 	for i := range 8 {
 		entries = append(entries, entry(i, 4, Live))
 	}
-	fewer := slices.Clone(entries)
-	fewer[3].State = Leaving
+	afterLeave := slices.Clone(entries)
+	afterLeave[3].State = Leaving
 	for i := range 1000 {
 		caller := fmt.Sprint("caller", i)
-		before := spread(entries, caller, 4)
-		after := spread(fewer, caller, 4)
-		is.True(before[0] == "addr3" || before[0] == after[0]) // the first choice stays
+		before := pickAddresses(entries, caller, 4)
+		after := pickAddresses(afterLeave, caller, 4)
+		is.True(before[0] == "addr3" || before[0] == after[0]) // the first choice does not change
 	}
 }
 
@@ -112,7 +114,7 @@
 				entries = append(entries, entry(i, 38, Live))
 			}
 			for b.Loop() {
-				spread(entries, "caller", 4)
+				pickAddresses(entries, "caller", 4)
 			}
 		})
 	}
--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -1,19 +1,20 @@
 package membership
 
-// State is what this node thinks of a VM.
+// State is the state of a VM as seen by this node.
 type State uint8
 
 // The states of a VM.
 const (
 	// Live VMs take new work.
 	Live State = iota
-	// Leaving VMs take no new work; what runs there is finished.
+	// Leaving VMs take no new work; running work is finished.
 	Leaving
-	// Suspect VMs could not be reached; they take no new work.
+	// Suspect VMs were unreachable; they take no new work until they respond or are due for
+	// a retry.
 	Suspect
 )
 
-// String returns the state's name.
+// String returns "live", "leaving" or "suspect".
 func (s State) String() string {
 	switch s {
 	case Live:
--- a/internal/membership/stop_event.go
+++ b/internal/membership/stop_event.go
@@ -5,14 +5,14 @@
 
 // The events of a planned stop.
 const (
-	// StopOrdered asks the node to stop; a second one changes nothing.
+	// StopOrdered requests a stop; further ones have no effect.
 	StopOrdered StopEvent = iota
-	// PeersTold says that every peer leaves the node out of its answers.
+	// PeersTold means that all peers were notified to omit this node from their answers.
 	PeersTold
-	// PeersMissed says that some peers could not be told.
+	// PeersMissed means that some peers could not be notified.
 	PeersMissed
-	// Tick only lets time pass.
+	// Tick only advances the time.
 	Tick
-	// BillsFlushed says that all bills are durable.
+	// BillsFlushed means that all bills are durable.
 	BillsFlushed
 )
--- a/internal/membership/stop_step.go
+++ b/internal/membership/stop_step.go
@@ -1,26 +1,26 @@
 package membership
 
-// StopStep is a decision of [Stopping].
+// StopStep is an action requested by [Stopping].
 type StopStep uint8
 
-// The steps of a planned stop, in their order.
+// The steps of a planned stop, in order.
 const (
-	// LeaveAddresses: tell the peers, and name this node in no answer.
-	// [PeersTold] or [PeersMissed] answers it.
+	// LeaveAddresses notifies the peers and omits this node from all answers. The result
+	// is reported as [PeersTold] or [PeersMissed].
 	LeaveAddresses StopStep = iota + 1
-	// RefuseNew: refuse new requests, not run, and name the end of the
-	// connection in each answer.
+	// RefuseNew refuses new requests without running them, and announces in each response
+	// that the connection will be closed.
 	RefuseNew
-	// CloseIdle: close connections without a request.
+	// CloseIdle closes connections without a request.
 	CloseIdle
-	// Flush: make all bills durable. [BillsFlushed] answers it; without an
-	// answer it comes again.
+	// Flush makes all bills durable. Completion is reported as [BillsFlushed]; without it
+	// the step is repeated each second.
 	Flush
-	// Exit: end the process.
+	// Exit ends the process.
 	Exit
 )
 
-// String returns the step's name.
+// String returns the step's name in lower case.
 func (s StopStep) String() string {
 	switch s {
 	case LeaveAddresses:
--- a/internal/membership/stopping.go
+++ b/internal/membership/stopping.go
@@ -2,65 +2,64 @@
 
 import "time"
 
-// flushRetry is the time before bills are flushed again when that was not
-// answered: the platform's store may be down.
+// flushRetry is the interval at which an incomplete flush of bills is repeated: the platform's
+// store may be down.
 const flushRetry = time.Second
 
-// stopPhase is how far a stop has come.
+// stopPhase is the progress of a stop.
 type stopPhase uint8
 
 const (
 	serving stopPhase = iota
-	// telling: the peers are being told.
-	telling
-	// waiting: answers that name this node may still be held by callers.
+	// notifying: the peers are being notified.
+	notifying
+	// waiting: callers may still have cached answers that name this node.
 	waiting
-	// draining: no request begins, some run, or connections linger.
+	// draining: new requests are refused; some are running, or connections are kept open.
 	draining
-	// flushing: nothing runs, bills may be on their way.
+	// flushing: no request is running; bills may not be durable yet.
 	flushing
 	exited
 )
 
-// Stopping decides the steps of a planned stop. It does no I/O and has no
-// clock. There is no limit to the time in which running requests end: the stop
-// cuts off none. A second order to stop changes nothing, so that it loses
-// nothing either.
+// Stopping is the state machine of a planned stop. It does no I/O and has no clock. It waits
+// for running requests without a time limit, so that none is interrupted. Further stop
+// requests have no effect, so that they cannot lose a request either.
 type Stopping struct {
 	settings Settings
 	phase    stopPhase
 	ordered  time.Time
-	// until is when the last answer that names this node has run out.
-	until time.Time
-	// linger is when connections without a request may be closed.
-	linger     time.Time
-	idleClosed bool
-	next       time.Time // of the next flush
+	// refuseAt is when the last answer that names this node has expired.
+	refuseAt time.Time
+	// closeIdleAt is when connections without a request may be closed.
+	closeIdleAt time.Time
+	idleClosed  bool
+	nextFlush   time.Time // time of the next flush
 }
 
-// NewStopping returns the state machine of a node that serves.
+// NewStopping returns the state machine of a serving node.
 func NewStopping(s Settings) *Stopping { return &Stopping{settings: s.WithDefaults()} }
 
-// Ordered says whether a stop was ordered.
+// Ordered reports whether a stop was requested.
 func (s *Stopping) Ordered() bool { return s.phase != serving }
 
-// Step takes an event at a time with the number of requests that run, and
-// returns the steps to take now, in order.
+// Step handles an event at now, with the number of running requests, and returns the steps to
+// take, in order.
 func (s *Stopping) Step(now time.Time, e StopEvent, running int) []StopStep {
-	// A request that was let in just before the refusal began may have made a
-	// bill after the flush: flush again when it has ended.
+	// A request admitted just before the refusal may create a bill after the flush: the
+	// flush is repeated once it has ended.
 	if s.phase == flushing && running > 0 {
 		s.phase = draining
 	}
 	switch {
 	case e == StopOrdered && s.phase == serving:
-		s.phase = telling
+		s.phase = notifying
 		s.ordered = now
 		return []StopStep{LeaveAddresses}
-	case e == PeersTold && s.phase == telling:
-		s.wait(now.Add(s.settings.TellTime))
-	case e == PeersMissed && s.phase == telling:
-		s.wait(now.Add(s.settings.ListTime))
+	case e == PeersTold && s.phase == notifying:
+		s.startWaiting(now.Add(s.settings.TellTime))
+	case e == PeersMissed && s.phase == notifying:
+		s.startWaiting(now.Add(s.settings.ListTime))
 	case e == BillsFlushed && s.phase == flushing:
 		s.phase = exited
 		return []StopStep{Exit}
@@ -68,14 +67,13 @@
 	return s.advance(now, running)
 }
 
-// wait begins the time in which callers may come with answers given up to a
-// moment.
-func (s *Stopping) wait(lastAnswer time.Time) {
+// startWaiting starts the wait for the expiry of answers given until lastAnswer.
+func (s *Stopping) startWaiting(lastAnswer time.Time) {
 	s.phase = waiting
-	s.until = lastAnswer.Add(s.settings.AnswerTTL)
+	s.refuseAt = lastAnswer.Add(s.settings.AnswerTTL)
 }
 
-// closeIdle is the step that closes connections, once.
+// closeIdle returns the step that closes connections, once.
 func (s *Stopping) closeIdle() []StopStep {
 	if s.idleClosed {
 		return nil
@@ -84,29 +82,30 @@
 	return []StopStep{CloseIdle}
 }
 
+// advance moves to the next phases that are due and returns their steps.
 func (s *Stopping) advance(now time.Time, running int) []StopStep {
 	var steps []StopStep
-	// The word that the peers were told may never come; then they learn it
-	// from the list.
-	if s.phase == telling && now.Sub(s.ordered) >= s.settings.ListTime {
-		s.wait(now)
+	// The report that the peers were notified may never arrive; by then the peers have
+	// learned of the stop from the list.
+	if s.phase == notifying && now.Sub(s.ordered) >= s.settings.ListTime {
+		s.startWaiting(now)
 	}
-	if s.phase == waiting && !now.Before(s.until) {
+	if s.phase == waiting && !now.Before(s.refuseAt) {
 		s.phase = draining
-		s.linger = now.Add(s.settings.LingerTime)
+		s.closeIdleAt = now.Add(s.settings.LingerTime)
 		steps = append(steps, RefuseNew)
 	}
-	// It guards against a request that is on its way over a connection which
-	// this node takes for idle: its caller sees the connection break without
-	// an answer. Whoever still sends meanwhile hears "not run" and that the
-	// connection ends, so only connections that nobody uses are left to close.
-	if s.phase == draining && running == 0 && !now.Before(s.linger) {
+	// Closing a connection that looks idle could break off a request in transit, and its
+	// caller would get no response. Until closeIdleAt callers that still send get the
+	// response "not run" and the announcement that the connection will be closed, so that
+	// only unused connections remain to be closed.
+	if s.phase == draining && running == 0 && !now.Before(s.closeIdleAt) {
 		s.phase = flushing
-		s.next = now
+		s.nextFlush = now
 		steps = append(steps, s.closeIdle()...)
 	}
-	if s.phase == flushing && !now.Before(s.next) {
-		s.next = now.Add(flushRetry)
+	if s.phase == flushing && !now.Before(s.nextFlush) {
+		s.nextFlush = now.Add(flushRetry)
 		steps = append(steps, Flush)
 	}
 	return steps
--- a/internal/membership/tracker.go
+++ b/internal/membership/tracker.go
@@ -14,112 +14,110 @@
 // never is later than any time, in nanoseconds since 1970.
 const never = math.MaxInt64
 
-// Tracker keeps the current [View]. It is safe for concurrent use and has no
-// goroutine of its own: a suspect whose time is over comes back with the next
-// look at the view.
+// Tracker maintains the current [View]. It is safe for concurrent use and has no goroutine of
+// its own: a suspect due for a retry becomes live when the view is next read.
 type Tracker struct {
 	settings Settings
 	deps     Deps
 	view     atomic.Pointer[View]
-	// trial is when the next suspect's time is over, in nanoseconds since
-	// 1970.
-	trial atomic.Int64
-	// accused are the addresses of VMs against which something stands, so that
-	// the many answers of the others cost no lock.
-	accused atomic.Pointer[map[string]bool]
+	// nextRetry is when the next suspect is due for a retry, in nanoseconds since 1970.
+	nextRetry atomic.Int64
+	// failing are the addresses of VMs with recorded failures. It lets the frequent
+	// responses of other VMs be ignored without a lock.
+	failing atomic.Pointer[map[string]bool]
 
 	mu   sync.Mutex
 	core *Core
 }
 
-// New returns a tracker that knows only its own VM.
+// New returns a tracker that contains only its own VM.
 func New(s Settings, d Deps) *Tracker {
 	t := &Tracker{settings: s.WithDefaults(), deps: d, core: NewCore(s, d.Self)}
-	t.accused.Store(&map[string]bool{})
-	t.trial.Store(never)
+	t.failing.Store(&map[string]bool{})
+	t.nextRetry.Store(never)
 	t.view.Store(t.core.View(time.Now()))
 	return t
 }
 
-// View returns the current picture. It does not wait: while another call
-// renews the picture it returns the last one.
+// View returns the current view. It does not block: while another call rebuilds the view, it
+// returns the previous one.
 func (t *Tracker) View() *View {
-	if now := time.Now(); now.UnixNano() >= t.trial.Load() && t.mu.TryLock() {
-		t.renew(now)
+	if now := time.Now(); now.UnixNano() >= t.nextRetry.Load() && t.mu.TryLock() {
+		t.rebuildView(now)
 		t.mu.Unlock()
 	}
 	return t.view.Load()
 }
 
-// SetList takes an answer of the platform's list, read at that time. An older
-// one than the last is ignored.
+// SetList applies a VM list of the platform, read at readAt. A list older than the last one is
+// ignored.
 func (t *Tracker) SetList(vms []platform.VM, readAt time.Time) {
-	t.change(time.Now(), func() bool { return t.core.SetList(vms, readAt) })
+	t.update(time.Now(), func() bool { return t.core.SetList(vms, readAt) })
 }
 
-// Observe takes what was seen of the VM at an address (for callers, for
-// requests or for peers).
+// Observe records an observation of the VM at an address, which may be its address for
+// callers, for requests or for peers.
 func (t *Tracker) Observe(addr string, o Outcome) {
-	if o == Reached && !(*t.accused.Load())[addr] {
+	if o == Reached && !(*t.failing.Load())[addr] {
 		return
 	}
 	now := time.Now()
-	t.change(now, func() bool { return t.core.Observe(addr, o, now) })
+	t.update(now, func() bool { return t.core.Observe(addr, o, now) })
 }
 
-// ObserveLoad takes the load in [0,1] that an entry VM reports of itself.
+// ObserveLoad records the load in [0,1] that an entry VM reports.
 func (t *Tracker) ObserveLoad(id string, load float64) {
-	t.change(time.Now(), func() bool {
+	t.update(time.Now(), func() bool {
 		t.core.ObserveLoad(id, load)
 		return true
 	})
 }
 
-// MarkLeaving marks a VM as leaving by its id; it stays so until the list or
-// the VM's own word says otherwise.
+// MarkLeaving marks the VM with an id as leaving, until the list or the VM itself reports
+// otherwise.
 func (t *Tracker) MarkLeaving(id string) {
 	now := time.Now()
-	t.change(now, func() bool { return t.core.ObserveID(id, SaidLeaving, now) })
+	t.update(now, func() bool { return t.core.ObserveID(id, SaidLeaving, now) })
 }
 
-// MarkServing takes the word of a VM that it serves.
+// MarkServing records that the VM with an id reported that it is serving.
 func (t *Tracker) MarkServing(id string) {
 	now := time.Now()
-	t.change(now, func() bool { return t.core.ObserveID(id, SaidServing, now) })
+	t.update(now, func() bool { return t.core.ObserveID(id, SaidServing, now) })
 }
 
-// Addresses answers which entry addresses the caller should use.
+// Addresses returns the entry addresses that a caller should use, and for how long.
 func (t *Tracker) Addresses(caller string, _ time.Time) Answer {
-	return Answer{Addresses: spread(t.View().Entries, caller, t.settings.AnswerSize), TTL: t.settings.AnswerTTL}
+	return Answer{Addresses: pickAddresses(t.View().Entries, caller, t.settings.AnswerSize), TTL: t.settings.AnswerTTL}
 }
 
-// change alters the core and renews the view if that is called for.
-func (t *Tracker) change(now time.Time, alter func() bool) {
+// update alters the core and renews the view if that is called for.
+func (t *Tracker) update(now time.Time, mutate func() bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	changed := alter()
-	accused := t.core.accusedAddrs()
-	t.accused.Store(&accused)
+	changed := mutate()
+	failing := t.core.failingAddrs()
+	t.failing.Store(&failing)
 	if changed {
-		t.renew(now)
+		t.rebuildView(now)
 	}
 }
 
-// renew builds the view anew; t.mu is held.
-func (t *Tracker) renew(now time.Time) {
-	t.trial.Store(never)
-	if next := t.core.nextTrial(now); !next.IsZero() {
-		t.trial.Store(next.UnixNano())
+// rebuildView replaces the view and reports the changes; t.mu is held.
+func (t *Tracker) rebuildView(now time.Time) {
+	t.nextRetry.Store(never)
+	if next := t.core.nextRetry(now); !next.IsZero() {
+		t.nextRetry.Store(next.UnixNano())
 	}
 	old, fresh := t.view.Load(), t.core.View(now)
 	t.view.Store(fresh)
-	t.log(old, fresh)
+	t.logChanges(old, fresh)
 	if t.deps.OnChange != nil {
 		t.deps.OnChange(fresh)
 	}
 }
 
-func (t *Tracker) log(old, fresh *View) {
+func (t *Tracker) logChanges(old, fresh *View) {
 	for _, c := range changes(old, fresh) {
 		e := event.MemberLive
 		switch c.to {
--- a/internal/membership/tracker_test.go
+++ b/internal/membership/tracker_test.go
@@ -25,7 +25,8 @@
 	return platform.VM{ID: id, Role: platform.RoleEngine, Addr: id, FailureDomain: "a", State: platform.Live}
 }
 
-func TestSuspectComesBackWithTime(t *testing.T) {
+// Failures in quick succession count once, and the suspect is retried after the default time.
+func TestSuspectIsRetriedAfterBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		changes := 0
@@ -34,18 +35,18 @@
 		tr.Observe("e1", ConnectFailed)
 		tr.Observe("e1", ConnectFailed)
 		is.Equal(tr.View().Engines[0].State, Suspect)
-		is.Equal(changes, 2) // failures together count once
+		is.Equal(changes, 2) // failures in quick succession count once
 		time.Sleep(DefaultSuspectFor)
 		is.Equal(tr.View().Engines[0].State, Live)
 		is.Equal(changes, 3)
 		tr.Observe("e1", Reached)
-		is.Equal(changes, 4) // the accusation is gone
+		is.Equal(changes, 4) // the recorded failure is cleared
 		tr.Observe("e1", Reached)
-		is.Equal(changes, 4) // further answers cost nothing
+		is.Equal(changes, 4) // further responses build no view
 	})
 }
 
-func TestLeavingPeersAreLeftOutOfAddresses(t *testing.T) {
+func TestLeavingVMsAreLeftOutOfAddresses(t *testing.T) {
 	is := is.New(t)
 	tr := newTracker(nil)
 	other := platform.VM{ID: "n2", Role: platform.RoleEntry, Addr: "n:1", Peer: "n:2", FailureDomain: "b", State: platform.Live}
@@ -55,14 +56,13 @@
 	answer := tr.Addresses("c", time.Now())
 	is.Equal(answer.Addresses, []string{"s:1"})
 	is.Equal(answer.TTL, DefaultAnswerTTL)
-	is.Equal(tr.View().EntryVMs()[0].State, platform.Leaving) // n2, for its peers too
+	is.Equal(tr.View().EntryVMs()[0].State, platform.Leaving) // n2, in the list for peers too
 	tr.MarkServing("n2")
 	is.Equal(len(tr.Addresses("c", time.Now()).Addresses), 2)
 }
 
-// The view is looked at while a change tells others of it: nothing may wait
-// for something that waits for it.
-func TestViewDoesNotWaitForChanges(t *testing.T) {
+// Guards against a deadlock when OnChange reads the view while a change holds the lock.
+func TestViewDuringOnChangeDoesNotDeadlock(t *testing.T) {
 	is := is.New(t)
 	var tr *Tracker
 	tr = newTracker(func(*View) { _ = tr.View() })
@@ -84,7 +84,7 @@
 
 func (f callerFunc) Call(ctx context.Context, _, _ string, _, _ any) error { return f(ctx) }
 
-func TestCallsServeAsHeartbeats(t *testing.T) {
+func TestCallOutcomesSetMemberState(t *testing.T) {
 	cases := []struct {
 		name  string
 		err   error
@@ -110,8 +110,8 @@
 	}
 }
 
-// A call that its own caller gave up says nothing of the peer.
-func TestCancelledCallsAccuseNobody(t *testing.T) {
+// A call that its own caller cancelled must not make the peer a suspect.
+func TestCancelledCallsAreNotFailures(t *testing.T) {
 	is := is.New(t)
 	tr := newTracker(nil)
 	tr.SetList([]platform.VM{self, engine("e1")}, time.Now())
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -2,7 +2,7 @@
 
 import "github.com/hickorybank/hickorybank/internal/platform"
 
-// View is an immutable picture of the VMs, each part sorted by id.
+// View is an immutable snapshot of the VMs. Each slice is sorted by id, Services by name.
 type View struct {
 	Entries  []Member
 	Engines  []Member
@@ -15,7 +15,7 @@
 	Members []Member
 }
 
-// Service returns the VMs that offer a plain service, or nil.
+// Service returns the VMs that offer the named service, or nil.
 func (v *View) Service(name string) []Member {
 	for i := range v.Services {
 		if v.Services[i].Service == name {
@@ -25,8 +25,8 @@
 	return nil
 }
 
-// EntryVMs returns the entry VMs in every state, in the platform's form: one
-// that said it leaves is leaving, whatever the list says.
+// EntryVMs returns the entry VMs in all states as platform VMs. A VM that reported leaving is
+// returned as leaving, whatever the platform's list shows.
 func (v *View) EntryVMs() []platform.VM {
 	vms := make([]platform.VM, 0, len(v.Entries))
 	for _, m := range v.Entries {
--- a/internal/membership/view_build.go
+++ b/internal/membership/view_build.go
@@ -8,7 +8,7 @@
 	"github.com/hickorybank/hickorybank/internal/platform"
 )
 
-// View builds the picture as of a time.
+// View builds the view as of now.
 func (c *Core) View(now time.Time) *View {
 	v := &View{}
 	services := map[string][]Member{}
--- a/internal/membership/viewdiff.go
+++ b/internal/membership/viewdiff.go
@@ -1,14 +1,14 @@
 package membership
 
-// stateChange is a VM whose state in two views differs.
+// stateChange is a VM whose state differs between two views.
 type stateChange struct {
 	id   string
-	from string // the name of the state before, or "unknown"
+	from string // the name of the previous state, or "unknown"
 	to   State
 }
 
-// changes compares two views. A VM that is gone is no change of its state, and
-// one that is new and live is none worth a record.
+// changes returns the state changes between two views. VMs that were removed, and new VMs
+// that are live, are not reported.
 func changes(old, fresh *View) []stateChange {
 	before := map[string]State{}
 	old.each(func(m Member) { before[m.ID] = m.State })
