--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -44,7 +44,7 @@
 func (s *Server) Listen(addr string) error {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
-		return eris.Wrapf(err, "listen for peers on %s", addr)
+		return eris.Wrap(err, "listen for peers")
 	}
 	if s.tlsConfig != nil {
 		listener = tls.NewListener(listener, s.tlsConfig)
