--- a/internal/confsync/announce.go
+++ b/internal/confsync/announce.go
@@ -11,41 +11,42 @@
 )
 
 const (
-	// maxTelling bounds the calls of one announcement that run at once.
-	maxTelling = 16
-	// tellRetry is the time before a peer that did not answer is told again.
-	tellRetry = 200 * time.Millisecond
-	// tellTime bounds the whole announcement: a dead peer is never told.
-	tellTime = 3 * time.Second
+	// maxAnnounceCalls is the maximum number of concurrent calls of an announcement.
+	maxAnnounceCalls = 16
+	// announceRetryDelay is the delay before a peer that did not respond is called again.
+	announceRetryDelay = 200 * time.Millisecond
+	// announceTimeout bounds the whole announcement: a dead peer never responds.
+	announceTimeout = 3 * time.Second
 )
 
-// AnnounceLeaving tells the peers that this node stops, so that they leave it
-// out of the addresses they give. It tells the readers of each failure domain,
-// which pass it down their trees within one more call, and returns how many
-// peers could not be told within 3 s or before ctx ended.
-func (s *Syncer) AnnounceLeaving(ctx context.Context) (missed int) {
-	ctx, cancel := context.WithTimeout(ctx, tellTime)
+// AnnounceLeaving notifies the peers that this node stops, so that they omit it from the
+// addresses that they give out. It notifies all peers if they are few, otherwise the readers
+// of each failure domain, which pass the notice down their trees within one more call. It
+// returns the number of peers that could not be notified within 3 s or before ctx ended.
+func (s *Syncer) AnnounceLeaving(ctx context.Context) (unreached int) {
+	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
 	ask := func(t Token) Event { return StopOrdered{Token: t} }
 	answer, err := s.ask(ctx, ask)
 	if err != nil {
-		return 1 // nobody was told, and who should have been is not known
+		return 1 // no peer was notified, and their number is unknown
 	}
-	tell := answer.(Tell)
-	var untold atomic.Int64
-	calls := pool.New().WithMaxGoroutines(maxTelling)
-	for _, vm := range tell.Peers {
+	announcement := answer.(SendNotice)
+	var failures atomic.Int64
+	calls := pool.New().WithMaxGoroutines(maxAnnounceCalls)
+	for _, vm := range announcement.Peers {
 		calls.Go(func() {
-			if !s.tell(ctx, vm, tell.Notice) {
-				untold.Add(1)
+			if !s.sendNotice(ctx, vm, announcement.Notice) {
+				failures.Add(1)
 			}
 		})
 	}
 	calls.Wait()
-	return int(untold.Load())
+	return int(failures.Load())
 }
 
-func (s *Syncer) tell(ctx context.Context, vm platform.VM, n Notice) bool {
+// sendNotice notifies a peer, with retries, until ctx ends; it reports whether it succeeded.
+func (s *Syncer) sendNotice(ctx context.Context, vm platform.VM, n Notice) bool {
 	for ctx.Err() == nil {
 		var reply NoticeReply
 		if s.call(s.settings.CallTimeout, vm.Peer, "Notice", n, &reply) == nil {
@@ -55,7 +56,7 @@
 		case <-ctx.Done():
 		case <-s.ctx.Done():
 			return false
-		case <-time.After(tellRetry):
+		case <-time.After(announceRetryDelay):
 		}
 	}
 	return false
--- a/internal/confsync/applier.go
+++ b/internal/confsync/applier.go
@@ -12,26 +12,26 @@
 	"github.com/hickorybank/hickorybank/internal/event"
 )
 
-// rejectedGap is the time between two log records of documents that could not
-// be applied: each is tried again several times a second.
-const rejectedGap = 10 * time.Second
+// rejectedLogInterval is the minimum interval between log records of documents that could not
+// be applied: each is retried several times a second.
+const rejectedLogInterval = 10 * time.Second
 
-// job is a document to be applied: read from the table, or sent by a peer.
+// job is a document to apply: read from the table, or received from a peer.
 type job struct {
 	token  Token
 	update archive.Update
-	// stored is set for one read whole from the table.
+	// stored is the encoded document if it was read in full from the table.
 	stored []byte
 }
 
-// applied is a configuration ready to take the place of the one before.
+// applied is a configuration that is ready to replace the current one.
 type applied struct {
 	archive  *archive.Archive
 	snapshot *config.Snapshot
 }
 
-// applyJobs decodes and checks documents, one after the other, off the core's
-// goroutine: a large one takes milliseconds.
+// applyJobs decodes and checks documents, one at a time, in a goroutine of its own: a large
+// document takes milliseconds, which would delay the core.
 func (s *Syncer) applyJobs() {
 	var current *archive.Archive
 	var logged time.Time
@@ -44,8 +44,8 @@
 		}
 		result, err := prepare(current, j)
 		if err != nil {
-			s.whole.Store(true)
-			if time.Since(logged) > rejectedGap {
+			s.fetchFull.Store(true)
+			if time.Since(logged) > rejectedLogInterval {
 				logged = time.Now()
 				event.ConfigRejected.Log(s.deps.Log, slog.Uint64("revision", j.update.To), slog.Any("error", err))
 			}
@@ -59,8 +59,8 @@
 	}
 }
 
-// prepare returns nil for a document that is not newer than the current one:
-// an old peer's, or one that came twice.
+// prepare decodes and checks a document. It returns nil for a document that is not newer than
+// the current one: from an outdated peer, or received twice.
 func prepare(current *archive.Archive, j job) (*applied, error) {
 	if current != nil && j.update.To <= current.Tag() {
 		return nil, nil
@@ -70,11 +70,11 @@
 		return nil, err
 	}
 	if next.Tag() != j.update.To {
-		return nil, eris.Errorf("update leads to revision %d", next.Tag())
+		return nil, eris.Errorf("update leads to revision %d instead of %d", next.Tag(), j.update.To)
 	}
-	// The writer has read the document strictly. A reader is lenient: a field
-	// that a newer release has added must not stop all nodes of an older one
-	// in the middle of a rolling upgrade. Unknown values are still refused.
+	// The writer decodes documents strictly. Nodes ignore unknown fields, so that a field
+	// added by a newer release does not stop all nodes of the older one during a rolling
+	// upgrade. Unknown values are still refused.
 	doc := new(config.Document)
 	if err := json.Unmarshal(next.Raw(), doc); err != nil {
 		return nil, eris.Wrap(err, "decode document")
@@ -86,6 +86,7 @@
 	return &applied{archive: next, snapshot: snapshot}, nil
 }
 
+// archive returns the archive with the job's document as its newest state.
 func (j job) archive(current *archive.Archive) (*archive.Archive, error) {
 	if j.stored == nil {
 		return current.Take(j.update)
--- a/internal/confsync/applier_test.go
+++ b/internal/confsync/applier_test.go
@@ -14,7 +14,9 @@
 	return `{"preset":"p","presets":[{"name":"p"}],"models":[{"name":"m","versions":[{"name":"m@1","state":"` + string(state) + `"}]}]}`
 }
 
-func TestPrepare(t *testing.T) {
+// Only documents newer than the current one are applied; invalid ones are errors. Unknown
+// fields are ignored, unknown values refused.
+func TestPrepareAppliesOnlyNewerValidDocuments(t *testing.T) {
 	current := archive.New(4, []byte(document(config.Serving)), nil)
 	cases := []struct {
 		name     string
@@ -47,8 +49,8 @@
 	}
 }
 
-// A peer's update that ends at another revision than it says is not applied.
-func TestPrepareRefusesAMislabelledUpdate(t *testing.T) {
+// A peer's update that leads to a different revision than it states is not applied.
+func TestPrepareRefusesUpdateWithWrongRevision(t *testing.T) {
 	is := is.New(t)
 	current := archive.New(4, []byte(document(config.Serving)), nil)
 	d, err := archive.MakeDelta(4, 5, current.Raw(), []byte(document(config.Withdrawn)))
--- a/internal/confsync/calls.go
+++ b/internal/confsync/calls.go
@@ -10,12 +10,12 @@
 	"github.com/hickorybank/hickorybank/internal/transfer"
 )
 
-// readHead reads the head row of the table.
+// readHead reads the head row of the table and posts the result.
 func (s *Syncer) readHead(d ReadHead) {
 	ctx, cancel := context.WithTimeout(s.ctx, s.settings.ReadTimeout)
 	defer cancel()
 	revision, err := s.deps.Store.Head(ctx)
-	s.noteRead(err)
+	s.logReadError(err)
 	if err != nil {
 		s.post(input{event: ReadFailed(d)})
 		return
@@ -23,23 +23,23 @@
 	s.post(input{event: HeadRead{Token: d.Token, Revision: revision}})
 }
 
-// noteRead logs the first failure of several in a row.
-func (s *Syncer) noteRead(err error) {
+// logReadError logs the first of several failed reads in a row.
+func (s *Syncer) logReadError(err error) {
 	failing := err != nil && s.ctx.Err() == nil
-	if failing && !s.failing.Load() {
+	if failing && !s.readFailing.Load() {
 		event.ConfigReadError.Log(s.deps.Log, slog.Any("error", err))
 	}
-	s.failing.Store(failing)
+	s.readFailing.Store(failing)
 }
 
-// fetch reads a document of the table: the deltas since the known one if they
-// are stored, else the whole.
+// fetch reads a document from the table: the deltas since the known document if they are
+// stored, otherwise the full document.
 func (s *Syncer) fetch(d Fetch, known *archive.Archive) {
 	ctx, cancel := context.WithTimeout(s.ctx, s.settings.ReadTimeout)
 	defer cancel()
-	if known != nil && !s.whole.Swap(false) {
+	if known != nil && !s.fetchFull.Swap(false) {
 		deltas, err := s.deps.Store.Deltas(ctx, known.Tag(), d.Revision)
-		if err == nil && leadsTo(deltas, known.Tag(), d.Revision) {
+		if err == nil && isChain(deltas, known.Tag(), d.Revision) {
 			s.submit(job{token: d.Token, update: archive.Update{To: d.Revision, Deltas: deltas}})
 			return
 		}
@@ -52,7 +52,8 @@
 	s.submit(job{token: d.Token, update: archive.Update{To: d.Revision}, stored: stored})
 }
 
-func leadsTo(deltas []archive.Delta, from, to uint64) bool {
+// isChain reports whether deltas lead from one revision to another without a gap.
+func isChain(deltas []archive.Delta, from, to uint64) bool {
 	for _, d := range deltas {
 		if d.From != from {
 			return false
@@ -62,8 +63,8 @@
 	return len(deltas) > 0 && from == to
 }
 
-// submit hands a document to the goroutine that applies. There is room for as
-// many as the core lets be under way.
+// submit queues a document for applyJobs. The queue has room for as many as the core has in
+// flight.
 func (s *Syncer) submit(j job) {
 	select {
 	case s.jobs <- j:
@@ -71,7 +72,7 @@
 	}
 }
 
-// wait pulls from a peer.
+// wait pulls from a peer and posts the result.
 func (s *Syncer) wait(d Wait) {
 	timeout := s.settings.CallTimeout
 	if d.Args.Hold {
@@ -83,47 +84,47 @@
 		return
 	}
 	if reply.Large {
-		reply.Update = s.takePieces(d)
+		reply.Update = s.fetchPieces(d)
 	}
 	s.post(input{event: WaitReplied{Token: d.Token, Reply: reply}})
 }
 
 const (
-	// pieceTimeout bounds a piece's call: five times what 32 kB take over 10 Mbit/s
-	// beside another transfer and callers that fill half of the link.
+	// pieceTimeout bounds the call for one piece. It is five times the duration of 32 kB
+	// over 10 Mbit/s beside another transfer and callers that use half of the link.
 	pieceTimeout = time.Second
-	// piecesTimeout bounds the pieces that are taken before the reply, with its
-	// proof, goes on to the core: well within the bound of a proof. The next call
-	// goes on where this one stopped.
+	// piecesTimeout bounds the fetching of pieces before the reply, with its proof, is
+	// passed to the core. It is well within the bound of a proof. The next call resumes
+	// where this one stopped.
 	piecesTimeout = time.Second
-	// busyPause is the time before a parent is asked again that serves others.
-	busyPause = 50 * time.Millisecond
+	// busyRetryDelay is the delay before a request is repeated to a parent that was busy.
+	busyRetryDelay = 50 * time.Millisecond
 )
 
-// takePieces takes a document that is too long for one reply from the peer that has
-// it; nil if it has not all come yet.
+// fetchPieces fetches a document that is too large for one reply in pieces from a peer. It
+// returns nil if the document is not complete yet.
 //
-// It guards against documents that never come because they are large: a reply had
-// 250 ms, in which 300 kB do not pass over 10 Mbit/s, and each call began anew.
-func (s *Syncer) takePieces(d Wait) *archive.Update {
+// Without pieces a large document never arrives: a reply has 250 ms, in which 300 kB do not
+// pass over 10 Mbit/s, and each call starts from zero.
+func (s *Syncer) fetchPieces(d Wait) *archive.Update {
 	s.receiver.Begin(d.Args.Revision)
 	if d.Args.Full {
 		s.receiver.AskWhole()
 	}
-	for end := time.Now().Add(piecesTimeout); time.Now().Before(end); {
+	for deadline := time.Now().Add(piecesTimeout); time.Now().Before(deadline); {
 		var p transfer.Piece
 		if err := s.call(pieceTimeout, d.Addr, "Piece", s.receiver.Ask(), &p); err != nil || p.To == 0 {
 			return nil
 		}
 		if p.Busy {
-			s.sleep(busyPause)
+			s.sleep(busyRetryDelay)
 			continue
 		}
-		whole, err := s.receiver.Take(p)
-		if err != nil || !whole {
+		complete, err := s.receiver.Take(p)
+		if err != nil || !complete {
 			continue
 		}
-		// What all has come is said; without it the parent forgets by itself.
+		// Acknowledge completion; without it the parent's transfer expires.
 		_ = s.call(pieceTimeout, d.Addr, "Piece", s.receiver.Ask(), &p)
 		u, err := s.receiver.Decode()
 		if err != nil {
@@ -144,7 +145,7 @@
 	}
 }
 
-// survey asks a peer for its state.
+// survey requests the state of a peer, or of its failure domain, and posts the result.
 func (s *Syncer) survey(d Survey) {
 	timeout := s.settings.CallTimeout
 	if d.Args.Domain {
--- a/internal/confsync/candidates.go
+++ b/internal/confsync/candidates.go
@@ -6,19 +6,20 @@
 	"github.com/hickorybank/hickorybank/internal/platform"
 )
 
-// foreignDomains is in how many other failure domains a node looks for a peer.
-const foreignDomains = 3
+// maxFallbacks is the maximum number of other failure domains, and of peers marked down, in
+// which a node looks for a peer to pull from.
+const maxFallbacks = 3
 
-// candidates returns the peers to pull from, the best first: the parent in the
-// tree, the readers of this failure domain, readers of others, then peers
-// marked down, and the seeds when nobody is known.
+// candidates returns the peers to pull from, the best first: the parent in the tree, the
+// readers of this failure domain, readers of other domains, then peers marked down. If no peer
+// is known, it returns the seeds.
 func (r *roster) candidates(now time.Duration, s Settings) []platform.VM {
 	var list []platform.VM
 	if vm, ok := r.treeParent(now, s); ok {
 		list = append(list, vm)
 	}
 	list = r.addReaders(list, r.domain, now, s)
-	for i := 0; i < len(r.others) && i < foreignDomains; i++ {
+	for i := 0; i < len(r.others) && i < maxFallbacks; i++ {
 		list = r.addReaders(list, r.others[i].vms, now, s)
 	}
 	list = r.addDown(list, now)
@@ -33,16 +34,15 @@
 	return list
 }
 
-// treeParent is the parent of this node in its failure domain's tree. A
-// parent's rank is below its children's, so that nodes that agree on the list
-// form no cycle; in a cycle of nodes that do not agree proofs only grow old,
-// and each looks for another parent.
+// treeParent returns the parent of this node in its failure domain's tree. A parent's rank is
+// below those of its children, so that nodes with equal lists form no cycle. If nodes with
+// different lists do, their proofs age until each switches to another parent.
 func (r *roster) treeParent(now time.Duration, s Settings) (platform.VM, bool) {
 	rank := r.rank(now)
 	if rank < s.Readers {
 		return platform.VM{}, false
 	}
-	return r.at((rank-s.Readers)/s.FanOut, now)
+	return r.memberAt((rank-s.Readers)/s.FanOut, now)
 }
 
 func (r *roster) addReaders(list, domain []platform.VM, now time.Duration, s Settings) []platform.VM {
@@ -60,8 +60,8 @@
 	return list
 }
 
-// readersEverywhere are the readers of all failure domains.
-func (r *roster) readersEverywhere(now time.Duration, s Settings) []platform.VM {
+// allReaders returns the readers of all failure domains.
+func (r *roster) allReaders(now time.Duration, s Settings) []platform.VM {
 	list := r.addReaders(nil, r.domain, now, s)
 	for _, d := range r.others {
 		list = r.addReaders(list, d.vms, now, s)
@@ -69,11 +69,11 @@
 	return list
 }
 
-// addDown adds the peers marked down, a few: the mark may be wrong.
+// addDown adds a few of the peers marked down, because the mark may be wrong.
 func (r *roster) addDown(list []platform.VM, now time.Duration) []platform.VM {
 	added := 0
 	for _, vm := range r.members {
-		if added == foreignDomains {
+		if added == maxFallbacks {
 			break
 		}
 		if r.down.has(vm.ID, now) {
--- a/internal/confsync/confirmation.go
+++ b/internal/confsync/confirmation.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// Confirmation says how far a revision is in force.
+// Confirmation is the extent to which a revision is in force.
 type Confirmation struct {
 	Revision uint64
-	// InForce says that no node admits work under an older revision, now or
-	// later: enough nodes have confirmed it, and every proof of an older one
-	// has outlived the bound. The nodes in Lagging refuse new work then.
+	// InForce is set if no node admits work under an older revision, now or later: enough
+	// nodes have confirmed the revision, and each proof of an older one is older than the
+	// bound. The nodes in Lagging then refuse new work.
 	InForce bool
-	// Members is how many entry nodes are known, Have how many of them
-	// confirmed, and Needed how many must.
+	// Members is the number of known entry nodes, Have the number of those that confirmed,
+	// and Needed the number that must confirm.
 	Members int
 	Have    int
 	Needed  int
-	// Lagging are the ids of nodes that did not confirm, at most
-	// [MaxLagging]; LaggingMore is how many more there are.
+	// Lagging are the ids of nodes that have not confirmed, at most [MaxLagging];
+	// LaggingMore is the number of further ones.
 	Lagging     []string
 	LaggingMore int
-	// Since is how long ago this node first learned of the revision.
+	// Since is the time since this node first learned of the revision.
 	Since time.Duration
 }
 
-// MaxLagging bounds the list of lagging nodes.
+// MaxLagging is the maximum number of node ids in [Confirmation.Lagging].
 const MaxLagging = 32
--- a/internal/confsync/core.go
+++ b/internal/confsync/core.go
@@ -6,9 +6,9 @@
 	"github.com/hickorybank/hickorybank/internal/platform"
 )
 
-// Core decides what a node reads, whom it asks, what it applies and until when
-// it may admit new work. It does no I/O and has no clock: every event comes
-// with the time since the process started.
+// Core is the state machine that determines what a node reads, which peers it calls, what it
+// applies and until when it may admit new work. It does no I/O and has no clock: each event
+// comes with the time since the process started. It is not safe for concurrent use.
 type Core struct {
 	settings Settings
 	rules    rules
@@ -20,53 +20,53 @@
 	tokens Token
 	out    []Decision
 	roster *roster
-	known  knowledge
-	// renewedAt is when a younger proof, or a newer revision, last came.
+	state  proofState
+	// renewedAt is when a more recent proof or a newer revision last arrived.
 	renewedAt time.Duration
-	waking    waking
-	trying    trying
-	reading   reading
-	listing   listing
-	pulling   pulling
-	holding   holding
+	stalls    stallDetector
+	attempts  failedAttempt
+	headReads headReader
+	list      listState
+	pulls     puller
+	heldCalls heldCalls
 	surveys   surveys
-	fetch     fetching
+	fetches   fetcher
 	votes     votes
 	notices   notices
 }
 
-// NewCore returns the core of a process that starts now; boot grows with each
-// start under the same id.
+// NewCore returns the core of a process that starts at now. boot must increase with each
+// restart under the same id.
 func NewCore(s Settings, self platform.VM, boot uint64, now time.Duration) *Core {
 	c := &Core{settings: s.WithDefaults(), rules: defaultRules(), self: self, boot: boot, started: now}
 	c.roster = newRoster(self)
-	c.known.rules = &c.rules
-	c.known.started = now
-	c.waking = waking{last: now, stalledAt: now}
-	c.reading = newReading(c.settings.Seed^score("read", self.ID), now)
+	c.state.rules = &c.rules
+	c.state.started = now
+	c.stalls = stallDetector{lastStep: now, stalledAt: now}
+	c.headReads = newHeadReader(c.settings.Seed^score("read", self.ID), now)
 	c.notices = notices{}
 	return c
 }
 
-// Step takes an event and returns the decisions that follow from it. The
-// slice is valid until the next step.
+// Step handles an event at now and returns the resulting decisions. The slice is valid until
+// the next step.
 func (c *Core) Step(now time.Duration, e Event) []Decision {
 	c.out = c.out[:0]
-	c.noteStep(now)
+	c.detectStall(now)
 	c.handle(now, e)
-	c.drive(now)
+	c.runDue(now)
 	return c.out
 }
 
 func (c *Core) handle(now time.Duration, e Event) {
 	switch e := e.(type) {
 	case MembersChanged:
-		c.roster.set(e.VMs)
-		c.surveys.noteElectors(c.roster.electors, now)
+		c.roster.setMembers(e.VMs)
+		c.surveys.recordElectors(c.roster.electors, now)
 	case StopOrdered:
 		c.stopOrdered(now, e.Token)
-	case NoticeHeard:
-		c.hearNotice(e.Notice, now)
+	case NoticeReceived:
+		c.receiveNotice(e.Notice, now)
 	case Applied:
 		c.applied(now, e)
 	case ApplyFailed:
@@ -78,18 +78,18 @@
 
 func (c *Core) handleRead(now time.Duration, e Event) {
 	switch e := e.(type) {
-	case Poked:
-		c.reading.poke(now)
+	case ReadRequested:
+		c.headReads.readSoon(now)
 	case HeadRead:
 		c.headRead(now, e)
 	case ReadFailed:
 		c.readFailed(e.Token)
 	case ListRead:
-		c.listing.read(e)
+		c.list.readDone(e)
 	case ListFailed:
-		c.listing.failed(e.Token)
-	case ListTakeFailed:
-		c.listTakeFailed(now)
+		c.list.readFailed(e.Token)
+	case ListRejected:
+		c.peerListRejected(now)
 	default:
 		c.handlePeer(now, e)
 	}
@@ -103,90 +103,91 @@
 		c.waitReplied(now, e)
 	case WaitFailed:
 		c.waitFailed(now, e.Token)
-	case SurveyAsked:
-		c.surveyAsked(now, e)
+	case SurveyRequested:
+		c.surveyRequested(now, e)
 	case SurveyReplied:
 		c.surveyReplied(now, e)
 	case SurveyFailed:
 		c.surveyFailed(now, e.Token)
-	case ConfirmAsked:
-		c.confirmAsked(now, e)
+	case ConfirmRequested:
+		c.confirmRequested(now, e)
 	}
 }
 
-// drive does what has fallen due.
-func (c *Core) drive(now time.Duration) {
-	c.driveReads(now)
-	c.driveList(now)
-	c.driveFetch(now)
-	c.drivePull(now)
-	c.driveSurveys(now)
-	c.driveHeld(now)
+// runDue starts the reads, fetches, pulls and surveys that are due, and answers held calls.
+func (c *Core) runDue(now time.Duration) {
+	c.readHeadIfDue(now)
+	c.readListIfDue(now)
+	c.fetchIfDue(now)
+	c.pullIfDue(now)
+	c.updateSurveys(now)
+	c.answerDueWaits(now)
 }
 
-func (c *Core) decide(d Decision) { c.out = append(c.out, d) }
+func (c *Core) emit(d Decision) { c.out = append(c.out, d) }
 
-func (c *Core) token() Token {
+func (c *Core) nextToken() Token {
 	c.tokens++
 	return c.tokens
 }
 
-// Revision is the applied revision, 0 for none.
-func (c *Core) Revision() uint64 { return c.known.applied }
+// Revision returns the applied revision; 0 for none.
+func (c *Core) Revision() uint64 { return c.state.applied }
 
-// FreshUntil is until when new work may be admitted; 0 means not at all.
+// FreshUntil returns the time, since the start of the process, until which new work may be
+// admitted; 0 means not at all.
 func (c *Core) FreshUntil() time.Duration {
-	at, ok := c.known.youngest()
-	if !ok || c.known.applied == 0 {
+	at, ok := c.state.youngest()
+	if !ok || c.state.applied == 0 {
 		return 0
 	}
 	return at + c.settings.Bound
 }
 
-// hearTable takes a proof of the table; it returns whether it is news.
-func (c *Core) hearTable(p Proof, now time.Duration) bool {
-	return c.renewed(c.known.hearTable(p), now)
+// addTableProof records a proof of the table and reports whether it is more recent.
+func (c *Core) addTableProof(p Proof, now time.Duration) bool {
+	return c.noteRenewal(c.state.addTableProof(p), now)
 }
 
-// hearGrant takes a proof of an outage; it returns whether it is news.
-func (c *Core) hearGrant(p Proof, now time.Duration) bool {
-	return c.renewed(c.known.hearGrant(p), now)
+// addGrant records a proof of an outage and reports whether it is more recent.
+func (c *Core) addGrant(p Proof, now time.Duration) bool {
+	return c.noteRenewal(c.state.addGrant(p), now)
 }
 
-func (c *Core) renewed(news bool, now time.Duration) bool {
-	if news {
+func (c *Core) noteRenewal(renewed bool, now time.Duration) bool {
+	if renewed {
 		c.renewedAt = now
 	}
-	return news
+	return renewed
 }
 
-// troubled says that this node's own reads have brought no proof for longer
-// than two reads take.
-func (c *Core) troubled(now time.Duration) bool {
-	return !c.reading.proved || now-c.reading.provedAt > 2*c.settings.ReadGap
+// lacksOwnProof reports whether this node's own reads have brought no proof for two read
+// intervals.
+func (c *Core) lacksOwnProof(now time.Duration) bool {
+	return !c.headReads.proved || now-c.headReads.provedAt > 2*c.settings.ReadGap
 }
 
-// isReader says whether this node reads the table for its failure domain.
+// isReader reports whether this node reads the table for its failure domain.
 func (c *Core) isReader(now time.Duration) bool {
 	return !c.stopping && c.roster.rank(now) < c.settings.Readers
 }
 
-// Status is this node's state; the shell adds the preset.
+// Status returns this node's state without the preset, which the [Syncer] adds.
 func (c *Core) Status(now time.Duration) Status {
-	table := c.known.tableAge(now)
+	table := c.state.tableAge(now)
 	fresh := now < c.FreshUntil()
 	s := Status{
-		Revision: c.known.applied,
+		Revision: c.state.applied,
 		Fresh:    fresh,
 		Outage:   fresh && table >= c.settings.Bound,
 		Reader:   c.isReader(now),
-		Children: c.holding.count(now),
+		Children: c.heldCalls.childCount(now),
 	}
-	if at, ok := c.known.youngest(); ok {
+	if at, ok := c.state.youngest(); ok {
 		s.ProofAge = now - at
 	}
-	if c.pulling.parent != "" {
-		s.Parent = c.pulling.peer.Peer
+	if c.pulls.parent != "" {
+		s.Parent = c.pulls.peer.Peer
 	}
 	return s
 }
--- a/internal/confsync/core_decision.go
+++ b/internal/confsync/core_decision.go
@@ -5,54 +5,53 @@
 	"github.com/hickorybank/hickorybank/internal/platform"
 )
 
-// Decision is an output of [Core].
+// Decision is an output of [Core]: an action for the [Syncer] to perform.
 type Decision interface{ decision() }
 
-// The decisions.
+// Decisions. A Token identifies the event that reports the result.
 type (
-	// ReadHead reads the head row.
+	// ReadHead reads the head row of the table.
 	ReadHead struct{ Token Token }
 	// ReadList reads the platform's VM list.
 	ReadList struct{ Token Token }
-	// Fetch reads a revision's document from the table and applies it.
+	// Fetch reads the document of a revision from the table and applies it.
 	Fetch struct {
 		Token    Token
 		Revision uint64
 	}
-	// Apply applies an update that a peer sent.
+	// Apply applies an update received from a peer.
 	Apply struct {
 		Token  Token
 		Update archive.Update
 	}
-	// TakeList takes a VM list that a peer sent.
-	TakeList struct{ List archive.Update }
-	// Wait calls a peer.
+	// AcceptList applies a VM list received from a peer.
+	AcceptList struct{ List archive.Update }
+	// Wait pulls from a peer.
 	Wait struct {
 		Token Token
 		Addr  string
 		Args  WaitArgs
 	}
-	// AnswerWait answers a peer's call. The shell adds the update and the
-	// list that the peer lacks.
+	// AnswerWait answers a peer's pull. The [Syncer] adds the update and the list that
+	// the peer lacks.
 	AnswerWait struct {
 		Token Token
 		Reply WaitReply
-		// Known is the revision that the peer has; Full asks for the whole
-		// document.
+		// Known is the revision that the peer has; Full requests the full document.
 		Known uint64
 		Full  bool
-		// KnownList is the digest of the peer's list; SendList says whether
-		// it lacks the newer one.
+		// KnownList is the digest of the peer's list; SendList is set if the peer lacks
+		// a newer list.
 		KnownList uint64
 		SendList  bool
 	}
-	// Survey calls a peer.
+	// Survey requests the state of a peer or of its failure domain.
 	Survey struct {
 		Token Token
 		Addr  string
 		Args  SurveyArgs
 	}
-	// AnswerSurvey answers a peer's call.
+	// AnswerSurvey answers a peer's survey.
 	AnswerSurvey struct {
 		Token Token
 		Reply SurveyReply
@@ -62,25 +61,25 @@
 		Token        Token
 		Confirmation Confirmation
 	}
-	// Tell answers [StopOrdered] with the peers to be told.
-	Tell struct {
+	// SendNotice answers [StopOrdered] with the peers to notify.
+	SendNotice struct {
 		Token  Token
 		Notice Notice
 		Peers  []platform.VM
 	}
-	// NoteLeaving says that an entry node stops or serves again.
-	NoteLeaving struct{ Notice Notice }
+	// ReportNotice reports that an entry node is stopping or serves again.
+	ReportNotice struct{ Notice Notice }
 )
 
 func (ReadHead) decision()      {}
 func (ReadList) decision()      {}
 func (Fetch) decision()         {}
 func (Apply) decision()         {}
-func (TakeList) decision()      {}
+func (AcceptList) decision()    {}
 func (Wait) decision()          {}
 func (AnswerWait) decision()    {}
 func (Survey) decision()        {}
 func (AnswerSurvey) decision()  {}
 func (AnswerConfirm) decision() {}
-func (Tell) decision()          {}
-func (NoteLeaving) decision()   {}
+func (SendNotice) decision()    {}
+func (ReportNotice) decision()  {}
--- a/internal/confsync/core_event.go
+++ b/internal/confsync/core_event.go
@@ -5,93 +5,91 @@
 // Event is an input of [Core].
 type Event interface{ event() }
 
-// Token pairs a decision with the event that answers it.
+// Token matches a decision to the event that answers it, or an event to the decision.
 type Token uint64
 
-// The events.
+// Events.
 type (
-	// Tick lets time pass.
+	// Tick only advances the time.
 	Tick struct{}
-	// Poked asks for a read of the head at once.
-	Poked struct{}
-	// MembersChanged gives the entry VMs known now.
+	// ReadRequested requests an immediate read of the head.
+	ReadRequested struct{}
+	// MembersChanged replaces the set of known entry VMs.
 	MembersChanged struct{ VMs []platform.VM }
-	// HeadRead answers [ReadHead].
+	// HeadRead is the result of a [ReadHead].
 	HeadRead struct {
 		Token    Token
 		Revision uint64
 	}
-	// ReadFailed answers [ReadHead].
+	// ReadFailed reports that a [ReadHead] failed.
 	ReadFailed struct{ Token Token }
-	// ListRead answers [ReadList].
+	// ListRead is the result of a [ReadList].
 	ListRead struct {
 		Token  Token
 		Digest uint64
 	}
-	// ListFailed answers [ReadList].
+	// ListFailed reports that a [ReadList] failed.
 	ListFailed struct{ Token Token }
-	// ListTakeFailed answers [TakeList] when the list could not be decoded.
-	ListTakeFailed struct{}
-	// Applied says that a [Fetch] or an [Apply] made a revision replace the
-	// one before.
+	// ListRejected reports that the list of an [AcceptList] could not be decoded.
+	ListRejected struct{}
+	// Applied reports that a [Fetch] or an [Apply] replaced the previous revision.
 	Applied struct {
 		Token    Token
 		Revision uint64
 	}
-	// ApplyFailed says that a [Fetch] or an [Apply] had no success.
+	// ApplyFailed reports that a [Fetch] or an [Apply] failed.
 	ApplyFailed struct{ Token Token }
-	// WaitAsked is a peer's call; [AnswerWait] answers it.
+	// WaitAsked is a pull by a peer; [AnswerWait] answers it.
 	WaitAsked struct {
 		Token Token
 		Args  WaitArgs
 	}
-	// WaitReplied answers [Wait].
+	// WaitReplied is the result of a [Wait].
 	WaitReplied struct {
 		Token Token
 		Reply WaitReply
 	}
-	// WaitFailed answers [Wait].
+	// WaitFailed reports that a [Wait] failed.
 	WaitFailed struct{ Token Token }
-	// SurveyAsked is a peer's call; [AnswerSurvey] answers it.
-	SurveyAsked struct {
+	// SurveyRequested is a survey by a peer; [AnswerSurvey] answers it.
+	SurveyRequested struct {
 		Token Token
 		Args  SurveyArgs
 	}
-	// SurveyReplied answers [Survey].
+	// SurveyReplied is the result of a [Survey].
 	SurveyReplied struct {
 		Token Token
 		Reply SurveyReply
 	}
-	// SurveyFailed answers [Survey].
+	// SurveyFailed reports that a [Survey] failed.
 	SurveyFailed struct{ Token Token }
-	// ConfirmAsked asks how far a revision is in force; [AnswerConfirm]
-	// answers it.
-	ConfirmAsked struct {
+	// ConfirmRequested asks how far a revision is in force; [AnswerConfirm] answers it.
+	ConfirmRequested struct {
 		Token    Token
 		Revision uint64
 	}
-	// NoticeHeard is the word of an entry node that stops or serves.
-	NoticeHeard struct{ Notice Notice }
-	// StopOrdered says that this node stops; [Tell] answers it.
+	// NoticeReceived is a notice of an entry node that stops or serves.
+	NoticeReceived struct{ Notice Notice }
+	// StopOrdered reports that this node stops; [SendNotice] answers it.
 	StopOrdered struct{ Token Token }
 )
 
-func (Tick) event()           {}
-func (Poked) event()          {}
-func (MembersChanged) event() {}
-func (HeadRead) event()       {}
-func (ReadFailed) event()     {}
-func (ListRead) event()       {}
-func (ListFailed) event()     {}
-func (ListTakeFailed) event() {}
-func (Applied) event()        {}
-func (ApplyFailed) event()    {}
-func (WaitAsked) event()      {}
-func (WaitReplied) event()    {}
-func (WaitFailed) event()     {}
-func (SurveyAsked) event()    {}
-func (SurveyReplied) event()  {}
-func (SurveyFailed) event()   {}
-func (ConfirmAsked) event()   {}
-func (NoticeHeard) event()    {}
-func (StopOrdered) event()    {}
+func (Tick) event()             {}
+func (ReadRequested) event()    {}
+func (MembersChanged) event()   {}
+func (HeadRead) event()         {}
+func (ReadFailed) event()       {}
+func (ListRead) event()         {}
+func (ListFailed) event()       {}
+func (ListRejected) event()     {}
+func (Applied) event()          {}
+func (ApplyFailed) event()      {}
+func (WaitAsked) event()        {}
+func (WaitReplied) event()      {}
+func (WaitFailed) event()       {}
+func (SurveyRequested) event()  {}
+func (SurveyReplied) event()    {}
+func (SurveyFailed) event()     {}
+func (ConfirmRequested) event() {}
+func (NoticeReceived) event()   {}
+func (StopOrdered) event()      {}
--- a/internal/confsync/counted_test.go
+++ b/internal/confsync/counted_test.go
@@ -10,8 +10,8 @@
 	"github.com/hickorybank/hickorybank/internal/peer"
 )
 
-// countedCaller is a peer.Caller that counts calls and the bytes on its
-// connections, both ways.
+// countedCaller is a peer.Caller that counts its calls and the bytes in both directions on its
+// connections.
 type countedCaller struct {
 	calls atomic.Int64
 	bytes *atomic.Int64
--- a/internal/confsync/deps.go
+++ b/internal/confsync/deps.go
@@ -8,14 +8,14 @@
 	"github.com/hickorybank/hickorybank/internal/platform"
 )
 
-// Deps are what a Syncer reaches the outside with.
+// Deps are the dependencies of a [Syncer].
 type Deps struct {
 	Store Store
-	// Lists is the platform's VM list; nil means that nobody reads it here.
+	// Lists is the platform's VM list; nil if this node does not read it.
 	Lists platform.VMs
 	Peers peer.Caller
-	// Members returns the entry VMs that this node knows, itself among them
-	// or not. It must not block.
+	// Members returns the entry VMs that this node knows, with or without itself. It must
+	// not block.
 	Members func() []platform.VM
 	Self    platform.VM
 	Log     *slog.Logger
@@ -23,12 +23,12 @@
 	OnApply func(*config.Snapshot)
 	// OnList is called for each VM list that differs from the last; may be nil.
 	OnList func(List)
-	// OnLeaving is called with the id of an entry VM that says it stops, and
-	// OnServing with one that said so before and was started anew; both may
+	// OnLeaving is called with the id of an entry VM that reports that it stops. OnServing
+	// is called with the id of an entry VM that was restarted after such a report. Both may
 	// be nil.
 	//
-	// None of these functions may block: they run on the goroutine that keeps
-	// the configuration fresh.
+	// None of these functions may block: they run in the goroutine that keeps the
+	// configuration fresh.
 	OnLeaving func(id string)
 	OnServing func(id string)
 }
--- a/internal/confsync/downmarks.go
+++ b/internal/confsync/downmarks.go
@@ -6,18 +6,19 @@
 	"github.com/hickorybank/hickorybank/internal/platform"
 )
 
+// minDownTime and maxDownTime bound how long a peer is marked down.
 const (
-	firstDownMark = 3 * time.Second
-	lastDownMark  = 30 * time.Second
+	minDownTime = 3 * time.Second
+	maxDownTime = 30 * time.Second
 )
 
-// downMarks name the peers that did not answer, by id, for a while that
+// downMarks are the peers that did not respond, by id. A mark expires after a time that
 // doubles with each failure.
 type downMarks map[string]downMark
 
 type downMark struct {
-	until time.Duration
-	gap   time.Duration
+	until   time.Duration
+	backoff time.Duration
 }
 
 func (d downMarks) has(id string, now time.Duration) bool {
@@ -26,8 +27,8 @@
 }
 
 func (d downMarks) add(id string, now time.Duration) {
-	gap := min(max(firstDownMark, 2*d[id].gap), lastDownMark)
-	d[id] = downMark{until: now + gap, gap: gap}
+	backoff := min(max(minDownTime, 2*d[id].backoff), maxDownTime)
+	d[id] = downMark{until: now + backoff, backoff: backoff}
 }
 
 func (d downMarks) remove(id string) { delete(d, id) }
--- a/internal/confsync/electors.go
+++ b/internal/confsync/electors.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// electorWindow is for how long a smaller number of entry nodes is remembered:
-// longer than the VM list lags at any node that may still rely on it.
+// electorWindow is how long a smaller number of entry nodes is remembered. It is longer than
+// the VM list lags at any node that may still rely on it.
 const electorWindow = 10 * time.Minute
 
-// electorHistory is how many entry nodes there were of late.
+// electorHistory records the recent numbers of entry nodes.
 type electorHistory struct {
 	counts []electorCount
 }
 
-// electorCount is the number from an instant on.
+// electorCount is a number of entry nodes and the instant from which it held.
 type electorCount struct {
 	at time.Duration
 	n  int
@@ -28,14 +28,14 @@
 	h.prune(now)
 }
 
-// prune drops numbers that ended before the window.
+// prune drops numbers that ceased to hold before the window.
 func (h *electorHistory) prune(now time.Duration) {
 	for len(h.counts) > 1 && now-h.counts[1].at > electorWindow {
 		h.counts = h.counts[1:]
 	}
 }
 
-// fewest is the least number within the window.
+// fewest returns the smallest number within the window; 0 without any.
 func (h *electorHistory) fewest(now time.Duration) int {
 	h.prune(now)
 	fewest := 0
--- a/internal/confsync/export_test.go
+++ b/internal/confsync/export_test.go
@@ -2,5 +2,5 @@
 
 import "github.com/hickorybank/hickorybank/internal/archive"
 
-// PackedSize is the size of a state sent whole.
+// PackedSize returns the size in bytes of a state that is sent in full.
 func PackedSize(raw []byte) int { return len(archive.Pack(raw)) }
--- a/internal/confsync/fetching.go
+++ b/internal/confsync/fetching.go
@@ -6,72 +6,72 @@
 	"github.com/hickorybank/hickorybank/internal/archive"
 )
 
-// fetchRetry is the time before a failed fetch is tried again.
+// fetchRetry is the delay before a failed fetch is retried.
 const fetchRetry = 250 * time.Millisecond
 
-// fetching brings in the documents of revisions heard of.
-type fetching struct {
-	// want is the newest revision that a read of the head showed.
-	want uint64
-	// table and peer are the fetch from the table and the update from a peer
-	// under way, 0 for none. A peer's update does not wait for a slow table.
-	table Token
-	peer  Token
-	next  time.Duration
-	// full asks the next peer for the whole document.
+// fetcher tracks the fetches of documents from the table and from peers.
+type fetcher struct {
+	// wanted is the newest revision that a read of the head returned.
+	wanted uint64
+	// tableFetch is the running fetch from the table, peerUpdate the update from a peer
+	// that is being applied; 0 for none. They are independent, so that a peer's update does
+	// not wait for a slow table.
+	tableFetch Token
+	peerUpdate Token
+	nextFetch  time.Duration
+	// full requests the full document from the next peer.
 	full bool
 }
 
-func (f *fetching) wantFromTable(revision uint64) { f.want = max(f.want, revision) }
+func (f *fetcher) request(revision uint64) { f.wanted = max(f.wanted, revision) }
 
-// driveFetch reads a document from the table. One is read at a time; the next
-// fetch takes the newest.
-func (c *Core) driveFetch(now time.Duration) {
-	f := &c.fetch
-	if f.table != 0 || f.want <= c.known.applied || now < f.next {
+// fetchIfDue fetches the newest wanted document from the table, one at a time.
+func (c *Core) fetchIfDue(now time.Duration) {
+	f := &c.fetches
+	if f.tableFetch != 0 || f.wanted <= c.state.applied || now < f.nextFetch {
 		return
 	}
-	f.table = c.token()
-	c.decide(Fetch{Token: f.table, Revision: f.want})
+	f.tableFetch = c.nextToken()
+	c.emit(Fetch{Token: f.tableFetch, Revision: f.wanted})
 }
 
-// takeUpdate applies what a peer sent.
-func (c *Core) takeUpdate(u *archive.Update) {
-	if u == nil || c.fetch.peer != 0 || !c.rules.upward(c.known.applied, u.To) {
+// applyPeerUpdate applies an update received from a peer, unless another one is being applied.
+func (c *Core) applyPeerUpdate(u *archive.Update) {
+	if u == nil || c.fetches.peerUpdate != 0 || !c.rules.mayReplace(c.state.applied, u.To) {
 		return
 	}
-	c.fetch.peer = c.token()
-	c.decide(Apply{Token: c.fetch.peer, Update: *u})
+	c.fetches.peerUpdate = c.nextToken()
+	c.emit(Apply{Token: c.fetches.peerUpdate, Update: *u})
 }
 
 func (c *Core) applied(now time.Duration, e Applied) {
-	c.fetch.end(e.Token)
-	c.known.learn(e.Revision, now)
-	if c.known.apply(e.Revision) {
-		c.fetch.full = false
+	c.fetches.finish(e.Token)
+	c.state.learn(e.Revision, now)
+	if c.state.apply(e.Revision) {
+		c.fetches.full = false
 		c.renewedAt = now
 	}
 }
 
 func (c *Core) applyFailed(now time.Duration, t Token) {
-	if c.fetch.end(t) {
-		c.fetch.full = true
-		// The same peer would send the same update at once again.
-		c.pulling.next = max(c.pulling.next, now+fetchRetry)
+	if c.fetches.finish(t) {
+		c.fetches.full = true
+		// The same peer would immediately send the same update again.
+		c.pulls.nextPull = max(c.pulls.nextPull, now+fetchRetry)
 		return
 	}
-	c.fetch.next = now + fetchRetry
+	c.fetches.nextFetch = now + fetchRetry
 }
 
-// end notes that a fetch or an update is over; it returns whether a peer's
-// update was.
-func (f *fetching) end(t Token) bool {
-	if f.table == t {
-		f.table = 0
+// finish records the end of a fetch or an update, and reports whether it was not the fetch from
+// the table.
+func (f *fetcher) finish(t Token) bool {
+	if f.tableFetch == t {
+		f.tableFetch = 0
 		return false
 	}
-	if f.peer == t {
-		f.peer = 0
+	if f.peerUpdate == t {
+		f.peerUpdate = 0
 	}
 	return true
 }
--- a/internal/confsync/fleet_measure_test.go
+++ b/internal/confsync/fleet_measure_test.go
@@ -17,9 +17,9 @@
 	fleetInterval = 1700 * time.Millisecond
 )
 
-// BenchmarkFleet measures fleets in virtual time: how long after its
-// acceptance a change is in force at the last node, and the messages. Answers
-// of the table take 1 to 8 ms, messages 0.2 to 2 ms.
+// BenchmarkFleet measures fleets in virtual time: the time from the acceptance of a change
+// until it is in force on the last node, and the number of messages. Responses of the table
+// take 1 to 8 ms, messages 0.2 to 2 ms.
 func BenchmarkFleet(b *testing.B) {
 	for _, size := range []int{2, 8, 32, 128, 1600} {
 		b.Run(fmt.Sprint("nodes=", size), func(b *testing.B) {
@@ -30,9 +30,8 @@
 	}
 }
 
-// BenchmarkFleetFrozen is the same while one node in a hundred, drawn anew for
-// each change, freezes at the moment of the change: the times are those of the
-// other nodes.
+// BenchmarkFleetFrozen measures the same while one node in a hundred, drawn for each change,
+// freezes at the moment of the change. The times are those of the other nodes.
 func BenchmarkFleetFrozen(b *testing.B) {
 	for _, size := range []int{8, 128, 1600} {
 		b.Run(fmt.Sprint("nodes=", size), func(b *testing.B) {
@@ -56,7 +55,7 @@
 		times := w.timeChange()
 		all = append(all, times...)
 		last = append(last, slices.Max(times))
-		each(frozen, (*simNode).thaw)
+		each(frozen, (*simNode).resume)
 		w.run(2 * time.Second)
 	}
 	reportFleet(b, all, last)
@@ -111,7 +110,7 @@
 	b.ReportMetric(ms(last, 1), "worst-ms")
 }
 
-// timeChange accepts a change and returns when each node had it.
+// timeChange accepts a change and returns the time that each node took to apply it.
 func (w *world) timeChange() []time.Duration {
 	revision := w.accept()
 	start := w.now
--- a/internal/confsync/fleet_test.go
+++ b/internal/confsync/fleet_test.go
@@ -22,9 +22,9 @@
 	"github.com/hickorybank/hickorybank/internal/standin/platform/memory"
 )
 
-const patience = 30 * time.Second
+const waitLimit = 30 * time.Second
 
-// fleet is some Syncers on loopback before a platform in memory.
+// fleet is a set of Syncers on loopback that share a platform in memory.
 type fleet struct {
 	t        testing.TB
 	platform *memory.Platform
@@ -33,7 +33,7 @@
 	newPool  func() caller
 }
 
-// member is a Syncer with its server, and what it told.
+// member is a Syncer with its server and what its callbacks reported.
 type member struct {
 	*confsync.Syncer
 	vm     platform.VM
@@ -74,7 +74,7 @@
 	return f.addWith(id, domain, func(s confsync.Store) confsync.Store { return s })
 }
 
-// addWith adds a node that sees the table as given.
+// addWith adds a node that accesses the table through a wrapper.
 func (f *fleet) addWith(id, domain string, seen func(confsync.Store) confsync.Store) *member {
 	m := &member{server: peer.NewServer(), pool: f.newPool()}
 	if err := m.server.Listen("127.0.0.1:0"); err != nil {
@@ -125,7 +125,7 @@
 }
 
 func (f *fleet) close() {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 	defer cancel()
 	for _, m := range f.nodes {
 		if err := m.Close(ctx); err != nil {
@@ -138,7 +138,7 @@
 	}
 }
 
-// change stores a new revision, with the preset's name as its mark.
+// change stores a new revision that has the given preset.
 func (f *fleet) change(base uint64, preset string) {
 	f.t.Helper()
 	doc := *f.doc
@@ -156,10 +156,10 @@
 	}
 }
 
-// await waits until every node is as wanted.
+// await waits until each node satisfies a condition.
 func (f *fleet) await(what string, wanted func(*member) bool) {
 	f.t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitLimit)
 	for _, m := range f.nodes {
 		for !wanted(m) {
 			if time.Now().After(deadline) {
@@ -170,7 +170,7 @@
 	}
 }
 
-func has(revision uint64) func(*member) bool {
+func admitsUnder(revision uint64) func(*member) bool {
 	return func(m *member) bool {
 		snapshot, fresh := m.Current()
 		return fresh && snapshot.Revision == revision
@@ -179,11 +179,11 @@
 
 func awaitInForce(is *is.I, m *member, revision uint64) confsync.Confirmation {
 	is.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 	defer cancel()
 	for {
 		c, err := m.Confirmations(ctx, revision)
-		is.NoErr(err) // in force within the limit
+		is.NoErr(err) // in force within waitLimit
 		if c.InForce {
 			return c
 		}
--- a/internal/confsync/inforce.go
+++ b/internal/confsync/inforce.go
@@ -6,9 +6,9 @@
 	"github.com/hickorybank/hickorybank/internal/config"
 )
 
-// inForce is the applied configuration with the time until which new work may
-// be admitted under it, in one piece: read apart, the time of a newer
-// configuration could be taken for that of an older one.
+// inForce is the applied configuration and the time until which new work may be admitted
+// under it. They are published together: read separately, the time of a newer configuration
+// could be combined with an older configuration.
 type inForce struct {
 	snapshot *config.Snapshot
 	until    time.Duration
--- a/internal/confsync/input.go
+++ b/internal/confsync/input.go
@@ -6,20 +6,19 @@
 	"github.com/rotisserie/eris"
 )
 
-// input is an event on its way to the core with what the shell keeps for it.
+// input is an event for the core, with the data that the Syncer keeps for it.
 type input struct {
 	event Event
-	// ask makes the event of a question; answers gets the decision that
-	// answers it.
+	// ask creates the event of a request; answers receives the decision that answers it.
 	ask     func(Token) Event
 	answers chan Decision
-	// applied comes with the event Applied.
+	// applied accompanies the event Applied.
 	applied *applied
-	// list comes with the event ListRead.
+	// list accompanies the event ListRead.
 	list *vmList
 }
 
-// post hands an event to the core, unless the Syncer closes.
+// post queues an event for the core, unless the Syncer is closed.
 func (s *Syncer) post(in input) {
 	select {
 	case s.events <- in:
@@ -27,7 +26,7 @@
 	}
 }
 
-// ask hands a question to the core and waits for its answer.
+// ask queues a request for the core and waits for the decision that answers it.
 func (s *Syncer) ask(ctx context.Context, ask func(Token) Event) (Decision, error) {
 	in := input{ask: ask, answers: make(chan Decision, 1)}
 	s.post(in)
--- a/internal/confsync/judging.go
+++ b/internal/confsync/judging.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// judge makes a grant of a survey once more than half of the electors have
-// voted for an outage. The grant holds from the oldest of the votes.
-func (c *Core) judge(round *survey, now time.Duration) {
+// evaluateVotes derives a grant from a survey once more than half of the electors have voted for
+// an outage. The grant's instant is that of the oldest vote.
+func (c *Core) evaluateVotes(round *survey, now time.Duration) {
 	if round.purpose != forOutage || !c.knowsElectors(round) {
 		return
 	}
@@ -18,45 +18,44 @@
 	if count < c.rules.outageQuorum(c.roster.electors) {
 		return
 	}
-	c.hearGrant(Proof{Revision: round.highest(), At: oldest, Valid: true}, now)
-	c.surveys.gap = c.settings.SurveyGap
-	c.surveys.next = max(c.surveys.next, round.sent+c.settings.SurveyGap)
+	c.addGrant(Proof{Revision: round.highestRevision(), At: oldest, Valid: true}, now)
+	c.surveys.backoff = c.settings.SurveyGap
+	c.surveys.nextSurvey = max(c.surveys.nextSurvey, round.sent+c.settings.SurveyGap)
 }
 
-// knowsElectors says whether this node knows who the electors are. Without a
-// list of the platform the majority of an unknown number of nodes is asked for:
-// a node that knows only itself would be one.
+// knowsElectors reports whether this node knows all electors. Without a list of the platform
+// their number is unknown, and a node that knows only itself would be its own majority.
 func (c *Core) knowsElectors(round *survey) bool {
-	if c.listing.digest == 0 {
+	if c.list.digest == 0 {
 		return false
 	}
-	// In a long outage nobody reads lists. Each node that stood still for a
-	// moment would have to refuse from then on, and in the end all of them: so
-	// a voter that knows its electors vouches for the same list elsewhere. Its
-	// word must be younger than the stall: one from before may wait in a buffer.
+	// During a long outage no lists are read. A node that stalls for a moment could not
+	// count a majority from then on and would refuse work, and in the end all nodes would.
+	// Therefore a voter whose list has settled vouches for other nodes with the same list.
+	// Its status must be more recent than the stall: an earlier one may have been buffered.
 	for _, n := range round.nodes {
-		if n.Vote && n.List == c.listing.digest && n.at >= c.listing.firstAt {
-			c.listing.vouched = n.List
+		if n.Vote && n.List == c.list.digest && n.at >= c.list.firstReadAt {
+			c.list.vouchedDigest = n.List
 		}
 	}
-	return c.settledList() == c.listing.digest
+	return c.settledDigest() == c.list.digest
 }
 
-// settledList is the digest of the list that this node counts a majority by,
-// 0 for none. The first lists of a process may lag behind nodes that start with
-// it: one that was cut off early would be a majority of the few it knows, and
-// go on under a configuration that all the others have replaced.
-func (c *Core) settledList() uint64 {
-	l := &c.listing
-	if l.vouched != l.digest && !c.rules.listSettled(l.span()) {
+// settledDigest returns the digest of the list by which this node counts a majority; 0 for none.
+// The first lists of a process may omit nodes that started at the same time. If it were cut
+// off early, it would be a majority of the few nodes that it knows, and would continue under
+// a configuration that all others have replaced.
+func (c *Core) settledDigest() uint64 {
+	l := &c.list
+	if l.vouchedDigest != l.digest && !c.rules.listSettled(l.span()) {
 		return 0
 	}
 	return l.digest
 }
 
-// confirmation counts who has confirmed a revision.
+// confirmation counts the nodes that have confirmed a revision.
 func (c *Core) confirmation(round *survey, revision uint64, now time.Duration) Confirmation {
-	result := Confirmation{Revision: revision, Members: c.roster.electors, Since: c.known.since(revision, now)}
+	result := Confirmation{Revision: revision, Members: c.roster.electors, Since: c.state.since(revision, now)}
 	result.Needed = c.rules.confirmQuorum(c.roster.electors, round.fewest(c.roster.electors))
 	lagging := 0
 	for _, id := range c.roster.electorIDs() {
@@ -70,16 +69,16 @@
 		}
 	}
 	result.LaggingMore = max(0, lagging-MaxLagging)
-	// Also when every listed node has it: a node that the list does not show
-	// yet may hold a proof of the revision before for as long as the bound.
-	settled := result.Since >= c.rules.settle(c.settings.Bound)
-	result.InForce = c.listing.digest != 0 && result.Have >= result.Needed && settled
+	// This applies also if each listed node has confirmed: a node that the list does not
+	// show yet may hold a proof of the previous revision for as long as the bound.
+	settled := result.Since >= c.rules.settleTime(c.settings.Bound)
+	result.InForce = c.list.digest != 0 && result.Have >= result.Needed && settled
 	return result
 }
 
-// confirmAsked joins a survey that begins now; one under way is older than
-// the question.
-func (c *Core) confirmAsked(now time.Duration, e ConfirmAsked) {
-	round := c.begin(forConfirm, false, now)
-	round.confirms = append(round.confirms, e)
+// confirmRequested starts a new survey: the answers of a running one may be older than the
+// request.
+func (c *Core) confirmRequested(now time.Duration, e ConfirmRequested) {
+	round := c.startSurvey(forConfirm, false, now)
+	round.confirmRequests = append(round.confirmRequests, e)
 }
--- a/internal/confsync/knowledge.go
+++ b/internal/confsync/knowledge.go
@@ -2,40 +2,40 @@
 
 import "time"
 
-// maxPending bounds the proofs of revisions that are not applied yet.
+// maxPending is the maximum number of proofs kept for revisions that are not applied yet.
 const maxPending = 8
 
-// knowledge is what this node has applied and what it can prove.
-type knowledge struct {
+// proofState is the applied revision and the proofs that cover it.
+type proofState struct {
 	rules   *rules
 	started time.Duration
 	applied uint64
-	// table and grant are the youngest proofs that cover the applied revision.
+	// table and grant are the latest proofs that cover the applied revision.
 	table Proof
 	grant Proof
-	// pendingTable and pendingGrant are proofs of newer revisions, which count
-	// once these are applied.
+	// pendingTable and pendingGrant are proofs of newer revisions. They count once their
+	// revision is applied.
 	pendingTable []Proof
 	pendingGrant []Proof
-	// provedSinceStart says that what was applied here is as new as the head
-	// was at some instant since this process started.
+	// provedSinceStart is set once the applied revision was the head at some instant since
+	// this process started.
 	provedSinceStart bool
-	// learned are the newest revisions heard of, and when.
-	learned []learning
+	// learned are the latest revisions known to be stored, and when each became known.
+	learned []learnedRevision
 }
 
-// hearTable takes a proof of the table; it returns whether it is newer.
-func (k *knowledge) hearTable(p Proof) bool {
+// addTableProof records a proof of the table and reports whether it is more recent.
+func (k *proofState) addTableProof(p Proof) bool {
 	if !p.Valid {
 		return false
 	}
-	// An older revision than ours proves that the read came before ours was
-	// accepted: it says nothing of the present.
+	// A proof of an older revision is from before the applied one was accepted, and proves
+	// nothing about the applied one.
 	if p.Revision < k.applied {
 		return false
 	}
 	if p.Revision > k.applied {
-		k.pendingTable = pend(k.pendingTable, p)
+		k.pendingTable = addPending(k.pendingTable, p)
 		return true
 	}
 	if !p.newer(k.table) {
@@ -46,13 +46,13 @@
 	return true
 }
 
-// hearGrant takes a proof of an outage; it returns whether it is newer.
-func (k *knowledge) hearGrant(p Proof) bool {
+// addGrant records a proof of an outage and reports whether it is more recent.
+func (k *proofState) addGrant(p Proof) bool {
 	if !p.Valid {
 		return false
 	}
 	if p.Revision > k.applied {
-		k.pendingGrant = pend(k.pendingGrant, p)
+		k.pendingGrant = addPending(k.pendingGrant, p)
 		return true
 	}
 	if !p.newer(k.grant) {
@@ -62,8 +62,8 @@
 	return true
 }
 
-// pend keeps the youngest proof of each of a few revisions.
-func pend(list []Proof, p Proof) []Proof {
+// addPending adds a proof to the list, which keeps the latest proof for each of a few revisions.
+func addPending(list []Proof, p Proof) []Proof {
 	for i := range list {
 		if list[i].Revision == p.Revision {
 			if p.newer(list[i]) {
@@ -79,9 +79,10 @@
 	return list
 }
 
-// apply takes note that a revision has replaced the applied one.
-func (k *knowledge) apply(revision uint64) bool {
-	if !k.rules.upward(k.applied, revision) {
+// apply replaces the applied revision, unless the new one is not newer, and reports whether
+// it did.
+func (k *proofState) apply(revision uint64) bool {
+	if !k.rules.mayReplace(k.applied, revision) {
 		return false
 	}
 	k.applied = revision
@@ -89,24 +90,24 @@
 	tables, grants := k.pendingTable, k.pendingGrant
 	k.pendingTable, k.pendingGrant = nil, nil
 	for _, p := range tables {
-		k.hearTable(p)
+		k.addTableProof(p)
 	}
 	for _, p := range grants {
-		k.hearGrant(p)
+		k.addGrant(p)
 	}
 	return true
 }
 
-// youngest is the instant of the youngest proof of either kind.
-func (k *knowledge) youngest() (time.Duration, bool) {
+// youngest returns the instant of the latest proof of either kind.
+func (k *proofState) youngest() (time.Duration, bool) {
 	if k.grant.newer(k.table) {
 		return k.grant.At, true
 	}
 	return k.table.At, k.table.Valid
 }
 
-// tableAge is the age of the youngest proof of the table.
-func (k *knowledge) tableAge(now time.Duration) time.Duration {
+// tableAge returns the age of the latest proof of the table, or forever without one.
+func (k *proofState) tableAge(now time.Duration) time.Duration {
 	if !k.table.Valid {
 		return forever
 	}
--- a/internal/confsync/large_test.go
+++ b/internal/confsync/large_test.go
@@ -13,11 +13,11 @@
 	"github.com/hickorybank/hickorybank/internal/peer"
 )
 
-// narrowCaller is a caller whose answers come over a quarter of a link of 10 Mbit/s: a
-// parent in the tree answers four children.
+// narrowCaller is a caller that receives responses over a quarter of a link of 10 Mbit/s: a
+// parent in the tree serves four children.
 type narrowCaller struct{ *peer.Pool }
 
-const narrowLink = 1.25e6 / 4 // bytes a second
+const narrowBytesPerSecond = 1.25e6 / 4 // bytes a second
 
 func (c narrowCaller) Call(ctx context.Context, addr, method string, args, reply any) error {
 	if err := c.Pool.Call(ctx, addr, method, args, reply); err != nil {
@@ -27,7 +27,7 @@
 	if err := gob.NewEncoder(&size).Encode(reply); err != nil {
 		return err
 	}
-	passed := time.NewTimer(time.Duration(float64(size.Len()) / narrowLink * float64(time.Second)))
+	passed := time.NewTimer(time.Duration(float64(size.Len()) / narrowBytesPerSecond * float64(time.Second)))
 	defer passed.Stop()
 	select {
 	case <-ctx.Done():
@@ -37,7 +37,7 @@
 	}
 }
 
-// noDocuments is a table that gives a node the head alone.
+// noDocuments is a table from which a node can read only the head.
 type noDocuments struct{ confsync.Store }
 
 var errNoDocuments = errors.New("no documents for this node")
@@ -47,18 +47,18 @@
 	return nil, errNoDocuments
 }
 
-// A node starts while the table gives it no documents, in a deployment with 2,400
-// organisations, one of four children of a parent with a link of 10 Mbit/s. A call to a
-// peer ends after 250 ms, and the packed document takes 0.6 s: it never came, and the
-// node admitted no work. In pieces, each with a limit of its own, it comes.
-func TestLargeDocumentComesFromAPeer(t *testing.T) {
+// Guards against a node that never gets a large document and admits no work. A node that
+// cannot read documents of the table starts in a deployment with 2,400 organisations, as one
+// of four children of a parent with a link of 10 Mbit/s. A call times out after 250 ms, but the
+// packed document takes 0.6 s. In pieces, each with a timeout of its own, it arrives.
+func TestLargeDocumentIsTransferredInPieces(t *testing.T) {
 	t.Parallel()
 	f := newFleetWith(t, 3, 1, func() caller { return narrowCaller{peer.NewPool()} })
 	f.doc = sized(2400)
 	f.change(0, "day")
-	f.await("revision 1", has(1))
+	f.await("revision 1", admitsUnder(1))
 	f.addWith("late", "d0", func(s confsync.Store) confsync.Store { return noDocuments{s} })
-	f.await("revision 1 at all", has(1))
+	f.await("revision 1 at all", admitsUnder(1))
 	f.change(1, "night")
-	f.await("revision 2", has(2))
+	f.await("revision 2", admitsUnder(2))
 }
--- a/internal/confsync/list.go
+++ b/internal/confsync/list.go
@@ -6,9 +6,9 @@
 	"github.com/hickorybank/hickorybank/internal/platform"
 )
 
-// List is one answer of the platform's VM list.
+// List is a VM list of the platform and the time of its read.
 type List struct {
 	VMs []platform.VM
-	// ReadAt is no later than the start of the read, on this node's clock.
+	// ReadAt is not later than the start of the read, on this node's clock.
 	ReadAt time.Time
 }
--- a/internal/confsync/list_measure_test.go
+++ b/internal/confsync/list_measure_test.go
@@ -14,8 +14,8 @@
 	"github.com/hickorybank/hickorybank/internal/platform/client/wire"
 )
 
-// BenchmarkListRead reads the VM list over loopback, whole and unchanged: time
-// and allocations of both sides, and the payload of the connection both ways.
+// BenchmarkListRead measures reads of the VM list over loopback, in full and unchanged: time
+// and allocations of both sides, and the payload in both directions.
 func BenchmarkListRead(b *testing.B) {
 	for _, vms := range []int{24, 250, 2500, 11_600} {
 		for _, whole := range []bool{true, false} {
@@ -47,7 +47,7 @@
 
 const listTag = `"1"`
 
-// listServer serves a list that never changes, and counts its bytes.
+// listServer serves a list that never changes and counts the bytes of its connections.
 func listServer(b *testing.B, vms int) (string, *atomic.Int64) {
 	list := make([]platform.VM, vms)
 	for i := range list {
--- a/internal/confsync/listing.go
+++ b/internal/confsync/listing.go
@@ -2,121 +2,124 @@
 
 import "time"
 
-// listing reads the platform's VM list, or takes it from peers.
-type listing struct {
+// listState is the state of the platform's VM list, which is read here or received from peers.
+type listState struct {
 	digest uint64
-	// at is no later than the start of the read of the list; firstAt is that
-	// of the first list that this process had.
-	at      time.Duration
-	firstAt time.Duration
-	had     bool
-	// vouched is the digest of a list that is as good as if it had settled.
-	vouched uint64
-	busy    bool
-	token   Token
-	sent    time.Duration
-	next    time.Duration
+	// readAt is not later than the start of the read of the list; firstReadAt is the same for
+	// the first list of this process.
+	readAt      time.Duration
+	firstReadAt time.Duration
+	hasList     bool
+	// vouchedDigest is the digest of a list that counts as settled, on the word of another node's
+	// vote.
+	vouchedDigest uint64
+	inFlight      bool
+	token         Token
+	sent          time.Duration
+	nextRead      time.Duration
 }
 
-// standbyLists is after how many gaps without a list another reader of the
-// failure domain reads it too.
-const standbyLists = 3
+// standbyIntervals is the number of read intervals without a newer list after which the other
+// readers of the failure domain read the list too.
+const standbyIntervals = 3
 
-func (l *listing) age(now time.Duration) time.Duration {
+func (l *listState) age(now time.Duration) time.Duration {
 	if l.digest == 0 {
 		return 0
 	}
-	return now - l.at
+	return now - l.readAt
 }
 
-func (l *listing) read(e ListRead) {
-	if !l.busy || l.token != e.Token {
+// readDone records the result of a read, unless a peer has sent a more recent list meanwhile.
+func (l *listState) readDone(e ListRead) {
+	if !l.inFlight || l.token != e.Token {
 		return
 	}
-	l.busy = false
-	if l.digest == 0 || l.sent > l.at {
+	l.inFlight = false
+	if l.digest == 0 || l.sent > l.readAt {
 		l.digest = e.Digest
-		l.take(l.sent)
+		l.setReadAt(l.sent)
 	}
 }
 
-func (l *listing) take(at time.Duration) {
-	l.at = at
-	if !l.had {
-		l.had = true
-		l.firstAt = at
+// setReadAt records the read time of the current list.
+func (l *listState) setReadAt(at time.Duration) {
+	l.readAt = at
+	if !l.hasList {
+		l.hasList = true
+		l.firstReadAt = at
 	}
 }
 
-// distrust counts the lists anew, as if this process had started now.
-func (l *listing) distrust(now time.Duration) {
-	l.vouched = 0
-	if l.had {
-		l.firstAt = now
+// resetSpan restarts the time over which lists must settle, as if this process had started now.
+func (l *listState) resetSpan(now time.Duration) {
+	l.vouchedDigest = 0
+	if l.hasList {
+		l.firstReadAt = now
 	}
 }
 
-// span is the time over which this process has had lists.
-func (l *listing) span() time.Duration { return l.at - l.firstAt }
+// span returns the time over which this process has had lists.
+func (l *listState) span() time.Duration { return l.readAt - l.firstReadAt }
 
-func (l *listing) failed(t Token) {
-	if l.busy && l.token == t {
-		l.busy = false
+func (l *listState) readFailed(t Token) {
+	if l.inFlight && l.token == t {
+		l.inFlight = false
 	}
 }
 
-// driveList reads the list when this node is the first reader of its failure
-// domain, when that one's list does not come, or when no list is known at all.
-func (c *Core) driveList(now time.Duration) {
-	l := &c.listing
-	if l.busy || now < l.next || !c.readsList(now) {
+// readListIfDue reads the list if this node is the first reader of its failure domain, if that
+// reader's list does not arrive, or if no list is known.
+func (c *Core) readListIfDue(now time.Duration) {
+	l := &c.list
+	if l.inFlight || now < l.nextRead || !c.shouldReadList(now) {
 		return
 	}
-	l.busy = true
-	l.token = c.token()
+	l.inFlight = true
+	l.token = c.nextToken()
 	l.sent = now
-	l.next = now + c.settings.ListGap
-	c.decide(ReadList{Token: l.token})
+	l.nextRead = now + c.settings.ListGap
+	c.emit(ReadList{Token: l.token})
 }
 
-func (c *Core) readsList(now time.Duration) bool {
-	if c.listing.digest == 0 || c.roster.rank(now) == 0 {
+func (c *Core) shouldReadList(now time.Duration) bool {
+	if c.list.digest == 0 || c.roster.rank(now) == 0 {
 		return true
 	}
-	return c.isReader(now) && c.listing.age(now) > standbyLists*c.settings.ListGap
+	return c.isReader(now) && c.list.age(now) > standbyIntervals*c.settings.ListGap
 }
 
-// takeList takes a peer's list, or the news that the one known here was read
-// again and is the same.
-func (c *Core) takeList(r WaitReply, sent time.Duration) {
-	l := &c.listing
+// acceptPeerList applies a peer's list, or the later read time of the list that this node has.
+func (c *Core) acceptPeerList(r WaitReply, sent time.Duration) {
+	l := &c.list
 	if r.ListDigest == 0 {
 		return
 	}
 	at := sent - r.ListAge
-	if l.digest != 0 && at <= l.at {
+	if l.digest != 0 && at <= l.readAt {
 		return
 	}
 	if r.ListDigest == l.digest {
-		l.take(at)
+		l.setReadAt(at)
 		return
 	}
 	if r.List == nil || r.List.To != r.ListDigest {
 		return
 	}
 	l.digest = r.ListDigest
-	l.take(at)
-	c.decide(TakeList{List: *r.List})
+	l.setReadAt(at)
+	c.emit(AcceptList{List: *r.List})
 }
 
-// listTakeFailed forgets the list, so that the next peer sends it whole.
-func (c *Core) listTakeFailed(now time.Duration) {
-	c.listing.digest = 0
-	c.pulling.next = max(c.pulling.next, now+fetchRetry)
+// peerListRejected forgets the list, so that the next peer sends it in full.
+func (c *Core) peerListRejected(now time.Duration) {
+	c.list.digest = 0
+	c.pulls.nextPull = max(c.pulls.nextPull, now+fetchRetry)
 }
 
-// ListDigest names the VM list taken last, 0 for none.
-func (c *Core) ListDigest() uint64 { return c.listing.digest }
+// ListDigest returns the digest of the current VM list; 0 for none.
+func (c *Core) ListDigest() uint64 { return c.list.digest }
 
-// ListAt is no later than the start of the read of that list.
-func (c *Core) ListAt() time.Duration { return c.listing.at }
+// ListAt returns the read time of the current VM list, since the start of the process. It is
+// not later than the start of the read.
+func (c *Core) ListAt() time.Duration { return c.list.readAt }
--- a/internal/confsync/listread.go
+++ b/internal/confsync/listread.go
@@ -8,18 +8,18 @@
 	"github.com/hickorybank/hickorybank/internal/platform"
 )
 
-// listRead is the last list that was read here. Only the goroutine of a read
-// uses it, and the core has one read under way.
+// listRead is the last list that was read here. Only the goroutine of a read uses it, and the
+// core runs one read at a time.
 type listRead struct {
-	// tag is the platform's name of the list, empty for none; digest is ours.
+	// tag is the platform's tag of the list, empty for none; digest is our digest of it.
 	tag    string
 	digest uint64
 }
 
 var errNoList = eris.New("nobody reads the VM list here")
 
-// readList reads the platform's VM list; known is the digest of the list that
-// this node has.
+// readList reads the platform's VM list and posts the result; known is the digest of the list
+// that this node has.
 func (s *Syncer) readList(d ReadList, known uint64) {
 	ctx, cancel := context.WithTimeout(s.ctx, s.settings.ReadTimeout)
 	defer cancel()
@@ -32,12 +32,12 @@
 		s.post(input{event: ListRead{Token: d.Token, Digest: known}})
 		return
 	}
-	s.post(input{event: ListRead{Token: d.Token, Digest: list.tag}, list: list})
+	s.post(input{event: ListRead{Token: d.Token, Digest: list.digest}, list: list})
 }
 
-// fetchList returns the list, or nil when it is still the known one. It asks
-// for news only when the list that this node has is the one that it read last:
-// a peer may have sent another meanwhile, whose tag is unknown here.
+// fetchList returns the platform's list, or nil if it is still the known one. The read is
+// conditional only if the node's current list is the one that it read last: a list from a
+// peer has no known tag.
 func (s *Syncer) fetchList(ctx context.Context, known uint64) (*vmList, error) {
 	if s.deps.Lists == nil {
 		return nil, errNoList
@@ -46,7 +46,7 @@
 	if s.lastRead.digest == known {
 		tag = s.lastRead.tag
 	}
-	read, err := listUnless(ctx, s.deps.Lists, tag)
+	read, err := readListUnless(ctx, s.deps.Lists, tag)
 	if err != nil || read.Unchanged {
 		return nil, err
 	}
@@ -54,13 +54,13 @@
 	if err != nil {
 		return nil, err
 	}
-	s.lastRead = listRead{tag: read.Tag, digest: list.tag}
+	s.lastRead = listRead{tag: read.Tag, digest: list.digest}
 	return list, nil
 }
 
-// listUnless reads the whole list from a platform that cannot say that nothing
-// changed.
-func listUnless(ctx context.Context, lists platform.VMs, tag string) (platform.TaggedVMs, error) {
+// readListUnless reads the list unless it still has the tag. A platform without conditional reads
+// always returns the full list.
+func readListUnless(ctx context.Context, lists platform.VMs, tag string) (platform.TaggedVMs, error) {
 	if conditional, ok := lists.(platform.ConditionalVMs); ok {
 		return conditional.ListUnless(ctx, tag)
 	}
--- a/internal/confsync/listread_test.go
+++ b/internal/confsync/listread_test.go
@@ -16,10 +16,10 @@
 	"github.com/hickorybank/hickorybank/internal/platform"
 )
 
-// countedLists is a platform's list that counts the whole reads.
+// countedLists is a platform's list that counts full reads.
 type countedLists struct {
-	vms    atomic.Pointer[[]platform.VM]
-	wholes atomic.Int64
+	vms       atomic.Pointer[[]platform.VM]
+	fullReads atomic.Int64
 }
 
 func (l *countedLists) set(ids ...string) {
@@ -31,11 +31,11 @@
 }
 
 func (l *countedLists) List(context.Context) ([]platform.VM, error) {
-	l.wholes.Add(1)
+	l.fullReads.Add(1)
 	return *l.vms.Load(), nil
 }
 
-// taggedLists can also say that nothing changed.
+// taggedLists also supports conditional reads.
 type taggedLists struct{ countedLists }
 
 func (l *taggedLists) ListUnless(ctx context.Context, tag string) (platform.TaggedVMs, error) {
@@ -47,7 +47,7 @@
 	return platform.TaggedVMs{VMs: vms, Tag: now}, err
 }
 
-// noStore is a table that is never there.
+// noStore is a table that is never available.
 type noStore struct{}
 
 var errNoStore = errors.New("no table")
@@ -58,8 +58,8 @@
 	return nil, errNoStore
 }
 
-// readLists runs a node for a minute, changes the list, and runs it another
-// minute. It returns the lists that came out of it.
+// readLists runs a node for a minute, changes the list, and runs it for another minute. It
+// returns the lists that the node reported.
 func readLists(t *testing.T, lists platform.VMs, change func()) []List {
 	var heard []List
 	s := New(Settings{}, Deps{
@@ -80,51 +80,51 @@
 	return heard
 }
 
-// The list of 11,600 VMs has 1.3 MB. A reader read it whole every 2 s, at 116
-// times its budget of the network, also when nothing had changed.
-func TestListIsReadWholeOnlyWhenItChanged(t *testing.T) {
+// Guards against full reads of an unchanged list. The list of 11,600 VMs has 1.3 MB, and a
+// full read every 2 s would use 116 times a reader's network budget.
+func TestUnchangedListIsNotReadInFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		lists := &taggedLists{}
 		lists.set("e1")
 		heard := readLists(t, lists, func() { lists.set("e1", "e2") })
-		is.Equal(lists.wholes.Load(), int64(2))
+		is.Equal(lists.fullReads.Load(), int64(2))
 		is.Equal(len(heard), 2)
 		is.Equal(len(heard[1].VMs), 2)
 	})
 }
 
-// A platform without conditional reads serves as before.
-func TestListIsReadFromAPlatformWithoutTags(t *testing.T) {
+// With a platform without conditional reads, each read is full, and only changes are reported.
+func TestListIsReadWithoutConditionalReads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		lists := &countedLists{}
 		lists.set("e1")
 		heard := readLists(t, lists, func() { lists.set("e1", "e2") })
-		is.True(lists.wholes.Load() >= 50)
+		is.True(lists.fullReads.Load() >= 50)
 		is.Equal(len(heard), 2)
 	})
 }
 
-// A peer sends a newer list while a read finds that the last one that was read
-// here is unchanged. Taking that for the newer one would keep a VM that left.
-func TestUnchangedListIsNotTakenForAPeersList(t *testing.T) {
+// Guards against keeping a VM that has left. A peer sends a newer list while a read reports
+// the last list read here as unchanged; that result must not apply to the newer list.
+func TestUnchangedReadDoesNotReplacePeerList(t *testing.T) {
 	is := is.New(t)
 	s := New(Settings{}, Deps{Store: noStore{}, Self: platform.VM{ID: "e1"}, Log: slog.New(slog.DiscardHandler)})
 	l := newLoop(s)
 	l.list = archive.New(8, nil, nil)
-	is.Equal(l.checked(ListRead{Token: 3, Digest: 7}), Event(ListFailed{Token: 3}))
-	is.Equal(l.checked(ListRead{Token: 3, Digest: 8}), Event(ListRead{Token: 3, Digest: 8}))
+	is.Equal(l.checkListRead(ListRead{Token: 3, Digest: 7}), Event(ListFailed{Token: 3}))
+	is.Equal(l.checkListRead(ListRead{Token: 3, Digest: 8}), Event(ListRead{Token: 3, Digest: 8}))
 
 	lists := &taggedLists{}
 	lists.set("e1")
 	s.deps.Lists = lists
 	first, err := s.fetchList(t.Context(), 0)
 	is.NoErr(err)
-	again, err := s.fetchList(t.Context(), first.tag)
+	again, err := s.fetchList(t.Context(), first.digest)
 	is.NoErr(err)
 	is.True(again == nil) // unchanged
-	other, err := s.fetchList(t.Context(), first.tag+1)
+	other, err := s.fetchList(t.Context(), first.digest+1)
 	is.NoErr(err)
-	is.True(other != nil) // what the node has now has another tag
+	is.True(other != nil) // the node's current list has another digest
 }
--- a/internal/confsync/loop.go
+++ b/internal/confsync/loop.go
@@ -11,29 +11,29 @@
 type loop struct {
 	syncer *Syncer
 	core   *Core
-	// asked are the questions that wait for an answer of the core.
-	asked  map[Token]chan Decision
-	tokens Token
+	// waiting are the requests that wait for a decision of the core.
+	waiting map[Token]chan Decision
+	tokens  Token
 
-	doc      *archive.Archive
-	snapshot *config.Snapshot
-	list     *archive.Archive
-	last     Status
-	// later are events that came up while decisions were carried out.
-	later []Event
+	doc        *archive.Archive
+	snapshot   *config.Snapshot
+	list       *archive.Archive
+	lastStatus Status
+	// deferred are events that arose while decisions were executed.
+	deferred []Event
 }
 
 func newLoop(s *Syncer) *loop {
 	boot := uint64(s.started.UnixNano())
 	return &loop{
-		syncer: s,
-		core:   NewCore(s.settings, s.deps.Self, boot, s.now()),
-		asked:  map[Token]chan Decision{},
+		syncer:  s,
+		core:    NewCore(s.settings, s.deps.Self, boot, s.now()),
+		waiting: map[Token]chan Decision{},
 	}
 }
 
 func (l *loop) run() {
-	ticker := time.NewTicker(tickGap)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	l.step(MembersChanged{VMs: l.syncer.deps.Members()})
 	for {
@@ -41,7 +41,7 @@
 		case <-l.syncer.ctx.Done():
 			return
 		case in := <-l.syncer.events:
-			l.take(in)
+			l.handle(in)
 		case <-l.syncer.members:
 			l.step(MembersChanged{VMs: l.syncer.deps.Members()})
 		case <-ticker.C:
@@ -51,26 +51,26 @@
 	}
 }
 
-func (l *loop) take(in input) {
+func (l *loop) handle(in input) {
 	if in.ask != nil {
 		l.tokens++
-		l.asked[l.tokens] = in.answers
+		l.waiting[l.tokens] = in.answers
 		l.step(in.ask(l.tokens))
 		return
 	}
 	switch {
 	case in.applied != nil:
-		l.takeApplied(in.event, in.applied)
+		l.handleApplied(in.event, in.applied)
 	case in.list != nil:
-		l.takeListRead(in.event, in.list)
+		l.handleListRead(in.event, in.list)
 	default:
-		l.step(l.checked(in.event))
+		l.step(l.checkListRead(in.event))
 	}
 }
 
-// takeApplied makes a prepared configuration the one in force here. The
-// archive is changed before the step, whose answers to children send it on.
-func (l *loop) takeApplied(e Event, a *applied) {
+// handleApplied puts a prepared configuration in force here. The archive is replaced before the
+// step, because the step's answers to children send the archive on.
+func (l *loop) handleApplied(e Event, a *applied) {
 	if a.archive.Tag() <= l.core.Revision() {
 		l.step(e)
 		return
@@ -84,20 +84,20 @@
 	}
 }
 
-// step feeds the core and carries out what it decides.
+// step passes an event to the core and executes its decisions.
 func (l *loop) step(e Event) {
 	for _, d := range l.core.Step(l.syncer.now(), e) {
-		l.act(d)
+		l.execute(d)
 	}
 	l.publish()
-	for len(l.later) > 0 {
-		next := l.later[0]
-		l.later = l.later[1:]
+	for len(l.deferred) > 0 {
+		next := l.deferred[0]
+		l.deferred = l.deferred[1:]
 		l.step(next)
 	}
 }
 
-// publish swaps the pair that callers look at when it has changed.
+// publish replaces the configuration and its time that callers read, if either has changed.
 func (l *loop) publish() {
 	if l.snapshot == nil || l.snapshot.Revision != l.core.Revision() {
 		return
--- a/internal/confsync/loop_act.go
+++ b/internal/confsync/loop_act.go
@@ -2,76 +2,78 @@
 
 import "github.com/hickorybank/hickorybank/internal/archive"
 
-// act carries out a decision. Nothing here waits: calls run in goroutines of
-// their own, as many as the core lets be under way.
-func (l *loop) act(d Decision) {
+// execute executes a decision without blocking: calls run in goroutines of their own, whose
+// number the core bounds.
+func (l *loop) execute(d Decision) {
 	s := l.syncer
 	switch d := d.(type) {
 	case ReadHead:
-		s.duties.Go(func() { s.readHead(d) })
+		s.tasks.Go(func() { s.readHead(d) })
 	case Fetch:
 		known := l.doc
-		s.duties.Go(func() { s.fetch(d, known) })
+		s.tasks.Go(func() { s.fetch(d, known) })
 	case ReadList:
 		known := l.listDigest()
-		s.duties.Go(func() { s.readList(d, known) })
+		s.tasks.Go(func() { s.readList(d, known) })
 	case Apply:
 		s.submit(job{token: d.Token, update: d.Update})
-	case TakeList:
-		l.takeListSent(d.List)
+	case AcceptList:
+		l.handlePeerList(d.List)
 	case Wait:
-		s.duties.Go(func() { s.wait(d) })
+		s.tasks.Go(func() { s.wait(d) })
 	case Survey:
-		s.duties.Go(func() { s.survey(d) })
-	case NoteLeaving:
-		l.noteLeaving(d)
+		s.tasks.Go(func() { s.survey(d) })
+	case ReportNotice:
+		l.reportNotice(d)
 	default:
 		l.answer(d)
 	}
 }
 
-// answer hands an answer to the goroutine that asked.
+// answer passes an answer to the goroutine that waits for it.
 func (l *loop) answer(d Decision) {
 	switch d := d.(type) {
 	case AnswerWait:
-		l.reply(d.Token, l.filled(d))
+		l.reply(d.Token, l.withArchives(d))
 	case AnswerSurvey:
 		l.reply(d.Token, d)
 	case AnswerConfirm:
 		l.reply(d.Token, d)
-	case Tell:
+	case SendNotice:
 		l.reply(d.Token, d)
 	}
 }
 
+// reply sends a decision to the goroutine that waits for it, if any.
 func (l *loop) reply(t Token, d Decision) {
-	answers, ok := l.asked[t]
+	answers, ok := l.waiting[t]
 	if !ok {
 		return
 	}
-	delete(l.asked, t)
-	answers <- d // has room for the one answer
+	delete(l.waiting, t)
+	answers <- d // buffered: never blocks
 }
 
-// filled is the answer with what only the shell has: the archives as they are
-// now. The goroutine that asked takes from them what the peer lacks.
-func (l *loop) filled(d AnswerWait) Decision {
-	return filledAnswer{AnswerWait: d, doc: l.doc, list: l.list}
+// withArchives adds the current archives to an answer. The goroutine that waits for the answer
+// takes from them what the peer lacks.
+func (l *loop) withArchives(d AnswerWait) Decision {
+	return waitAnswer{AnswerWait: d, doc: l.doc, list: l.list}
 }
 
-type filledAnswer struct {
+type waitAnswer struct {
 	AnswerWait
 	doc  *archive.Archive
 	list *archive.Archive
 }
 
-func (l *loop) noteLeaving(d NoteLeaving) {
-	tell := l.syncer.deps.OnServing
+// reportNotice calls OnLeaving or OnServing.
+func (l *loop) reportNotice(d ReportNotice) {
+	callback := l.syncer.deps.OnServing
 	if d.Notice.Leaving {
-		tell = l.syncer.deps.OnLeaving
+		callback = l.syncer.deps.OnLeaving
 	}
-	if tell != nil {
-		tell(d.Notice.ID)
+	if callback != nil {
+		callback(d.Notice.ID)
 	}
 	l.syncer.MembersChanged()
 }
--- a/internal/confsync/loop_list.go
+++ b/internal/confsync/loop_list.go
@@ -7,28 +7,28 @@
 	"github.com/hickorybank/hickorybank/internal/event"
 )
 
-// takeListRead keeps a list that was read here, if the core takes it: a slow
-// read may be older than the list that a peer sent meanwhile. The archive is
-// changed before the step, whose answers to children may send it on.
-func (l *loop) takeListRead(e Event, list *vmList) {
+// handleListRead keeps a list that was read here if the core accepts it: a slow read may be older
+// than the list that a peer has sent meanwhile. The archive is replaced before the step,
+// because the step's answers to children may send the archive on.
+func (l *loop) handleListRead(e Event, list *vmList) {
 	old := l.list
-	if old != nil && old.Tag() == list.tag {
+	if old != nil && old.Tag() == list.digest {
 		l.step(e)
 		return
 	}
-	l.list = old.Replace(list.tag, list.raw)
+	l.list = old.Replace(list.digest, list.raw)
 	l.step(e)
-	if l.core.ListDigest() != list.tag {
+	if l.core.ListDigest() != list.digest {
 		l.list = old
 		return
 	}
-	l.tellList(list)
+	l.publishList(list)
 }
 
-// checked is the event, or for a read that found the list unchanged a failed
-// read when a peer sent another list meanwhile: the core would take the digest
-// of a list that is no longer here.
-func (l *loop) checked(e Event) Event {
+// checkListRead returns the event, but turns a read that found the list unchanged into a failed
+// read if a peer has sent another list meanwhile. Otherwise the core would use the digest of a
+// list that this node no longer has.
+func (l *loop) checkListRead(e Event) Event {
 	if read, ok := e.(ListRead); ok && read.Digest != l.listDigest() {
 		return ListFailed{Token: read.Token}
 	}
@@ -42,8 +42,8 @@
 	return l.list.Tag()
 }
 
-// takeListSent keeps a list that a peer sent.
-func (l *loop) takeListSent(u archive.Update) {
+// handlePeerList keeps a list received from a peer, or rejects it if it cannot be decoded.
+func (l *loop) handlePeerList(u archive.Update) {
 	next, err := l.list.Take(u)
 	if err != nil {
 		l.rejectList(err)
@@ -55,15 +55,16 @@
 		return
 	}
 	l.list = next
-	l.tellList(list)
+	l.publishList(list)
 }
 
 func (l *loop) rejectList(err error) {
 	event.ListRejected.Log(l.syncer.deps.Log, slog.Any("error", err))
-	l.later = append(l.later, ListTakeFailed{})
+	l.deferred = append(l.deferred, ListRejected{})
 }
 
-func (l *loop) tellList(list *vmList) {
+// publishList reports a new list to OnList and refreshes the members.
+func (l *loop) publishList(list *vmList) {
 	if l.syncer.deps.OnList != nil {
 		l.syncer.deps.OnList(List{VMs: list.VMs, ReadAt: l.syncer.started.Add(l.core.ListAt())})
 	}
--- a/internal/confsync/loop_report.go
+++ b/internal/confsync/loop_report.go
@@ -6,7 +6,7 @@
 	"github.com/hickorybank/hickorybank/internal/event"
 )
 
-// report renews the status and logs what changed in it.
+// report updates the status and logs changes in it.
 func (l *loop) report() {
 	status := l.core.Status(l.syncer.now())
 	if l.snapshot != nil {
@@ -14,20 +14,20 @@
 	}
 	l.syncer.status.Store(&status)
 	l.logFreshness(status)
-	if status.Reader != l.last.Reader {
+	if status.Reader != l.lastStatus.Reader {
 		l.logRole(status)
 	}
-	l.last = status
+	l.lastStatus = status
 }
 
 func (l *loop) logFreshness(s Status) {
 	attrs := []slog.Attr{slog.Uint64("revision", s.Revision), slog.Duration("proof_age", s.ProofAge)}
 	switch {
-	case s.Outage && !l.last.Outage:
+	case s.Outage && !l.lastStatus.Outage:
 		event.ConfigOutage.Log(l.syncer.deps.Log, attrs...)
-	case !s.Fresh && l.last.Fresh:
+	case !s.Fresh && l.lastStatus.Fresh:
 		event.ConfigStale.Log(l.syncer.deps.Log, attrs...)
-	case s.Fresh && !s.Outage && (!l.last.Fresh || l.last.Outage):
+	case s.Fresh && !s.Outage && (!l.lastStatus.Fresh || l.lastStatus.Outage):
 		event.ConfigFresh.Log(l.syncer.deps.Log, attrs...)
 	}
 }
--- a/internal/confsync/main_test.go
+++ b/internal/confsync/main_test.go
@@ -7,8 +7,8 @@
 	"go.uber.org/goleak"
 )
 
-// gcPercent lets the randomised runs, which make much short-lived garbage,
-// spend their time on seeds.
+// gcPercent reduces garbage collection, because the randomised runs allocate many short-lived
+// objects.
 const gcPercent = 800
 
 func TestMain(m *testing.M) {
--- a/internal/confsync/measure_test.go
+++ b/internal/confsync/measure_test.go
@@ -20,22 +20,22 @@
 	"github.com/hickorybank/hickorybank/internal/confsync"
 )
 
-// BenchmarkInForce measures the time from the start of a change's transaction
-// until the last of eight nodes on loopback admits work under it.
+// BenchmarkInForce measures the time from the start of a change's transaction until the last
+// of eight nodes on loopback admits work under the change.
 func BenchmarkInForce(b *testing.B) {
 	f := newFleet(b, 8, 4)
 	f.change(0, f.doc.Presets[0].Name)
 	f.await("the list", func(m *member) bool { return len(m.members()) == 8 })
-	f.await("revision 1", has(1))
+	f.await("revision 1", admitsUnder(1))
 	var times []time.Duration
 	revision := uint64(1)
 	for b.Loop() {
-		// At no fixed distance from the reads of the head.
+		// Decouple the change from the times of the reads of the head.
 		time.Sleep(time.Duration(rand.Int64N(int64(confsync.DefaultReadGap))))
 		start := time.Now()
 		f.change(revision, f.doc.Presets[revision%2].Name)
 		revision++
-		f.await("the revision", has(revision))
+		f.await("the revision", admitsUnder(revision))
 		times = append(times, time.Since(start))
 	}
 	reportTimes(b, times)
@@ -52,10 +52,10 @@
 	b.ReportMetric(at(1), "worst-ms")
 }
 
-// BenchmarkIdle measures what keeping a configuration fresh costs a node each
-// second while nothing changes, and what a change of one organisation adds:
-// calls and bytes between nodes (payload of TCP), reads of the table, processor
-// time of the whole process, the platform in memory among it.
+// BenchmarkIdle measures the cost per node and second of keeping a configuration fresh while
+// nothing changes, and the additional cost of a change of one organisation: calls and bytes
+// between nodes (TCP payload), reads of the table, and processor time of the whole process,
+// which includes the platform in memory.
 func BenchmarkIdle(b *testing.B) {
 	for _, shape := range []struct{ nodes, domains int }{{8, 4}, {12, 1}, {42, 1}} {
 		b.Run(fmt.Sprintf("nodes=%d/domains=%d", shape.nodes, shape.domains), func(b *testing.B) {
@@ -78,7 +78,7 @@
 	f.doc = sized(100)
 	f.change(0, "day")
 	f.await("the list", func(m *member) bool { return len(m.members()) == nodes })
-	f.await("revision 1", has(1))
+	f.await("revision 1", admitsUnder(1))
 	time.Sleep(2 * time.Second)
 	calls := func() (sum int64) {
 		for _, c := range callers {
@@ -97,14 +97,14 @@
 		f.doc.Organisations[0].Weight++
 		before := bytes.Load()
 		f.change(f.nodes[0].Snapshot().Revision, "day")
-		f.await("the change", has(f.nodes[0].Snapshot().Revision))
+		f.await("the change", admitsUnder(f.nodes[0].Snapshot().Revision))
 		time.Sleep(700 * time.Millisecond)
 		b.ReportMetric(float64(bytes.Load()-before)/float64(nodes), "B/node/change")
 	}
 }
 
-// BenchmarkMemory measures the live heap that a node holds for a configuration
-// after some changes of one organisation.
+// BenchmarkMemory measures the live heap of a node for a configuration after some changes of
+// one organisation.
 func BenchmarkMemory(b *testing.B) {
 	const nodes, changes = 4, 10
 	for _, n := range []int{10, 100, 1000} {
@@ -116,7 +116,7 @@
 				for revision := range uint64(changes) {
 					f.doc.Organisations[0].Weight++
 					f.change(revision, "day")
-					f.await("the change", has(revision+1))
+					f.await("the change", admitsUnder(revision+1))
 				}
 				f.doc = nil
 				stored := 0
@@ -149,11 +149,11 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// BenchmarkFresh is what each request pays.
+// BenchmarkFresh measures the checks that each request performs.
 func BenchmarkFresh(b *testing.B) {
 	f := newFleet(b, 1, 1)
 	f.change(0, f.doc.Presets[0].Name)
-	f.await("revision 1", has(1))
+	f.await("revision 1", admitsUnder(1))
 	m := f.nodes[0]
 	b.Run("Fresh", func(b *testing.B) {
 		for b.Loop() {
@@ -171,7 +171,7 @@
 	})
 }
 
-// sized is a document with that many organisations and 24 versions.
+// sized returns a document with the given number of organisations and 24 versions.
 func sized(organisations int) *config.Document {
 	doc := &config.Document{Preset: "day", Presets: []config.Preset{{Name: "day"}, {Name: "night"}}}
 	for _, kind := range []config.Kind{config.Immediate, config.Heavy, config.Deferrable} {
@@ -210,8 +210,8 @@
 	return doc
 }
 
-// BenchmarkDelta compares a change of one organisation as a delta with the
-// whole document, in bytes on the way to a peer.
+// BenchmarkDelta compares the sizes, as sent to a peer, of a change of one organisation as a
+// delta and of the full document.
 func BenchmarkDelta(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint("organisations=", n), func(b *testing.B) {
@@ -230,8 +230,8 @@
 	}
 }
 
-// BenchmarkApply is what a node pays for a change of one organisation: the
-// delta applied, the document parsed and compiled.
+// BenchmarkApply measures a node's cost of a change of one organisation: applying the delta,
+// parsing and compiling the document.
 func BenchmarkApply(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint("organisations=", n), func(b *testing.B) {
--- a/internal/confsync/noticing.go
+++ b/internal/confsync/noticing.go
@@ -7,60 +7,62 @@
 )
 
 const (
-	// maxNotices bounds the stops that a node remembers.
+	// maxNotices is the maximum number of notices that a node remembers.
 	maxNotices = 64
-	// noticeTime is for how long a stop is told: longer than any list lags.
+	// noticeTime is how long a notice is passed on. It is longer than any list lags.
 	noticeTime = 10 * time.Minute
 )
 
-// notices are the words of entry nodes that stop, by id.
-type notices map[string]heardNotice
+// notices are the notices of entry nodes that stop or were restarted, by id.
+type notices map[string]knownNotice
 
-type heardNotice struct {
+type knownNotice struct {
 	boot    uint64
 	leaving bool
-	// at is when the word was given, or earlier.
+	// at is when the notice was given, or earlier.
 	at time.Duration
 }
 
-// overrules says whether a word replaces another of the same node: for one
-// start of a process leaving is final, a later start begins anew.
-func (n Notice) overrules(old heardNotice) bool {
+// supersedes reports whether a notice replaces another one of the same node. For one process
+// leaving is final; a restart of the process supersedes it.
+func (n Notice) supersedes(old knownNotice) bool {
 	if n.Boot != old.boot {
 		return n.Boot > old.boot
 	}
 	return n.Leaving && !old.leaving
 }
 
+// ownNotice returns this node's notice about itself.
 func (c *Core) ownNotice() Notice {
 	return Notice{ID: c.self.ID, Boot: c.boot, Leaving: c.stopping}
 }
 
-// stopOrdered names the peers that must hear that this node stops: the readers
-// of each failure domain, which answer their children's calls with it; all
-// peers where they are few, since nothing is saved by the tree then.
+// stopOrdered selects the peers to notify that this node stops: the readers of each failure
+// domain, which pass the notice to their children. If there are few peers it selects all of
+// them, since the tree saves nothing then.
 func (c *Core) stopOrdered(now time.Duration, t Token) {
 	c.stopping = true
-	c.hearNotice(c.ownNotice(), now)
+	c.receiveNotice(c.ownNotice(), now)
 	peers := c.roster.members
 	if len(peers) > c.settings.DirectLimit {
-		peers = c.roster.readersEverywhere(now, c.settings)
+		peers = c.roster.allReaders(now, c.settings)
 	}
-	c.decide(Tell{Token: t, Notice: c.ownNotice(), Peers: peers})
+	c.emit(SendNotice{Token: t, Notice: c.ownNotice(), Peers: peers})
 }
 
-// hearNotice takes a word and passes it on when it is news. That a node serves
-// is news only after it was said to stop.
-func (c *Core) hearNotice(n Notice, now time.Duration) {
+// receiveNotice records a notice and reports it if it is new. A notice that a node serves is new
+// only after one that it stops.
+func (c *Core) receiveNotice(n Notice, now time.Duration) {
 	old, known := c.notices[n.ID]
-	if !known && !n.Leaving || known && !n.overrules(old) || n.Age > noticeTime {
+	if !known && !n.Leaving || known && !n.supersedes(old) || n.Age > noticeTime {
 		return
 	}
-	c.notices[n.ID] = heardNotice{boot: n.Boot, leaving: n.Leaving, at: now - n.Age}
+	c.notices[n.ID] = knownNotice{boot: n.Boot, leaving: n.Leaving, at: now - n.Age}
 	c.notices.expire(now)
-	c.decide(NoteLeaving{Notice: n})
+	c.emit(ReportNotice{Notice: n})
 }
 
+// expire drops notices older than noticeTime, and the oldest one above maxNotices.
 func (s notices) expire(now time.Duration) {
 	oldest := ""
 	for id, n := range s {
@@ -77,8 +79,8 @@
 	}
 }
 
-// send returns the words with their ages, sorted by id.
-func (s notices) send(now time.Duration) []Notice {
+// list returns the notices with their ages, sorted by id.
+func (s notices) list(now time.Duration) []Notice {
 	if len(s) == 0 {
 		return nil
 	}
@@ -90,14 +92,14 @@
 	return list
 }
 
-// lacking returns the words that a child does not know.
-func (s notices) lacking(args WaitArgs, now time.Duration) []Notice {
-	return slices.DeleteFunc(s.send(now), func(n Notice) bool {
+// unknownTo returns the notices that a child does not have.
+func (s notices) unknownTo(args WaitArgs, now time.Duration) []Notice {
+	return slices.DeleteFunc(s.list(now), func(n Notice) bool {
 		return n.sameAs(args.From) || slices.ContainsFunc(args.Notices, n.sameAs)
 	})
 }
 
-// sameAs says whether another word makes this one known.
+// sameAs reports whether another notice makes this one redundant.
 func (n Notice) sameAs(o Notice) bool {
-	return n.ID == o.ID && !n.overrules(heardNotice{boot: o.Boot, leaving: o.Leaving})
+	return n.ID == o.ID && !n.supersedes(knownNotice{boot: o.Boot, leaving: o.Leaving})
 }
--- a/internal/confsync/policy_measure_test.go
+++ b/internal/confsync/policy_measure_test.go
@@ -6,10 +6,9 @@
 	"time"
 )
 
-// BenchmarkOutagePolicy compares what a node may do while it has no proof of
-// the table: over random schedules, how many break an invariant, and the share
-// of time in which nodes refuse work; and that share in ten minutes without the
-// table and with nothing else wrong.
+// BenchmarkOutagePolicy compares policies for a node without a proof of the table. It measures
+// how many random schedules violate an invariant and the share of time in which nodes refuse
+// work, in these schedules and in ten minutes during which only the table is down.
 func BenchmarkOutagePolicy(b *testing.B) {
 	policies := []struct {
 		name   string
--- a/internal/confsync/proof.go
+++ b/internal/confsync/proof.go
@@ -2,23 +2,22 @@
 
 import "time"
 
-// Proof says that at an instant a revision could be relied on. A proof of the
-// table says that the head row had this revision; a proof of an outage (a
-// grant) says that more than half of the entry nodes were without the table
-// and none of them had a newer revision.
+// Proof states that a revision could be relied on at an instant. A proof of the table states
+// that the head row had this revision. A proof of an outage, called a grant, states that more
+// than half of the entry nodes could not reach the table and none of them had a newer
+// revision.
 //
-// Between processes the instant travels as an age, never as a clock reading.
+// Between processes the instant is sent as an age, never as a clock reading.
 type Proof struct {
 	Revision uint64
-	// At is the instant on the clock of the node that holds the proof: time
-	// since its process started. It may be earlier than the truth, never
-	// later.
+	// At is the instant as the time since the start of the process that holds the proof. It
+	// may be earlier than the true instant, never later.
 	At time.Duration
 	// Valid is false in the zero value, which proves nothing.
 	Valid bool
 }
 
-// newer says whether p proves more than q.
+// newer reports whether p is more recent than q, or valid while q is not.
 func (p Proof) newer(q Proof) bool {
 	if !p.Valid || !q.Valid {
 		return p.Valid
@@ -26,21 +25,20 @@
 	return p.At > q.At
 }
 
-// SentProof is a proof on its way to a peer.
+// SentProof is a proof as sent to a peer.
 type SentProof struct {
 	Revision uint64
-	// Age is how long before the receipt of the peer's call the proof's
-	// instant was; it is negative for a proof begun while the call was held.
+	// Age is the time from the proof's instant to the receipt of the peer's call. It is
+	// negative if the proof's instant is later, because the call was held.
 	//
-	// A peer subtracts it from the instant at which it sent the call. The
-	// call was received after it was sent, so that the result is never later
-	// than the truth: also when the reply lay in a buffer, when either process
-	// was paused, and whatever the clocks show.
+	// The peer subtracts it from the instant at which it sent the call. A call is received
+	// after it was sent, so that the result is never later than the true instant, even if
+	// the reply was buffered, either process was paused or the clocks differ.
 	Age   time.Duration
 	Valid bool
 }
 
-// send returns the proof as told in answer to a call received at an instant.
+// send returns the proof as sent in response to a call received at an instant.
 func (p Proof) send(received time.Duration) SentProof {
 	if !p.Valid {
 		return SentProof{}
--- a/internal/confsync/pulling.go
+++ b/internal/confsync/pulling.go
@@ -7,47 +7,48 @@
 )
 
 const (
-	// firstPullGap and lastPullGap bound the time before the next peer is
-	// asked after one that had nothing newer.
-	firstPullGap = 50 * time.Millisecond
-	lastPullGap  = 800 * time.Millisecond
-	// strayTime is for how long a node stays with a peer that is not its
-	// parent in the tree.
-	strayTime = 5 * time.Second
-	// leastPullGap is the time between two calls even when each brings news.
-	leastPullGap = 10 * time.Millisecond
+	// minPullBackoff and lastPullGap bound the delay before the next peer is called after
+	// one that had nothing newer.
+	minPullBackoff = 50 * time.Millisecond
+	maxPullBackoff = 800 * time.Millisecond
+	// maxDetourTime is how long a node keeps pulling from a peer that is not its parent in
+	// the tree.
+	maxDetourTime = 5 * time.Second
+	// minPullInterval is the minimum interval between two calls, also if each returns something
+	// newer.
+	minPullInterval = 10 * time.Millisecond
 )
 
-// pulling keeps one call to a peer that has, or will have, younger proofs.
-type pulling struct {
-	busy  bool
-	token Token
-	peer  platform.VM
-	sent  time.Duration
-	// parent is the id of the peer whose last reply helped.
-	parent  string
-	settled time.Duration
-	cursor  int
-	next    time.Duration
-	gap     time.Duration
-	// wanted is a peer known to have a newer revision.
-	wanted platform.VM
+// puller keeps one call open to a peer that has, or will have, more recent proofs.
+type puller struct {
+	inFlight bool
+	token    Token
+	peer     platform.VM
+	sent     time.Duration
+	// parent is the id of the peer that this node pulls from, if its last reply was useful.
+	parent      string
+	parentSince time.Duration
+	cursor      int
+	nextPull    time.Duration
+	backoff     time.Duration
+	// preferred is a peer that has a newer revision.
+	preferred platform.VM
 }
 
-// prefer makes a peer the next one to be asked.
-func (p *pulling) prefer(peer platform.VM, now time.Duration) {
-	p.wanted = peer
-	p.next = min(p.next, now)
+// prefer makes a peer the next one to be called, at once.
+func (p *puller) prefer(peer platform.VM, now time.Duration) {
+	p.preferred = peer
+	p.nextPull = min(p.nextPull, now)
 }
 
-// drivePull asks a peer when this node needs one: a node that is no reader
-// always, a reader when its own reads stopped to bring proofs.
-func (c *Core) drivePull(now time.Duration) {
-	p := &c.pulling
-	if p.busy || c.fetch.peer != 0 || now < p.next {
+// pullIfDue calls a peer if this node needs one: always if it is not a reader, and otherwise
+// while its own reads bring no proofs.
+func (c *Core) pullIfDue(now time.Duration) {
+	p := &c.pulls
+	if p.inFlight || c.fetches.peerUpdate != 0 || now < p.nextPull {
 		return
 	}
-	if p.wanted.ID == "" && c.isReader(now) && !c.troubled(now) {
+	if p.preferred.ID == "" && c.isReader(now) && !c.lacksOwnProof(now) {
 		p.parent = ""
 		p.cursor = 0
 		return
@@ -56,21 +57,21 @@
 	if !ok {
 		return
 	}
-	p.busy = true
-	p.token = c.token()
+	p.inFlight = true
+	p.token = c.nextToken()
 	p.peer = peer
 	p.sent = now
-	c.decide(Wait{Token: p.token, Addr: peer.Peer, Args: c.waitArgs(now, hold)})
+	c.emit(Wait{Token: p.token, Addr: peer.Peer, Args: c.waitArgs(now, hold)})
 }
 
-// pickPeer stays with a peer that helps, for a while also when it is not the
-// parent in the tree; else it takes the next candidate and wants an answer at
-// once.
+// pickPeer returns the peer to call, and whether it may hold the call. It keeps a useful peer,
+// for a limited time if that is not the parent in the tree. Otherwise it returns the next
+// candidate, which must respond at once.
 func (c *Core) pickPeer(now time.Duration) (peer platform.VM, hold, ok bool) {
-	p := &c.pulling
-	if wanted := p.wanted; wanted.ID != "" {
-		p.wanted = platform.VM{}
-		return wanted, false, true
+	p := &c.pulls
+	if preferred := p.preferred; preferred.ID != "" {
+		p.preferred = platform.VM{}
+		return preferred, false, true
 	}
 	list := c.roster.candidates(now, c.settings)
 	if len(list) == 0 {
@@ -79,7 +80,7 @@
 	if p.parent == "" {
 		return list[p.cursor%len(list)], p.cursor >= len(list), true
 	}
-	if p.parent != list[0].ID && now-p.settled > strayTime {
+	if p.parent != list[0].ID && now-p.parentSince > maxDetourTime {
 		p.cursor = 0
 		return list[0], false, true
 	}
@@ -96,54 +97,55 @@
 func (c *Core) waitArgs(now time.Duration, hold bool) WaitArgs {
 	return WaitArgs{
 		From:       c.ownNotice(),
-		Revision:   c.known.applied,
-		Full:       c.fetch.full,
+		Revision:   c.state.applied,
+		Full:       c.fetches.full,
 		Hold:       hold,
-		ListDigest: c.listing.digest,
-		ListAge:    c.listing.age(now),
-		Notices:    c.notices.send(now),
+		ListDigest: c.list.digest,
+		ListAge:    c.list.age(now),
+		Notices:    c.notices.list(now),
 	}
 }
 
 func (c *Core) waitReplied(now time.Duration, e WaitReplied) {
-	p := &c.pulling
-	if !p.busy || p.token != e.Token {
+	p := &c.pulls
+	if !p.inFlight || p.token != e.Token {
 		return
 	}
-	p.busy = false
+	p.inFlight = false
 	c.roster.down.remove(p.peer.ID)
-	helped := c.hearReply(now, e.Reply)
+	helped := c.handleReply(now, e.Reply)
 	if !helped {
-		c.tryNext(now)
+		c.nextCandidate(now)
 		return
 	}
 	if p.parent != p.peer.ID {
 		p.parent = p.peer.ID
-		p.settled = now
+		p.parentSince = now
 	}
-	p.gap = 0
-	p.next = max(p.next, p.sent+leastPullGap)
+	p.backoff = 0
+	p.nextPull = max(p.nextPull, p.sent+minPullInterval)
 }
 
-// hearReply takes what a peer knows; it returns whether the peer is of use.
-func (c *Core) hearReply(now time.Duration, r WaitReply) bool {
-	sent := c.pulling.sent
-	c.known.learn(r.Revision, now)
+// handleReply applies a peer's reply and reports whether the peer is useful as a parent.
+func (c *Core) handleReply(now time.Duration, r WaitReply) bool {
+	sent := c.pulls.sent
+	c.state.learn(r.Revision, now)
 	table := c.proofFrom(r.Table, sent, now)
-	newer := c.hearTable(table, now)
+	newer := c.addTableProof(table, now)
 	if !newer {
 		c.pullFailed(now)
 	}
-	granted := c.hearGrant(c.proofFrom(r.Grant, sent, now), now)
-	c.takeUpdate(r.Update)
-	c.takeList(r, sent)
+	granted := c.addGrant(c.proofFrom(r.Grant, sent, now), now)
+	c.applyPeerUpdate(r.Update)
+	c.acceptPeerList(r, sent)
 	for _, n := range r.Notices {
-		c.hearNotice(n, now)
+		c.receiveNotice(n, now)
 	}
-	young := table.Valid && now-table.At < 2*c.settings.ReadGap && table.Revision >= c.known.applied
-	return newer || granted || young
+	recent := table.Valid && now-table.At < 2*c.settings.ReadGap && table.Revision >= c.state.applied
+	return newer || granted || recent
 }
 
+// proofFrom converts a proof received in response to a call sent at an instant.
 func (c *Core) proofFrom(p SentProof, sent, now time.Duration) Proof {
 	if !p.Valid {
 		return Proof{}
@@ -151,30 +153,30 @@
 	return Proof{Revision: p.Revision, At: c.rules.proofAt(sent, now, p.Age), Valid: true}
 }
 
-// waitFailed marks the peer down for a while: it is frozen, gone or cut off.
+// waitFailed marks the peer down for a while: it is frozen, dead or unreachable.
 func (c *Core) waitFailed(now time.Duration, t Token) {
-	p := &c.pulling
-	if !p.busy || p.token != t {
+	p := &c.pulls
+	if !p.inFlight || p.token != t {
 		return
 	}
-	p.busy = false
+	p.inFlight = false
 	c.pullFailed(now)
 	c.roster.down.add(p.peer.ID, now)
-	c.tryNext(now)
+	c.nextCandidate(now)
 }
 
-// tryNext turns to the next candidate. The first few come fast, so that a
-// node whose parent is lost finds another before its proof is too old; after
-// that the gap grows, so that an outage of the table makes no storm of calls.
-func (c *Core) tryNext(now time.Duration) {
-	p := &c.pulling
+// nextCandidate moves on to the next candidate. The first few follow quickly, so that a node that
+// loses its parent finds another one before its proof expires. Then the delay grows, so that
+// an outage of the table does not cause a flood of calls.
+func (c *Core) nextCandidate(now time.Duration) {
+	p := &c.pulls
 	if p.parent != "" {
 		p.parent = ""
 		p.cursor = 0
-		p.gap = 0
+		p.backoff = 0
 		return
 	}
 	p.cursor++
-	p.gap = min(max(2*p.gap, firstPullGap), lastPullGap)
-	p.next = now + p.gap
+	p.backoff = min(max(2*p.backoff, minPullBackoff), maxPullBackoff)
+	p.nextPull = now + p.backoff
 }
--- a/internal/confsync/reading.go
+++ b/internal/confsync/reading.go
@@ -6,45 +6,48 @@
 )
 
 const (
-	// maxReads bounds the reads of the head in flight: a slow table is read
-	// again before the last answer, so that proofs stay young.
+	// maxReads is the maximum number of reads of the head in flight. A slow table is read
+	// again before the previous response, so that proofs stay recent.
 	maxReads = 4
-	// pokeGap is the least time between the starts of two reads.
-	pokeGap = 50 * time.Millisecond
-	// rescueGap is the time between two reads by nodes of a failure domain
-	// that are no readers but found no peer with a young proof, counted over
-	// all of them: few enough for the table when a whole fleet is cut off.
-	rescueGap = 250 * time.Millisecond
+	// minReadInterval is the minimum time between the starts of two reads.
+	minReadInterval = 50 * time.Millisecond
+	// fallbackReadInterval is the mean interval between reads by all nodes of a failure
+	// domain together that are not readers and found no peer with a recent proof. It limits
+	// the load of the table if a whole fleet is cut off.
+	fallbackReadInterval = 250 * time.Millisecond
 )
 
-// reading schedules the reads of the head row.
-type reading struct {
-	random *rand.Rand
-	next   time.Duration
-	last   time.Duration
-	// provedAt is the start of the last read that was answered, if any.
+// headReader schedules the reads of the head row.
+type headReader struct {
+	random    *rand.Rand
+	nextRead  time.Duration
+	lastStart time.Duration
+	// provedAt is the start of the last successful read, if proved is set.
 	proved   bool
 	provedAt time.Duration
-	// sent are the reads in flight.
-	sent []sentRead
+	// inFlight are the reads in flight.
+	inFlight []pendingRead
 }
 
-type sentRead struct {
+type pendingRead struct {
 	token Token
 	at    time.Duration
 }
 
-func newReading(seed uint64, now time.Duration) reading {
-	return reading{random: rand.New(rand.NewPCG(seed, 0)), next: now}
+func newHeadReader(seed uint64, now time.Duration) headReader {
+	return headReader{random: rand.New(rand.NewPCG(seed, 0)), nextRead: now}
 }
 
-func (r *reading) poke(now time.Duration) { r.next = min(r.next, max(now, r.last+pokeGap)) }
+func (r *headReader) readSoon(now time.Duration) {
+	r.nextRead = min(r.nextRead, max(now, r.lastStart+minReadInterval))
+}
 
-// take removes a read in flight; ok is false for one that timed out before.
-func (r *reading) take(t Token) (at time.Duration, ok bool) {
-	for i, s := range r.sent {
+// finish removes a read from those in flight and returns its start; ok is false if it is not
+// among them.
+func (r *headReader) finish(t Token) (at time.Duration, ok bool) {
+	for i, s := range r.inFlight {
 		if s.token == t {
-			r.sent = append(r.sent[:i], r.sent[i+1:]...)
+			r.inFlight = append(r.inFlight[:i], r.inFlight[i+1:]...)
 			return s.at, true
 		}
 	}
@@ -52,51 +55,51 @@
 }
 
 func (c *Core) readFailed(t Token) {
-	if at, ok := c.reading.take(t); ok {
-		c.trying.fail(at)
+	if at, ok := c.headReads.finish(t); ok {
+		c.attempts.fail(at)
 	}
 }
 
-// begin notes a read that starts now and spreads the next one.
-func (r *reading) begin(t Token, now, gap time.Duration) {
-	r.sent = append(r.sent, sentRead{token: t, at: now})
-	r.last = now
-	spread := time.Duration(r.random.Int64N(int64(gap/4) + 1))
-	r.next = now + gap - gap/8 + spread
+// begin records a read that starts now and schedules the next one with random jitter.
+func (r *headReader) begin(t Token, now, gap time.Duration) {
+	r.inFlight = append(r.inFlight, pendingRead{token: t, at: now})
+	r.lastStart = now
+	jitter := time.Duration(r.random.Int64N(int64(gap/4) + 1))
+	r.nextRead = now + gap - gap/8 + jitter
 }
 
-func (c *Core) driveReads(now time.Duration) {
-	if now < c.reading.next || len(c.reading.sent) >= maxReads {
+func (c *Core) readHeadIfDue(now time.Duration) {
+	if now < c.headReads.nextRead || len(c.headReads.inFlight) >= maxReads {
 		return
 	}
-	gap, due := c.readGap(now)
+	gap, due := c.readInterval(now)
 	if !due {
 		return
 	}
-	t := c.token()
-	c.reading.begin(t, now, gap)
-	c.decide(ReadHead{Token: t})
+	t := c.nextToken()
+	c.headReads.begin(t, now, gap)
+	c.emit(ReadHead{Token: t})
 }
 
-// readGap says whether this node should read the table itself and how often.
-func (c *Core) readGap(now time.Duration) (time.Duration, bool) {
+// readInterval reports whether this node should read the table itself, and how often.
+func (c *Core) readInterval(now time.Duration) (time.Duration, bool) {
 	if c.isReader(now) {
 		return c.settings.ReadGap, true
 	}
-	alone := max(c.settings.ReadGap, time.Duration(len(c.roster.domain))*rescueGap)
-	return alone, c.isStale(now)
+	fallback := max(c.settings.ReadGap, time.Duration(len(c.roster.domain))*fallbackReadInterval)
+	return fallback, c.isStale(now)
 }
 
-// headRead takes an answer of the table. Its proof holds from the start of the
-// read, however long the answer took.
+// headRead handles the result of a read of the head. Its proof holds from the start of the
+// read, however long the response took.
 func (c *Core) headRead(now time.Duration, e HeadRead) {
-	at, ok := c.reading.take(e.Token)
+	at, ok := c.headReads.finish(e.Token)
 	if !ok {
 		return
 	}
-	c.reading.proved = true
-	c.reading.provedAt = max(c.reading.provedAt, at)
-	c.known.learn(e.Revision, now)
-	c.hearTable(Proof{Revision: e.Revision, At: at, Valid: true}, now)
-	c.fetch.wantFromTable(e.Revision)
+	c.headReads.proved = true
+	c.headReads.provedAt = max(c.headReads.provedAt, at)
+	c.state.learn(e.Revision, now)
+	c.addTableProof(Proof{Revision: e.Revision, At: at, Valid: true}, now)
+	c.fetches.request(e.Revision)
 }
--- a/internal/confsync/roster.go
+++ b/internal/confsync/roster.go
@@ -10,28 +10,27 @@
 	"github.com/hickorybank/hickorybank/internal/platform"
 )
 
-// roster orders the entry nodes: who reads the table for a failure domain, who
-// pulls from whom. The order is a rendezvous hash, so that nodes with the same
-// list agree without a message; nodes that do not agree only read or pull once
-// too often.
+// roster orders the entry nodes, which determines the readers of each failure domain and the
+// tree of pulls. The order is a rendezvous hash, so that nodes with equal lists agree without
+// messages. Nodes with different lists only cause extra reads or pulls.
 type roster struct {
 	self platform.VM
-	// members are all entry VMs but this one, sorted by id.
+	// members are all entry VMs except this one, sorted by id.
 	members []platform.VM
-	// listed says that this node is in the list.
+	// listed is set if this node is in the list.
 	listed bool
-	// domain are the live VMs of this failure domain in the rendezvous order,
-	// this one among them.
+	// domain are the live VMs of this failure domain, including this one, in rendezvous
+	// order.
 	domain []platform.VM
 	// others are the other failure domains, in this node's own order.
 	others []domainOrder
-	// electors counts the entry VMs of the list, those that leave among them:
-	// they may still vote and admit work.
+	// electors is the number of entry VMs in the list, including leaving ones, which may
+	// still vote and admit work.
 	electors int
 	down     downMarks
 }
 
-// domainOrder are the live VMs of one failure domain in the rendezvous order.
+// domainOrder are the live VMs of a failure domain in rendezvous order.
 type domainOrder struct {
 	name string
 	vms  []platform.VM
@@ -39,12 +38,12 @@
 
 func newRoster(self platform.VM) *roster {
 	r := &roster{self: self, down: downMarks{}}
-	r.set(nil)
+	r.setMembers(nil)
 	return r
 }
 
-// set takes the entry VMs known now.
-func (r *roster) set(vms []platform.VM) {
+// setMembers replaces the known entry VMs.
+func (r *roster) setMembers(vms []platform.VM) {
 	r.members = r.members[:0:0]
 	r.listed = false
 	r.electors = 0
@@ -89,7 +88,7 @@
 	return xxhash.Sum64String(name + "\x00" + key)
 }
 
-// rank is this node's place among the VMs of its failure domain that are not
+// rank returns this node's position, from 0, among the VMs of its failure domain that are not
 // marked down.
 func (r *roster) rank(now time.Duration) int {
 	rank := 0
@@ -104,16 +103,17 @@
 	return rank
 }
 
-// at is the VM at a rank of this failure domain.
-func (r *roster) at(rank int, now time.Duration) (platform.VM, bool) {
+// memberAt returns the VM at a rank of this failure domain.
+func (r *roster) memberAt(rank int, now time.Duration) (platform.VM, bool) {
 	return nth(r.domain, rank, func(vm platform.VM) bool {
 		return vm.ID == r.self.ID || !r.down.has(vm.ID, now)
 	})
 }
 
-func nth(vms []platform.VM, n int, counts func(platform.VM) bool) (platform.VM, bool) {
+// nth returns the VM at position n, from 0, among those that match.
+func nth(vms []platform.VM, n int, match func(platform.VM) bool) (platform.VM, bool) {
 	for _, vm := range vms {
-		if !counts(vm) {
+		if !match(vm) {
 			continue
 		}
 		if n == 0 {
@@ -132,7 +132,7 @@
 	return r.members[i], true
 }
 
-// isElector says whether a node counts in majorities: it is listed.
+// isElector reports whether a node is listed and so counts in majorities.
 func (r *roster) isElector(id string) bool {
 	if id == r.self.ID {
 		return r.listed
--- a/internal/confsync/rules.go
+++ b/internal/confsync/rules.go
@@ -2,85 +2,84 @@
 
 import "time"
 
-// rules are the guards of the protocol, each a pure function, so that tests
-// can take one away and see that the checker notices.
+// rules are the safety rules of the protocol. Each is a pure function, so that a test can
+// disable one and verify that the simulation detects the violation.
 type rules struct {
-	// proofAt gives the instant of a proof that a peer reported.
+	// proofAt returns the instant of a proof reported by a peer.
 	proofAt func(sent, received, age time.Duration) time.Duration
-	// upward says whether an offered revision may replace the applied one.
-	upward func(applied, offered uint64) bool
-	// outageQuorum is how many of the electors must vote for an outage.
+	// mayReplace reports whether an offered revision may replace the applied one.
+	mayReplace func(applied, offered uint64) bool
+	// outageQuorum returns how many of the electors must vote for an outage.
 	outageQuorum func(electors int) int
-	// listSettled says whether lists were known for long enough that the
-	// electors are known too.
+	// listSettled reports whether lists have been known for long enough to know all
+	// electors.
 	listSettled func(span time.Duration) bool
-	// woke says whether a gap between two steps makes what is known of the
-	// fleet old.
-	woke func(gap time.Duration) bool
-	// sawOutage says whether an old proof is an outage, by whether a try for a
-	// younger one was in vain.
-	sawOutage func(triedInVain bool) bool
-	// mayVote says whether this node may vote.
+	// stalledLong reports whether a gap between two steps makes the list of the fleet
+	// outdated.
+	stalledLong func(gap time.Duration) bool
+	// isOutage reports whether an old proof means an outage, given whether an attempt to
+	// get a more recent one failed.
+	isOutage func(attemptFailed bool) bool
+	// mayVote reports whether this node may vote.
 	mayVote func(provedSinceStart bool) bool
-	// sinceStart says whether a proof is younger than this process.
+	// sinceStart reports whether a proof is more recent than the start of this process.
 	sinceStart func(at, started time.Duration) bool
-	// promise is how long a vote binds its voter.
-	promise func(bound time.Duration) time.Duration
-	// settle is how long after a revision was learned the nodes that did not
-	// confirm it have surely stopped to admit work under an older one.
-	settle func(bound time.Duration) time.Duration
-	// confirmQuorum is how many of the electors must confirm, when there were
-	// at least fewest electors of late.
+	// voteTerm returns how long a vote binds its voter.
+	voteTerm func(bound time.Duration) time.Duration
+	// settleTime returns the time after learning of a revision by which nodes that have
+	// not confirmed it can no longer admit work under an older one.
+	settleTime func(bound time.Duration) time.Duration
+	// confirmQuorum returns how many of the electors must confirm, if the smallest recent
+	// number of electors is fewest.
 	confirmQuorum func(electors, fewest int) int
 }
 
-// listSettle is five reads of the list at its usual gap.
-const listSettle = 5 * DefaultListGap
+// listSettleTime is five reads of the list at the default interval.
+const listSettleTime = 5 * DefaultListGap
 
-// driftDivisor widens the waits that must outlast a peer's by 1/20: clocks of
-// two machines run at rates that differ by far less.
+// driftDivisor extends waits that must outlast a peer's wait by 1/20. The clock rates of two
+// machines differ by far less.
 const driftDivisor = 20
 
 func withDrift(d time.Duration) time.Duration { return d + d/driftDivisor }
 
 func defaultRules() rules {
 	return rules{
-		// A reply may have lain in a buffer while this process was paused, or
-		// crossed the network slowly. It is counted from the instant of the
-		// call, which is earlier than everything the peer did for it.
+		// A reply may have been buffered while this process was paused, or delayed by the
+		// network. Its age is subtracted from the time of the call, which is earlier than
+		// anything the peer did to answer it.
 		proofAt: func(sent, _, age time.Duration) time.Duration { return sent - age },
-		// A stale read or an old parent may offer an older revision.
-		upward: func(applied, offered uint64) bool { return offered > applied },
-		// A majority has a node in common with every majority that confirmed
-		// a revision, so that the highest revision among the voters is not
-		// older than any that was reported in force.
+		// A delayed read or an outdated parent may offer an older revision.
+		mayReplace: func(applied, offered uint64) bool { return offered > applied },
+		// A majority shares a node with each majority that confirmed a revision. The
+		// highest revision among the voters is therefore not older than any that was
+		// reported in force.
 		outageQuorum: majority,
-		// The platform's list lags; within this time it names every node that
-		// started before the process had its first one.
-		listSettled: func(span time.Duration) bool { return span >= listSettle },
-		// While a process is paused others may join. Its list names the fleet
-		// of before, and it would take itself and the few it knows for the
-		// majority: callers would be served under a configuration that the
-		// others replaced meanwhile. It counts its lists as after a start.
-		woke: func(gap time.Duration) bool { return gap > wakeGap },
-		// A process that was paused has an old proof although the table is
-		// well. It would vote, and a lone one go on under a configuration that
-		// was replaced, instead of reading the table first.
-		sawOutage: func(triedInVain bool) bool { return triedInVain },
-		// A process that started anew has forgotten what it confirmed. Once it
-		// has a proof of the table that is younger than itself, its revision is
-		// as new again.
+		// The platform's list lags. Within this time it shows each node that started
+		// before this process got its first list.
+		listSettled: func(span time.Duration) bool { return span >= listSettleTime },
+		// Nodes may join while a process is paused. Its list shows the earlier fleet, so
+		// that it could count itself and the few nodes it knows as the majority, and serve
+		// callers under a configuration that the others have replaced. After a long pause
+		// the lists must settle again as after a start.
+		stalledLong: func(gap time.Duration) bool { return gap > longStallThreshold },
+		// A process that was paused has an old proof although the table is available.
+		// Without an attempt to read the table it would vote for an outage, and a single
+		// node would continue under a replaced configuration.
+		isOutage: func(triedInVain bool) bool { return triedInVain },
+		// A restarted process does not know what it confirmed before. Once it has a proof
+		// of the table that is more recent than its start, its revision is at least as new
+		// as the confirmed one.
 		mayVote: func(provedSinceStart bool) bool { return provedSinceStart },
-		// A peer that is cut off hands on a proof from before this process
-		// started, which may be older than what the process before it confirmed.
+		// A peer that is cut off may send a proof from before the start of this process,
+		// which may be older than the revision that the previous process confirmed.
 		sinceStart: func(at, started time.Duration) bool { return at >= started },
-		// While others may rely on the vote this node confirms nothing newer.
-		promise: withDrift,
-		// Until then a node that was cut off may hold a proof of the revision
-		// before.
-		settle: withDrift,
-		// Nodes that joined lately are unknown to a node that was cut off
-		// before: its majority is one of the fewer.
+		// While others may rely on the vote, this node confirms nothing newer.
+		voteTerm: withDrift,
+		// Until then a node that was cut off may hold a proof of the previous revision.
+		settleTime: withDrift,
+		// A node that was cut off does not know nodes that joined since. Its majority is
+		// one of the smaller fleet, and the quorum must intersect it.
 		confirmQuorum: func(electors, fewest int) int {
 			return max(majority(electors), electors-fewest/2)
 		},
--- a/internal/confsync/script_test.go
+++ b/internal/confsync/script_test.go
@@ -10,27 +10,27 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// scenario runs the commands of a scenario on a world:
+// scenario runs the commands of a script on a world:
 //
 //	fleet nodes=N [domains=N] [readers=N] [fanout=N] [direct=N]
-//	without GUARD            take a guard of the protocol away, before fleet
-//	run T                    let time pass
+//	without GUARD            disable a safety rule of the protocol, before fleet
+//	run T                    advance the time
 //	change [NODE]            store a revision; NODE reads the head at once
 //	pause|thaw|kill|start NODES
 //	add NODE DOMAIN          start a node with a new id
-//	split NODES              cut these nodes off from the others
-//	cut NODES                cut these nodes off from the table
-//	table up|down|silent     the table for all nodes
-//	latency table|net T      the slowest answer
-//	heal                     end all faults but kills
-//	ask NODE REVISION        how far is it in force?
-//	nodes                    what each node has, and why it admits work
-//	readers                  who reads the table
-//	refused                  who had to refuse work since the last time
-//	load                     messages since the last time, a second
+//	split NODES              disconnect these nodes from the others
+//	cut NODES                disconnect these nodes from the table
+//	table up|down|silent     set the state of the table for all nodes
+//	latency table|net T      set the latency
+//	heal                     end all faults except kills
+//	ask NODE REVISION        print how far the revision is in force
+//	nodes                    print each node's revision and why it admits work
+//	readers                  print the nodes that read the table
+//	refused                  print the nodes that refused work since the last time
+//	load                     print messages per second since the last time
 type scenario struct {
 	w *world
-	// rules are those of the next fleet.
+	// rules are the rules of the next fleet.
 	rules  rules
 	last   counts
 	lastAt time.Duration
@@ -119,7 +119,7 @@
 func (s *scenario) change(d *datadriven.TestData) {
 	s.w.accept()
 	for _, n := range s.named(d) {
-		n.deliver(n.boot, Poked{})
+		n.deliver(n.boot, ReadRequested{})
 	}
 }
 
@@ -140,7 +140,7 @@
 	case "pause":
 		each(named, (*simNode).pause)
 	case "thaw":
-		each(named, (*simNode).thaw)
+		each(named, (*simNode).resume)
 	case "kill":
 		each(named, (*simNode).kill)
 	case "start":
@@ -162,7 +162,7 @@
 		clear(w.net.side)
 		clear(w.net.noTable)
 		w.table.down, w.table.silent = false, false
-		w.calm()
+		w.resetLatency()
 	default:
 		d.Fatalf(t, "unknown command %s", d.Cmd)
 	}
@@ -175,11 +175,11 @@
 }
 
 func (s *scenario) latency(t *testing.T, d *datadriven.TestData) {
-	switch most := duration(t, d, 1); d.CmdArgs[0].Key {
+	switch latency := duration(t, d, 1); d.CmdArgs[0].Key {
 	case "table":
-		s.w.table.least, s.w.table.most = most, most
+		s.w.table.minLatency, s.w.table.maxLatency = latency, latency
 	case "net":
-		s.w.net.least, s.w.net.most = most, most
+		s.w.net.minLatency, s.w.net.maxLatency = latency, latency
 	}
 }
 
@@ -221,7 +221,7 @@
 	}
 }
 
-// ids names the nodes that are so.
+// ids returns the ids of the nodes that satisfy a condition.
 func (s *scenario) ids(so func(*simNode) bool) string {
 	ids := []string{}
 	for _, n := range s.w.nodes {
@@ -232,7 +232,7 @@
 	return fmt.Sprintln(ids)
 }
 
-// load prints the messages a second since the last time, rounded.
+// load returns the messages per second since the last time, rounded.
 func (s *scenario) load() string {
 	now, c := s.w.now, s.w.counts
 	seconds := (now - s.lastAt).Seconds()
--- a/internal/confsync/service.go
+++ b/internal/confsync/service.go
@@ -8,22 +8,22 @@
 
 import "github.com/hickorybank/hickorybank/internal/archive"
 
-// ServiceName is the name under which peers call a Syncer.
+// ServiceName is the name of the net/rpc service under which peers call a [Syncer].
 const ServiceName = "Config"
 
-// service is what peers call, in net/rpc's form.
+// service is the receiver of the net/rpc methods that peers call.
 type service struct {
 	syncer *Syncer
 }
 
-// Wait answers a peer that pulls from this node.
+// Wait serves a peer that pulls from this node; the call may be held.
 func (s *service) Wait(args WaitArgs, reply *WaitReply) error {
 	ask := func(t Token) Event { return WaitAsked{Token: t, Args: args} }
 	answer, err := s.syncer.ask(s.syncer.ctx, ask)
 	if err != nil {
 		return err
 	}
-	filled := answer.(filledAnswer)
+	filled := answer.(waitAnswer)
 	*reply = filled.Reply
 	reply.Update = filled.update()
 	if reply.Update != nil && reply.Update.Bytes() > transfer.PieceSize {
@@ -36,25 +36,24 @@
 	return nil
 }
 
-// Piece answers a peer that takes a document piece by piece.
+// Piece serves a peer that fetches a document in pieces.
 func (s *service) Piece(args transfer.Ask, reply *transfer.Piece) error {
 	*reply = s.syncer.sender.Answer(args, time.Now())
 	return s.syncer.ctx.Err()
 }
 
-// update is the document's update that the peer lacks. The archive may be
-// ahead of the answer's proofs, never behind them.
-func (f filledAnswer) update() *archive.Update {
+// update returns the update that the peer lacks, or nil. The archive may be newer than the
+// answer's proofs, never older.
+func (f waitAnswer) update() *archive.Update {
 	if f.doc == nil || f.doc.Tag() <= f.Known {
 		return nil
 	}
 	return f.doc.Update(f.Known, f.Full)
 }
 
-// Survey answers a peer that asks for the state of this node or of its
-// failure domain.
+// Survey serves a peer that requests the state of this node or of its failure domain.
 func (s *service) Survey(args SurveyArgs, reply *SurveyReply) error {
-	ask := func(t Token) Event { return SurveyAsked{Token: t, Args: args} }
+	ask := func(t Token) Event { return SurveyRequested{Token: t, Args: args} }
 	answer, err := s.syncer.ask(s.syncer.ctx, ask)
 	if err != nil {
 		return err
@@ -63,11 +62,11 @@
 	return nil
 }
 
-// NoticeReply acknowledges a notice.
+// NoticeReply acknowledges a [Notice].
 type NoticeReply struct{}
 
-// Notice takes the word of a node that stops.
+// Notice receives the notice of a node that stops.
 func (s *service) Notice(args Notice, _ *NoticeReply) error {
-	s.syncer.post(input{event: NoticeHeard{Notice: args}})
+	s.syncer.post(input{event: NoticeReceived{Notice: args}})
 	return s.syncer.ctx.Err()
 }
--- a/internal/confsync/settings.go
+++ b/internal/confsync/settings.go
@@ -6,44 +6,41 @@
 	"github.com/rotisserie/eris"
 )
 
-// Settings are the static settings of a node's configuration sync. The zero
-// value of a field means its default.
+// Settings are the static settings of a node's configuration sync. A zero field means its
+// default.
 type Settings struct {
-	// Bound is how old a node's youngest proof may be for new work. Every
-	// node must have the same.
+	// Bound is the maximum age of a node's latest proof for admitting new work. It must be
+	// the same on all nodes.
 	Bound time.Duration
-	// ReadGap is the time between the starts of two reads of the head row by
-	// one reader.
+	// ReadGap is the interval between the starts of two reads of the head row by a reader.
 	ReadGap time.Duration
 	// ReadTimeout bounds one read of the table.
 	ReadTimeout time.Duration
-	// ListGap is the time between two reads of the VM list by one reader.
+	// ListGap is the interval between two reads of the VM list by a reader.
 	ListGap time.Duration
-	// MinHold and MaxHold bound how long a parent holds a child's call when
-	// there is nothing newer: the first newer proof ends it after MinHold.
+	// MinHold and MaxHold bound how long a parent holds a child's call while there is
+	// nothing newer. After MinHold the first more recent proof ends the hold.
 	MinHold time.Duration
 	MaxHold time.Duration
-	// CallTimeout bounds a call to a peer that is not held; a held one may
-	// take MaxHold more.
+	// CallTimeout bounds a call to a peer. A held call may take MaxHold longer.
 	CallTimeout time.Duration
-	// SurveyGap is the time between two surveys of the peers in an outage of
-	// the table.
+	// SurveyGap is the maximum interval between two surveys during an outage of the table.
 	SurveyGap time.Duration
-	// Readers is how many nodes of a failure domain read the table.
+	// Readers is the number of nodes of a failure domain that read the table.
 	Readers int
-	// FanOut is how many children a node of the tree has.
+	// FanOut is the number of children of a node in the tree.
 	FanOut int
-	// DirectLimit is the number of entry nodes up to which one node surveys
-	// all others itself; above it goes through the failure domains' trees.
+	// DirectLimit is the maximum number of other entry nodes that a node surveys directly.
+	// Above it, one reader of each other failure domain answers for its domain.
 	DirectLimit int
-	// Seeds are peer addresses to ask while no VM list is known.
+	// Seeds are peer addresses to call while no VM list is known.
 	Seeds []string
-	// Seed decides the spreading in time.
+	// Seed initialises the random jitter of reads.
 	Seed uint64
 }
 
-// The defaults. docs/design/configuration.md derives them from the bound of
-// 3 s within which a configuration must be in force everywhere.
+// Defaults of [Settings]. docs/design/configuration.md derives them from the limit of 3 s
+// within which a configuration must be in force on all nodes.
 const (
 	DefaultBound       = 2500 * time.Millisecond
 	DefaultReadGap     = 500 * time.Millisecond
@@ -58,7 +55,7 @@
 	DefaultDirectLimit = 16
 )
 
-// WithDefaults returns the settings with every zero replaced by its default.
+// WithDefaults returns the settings with each zero field replaced by its default.
 func (s Settings) WithDefaults() Settings {
 	setDefault(&s.Bound, DefaultBound)
 	setDefault(&s.ReadGap, DefaultReadGap)
@@ -80,19 +77,19 @@
 	}
 }
 
-// Validate says what is wrong with settings whose defaults are filled in.
+// Validate returns an error if the settings, with defaults filled in, cannot keep the bound.
 func (s Settings) Validate() error {
 	if s.Bound <= s.MaxHold+2*s.CallTimeout {
-		return eris.New("bound must be above the longest hold and two call timeouts")
+		return eris.Errorf("Bound is %v, must be above MaxHold plus two CallTimeouts (%v)", s.Bound, s.MaxHold+2*s.CallTimeout)
 	}
 	if s.ReadGap <= 0 || s.ReadGap >= s.Bound {
-		return eris.New("read gap must be above 0 and below the bound")
+		return eris.Errorf("ReadGap is %v, must be above 0 and below Bound (%v)", s.ReadGap, s.Bound)
 	}
 	if s.MinHold > s.MaxHold {
-		return eris.New("shortest hold must not be above the longest")
+		return eris.Errorf("MinHold is %v, must not be above MaxHold (%v)", s.MinHold, s.MaxHold)
 	}
 	if s.Readers < 1 || s.FanOut < 1 || s.DirectLimit < 1 {
-		return eris.New("readers, fan-out and direct limit must be above 0")
+		return eris.Errorf("Readers is %d, FanOut %d and DirectLimit %d; each must be at least 1", s.Readers, s.FanOut, s.DirectLimit)
 	}
 	return nil
 }
--- a/internal/confsync/sim_check_test.go
+++ b/internal/confsync/sim_check_test.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// invariant is what must hold.
+// invariant is a property that must hold in each step.
 type invariant int
 
 const (
-	upwards invariant = iota
-	reportedHolds
-	boundHolds
-	proofTrue
-	settlesAll
+	revisionNeverDecreases invariant = iota
+	reportedStaysInForce
+	boundIsKept
+	proofIsTrue
+	recoversFromFaults
 )
 
 func (i invariant) String() string {
@@ -21,7 +21,7 @@
 	}[i]
 }
 
-// check looks at the invariants.
+// check verifies the invariants on all nodes.
 func (w *world) check() {
 	// newest is the newest revision stored for longer than the bound.
 	newest := w.storedBefore(w.now - w.settings.Bound)
@@ -32,20 +32,21 @@
 	}
 }
 
+// storedBefore returns the newest revision stored before an instant.
 func (w *world) storedBefore(at time.Duration) uint64 {
 	r := w.table.head()
-	for r > 0 && w.table.stored[r] >= at { // few are as young as the bound
+	for r > 0 && w.table.stored[r] >= at { // few revisions are more recent than the bound
 		r--
 	}
 	return r
 }
 
 func (w *world) checkNode(n *simNode, newest uint64) {
-	applied := n.core.known.applied
-	if applied < n.seen {
-		w.fail(upwards, "%s went back from revision %d to %d", n.vm.ID, n.seen, applied)
+	applied := n.core.state.applied
+	if applied < n.highestApplied {
+		w.fail(revisionNeverDecreases, "%s went back from revision %d to %d", n.vm.ID, n.highestApplied, applied)
 	}
-	n.seen = applied
+	n.highestApplied = applied
 	w.checkProof(n)
 	if n.paused {
 		return
@@ -56,38 +57,38 @@
 	}
 	n.admitted = true
 	if applied < w.reported {
-		w.fail(reportedHolds, "%s admits work under revision %d although %d was reported in force", n.vm.ID, applied, w.reported)
+		w.fail(reportedStaysInForce, "%s admits work under revision %d although %d was reported in force", n.vm.ID, applied, w.reported)
 	}
-	table := n.core.known.table
+	table := n.core.state.table
 	if table.Valid && w.now < table.At+w.settings.Bound && applied < newest {
-		w.fail(boundHolds, "%s admits work under revision %d although %d is stored for longer than the bound", n.vm.ID, applied, newest)
+		w.fail(boundIsKept, "%s admits work under revision %d although %d is stored for longer than the bound", n.vm.ID, applied, newest)
 	}
 }
 
-// checkProof demands that a proof of the table is true: at its instant the
-// revision had not been replaced yet.
+// checkProof verifies a node's proof of the table: the revision must not have been replaced
+// before the proof's instant.
 func (w *world) checkProof(n *simNode) {
-	p := n.core.known.table
+	p := n.core.state.table
 	if !p.Valid || p.Revision >= w.table.head() {
 		return
 	}
 	if replaced := w.table.stored[p.Revision+1]; p.At > replaced {
-		w.fail(proofTrue, "%s holds a proof of revision %d at %v, but it was replaced at %v", n.vm.ID, p.Revision, p.At, replaced)
+		w.fail(proofIsTrue, "%s holds a proof of revision %d at %v, but it was replaced at %v", n.vm.ID, p.Revision, p.At, replaced)
 	}
 }
 
-// settled says what is not as it must be once all faults are over.
+// checkSettled verifies that all nodes have recovered once all faults are over.
 func (w *world) checkSettled() {
 	for _, n := range w.nodes {
 		if n.dead {
 			continue
 		}
-		table := n.core.known.table
-		if n.core.known.applied != w.table.head() {
-			w.fail(settlesAll, "%s has revision %d, not %d, after the faults", n.vm.ID, n.core.known.applied, w.table.head())
+		table := n.core.state.table
+		if n.core.state.applied != w.table.head() {
+			w.fail(recoversFromFaults, "%s has revision %d, want %d, after the faults", n.vm.ID, n.core.state.applied, w.table.head())
 		}
 		if !table.Valid || w.now >= table.At+w.settings.Bound {
-			w.fail(settlesAll, "%s has no young proof after the faults", n.vm.ID)
+			w.fail(recoversFromFaults, "%s has no recent proof after the faults", n.vm.ID)
 		}
 	}
 }
--- a/internal/confsync/sim_faults_test.go
+++ b/internal/confsync/sim_faults_test.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	chaosTime  = 12 * time.Second
-	settleTime = 4 * time.Second
-	faultKinds = 9
+	faultTime    = 12 * time.Second
+	recoveryTime = 4 * time.Second
+	faultKinds   = 9
 )
 
-// simRun is one randomised run: a small fleet, faults, operators.
+// simRun performs a randomised run of a small fleet with faults and operators.
 func simRun(seed uint64, r rules, tracing bool) *world {
 	w := newWorld(seed, Settings{})
 	w.tracing = tracing
@@ -33,19 +33,19 @@
 	}
 	w.run(w.vms.lag + w.between(2*time.Second, 4*time.Second))
 	if w.random.IntN(4) > 0 {
-		w.run(listSettle) // from here on nodes may judge votes
+		w.run(listSettleTime) // from here on nodes may count a majority
 	}
 	w.net.side, w.net.noTable = map[string]int{}, map[string]bool{}
 	for range 1 + w.random.IntN(4) {
 		w.kinds = append(w.kinds, w.random.IntN(faultKinds))
 	}
-	end := w.now + chaosTime
+	end := w.now + faultTime
 	if w.random.IntN(2) == 0 {
-		w.nextMove(end)
+		w.startMoves(end)
 	} else {
-		w.nextFault(end)
+		w.scheduleFault(end)
 	}
-	w.nextChange(end)
+	w.scheduleChange(end)
 	w.finish(end)
 	return w
 }
@@ -53,52 +53,52 @@
 func (w *world) finish(end time.Duration) {
 	w.runUntil(end)
 	w.heal()
-	w.run(settleTime)
+	w.run(recoveryTime)
 	w.checkSettled()
 }
 
-// nextMove splits the fleet, one side without the table, and moves nodes from
-// side to side: what goes wrong with majorities takes several such steps in a
-// row, which faults drawn one by one seldom make.
-func (w *world) nextMove(end time.Duration) {
+// startMoves splits the fleet, with one side cut off from the table, and repeatedly moves nodes
+// between the sides. Faults in the counting of majorities need several such steps in a row,
+// which independently drawn faults seldom produce.
+func (w *world) startMoves(end time.Duration) {
 	w.split()
 	w.cutSide()
-	w.moveLater(end)
+	w.scheduleMove(end)
 }
 
-func (w *world) moveLater(end time.Duration) {
+func (w *world) scheduleMove(end time.Duration) {
 	w.after(w.between(0, 4*time.Second), func() {
 		if w.now >= end {
 			return
 		}
-		w.moveOver()
-		w.moveLater(end)
+		w.moveNode()
+		w.scheduleMove(end)
 	})
 }
 
-func (w *world) nextFault(end time.Duration) {
+func (w *world) scheduleFault(end time.Duration) {
 	w.after(w.between(0, time.Second), func() {
 		if w.now >= end {
 			return
 		}
 		w.fault()
-		w.nextFault(end)
+		w.scheduleFault(end)
 	})
 }
 
-// nextChange lets an operator change the configuration and ask until it is in
-// force. The acknowledgement may be lost; the operator asks all the same.
-func (w *world) nextChange(end time.Duration) {
+// scheduleChange lets an operator change the configuration and then poll until it is in force,
+// also if the acknowledgement is lost.
+func (w *world) scheduleChange(end time.Duration) {
 	w.after(w.between(0, 2500*time.Millisecond), func() {
 		if w.now >= end {
 			return
 		}
 		if n := w.anyNode(); !n.dead && !w.table.down && !w.table.silent && !w.net.noTable[n.vm.ID] {
 			revision := w.accept()
-			n.deliver(n.boot, Poked{})
+			n.deliver(n.boot, ReadRequested{})
 			w.askUntil(n, revision, end)
 		}
-		w.nextChange(end)
+		w.scheduleChange(end)
 	})
 }
 
@@ -123,7 +123,7 @@
 	case 0, 1:
 		n := w.anyNode()
 		n.pause()
-		w.after(length, n.thaw)
+		w.after(length, n.resume)
 	case 2:
 		w.split()
 		if w.random.IntN(2) == 0 {
@@ -145,10 +145,10 @@
 		w.note("the table is silent")
 		w.after(length, func() { w.table.silent = false })
 	case 6:
-		w.table.most = w.between(0, 2*time.Second)
-		w.net.slow, w.net.slowBy = 0.2, 3*time.Second
+		w.table.maxLatency = w.between(0, 2*time.Second)
+		w.net.slowFraction, w.net.slowLatency = 0.2, 3*time.Second
 		w.note("table and network are slow")
-		w.after(length, w.calm)
+		w.after(length, w.resetLatency)
 	case 7:
 		n := w.anyNode()
 		n.kill()
@@ -158,9 +158,9 @@
 	}
 }
 
-func (w *world) calm() {
-	w.table.most = 8 * time.Millisecond
-	w.net.slow = 0
+func (w *world) resetLatency() {
+	w.table.maxLatency = 8 * time.Millisecond
+	w.net.slowFraction = 0
 }
 
 func (w *world) split() {
@@ -170,7 +170,7 @@
 	w.note("the network is split: %v", w.net.side)
 }
 
-// cutSide leaves the table to one side of the split.
+// cutSide cuts one side of the split off from the table.
 func (w *world) cutSide() {
 	for _, n := range w.nodes {
 		w.net.noTable[n.vm.ID] = w.net.side[n.vm.ID] == 1
@@ -185,9 +185,9 @@
 	w.note("cut from the table: %v", w.net.noTable)
 }
 
-// moveOver moves a node to the other side of the split; it may be started anew,
-// without what it knew, and the table may go or come as well.
-func (w *world) moveOver() {
+// moveNode moves a node to the other side of the split. The node may be restarted, without its
+// state, and the table may go down or come up as well.
+func (w *world) moveNode() {
 	n := w.anyNode()
 	if w.random.IntN(2) == 0 {
 		n.kill()
@@ -199,7 +199,7 @@
 	w.note("%s moves: sides %v, table down: %v", n.vm.ID, w.net.side, w.table.down)
 }
 
-// replace kills a node for good and starts one with a new id in its place.
+// replace kills a node permanently and starts one with a new id in its place.
 func (w *world) replace(n *simNode) {
 	n.kill()
 	id := fmt.Sprintf("%s.%d", n.vm.ID, w.seq)
@@ -225,9 +225,9 @@
 	clear(w.net.side)
 	clear(w.net.noTable)
 	w.table.down, w.table.silent, w.vms.down = false, false, false
-	w.calm()
+	w.resetLatency()
 	for _, n := range w.nodes {
-		n.thaw()
+		n.resume()
 		if n.dead {
 			n.start()
 		}
--- a/internal/confsync/sim_guards_test.go
+++ b/internal/confsync/sim_guards_test.go
@@ -9,7 +9,7 @@
 
 const guardSeeds = 4000
 
-// guard is one rule of the protocol and what is left without it.
+// guard is a safety rule of the protocol and a function that disables it.
 type guard struct {
 	name   string
 	remove func(*rules)
@@ -20,7 +20,7 @@
 		r.proofAt = func(_, received, age time.Duration) time.Duration { return received - age }
 	}},
 	{name: "only-upwards", remove: func(r *rules) {
-		r.upward = func(applied, offered uint64) bool { return offered != applied }
+		r.mayReplace = func(applied, offered uint64) bool { return offered != applied }
 	}},
 	{name: "outage-majority", remove: func(r *rules) {
 		r.outageQuorum = func(int) int { return 1 }
@@ -35,30 +35,29 @@
 		r.sinceStart = func(time.Duration, time.Duration) bool { return true }
 	}},
 	{name: "list-after-waking", remove: func(r *rules) {
-		r.woke = func(time.Duration) bool { return false }
+		r.stalledLong = func(time.Duration) bool { return false }
 	}},
 	{name: "vote-binds", remove: func(r *rules) {
-		r.promise = func(time.Duration) time.Duration { return 0 }
+		r.voteTerm = func(time.Duration) time.Duration { return 0 }
 	}},
 	{name: "report-after-bound", remove: func(r *rules) {
-		r.settle = func(time.Duration) time.Duration { return 0 }
+		r.settleTime = func(time.Duration) time.Duration { return 0 }
 	}},
 	{name: "report-majority", remove: func(r *rules) {
 		r.confirmQuorum = func(int, int) int { return 1 }
 	}},
 }
 
-// coveredGuards are those whose loss another guard makes up for in the random
-// run; scripts take both away.
+// coveredGuards are safety rules whose absence another rule compensates in the randomised run;
+// scripts disable both.
 var coveredGuards = []guard{
 	{name: "try-first", remove: func(r *rules) {
-		r.sawOutage = func(bool) bool { return true }
+		r.isOutage = func(bool) bool { return true }
 	}},
 }
 
-// Each guard of the protocol is there for a failure that a user would see.
-// Without the guard the randomised run must find that failure; a guard whose
-// loss nobody notices is not proved by that run.
+// Each safety rule prevents a failure that a user would observe. With the rule disabled, the
+// randomised run must find that failure; otherwise the run does not prove the rule.
 func TestRandomFaultsNeedEachGuard(t *testing.T) {
 	for _, g := range guards {
 		t.Run(g.name, func(t *testing.T) {
--- a/internal/confsync/sim_node_test.go
+++ b/internal/confsync/sim_node_test.go
@@ -9,7 +9,7 @@
 
 const simTick = 50 * time.Millisecond
 
-// simNode is a node with its core and a shell that only moves messages.
+// simNode is a simulated node: a core with a driver that only passes messages.
 type simNode struct {
 	w      *world
 	vm     platform.VM
@@ -18,26 +18,26 @@
 	dead   bool
 	paused bool
 	inbox  []Event
-	// replies are the calls of peers that wait for an answer.
-	replies map[Token]func(Event)
-	tokens  Token
-	confirm map[Token]bool
-	seen    uint64 // highest revision applied since the start
-	// admitted says that the process has admitted work, refused that it had to
-	// refuse some after that.
+	// replies are the calls of peers that wait for a response.
+	replies        map[Token]func(Event)
+	tokens         Token
+	confirm        map[Token]bool
+	highestApplied uint64 // since the start of the process
+	// admitted is set once the process has admitted work, refused once it had to refuse
+	// work after that.
 	admitted, refused bool
 
 	list uint64 // state of the VM list that the core knows
 }
 
-// start begins a new process under the node's id.
+// start starts a new process under the node's id.
 func (n *simNode) start() {
 	n.boot++
 	n.core = NewCore(n.w.settings, n.vm, n.boot, n.w.now)
 	n.core.rules = n.w.rules
 	n.dead, n.paused = false, false
 	n.inbox = nil
-	n.seen, n.list = 0, 0
+	n.highestApplied, n.list = 0, 0
 	n.admitted, n.refused = false, false
 	n.replies = map[Token]func(Event){}
 	n.confirm = map[Token]bool{}
@@ -56,7 +56,7 @@
 	n.w.after(simTick, func() { n.tick(boot) })
 }
 
-// countRefusal samples whether the node has to refuse work.
+// countRefusal samples whether the node refuses work.
 func (n *simNode) countRefusal() {
 	if !n.admitted {
 		return
@@ -77,9 +77,8 @@
 	n.w.note("%s is paused", n.vm.ID)
 }
 
-// thaw lets a paused process go on: what lay in its buffers comes at once, in
-// any order.
-func (n *simNode) thaw() {
+// resume resumes a paused process: all buffered events arrive at once, in random order.
+func (n *simNode) resume() {
 	if !n.paused {
 		return
 	}
@@ -94,7 +93,7 @@
 	}
 }
 
-// deliver gives an event to the process that was started as that boot.
+// deliver passes an event to the process with the given boot, if it still runs.
 func (n *simNode) deliver(boot uint64, e Event) {
 	if n.dead || n.boot != boot {
 		return
@@ -110,11 +109,11 @@
 	n.w.counts.steps++
 	decisions := append([]Decision(nil), n.core.Step(n.w.now, e)...)
 	for _, d := range decisions {
-		n.act(d)
+		n.execute(d)
 	}
 }
 
-func (n *simNode) act(d Decision) {
+func (n *simNode) execute(d Decision) {
 	w, boot := n.w, n.boot
 	switch d := d.(type) {
 	case ReadHead:
@@ -128,7 +127,7 @@
 	case ReadList:
 		w.counts.listReads++
 		n.readList(d.Token)
-	case TakeList:
+	case AcceptList:
 		n.members(d.List.To)
 	case Wait:
 		w.counts.waits++
@@ -153,7 +152,7 @@
 		n.answer(d.Token, WaitReplied{Reply: d.Reply})
 	case Survey:
 		w.counts.surveys++
-		ask := func(t Token) Event { return SurveyAsked{Token: t, Args: d.Args} }
+		ask := func(t Token) Event { return SurveyRequested{Token: t, Args: d.Args} }
 		answer := func(e Event) Event {
 			r := e.(SurveyReplied)
 			r.Token = d.Token
@@ -182,7 +181,7 @@
 		w.after(time.Millisecond, func() { n.deliver(boot, ListFailed{Token: t}) })
 		return
 	}
-	latency := w.between(w.table.least, w.table.most)
+	latency := w.between(w.table.minLatency, w.table.maxLatency)
 	w.after(latency/2, func() {
 		digest := w.vms.asOf(w.now)
 		w.after(latency/2, func() { n.deliver(boot, ListRead{Token: t, Digest: digest}) })
@@ -194,7 +193,7 @@
 	})
 }
 
-// members gives the core the entry VMs of a list.
+// members passes the entry VMs of a list to the core.
 func (n *simNode) members(digest uint64) {
 	if digest == n.list {
 		return
@@ -203,8 +202,8 @@
 	n.deliver(n.boot, MembersChanged{VMs: n.w.vms.states[digest-1].vms})
 }
 
-// call carries a question to a peer and its answer back, or fails: at once
-// when the peer is gone, at the timeout when no answer comes.
+// call passes a request to a peer and its response back. It fails at once if the peer is dead,
+// and at the timeout if no response arrives.
 func (n *simNode) call(addr string, timeout time.Duration, ask func(Token) Event, answer func(Event) Event, failed Event) {
 	w, boot := n.w, n.boot
 	w.after(timeout, func() { n.deliver(boot, failed) })
@@ -237,10 +236,10 @@
 	reply(e)
 }
 
-// askConfirm asks the node how far a revision is in force.
+// askConfirm requests the confirmation of a revision from the node.
 func (n *simNode) askConfirm(revision uint64) {
 	n.tokens++
-	n.deliver(n.boot, ConfirmAsked{Token: n.tokens, Revision: revision})
+	n.deliver(n.boot, ConfirmRequested{Token: n.tokens, Revision: revision})
 }
 
 func (n *simNode) confirmed(d AnswerConfirm) {
--- a/internal/confsync/sim_platform_test.go
+++ b/internal/confsync/sim_platform_test.go
@@ -6,17 +6,17 @@
 	"github.com/hickorybank/hickorybank/internal/platform"
 )
 
-// simTable is the table: stored[r] is when revision r was accepted.
+// simTable is the simulated table: stored[r] is when revision r was accepted.
 type simTable struct {
-	stored      []time.Duration
-	least, most time.Duration // latency, half before the effect
-	down        bool          // refuses at once
-	silent      bool          // no answer comes
+	stored                 []time.Duration
+	minLatency, maxLatency time.Duration // half of it before the read takes effect
+	down                   bool          // refuses reads at once
+	silent                 bool          // does not respond
 }
 
 func (t *simTable) head() uint64 { return uint64(len(t.stored) - 1) }
 
-// simVMs is the VM list with all its past states.
+// simVMs is the simulated VM list with all its past states.
 type simVMs struct {
 	states []simList
 	lag    time.Duration
@@ -40,7 +40,7 @@
 	v.states = append(v.states, simList{at: now, vms: vms})
 }
 
-// asOf returns the number of the state that the lagging list shows, from 1.
+// asOf returns the number, from 1, of the state that the lagging list shows.
 func (v *simVMs) asOf(now time.Duration) uint64 {
 	n := 1
 	for n < len(v.states) && v.states[n].at <= now-v.lag {
@@ -49,33 +49,33 @@
 	return uint64(n)
 }
 
-// network says who reaches whom.
+// network determines which nodes reach each other and the table.
 type network struct {
-	least, most time.Duration
-	// side gives each node a side; nodes of different sides do not hear each
-	// other. noTable are the nodes that do not reach the table.
+	minLatency, maxLatency time.Duration
+	// side is the side of each node; nodes on different sides do not reach each other.
+	// noTable are the nodes that do not reach the table.
 	side    map[string]int
 	noTable map[string]bool
-	// slow is the fraction of messages that take up to slowBy.
-	slow   float64
-	slowBy time.Duration
+	// slowFraction is the fraction of messages that take up to slowBy.
+	slowFraction float64
+	slowLatency  time.Duration
 }
 
 func (n *network) reach(a, b string) bool { return n.side[a] == n.side[b] }
 
 func (w *world) latency() time.Duration {
-	if w.net.slow > 0 && w.random.Float64() < w.net.slow {
-		return w.between(0, w.net.slowBy)
+	if w.net.slowFraction > 0 && w.random.Float64() < w.net.slowFraction {
+		return w.between(0, w.net.slowLatency)
 	}
-	return w.between(w.net.least, w.net.most)
+	return w.between(w.net.minLatency, w.net.maxLatency)
 }
 
-// callTable runs a read at the table: do looks at the state at the moment of
-// its effect and returns the event that carries the answer.
+// callTable performs a read of the table. do reads the state at the moment of the read's
+// effect and returns the event with the response.
 func (w *world) callTable(n *simNode, do func() Event, failed Event) {
 	boot := n.boot
 	deliver := func(d time.Duration, e Event) { w.after(d, func() { n.deliver(boot, e) }) }
-	latency := w.between(w.table.least, w.table.most)
+	latency := w.between(w.table.minLatency, w.table.maxLatency)
 	if w.table.silent || w.table.down && latency > w.settings.ReadTimeout {
 		deliver(w.settings.ReadTimeout, failed)
 		return
--- a/internal/confsync/sim_test.go
+++ b/internal/confsync/sim_test.go
@@ -12,8 +12,7 @@
 
 const simSeeds = 10_000
 
-// firstFailure runs seeds on all processors and returns the lowest that
-// fails, if any did.
+// firstFailure runs seeds on all processors and returns the lowest one that fails, if any.
 func firstFailure(from, seeds uint64, r rules) (*world, uint64) {
 	var failed atomic.Uint64
 	failed.Store(from + seeds)
@@ -38,10 +37,10 @@
 	return simRun(failed.Load(), r, true), failed.Load()
 }
 
-// Operators change the configuration while nodes are paused, cut off,
-// restarted and replaced, and the table is down, silent or slow. A caller must
-// never be served under a configuration that an operator was told is replaced,
-// and once the faults are over every node must have the newest.
+// Operators change the configuration while nodes are paused, cut off, restarted and replaced,
+// and the table is down, silent or slow. No caller may be served under a configuration that
+// was reported to an operator as replaced. Once the faults are over, each node must have the
+// newest revision.
 func TestRandomFaults(t *testing.T) {
 	is := is.New(t)
 	w, seed := firstFailure(1, simSeeds, defaultRules())
--- a/internal/confsync/sim_world_test.go
+++ b/internal/confsync/sim_world_test.go
@@ -9,8 +9,8 @@
 	"github.com/hickorybank/hickorybank/internal/platform"
 )
 
-// world runs cores in virtual time: a table, a VM list, a network and nodes
-// that can be cut off, paused, restarted and replaced.
+// world simulates cores in virtual time, with a table, a VM list, a network and nodes that can
+// be cut off, paused, restarted and replaced.
 type world struct {
 	now      time.Duration
 	seq      int
@@ -30,15 +30,16 @@
 	broken   invariant
 	trace    []string
 	tracing  bool
-	// unchecked runs look at no invariants: they measure.
+	// unchecked runs verify no invariants: they only measure.
 	unchecked bool
 	kinds     []int // the kinds of faults of this run
 }
 
-// counts are what the nodes did together.
+// counts are the totals over all nodes.
 type counts struct {
 	steps, headReads, docReads, listReads, waits, surveys int
-	// samples of nodes that once admitted work, and those that refused it.
+	// samples counts samples of nodes that have admitted work, refusing those of them in
+	// which the node refused work.
 	samples, refusing int
 }
 
@@ -46,8 +47,8 @@
 	s = s.WithDefaults()
 	s.Seed = seed
 	w := &world{random: rand.New(rand.NewPCG(seed, 1)), settings: s, rules: defaultRules(), byAddr: map[string]*simNode{}}
-	w.net.least, w.net.most = 200*time.Microsecond, 2*time.Millisecond
-	w.table.least, w.table.most = time.Millisecond, 8*time.Millisecond
+	w.net.minLatency, w.net.maxLatency = 200*time.Microsecond, 2*time.Millisecond
+	w.table.minLatency, w.table.maxLatency = time.Millisecond, 8*time.Millisecond
 	w.table.stored = []time.Duration{0}
 	return w
 }
@@ -79,7 +80,7 @@
 	heap.Push(&w.queue, timed{at: w.now + d, seq: w.seq, do: do})
 }
 
-// runUntil lets virtual time pass, checking the invariants after each step.
+// runUntil advances virtual time and verifies the invariants after each step.
 func (w *world) runUntil(end time.Duration) {
 	for len(w.queue) > 0 && w.queue[0].at <= end && w.failure == "" {
 		next := heap.Pop(&w.queue).(timed)
@@ -94,7 +95,7 @@
 
 func (w *world) run(d time.Duration) { w.runUntil(w.now + d) }
 
-// addNode starts a node with a new id and lists it after the list's lag.
+// addNode starts a node with a new id; the list shows it after its lag.
 func (w *world) addNode(id, domain string) *simNode {
 	n := w.newNode(id, domain)
 	w.vms.change(w.now, append(w.vms.last(), n.vm))
--- a/internal/confsync/status.go
+++ b/internal/confsync/status.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// Status is what a node says of its own configuration.
+// Status is the state of a node's configuration sync.
 type Status struct {
-	// Revision is the one applied here; 0 means none.
+	// Revision is the revision applied here; 0 means none.
 	Revision uint64
 	Preset   string
-	// Fresh says whether new work is admitted.
+	// Fresh is set if new work is admitted.
 	Fresh bool
-	// Outage says that new work is admitted because more than half of the
-	// entry nodes cannot reach the table either.
+	// Outage is set if new work is admitted although the table is unreachable, because more
+	// than half of the entry nodes cannot reach it.
 	Outage bool
-	// ProofAge is the age of the youngest proof.
+	// ProofAge is the age of the latest proof.
 	ProofAge time.Duration
-	// Reader says that this node reads the table for its failure domain.
+	// Reader is set if this node reads the table for its failure domain.
 	Reader bool
 	// Parent is the address of the peer that this node pulls from, if any.
 	Parent string
-	// Children is how many peers pull from this node.
+	// Children is the number of peers that pull from this node.
 	Children int
 }
--- a/internal/confsync/survey.go
+++ b/internal/confsync/survey.go
@@ -6,54 +6,55 @@
 	"github.com/hickorybank/hickorybank/internal/platform"
 )
 
-// survey is one round of questions to peers.
+// survey is one round of status requests to peers.
 type survey struct {
-	purpose purpose
-	voting  bool
-	sent    time.Duration
-	until   time.Duration
-	// open are the calls without an answer yet.
-	open map[Token]platform.VM
-	// nodes is what was heard, by id.
-	nodes map[string]heardStatus
-	// confirms and domains are the questions that this round answers.
-	confirms []ConfirmAsked
-	domains  []domainAsked
+	purpose  purpose
+	voting   bool
+	sent     time.Duration
+	deadline time.Duration
+	// pending are the calls without a response yet.
+	pending map[Token]platform.VM
+	// nodes are the statuses received, by id.
+	nodes map[string]timedStatus
+	// confirmRequests and domainRequests are the requests that this round answers.
+	confirmRequests []ConfirmRequested
+	domainRequests  []domainRequest
 }
 
-// purpose is what a survey is for.
+// purpose is the purpose of a survey.
 type purpose uint8
 
 const (
-	// forOutage: is the table out of reach of more than half of the nodes?
+	// forOutage collects votes on an outage of the table.
 	forOutage purpose = iota
-	// forConfirm: who has a revision?
+	// forConfirm collects the confirmations of a revision.
 	forConfirm
-	// forDomain: what do the nodes of this failure domain say?
+	// forDomain collects the statuses of this failure domain for a peer.
 	forDomain
 )
 
-// heardStatus is a node's word with an instant not later than it was given.
-type heardStatus struct {
+// timedStatus is a node's status with an instant that is not later than that of the status.
+type timedStatus struct {
 	NodeStatus
 	at time.Duration
 }
 
-// domainAsked is a peer that asked for this whole failure domain.
-type domainAsked struct {
+// domainRequest is a peer's request for the statuses of this failure domain.
+type domainRequest struct {
 	token    Token
 	received time.Duration
 }
 
-func (s *survey) hear(n NodeStatus, at time.Duration) {
+// addStatus records a node's status unless a more recent one is known.
+func (s *survey) addStatus(n NodeStatus, at time.Duration) {
 	if old, ok := s.nodes[n.ID]; ok && old.at >= at {
 		return
 	}
-	s.nodes[n.ID] = heardStatus{NodeStatus: n, at: at}
+	s.nodes[n.ID] = timedStatus{NodeStatus: n, at: at}
 }
 
-// highest is the highest revision heard of.
-func (s *survey) highest() uint64 {
+// highestRevision returns the highest revision among the statuses.
+func (s *survey) highestRevision() uint64 {
 	var highest uint64
 	for _, n := range s.nodes {
 		highest = max(highest, n.Revision)
@@ -61,8 +62,8 @@
 	return highest
 }
 
-// fewest is the least number of entry nodes that any node knew of late; a
-// node that started just now does not know what others remember.
+// fewest returns the smallest number of entry nodes that any node has known recently,
+// starting from electors. The nodes are asked because a restarted node has no history.
 func (s *survey) fewest(electors int) int {
 	for _, n := range s.nodes {
 		if n.Fewest > 0 {
@@ -72,7 +73,7 @@
 	return electors
 }
 
-// statuses returns what was heard with ages before an instant.
+// statuses returns the statuses received, with ages relative to an instant.
 func (s *survey) statuses(received time.Duration) []NodeStatus {
 	list := make([]NodeStatus, 0, len(s.nodes))
 	for _, n := range s.nodes {
--- a/internal/confsync/syncer.go
+++ b/internal/confsync/syncer.go
@@ -15,21 +15,21 @@
 )
 
 const (
-	// tickGap is the time between two looks at what has fallen due.
-	tickGap = 50 * time.Millisecond
-	// eventBuffer bounds the events that wait for the core.
+	// tickInterval is the interval between two ticks of the core.
+	tickInterval = 50 * time.Millisecond
+	// eventBuffer is the capacity of the queue of events for the core.
 	eventBuffer = 256
-	// jobBuffer is above the number of documents that the core has brought in
-	// at one time, one from the table and one from a peer.
+	// jobBuffer is larger than the number of documents that the core has in flight: one from
+	// the table and one from a peer.
 	jobBuffer = 4
 )
 
-// ErrClosed says that the Syncer is closed.
+// ErrClosed reports that the [Syncer] is closed.
 var ErrClosed = errors.New("configuration sync is closed")
 
-// Syncer keeps this node's configuration in step with the platform's table.
-// One goroutine owns the core, one applies documents; each call to the table
-// or a peer has its own, and the core bounds how many there are.
+// Syncer keeps this node's configuration in sync with the platform's table. One goroutine owns
+// the core and another applies documents. Each call to the table or a peer has its own, and
+// the core bounds their number. Its methods are safe for concurrent use.
 type Syncer struct {
 	settings Settings
 	deps     Deps
@@ -40,23 +40,23 @@
 	members chan struct{}
 	inForce atomic.Pointer[inForce]
 	status  atomic.Pointer[Status]
-	// whole asks the next fetch for the whole document: stored deltas did not
-	// lead to it, as when another release encodes a field differently.
-	whole atomic.Bool
-	// failing says that the last read of the head failed.
-	failing  atomic.Bool
-	lastRead listRead
-	// sender gives children documents that are longer than a piece, receiver takes
-	// them from a parent; pulling has one call at a time.
+	// fetchFull makes the next fetch read the full document, after stored deltas did not
+	// produce it, as when another release encodes a field differently.
+	fetchFull atomic.Bool
+	// readFailing is set if the last read of the head failed.
+	readFailing atomic.Bool
+	lastRead    listRead
+	// sender sends documents larger than a piece to children; receiver gets them from a
+	// parent, one call at a time.
 	sender   *transfer.Sender
 	receiver *transfer.Receiver
 
-	ctx    context.Context
-	stop   context.CancelFunc
-	duties *conc.WaitGroup
+	ctx   context.Context
+	stop  context.CancelFunc
+	tasks *conc.WaitGroup
 }
 
-// New returns a Syncer that is not yet started.
+// New returns a [Syncer]; [Syncer.Start] starts it.
 func New(s Settings, d Deps) *Syncer {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Syncer{
@@ -68,28 +68,28 @@
 		members:  make(chan struct{}, 1),
 		ctx:      ctx,
 		stop:     cancel,
-		duties:   conc.NewWaitGroup(),
+		tasks:    conc.NewWaitGroup(),
 		sender:   transfer.NewSender(0),
 		receiver: transfer.NewReceiver(d.Self.ID),
 	}
 }
 
-// Start begins the duties.
+// Start starts the goroutines. It returns an error if the settings are not valid.
 func (s *Syncer) Start() error {
 	if err := s.settings.Validate(); err != nil {
 		return err
 	}
-	s.duties.Go(newLoop(s).run)
-	s.duties.Go(s.applyJobs)
+	s.tasks.Go(newLoop(s).run)
+	s.tasks.Go(s.applyJobs)
 	return nil
 }
 
-// Close ends the duties and waits for them, or for the end of ctx.
+// Close stops the goroutines and waits for them or for the end of ctx, which is an error.
 func (s *Syncer) Close(ctx context.Context) error {
 	s.stop()
 	done := make(chan struct{})
 	go func() {
-		s.duties.Wait()
+		s.tasks.Wait()
 		close(done)
 	}()
 	select {
@@ -100,7 +100,8 @@
 	}
 }
 
-// Register offers the Syncer to peers; call it before the server starts.
+// Register registers the Syncer's methods for peers. It must be called before the server
+// starts.
 func (s *Syncer) Register(server *peer.Server) error {
 	return server.Register(ServiceName, &service{syncer: s})
 }
@@ -113,9 +114,9 @@
 	return nil
 }
 
-// Current returns the configuration applied here and whether new work may be
-// admitted under it, as one consistent pair. Ask again just before work is
-// sent to an upstream: a request that waited in a queue may have outlived it.
+// Current returns the configuration applied here and whether new work may be admitted under
+// it, as one consistent pair. Callers must check again just before work is sent to an
+// upstream, because the configuration may expire while a request is queued.
 func (s *Syncer) Current() (snapshot *config.Snapshot, fresh bool) {
 	f := s.inForce.Load()
 	if f == nil {
@@ -124,14 +125,14 @@
 	return f.snapshot, s.now() < f.until
 }
 
-// Fresh says whether new work may be admitted now. It looks at the clock: a
-// flag set by a timer would still stand in a process that was paused.
+// Fresh reports whether new work may be admitted now. It reads the clock: a flag cleared by a
+// timer would still be set when a paused process resumes.
 func (s *Syncer) Fresh() bool {
 	f := s.inForce.Load()
 	return f != nil && s.now() < f.until
 }
 
-// FreshUntil returns until when new work may be admitted without a newer
+// FreshUntil returns the time until which new work may be admitted without a more recent
 // proof; the zero time means not at all.
 func (s *Syncer) FreshUntil() time.Time {
 	f := s.inForce.Load()
@@ -149,9 +150,9 @@
 	return Status{}
 }
 
-// Confirmations asks the entry nodes which of them have the revision.
+// Confirmations surveys the entry nodes and returns how far a revision is in force.
 func (s *Syncer) Confirmations(ctx context.Context, revision uint64) (Confirmation, error) {
-	ask := func(t Token) Event { return ConfirmAsked{Token: t, Revision: revision} }
+	ask := func(t Token) Event { return ConfirmRequested{Token: t, Revision: revision} }
 	answer, err := s.ask(ctx, ask)
 	if err != nil {
 		return Confirmation{}, err
@@ -159,15 +160,15 @@
 	return answer.(AnswerConfirm).Confirmation, nil
 }
 
-// Poke reads the head at once, after a change was accepted here.
-func (s *Syncer) Poke() { s.post(input{event: Poked{}}) }
+// Poke requests an immediate read of the head, after a change was accepted here.
+func (s *Syncer) Poke() { s.post(input{event: ReadRequested{}}) }
 
-// MembersChanged says that Deps.Members gives something new. It does not
-// block, so that it may be called from the functions of Deps.
+// MembersChanged reports that the result of [Deps.Members] has changed. It does not block, so
+// that the functions of Deps may call it.
 func (s *Syncer) MembersChanged() {
 	select {
 	case s.members <- struct{}{}:
-	default: // one is under way and will see the newest
+	default: // an update is already pending and will read the newest members
 	}
 }
 
--- a/internal/confsync/syncer_test.go
+++ b/internal/confsync/syncer_test.go
@@ -9,17 +9,17 @@
 	"github.com/hickorybank/hickorybank/internal/confsync"
 )
 
-func TestChangesComeIntoForceEverywhere(t *testing.T) {
+func TestChangeComesIntoForceOnAllNodes(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	f := newFleet(t, 8, 4)
 	f.change(0, f.doc.Presets[0].Name)
-	f.await("revision 1", has(1))
+	f.await("revision 1", admitsUnder(1))
 	f.change(1, f.doc.Presets[1].Name)
 	f.nodes[3].Poke()
-	f.await("revision 2", has(2))
+	f.await("revision 2", admitsUnder(2))
 	for _, m := range f.nodes {
-		is.Equal(m.Snapshot().Doc.Preset, f.doc.Presets[1].Name) // one preset for one revision
+		is.Equal(m.Snapshot().Doc.Preset, f.doc.Presets[1].Name) // each revision has one preset
 	}
 	c := awaitInForce(is, f.nodes[0], 2)
 	is.Equal(c.Members, 8)
@@ -27,18 +27,18 @@
 	is.Equal(len(c.Lagging), 0)
 }
 
-// Eight nodes of one failure domain: two read the table, the others pull along
-// a tree of two levels.
-func TestChangesComeDownTheTree(t *testing.T) {
+// Twelve nodes of one failure domain: two read the table, and the others pull along a tree of
+// two levels.
+func TestChangesSpreadThroughTree(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	f := newFleet(t, 12, 1)
 	f.change(0, f.doc.Presets[0].Name)
 	f.await("the list", func(m *member) bool { return len(m.members()) == 12 })
-	f.await("revision 1", has(1))
+	f.await("revision 1", admitsUnder(1))
 	for revision := uint64(1); revision < 6; revision++ {
 		f.change(revision, f.doc.Presets[revision%2].Name)
-		f.await("the next revision", has(revision+1))
+		f.await("the next revision", admitsUnder(revision+1))
 	}
 	f.await("a role", func(m *member) bool { s := m.Status(); return s.Reader || s.Parent != "" })
 	readers := 0
@@ -50,47 +50,47 @@
 	is.Equal(readers, confsync.DefaultReaders)
 }
 
-// A caller sees no refusal while the table is down for longer than the bound:
-// nothing can be accepted meanwhile, and more than half of the nodes say so.
-// A node that starts in the outage gets the configuration from its peers, and
-// a change after the outage comes into force as ever.
-func TestOutageOfTheTable(t *testing.T) {
+// Guards against refusals while the table is down for longer than the bound: no change can be
+// accepted meanwhile, and more than half of the nodes vote for an outage. A node that starts
+// during the outage gets the configuration from its peers, and a change after the outage
+// comes into force as usual.
+func TestWorkContinuesDuringTableOutage(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	f := newFleet(t, 5, 2)
 	f.change(0, f.doc.Presets[0].Name)
 	f.await("the list", func(m *member) bool { return len(m.members()) == 5 })
-	f.await("revision 1", has(1))
+	f.await("revision 1", admitsUnder(1))
 	f.tableDown(true)
 	f.await("outage mode", func(m *member) bool { return m.Status().Outage && m.Fresh() })
 	f.add("late", "d0")
-	f.await("revision 1 at every node", has(1))
+	f.await("revision 1 at every node", admitsUnder(1))
 	f.tableDown(false)
 	f.await("proofs of the table", func(m *member) bool { return m.Fresh() && !m.Status().Outage })
 	f.change(1, f.doc.Presets[1].Name)
-	f.await("revision 2", has(2))
+	f.await("revision 2", admitsUnder(2))
 	awaitInForce(is, f.nodes[1], 2)
 }
 
-// One node of a planned stop tells the others; each hears it once.
-func TestLeavingIsTold(t *testing.T) {
+// A node that stops notifies the others; each reports the notice once.
+func TestLeavingNoticeReachesAllNodes(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f := newFleet(t, 20, 1) // more than one node tells itself
+	f := newFleet(t, 20, 1) // above the direct limit
 	f.change(0, f.doc.Presets[0].Name)
 	f.await("the list", func(m *member) bool { return len(m.members()) == 20 })
-	f.await("revision 1", has(1))
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	f.await("revision 1", admitsUnder(1))
+	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 	defer cancel()
-	is.Equal(f.nodes[7].AnnounceLeaving(ctx), 0) // nobody missed
+	is.Equal(f.nodes[7].AnnounceLeaving(ctx), 0) // no peer missed
 	f.await("the notice", func(m *member) bool { return m.knowsLeaving("n7") })
 }
 
-func TestSettingsAreChecked(t *testing.T) {
+func TestValidateRefusesUnsafeSettings(t *testing.T) {
 	is := is.New(t)
 	is.NoErr(confsync.Settings{}.WithDefaults().Validate())
 	bad := confsync.Settings{Bound: confsync.DefaultMaxHold}.WithDefaults()
-	is.True(bad.Validate() != nil) // a bound that one held call outlasts
+	is.True(bad.Validate() != nil) // a held call takes longer than the bound
 	bad = confsync.Settings{ReadGap: confsync.DefaultBound}.WithDefaults()
-	is.True(bad.Validate() != nil) // reads too rare for the bound
+	is.True(bad.Validate() != nil) // reads are too rare for the bound
 }
--- a/internal/confsync/tablestore/doc.go
+++ b/internal/confsync/tablestore/doc.go
@@ -1,3 +1,3 @@
-// Package tablestore reads the stored configuration from the platform's table,
-// in the rows that package admin writes.
+// Package tablestore reads the stored configuration from the platform's table, from the rows
+// that package admin writes.
 package tablestore
--- a/internal/confsync/tablestore/store.go
+++ b/internal/confsync/tablestore/store.go
@@ -12,21 +12,21 @@
 	"github.com/hickorybank/hickorybank/internal/platform"
 )
 
-// maxDeltas bounds the deltas read at once; a reader that is further behind
-// reads the whole document.
+// maxDeltas is the maximum number of deltas read at once. A reader that is further behind
+// reads the full document.
 const maxDeltas = 16
 
-// Store is a [confsync.Store] over a table.
+// Store is a [confsync.Store] that reads a platform's table.
 type Store struct {
 	table platform.Table
 }
 
 var _ confsync.Store = (*Store)(nil)
 
-// New returns a store over the table.
+// New returns a store that reads the table.
 func New(table platform.Table) *Store { return &Store{table: table} }
 
-// Head implements [confsync.Store].
+// Head implements [confsync.Store]. It returns 0 while no head row is stored.
 func (s *Store) Head(ctx context.Context) (uint64, error) {
 	row, err := s.table.Get(ctx, admin.HeadKey)
 	if err != nil {
@@ -42,11 +42,11 @@
 	return head.Revision, nil
 }
 
-// Document implements [confsync.Store].
+// Document implements [confsync.Store]. A missing document is an error.
 func (s *Store) Document(ctx context.Context, revision uint64) ([]byte, error) {
 	row, err := s.table.Get(ctx, admin.DocKey(revision))
 	if err != nil {
-		return nil, eris.Wrap(err, "read document")
+		return nil, eris.Wrapf(err, "read document of revision %d", revision)
 	}
 	if row.Version == 0 {
 		return nil, eris.Errorf("document of revision %d is missing", revision)
@@ -54,14 +54,14 @@
 	return row.Value, nil
 }
 
-// Deltas implements [confsync.Store].
+// Deltas implements [confsync.Store]. It returns none for more than 16 revisions.
 func (s *Store) Deltas(ctx context.Context, after, upTo uint64) ([]archive.Delta, error) {
 	if after >= upTo || upTo-after > maxDeltas {
 		return nil, nil
 	}
 	rows, err := s.table.Scan(ctx, confsync.DeltaPrefix, confsync.DeltaKey(after), int(upTo-after))
 	if err != nil {
-		return nil, eris.Wrap(err, "read deltas")
+		return nil, eris.Wrapf(err, "read deltas of revisions %d to %d", after+1, upTo)
 	}
 	deltas := make([]archive.Delta, 0, len(rows))
 	for _, row := range rows {
--- a/internal/confsync/tablestore/store_test.go
+++ b/internal/confsync/tablestore/store_test.go
@@ -14,7 +14,7 @@
 	"github.com/hickorybank/hickorybank/internal/standin/platform/memory"
 )
 
-func TestReadsWhatTheAdministrationWrites(t *testing.T) {
+func TestStoreReadsAdminRows(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	table := memory.New()
@@ -39,7 +39,7 @@
 	is.True(err != nil) // a missing document is an error
 }
 
-func TestDeltasInOrder(t *testing.T) {
+func TestDeltasAreConsecutive(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	table := memory.New()
@@ -58,7 +58,7 @@
 		is.NoErr(err)
 		is.Equal(len(deltas), c.want)
 		for i, d := range deltas {
-			is.Equal(d.From, c.after+uint64(i)) // they follow on each other
+			is.Equal(d.From, c.after+uint64(i)) // consecutive
 		}
 	}
 }
--- a/internal/confsync/trying.go
+++ b/internal/confsync/trying.go
@@ -2,58 +2,60 @@
 
 import "time"
 
-// trying is when the last try for a younger proof began that had none: a read
-// of the head, or a call to a peer, which had none either.
-type trying struct {
+// failedAttempt is the start of the last failed attempt to get a more recent proof: by a read of the
+// head, or by a call to a peer.
+type failedAttempt struct {
 	failed   bool
 	failedAt time.Duration
 }
 
-func (t *trying) fail(began time.Duration) {
-	if !t.failed || began > t.failedAt {
-		t.failed, t.failedAt = true, began
+func (t *failedAttempt) fail(start time.Duration) {
+	if !t.failed || start > t.failedAt {
+		t.failed, t.failedAt = true, start
 	}
 }
 
-// pullFailed notes a call to a peer that brought no younger proof. A reader
-// tries the table itself.
+// pullFailed records a call to a peer that brought no more recent proof. It does not count
+// for a reader, which reads the table itself.
 func (c *Core) pullFailed(now time.Duration) {
 	if !c.isReader(now) {
-		c.trying.fail(c.pulling.sent)
+		c.attempts.fail(c.pulls.sent)
 	}
 }
 
-// isStale says that the youngest proof of the table is older than three reads
-// take. It is below the bound, so that a majority can say that it sees an
-// outage before the first node has to refuse work.
+// isStale reports whether the latest proof of the table is older than three read intervals.
+// This is below the bound, so that a majority can vote for an outage before the first node
+// has to refuse work.
 func (c *Core) isStale(now time.Duration) bool {
-	return c.known.tableAge(now) > 3*c.settings.ReadGap
+	return c.state.tableAge(now) > 3*c.settings.ReadGap
 }
 
-// seesOutage says that this node could get no proof of the table.
+// seesOutage reports whether this node has failed to get a recent proof of the table.
 func (c *Core) seesOutage(now time.Duration) bool {
-	return c.isStale(now) && c.rules.sawOutage(c.triedInVain(now))
+	return c.isStale(now) && c.rules.isOutage(c.attemptFailed(now))
 }
 
-// triedInVain says whether a try brought no proof that began when the proof
-// was old, after the last stall and after the last read that was answered.
-func (c *Core) triedInVain(now time.Duration) bool {
-	if c.trying.failed && c.isLateTry(c.trying.failedAt) {
+// attemptFailed reports whether a valid attempt failed or has been pending for half a read
+// interval.
+func (c *Core) attemptFailed(now time.Duration) bool {
+	if c.attempts.failed && c.isValidAttempt(c.attempts.failedAt) {
 		return true
 	}
-	// A table that gives no answer at all fails a read only at its timeout,
-	// which is too late to vote before the bound.
-	for _, r := range c.reading.sent {
-		if now-r.at >= c.settings.ReadGap/2 && c.isLateTry(r.at) {
+	// If the table does not respond at all, a read fails only at its timeout, which is too
+	// late to vote before the bound.
+	for _, r := range c.headReads.inFlight {
+		if now-r.at >= c.settings.ReadGap/2 && c.isValidAttempt(r.at) {
 			return true
 		}
 	}
 	return false
 }
 
-func (c *Core) isLateTry(began time.Duration) bool {
-	if began < c.waking.stalledAt || c.reading.proved && began <= c.reading.provedAt {
+// isValidAttempt reports whether an attempt counts: it started when the latest proof was old,
+// after the last stall and after the start of the last successful read.
+func (c *Core) isValidAttempt(began time.Duration) bool {
+	if began < c.stalls.stalledAt || c.headReads.proved && began <= c.headReads.provedAt {
 		return false
 	}
-	return !c.known.table.Valid || began-c.known.table.At > c.settings.ReadGap
+	return !c.state.table.Valid || began-c.state.table.At > c.settings.ReadGap
 }
--- a/internal/confsync/vmlist_measure_test.go
+++ b/internal/confsync/vmlist_measure_test.go
@@ -9,8 +9,8 @@
 	"github.com/hickorybank/hickorybank/internal/platform"
 )
 
-// BenchmarkListHeap is the heap of a decoded VM list at a node that got it from
-// a peer, its text apart.
+// BenchmarkListHeap measures the heap of a decoded VM list, without its encoding, at a node
+// that received it from a peer.
 func BenchmarkListHeap(b *testing.B) {
 	for _, vms := range []int{24, 250, 2500, 11_600} {
 		b.Run(fmt.Sprint("vms=", vms), func(b *testing.B) {
@@ -18,7 +18,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			sent := archive.New(list.tag, list.raw, nil)
+			sent := archive.New(list.digest, list.raw, nil)
 			kept := make([]*vmList, 0, b.N)
 			before := liveHeap()
 			for range b.N {
--- a/internal/confsync/voting.go
+++ b/internal/confsync/voting.go
@@ -2,46 +2,45 @@
 
 import "time"
 
-// votes are this node's own votes and what they bind it to.
+// votes are the constraints from this node's own votes.
 type votes struct {
-	// until is when the last vote ceases to bind; revision is the one that
-	// was applied at the first vote that still binds.
-	until    time.Duration
-	revision uint64
+	// boundUntil is when the last vote ceases to bind. revision is the revision applied at the
+	// first vote that still binds.
+	boundUntil time.Duration
+	revision   uint64
 }
 
-// bind notes a vote. Others may go on under the revision for as long as the
-// vote counts; until then this node does not confirm a newer one, so that no
-// newer one is reported in force meanwhile.
+// bind records a vote. Others may continue under the revision while the vote counts. Until
+// then this node does not confirm a newer revision, so that none is reported in force.
 func (v *votes) bind(now, until time.Duration, revision uint64) {
-	if now >= v.until {
+	if now >= v.boundUntil {
 		v.revision = revision
 	}
-	v.until = max(v.until, until)
+	v.boundUntil = max(v.boundUntil, until)
 }
 
-// confirmed is the newest revision that this node confirms.
+// confirmed returns the newest revision that this node confirms; 0 for none.
 func (c *Core) confirmed(now time.Duration) uint64 {
-	bound := c.rules.promise(c.settings.Bound)
+	term := c.rules.voteTerm(c.settings.Bound)
 	switch {
-	case now < c.started+bound:
-		// The process before this one may have voted.
+	case now < c.started+term:
+		// The previous process may have voted.
 		return 0
-	case now < c.votes.until:
+	case now < c.votes.boundUntil:
 		return c.votes.revision
 	default:
-		return c.known.applied
+		return c.state.applied
 	}
 }
 
-// ownStatus is what this node says of itself; a vote binds it.
+// ownStatus returns this node's status. A vote in it binds the node.
 func (c *Core) ownStatus(now time.Duration, voting bool) NodeStatus {
-	vote := voting && c.known.applied > 0 && c.seesOutage(now) && c.rules.mayVote(c.known.provedSinceStart)
+	vote := voting && c.state.applied > 0 && c.seesOutage(now) && c.rules.mayVote(c.state.provedSinceStart)
 	if vote {
-		c.votes.bind(now, now+c.rules.promise(c.settings.Bound), c.known.applied)
+		c.votes.bind(now, now+c.rules.voteTerm(c.settings.Bound), c.state.applied)
 	}
 	return NodeStatus{
-		ID: c.self.ID, Revision: c.known.applied, Confirmed: c.confirmed(now), Vote: vote,
-		Fewest: c.surveys.electors.fewest(now), List: c.settledList(),
+		ID: c.self.ID, Revision: c.state.applied, Confirmed: c.confirmed(now), Vote: vote,
+		Fewest: c.surveys.electors.fewest(now), List: c.settledDigest(),
 	}
 }
--- a/internal/confsync/young_test.go
+++ b/internal/confsync/young_test.go
@@ -9,8 +9,8 @@
 	"github.com/hickorybank/hickorybank/internal/platform"
 )
 
-// loneNode drives a core that knows only itself; its table and its list answer
-// at once as long as they are up.
+// loneNode runs a core that knows only itself. Its table and its list respond at once while
+// they are up.
 type loneNode struct {
 	core  *Core
 	now   time.Duration
@@ -59,11 +59,10 @@
 
 func (n *loneNode) fresh() bool { return n.core.FreshUntil() > n.now }
 
-// An inspector finds a withdrawn version's wording in a fresh assessment. A node
-// starts, is cut off before the platform's lagging list names any of the others,
-// and counts itself as the majority that goes on in an outage, while all the
-// others have the withdrawal in force. It must refuse.
-func TestYoungNodeThatIsCutOffRefuses(t *testing.T) {
+// Guards against answers by a withdrawn version. A node starts and is cut off before the
+// platform's lagging list shows any other node. It must refuse work instead of counting itself
+// as the majority in an outage, because the withdrawal may be in force on all other nodes.
+func TestNodeCutOffSoonAfterStartRefuses(t *testing.T) {
 	is := is.New(t)
 	n := newLoneNode()
 	n.run(time.Second)
@@ -73,12 +72,12 @@
 	is.True(!n.fresh())
 }
 
-// A deployment of one node goes on in an outage of the table: its lists have
-// named nobody else for long enough.
-func TestOnlyNodeGoesOnInAnOutage(t *testing.T) {
+// A single node continues during an outage of the table, once its lists have shown no other
+// node for long enough.
+func TestSingleNodeContinuesDuringOutage(t *testing.T) {
 	is := is.New(t)
 	n := newLoneNode()
-	n.run(2 * listSettle)
+	n.run(2 * listSettleTime)
 	n.table = false
 	n.run(time.Minute)
 	is.True(n.fresh())
