--- a/internal/confsync/reading.go
+++ b/internal/confsync/reading.go
@@ -9,8 +9,8 @@
 	// maxReads is the maximum number of reads of the head in flight. A slow table is read
 	// again before the previous response, so that proofs stay recent.
 	maxReads = 4
-	// minReadInterval is the minimum time between the starts of two reads.
-	minReadInterval = 50 * time.Millisecond
+	// minReadGap is the minimum time between the starts of two reads.
+	minReadGap = 50 * time.Millisecond
 	// fallbackReadInterval is the mean interval between reads by all nodes of a failure
 	// domain together that are not readers and found no peer with a recent proof. It limits
 	// the load of the table if a whole fleet is cut off.
@@ -19,9 +19,9 @@
 
 // headReader schedules the reads of the head row.
 type headReader struct {
-	random    *rand.Rand
-	nextRead  time.Duration
-	lastStart time.Duration
+	random *rand.Rand
+	due    time.Duration
+	last   time.Duration
 	// provedAt is the start of the last successful read, if proved is set.
 	proved   bool
 	provedAt time.Duration
@@ -35,12 +35,10 @@
 }
 
 func newHeadReader(seed uint64, now time.Duration) headReader {
-	return headReader{random: rand.New(rand.NewPCG(seed, 0)), nextRead: now}
+	return headReader{random: rand.New(rand.NewPCG(seed, 0)), due: now}
 }
 
-func (r *headReader) readSoon(now time.Duration) {
-	r.nextRead = min(r.nextRead, max(now, r.lastStart+minReadInterval))
-}
+func (r *headReader) readSoon(now time.Duration) { r.due = min(r.due, max(now, r.last+minReadGap)) }
 
 // finish removes a read from those in flight and returns its start; ok is false if it is not
 // among them.
@@ -63,13 +61,13 @@
 // begin records a read that starts now and schedules the next one with random jitter.
 func (r *headReader) begin(t Token, now, gap time.Duration) {
 	r.inFlight = append(r.inFlight, pendingRead{token: t, at: now})
-	r.lastStart = now
+	r.last = now
 	jitter := time.Duration(r.random.Int64N(int64(gap/4) + 1))
-	r.nextRead = now + gap - gap/8 + jitter
+	r.due = now + gap - gap/8 + jitter
 }
 
 func (c *Core) readHeadIfDue(now time.Duration) {
-	if now < c.headReads.nextRead || len(c.headReads.inFlight) >= maxReads {
+	if now < c.headReads.due || len(c.headReads.inFlight) >= maxReads {
 		return
 	}
 	gap, due := c.readInterval(now)
