--- a/internal/confsync/holding.go
+++ b/internal/confsync/holding.go
@@ -7,12 +7,12 @@
 
 // heldCalls keeps the calls of children until there is something newer.
 type heldCalls struct {
-	held     []heldWait
+	held     []heldCall
 	children map[string]time.Duration
 }
 
-// heldWait is a held call and the time of its receipt.
-type heldWait struct {
+// heldCall is a held call and the time of its receipt.
+type heldCall struct {
 	token    Token
 	args     WaitArgs
 	received time.Duration
@@ -28,7 +28,7 @@
 	for _, n := range e.Args.Notices {
 		c.receiveNotice(n, now)
 	}
-	c.heldCalls.held = append(c.heldCalls.held, heldWait{token: e.Token, args: e.Args, received: now})
+	c.heldCalls.held = append(c.heldCalls.held, heldCall{token: e.Token, args: e.Args, received: now})
 }
 
 // answerDueWaits answers the held calls that are due. Checking all calls in each step is cheap: a
@@ -46,7 +46,7 @@
 	c.heldCalls.held = remaining
 }
 
-func (c *Core) isDue(w heldWait, now time.Duration) bool {
+func (c *Core) isDue(w heldCall, now time.Duration) bool {
 	waited := now - w.received
 	switch {
 	case !w.args.Hold, waited >= c.settings.MaxHold:
@@ -63,14 +63,14 @@
 }
 
 // lacksList reports whether this node's VM list is newer than the child's.
-func (c *Core) lacksList(w heldWait) bool {
+func (c *Core) lacksList(w heldCall) bool {
 	if c.list.digest == 0 || c.list.digest == w.args.ListDigest {
 		return false
 	}
 	return w.args.ListDigest == 0 || c.list.readAt > w.received-w.args.ListAge
 }
 
-func (c *Core) answerWait(w heldWait, now time.Duration) {
+func (c *Core) answerWait(w heldCall, now time.Duration) {
 	reply := WaitReply{
 		Revision:   c.state.applied,
 		Table:      c.state.table.send(w.received),
--- a/internal/confsync/listing.go
+++ b/internal/confsync/listing.go
@@ -10,8 +10,8 @@
 	readAt      time.Duration
 	firstReadAt time.Duration
 	hasList     bool
-	// vouchedDigest is the digest of a list that counts as settled, on the word of another node's
-	// vote.
+	// vouchedDigest is the digest of a list that counts as settled, because a voter vouched for
+	// it.
 	vouchedDigest uint64
 	inFlight      bool
 	token         Token
@@ -120,6 +120,6 @@
 // ListDigest returns the digest of the current VM list; 0 for none.
 func (c *Core) ListDigest() uint64 { return c.list.digest }
 
-// ListAt returns the read time of the current VM list, since the start of the process. It is
+// ListReadAt returns the read time of the current VM list, since the start of the process. It is
 // not later than the start of the read.
-func (c *Core) ListAt() time.Duration { return c.list.readAt }
+func (c *Core) ListReadAt() time.Duration { return c.list.readAt }
--- a/internal/confsync/loop_list.go
+++ b/internal/confsync/loop_list.go
@@ -66,7 +66,7 @@
 // publishList reports a new list to OnList and refreshes the members.
 func (l *loop) publishList(list *vmList) {
 	if l.syncer.deps.OnList != nil {
-		l.syncer.deps.OnList(List{VMs: list.VMs, ReadAt: l.syncer.started.Add(l.core.ListAt())})
+		l.syncer.deps.OnList(List{VMs: list.VMs, ReadAt: l.syncer.started.Add(l.core.ListReadAt())})
 	}
 	l.syncer.MembersChanged()
 }
--- a/internal/confsync/measure_test.go
+++ b/internal/confsync/measure_test.go
@@ -31,7 +31,7 @@
 	revision := uint64(1)
 	for b.Loop() {
 		// Decouple the change from the times of the reads of the head.
-		time.Sleep(time.Duration(rand.Int64N(int64(confsync.DefaultReadGap))))
+		time.Sleep(time.Duration(rand.Int64N(int64(confsync.DefaultReadInterval))))
 		start := time.Now()
 		f.change(revision, f.doc.Presets[revision%2].Name)
 		revision++
--- a/internal/confsync/rules.go
+++ b/internal/confsync/rules.go
@@ -35,7 +35,7 @@
 }
 
 // listSettleTime is five reads of the list at the default interval.
-const listSettleTime = 5 * DefaultListGap
+const listSettleTime = 5 * DefaultListInterval
 
 // driftDivisor extends waits that must outlast a peer's wait by 1/20. The clock rates of two
 // machines differ by far less.
--- a/internal/confsync/settings.go
+++ b/internal/confsync/settings.go
@@ -42,29 +42,29 @@
 // Defaults of [Settings]. docs/design/configuration.md derives them from the limit of 3 s
 // within which a configuration must be in force on all nodes.
 const (
-	DefaultBound       = 2500 * time.Millisecond
-	DefaultReadGap     = 500 * time.Millisecond
-	DefaultReadTimeout = 2 * time.Second
-	DefaultListGap     = 2 * time.Second
-	DefaultMinHold     = 700 * time.Millisecond
-	DefaultMaxHold     = 1200 * time.Millisecond
-	DefaultCallTimeout = 250 * time.Millisecond
-	DefaultSurveyGap   = 800 * time.Millisecond
-	DefaultReaders     = 2
-	DefaultFanOut      = 4
-	DefaultDirectLimit = 16
+	DefaultBound          = 2500 * time.Millisecond
+	DefaultReadInterval   = 500 * time.Millisecond
+	DefaultReadTimeout    = 2 * time.Second
+	DefaultListInterval   = 2 * time.Second
+	DefaultMinHold        = 700 * time.Millisecond
+	DefaultMaxHold        = 1200 * time.Millisecond
+	DefaultCallTimeout    = 250 * time.Millisecond
+	DefaultSurveyInterval = 800 * time.Millisecond
+	DefaultReaders        = 2
+	DefaultFanOut         = 4
+	DefaultDirectLimit    = 16
 )
 
 // WithDefaults returns the settings with each zero field replaced by its default.
 func (s Settings) WithDefaults() Settings {
 	setDefault(&s.Bound, DefaultBound)
-	setDefault(&s.ReadGap, DefaultReadGap)
+	setDefault(&s.ReadGap, DefaultReadInterval)
 	setDefault(&s.ReadTimeout, DefaultReadTimeout)
-	setDefault(&s.ListGap, DefaultListGap)
+	setDefault(&s.ListGap, DefaultListInterval)
 	setDefault(&s.MinHold, DefaultMinHold)
 	setDefault(&s.MaxHold, DefaultMaxHold)
 	setDefault(&s.CallTimeout, DefaultCallTimeout)
-	setDefault(&s.SurveyGap, DefaultSurveyGap)
+	setDefault(&s.SurveyGap, DefaultSurveyInterval)
 	setDefault(&s.Readers, DefaultReaders)
 	setDefault(&s.FanOut, DefaultFanOut)
 	setDefault(&s.DirectLimit, DefaultDirectLimit)
--- a/internal/membership/record.go
+++ b/internal/membership/record.go
@@ -93,7 +93,7 @@
 	if now.Before(r.suspectUntil) {
 		return false // calls that fail together count once
 	}
-	r.backoff = min(max(2*r.backoff, s.SuspectFor), s.LongestSuspect)
+	r.backoff = min(max(2*r.backoff, s.SuspectTime), s.MaxSuspectTime)
 	r.suspectUntil = now.Add(r.backoff)
 	return true
 }
--- a/internal/membership/settings.go
+++ b/internal/membership/settings.go
@@ -8,16 +8,16 @@
 	AnswerTTL time.Duration
 	// AnswerSize is the maximum number of addresses in an answer.
 	AnswerSize int
-	// SuspectFor is how long an unreachable VM is a suspect before it is tried again. The
-	// time doubles with each failure in a row, up to LongestSuspect.
-	SuspectFor     time.Duration
-	LongestSuspect time.Duration
-	// TellTime is how long peers that were notified of this node's stop may still name it
+	// SuspectTime is how long an unreachable VM is a suspect before it is tried again. The
+	// time doubles with each failure in a row, up to MaxSuspectTime.
+	SuspectTime    time.Duration
+	MaxSuspectTime time.Duration
+	// NotifyTime is how long peers that were notified of this node's stop may still name it
 	// in answers: the time that a notice takes down their trees.
-	TellTime time.Duration
-	// ListTime is the same for peers that could not be notified and learn of the stop from
+	NotifyTime time.Duration
+	// ListLag is the same for peers that could not be notified and learn of the stop from
 	// the platform's list.
-	ListTime time.Duration
+	ListLag time.Duration
 	// LingerTime is how long connections stay open after new requests are refused, so that
 	// late requests get the response "not run".
 	LingerTime time.Duration
@@ -27,10 +27,10 @@
 const (
 	DefaultAnswerTTL      = 5 * time.Second
 	DefaultAnswerSize     = 4
-	DefaultSuspectFor     = 2 * time.Second
-	DefaultLongestSuspect = time.Minute
-	DefaultTellTime       = 2 * time.Second
-	DefaultListTime       = 15 * time.Second
+	DefaultSuspectTime    = 2 * time.Second
+	DefaultMaxSuspectTime = time.Minute
+	DefaultNotifyTime     = 2 * time.Second
+	DefaultListLag        = 15 * time.Second
 	DefaultLingerTime     = 2 * time.Second
 )
 
@@ -38,10 +38,10 @@
 func (s Settings) WithDefaults() Settings {
 	setDefault(&s.AnswerTTL, DefaultAnswerTTL)
 	setDefault(&s.AnswerSize, DefaultAnswerSize)
-	setDefault(&s.SuspectFor, DefaultSuspectFor)
-	setDefault(&s.LongestSuspect, DefaultLongestSuspect)
-	setDefault(&s.TellTime, DefaultTellTime)
-	setDefault(&s.ListTime, DefaultListTime)
+	setDefault(&s.SuspectTime, DefaultSuspectTime)
+	setDefault(&s.MaxSuspectTime, DefaultMaxSuspectTime)
+	setDefault(&s.NotifyTime, DefaultNotifyTime)
+	setDefault(&s.ListLag, DefaultListLag)
 	setDefault(&s.LingerTime, DefaultLingerTime)
 	return s
 }
--- a/internal/membership/stopping.go
+++ b/internal/membership/stopping.go
@@ -57,9 +57,9 @@
 		s.ordered = now
 		return []StopStep{LeaveAddresses}
 	case e == PeersTold && s.phase == notifying:
-		s.startWaiting(now.Add(s.settings.TellTime))
+		s.startWaiting(now.Add(s.settings.NotifyTime))
 	case e == PeersMissed && s.phase == notifying:
-		s.startWaiting(now.Add(s.settings.ListTime))
+		s.startWaiting(now.Add(s.settings.ListLag))
 	case e == BillsFlushed && s.phase == flushing:
 		s.phase = exited
 		return []StopStep{Exit}
@@ -87,7 +87,7 @@
 	var steps []StopStep
 	// The report that the peers were notified may never arrive; by then the peers have
 	// learned of the stop from the list.
-	if s.phase == notifying && now.Sub(s.ordered) >= s.settings.ListTime {
+	if s.phase == notifying && now.Sub(s.ordered) >= s.settings.ListLag {
 		s.startWaiting(now)
 	}
 	if s.phase == waiting && !now.Before(s.refuseAt) {
--- a/internal/membership/tracker_test.go
+++ b/internal/membership/tracker_test.go
@@ -36,7 +36,7 @@
 		tr.Observe("e1", ConnectFailed)
 		is.Equal(tr.View().Engines[0].State, Suspect)
 		is.Equal(changes, 2) // failures in quick succession count once
-		time.Sleep(DefaultSuspectFor)
+		time.Sleep(DefaultSuspectTime)
 		is.Equal(tr.View().Engines[0].State, Live)
 		is.Equal(changes, 3)
 		tr.Observe("e1", Reached)
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -4,8 +4,11 @@
 
 // View is an immutable snapshot of the VMs. Each slice is sorted by id, Services by name.
 type View struct {
-	Entries  []Member
-	Engines  []Member
+	// Entries are the entry VMs, including this node's own.
+	Entries []Member
+	// Engines are the engine VMs.
+	Engines []Member
+	// Services are the VMs of each plain service.
 	Services []ServiceMembers
 }
 
--- a/internal/transfer/sender.go
+++ b/internal/transfer/sender.go
@@ -118,7 +118,7 @@
 	u := s.update(updateBase{a.Known, a.Whole})
 	started := &activeTransfer{update: u}
 	if a.Update == u.id {
-		started.received = min(max(a.Offset, 0), len(u.data)) // resumes a transfer from another sender
+		started.received = min(max(a.Offset, 0), len(u.data)) // resumes another sender's transfer
 	}
 	if len(s.active) > 0 && s.inFlight()+started.nextSize() > s.maxInFlightBytes {
 		return Piece{To: u.to, Busy: true, Others: s.alternatives(a.From, u.to)}
