--- a/internal/confsync/core.go
+++ b/internal/confsync/core.go
@@ -98,7 +98,7 @@
 func (c *Core) handlePeer(now time.Duration, e Event) {
 	switch e := e.(type) {
 	case WaitAsked:
-		c.waitAsked(now, e)
+		c.waitRequested(now, e)
 	case WaitReplied:
 		c.waitReplied(now, e)
 	case WaitFailed:
@@ -137,7 +137,7 @@
 // FreshUntil returns the time, since the start of the process, until which new work may be
 // admitted; 0 means not at all.
 func (c *Core) FreshUntil() time.Duration {
-	at, ok := c.state.youngest()
+	at, ok := c.state.latestAt()
 	if !ok || c.state.applied == 0 {
 		return 0
 	}
@@ -183,7 +183,7 @@
 		Reader:   c.isReader(now),
 		Children: c.heldCalls.childCount(now),
 	}
-	if at, ok := c.state.youngest(); ok {
+	if at, ok := c.state.latestAt(); ok {
 		s.ProofAge = now - at
 	}
 	if c.pulls.parent != "" {
--- a/internal/confsync/evaluate.go
+++ b/internal/confsync/evaluate.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// evaluateVotes derives a grant from a survey once more than half of the electors have voted for
-// an outage. The grant's instant is that of the oldest vote.
+// evaluateVotes derives a grant from a survey once more than half of the electors have voted
+// for an outage. The grant's instant is that of the oldest vote.
 func (c *Core) evaluateVotes(round *survey, now time.Duration) {
 	if round.purpose != forOutage || !c.knowsElectors(round) {
 		return
@@ -41,10 +41,10 @@
 	return c.settledDigest() == c.list.digest
 }
 
-// settledDigest returns the digest of the list by which this node counts a majority; 0 for none.
-// The first lists of a process may omit nodes that started at the same time. If it were cut
-// off early, it would be a majority of the few nodes that it knows, and would continue under
-// a configuration that all others have replaced.
+// settledDigest returns the digest of the list by which this node counts a majority; 0 for
+// none. The first lists of a process may omit nodes that started at the same time. If it were
+// cut off early, it would be a majority of the few nodes that it knows, and would continue
+// under a configuration that all others have replaced.
 func (c *Core) settledDigest() uint64 {
 	l := &c.list
 	if l.vouchedDigest != l.digest && !c.rules.listSettled(l.span()) {
--- a/internal/confsync/holding.go
+++ b/internal/confsync/holding.go
@@ -18,7 +18,7 @@
 	received time.Duration
 }
 
-func (c *Core) waitAsked(now time.Duration, e WaitAsked) {
+func (c *Core) waitRequested(now time.Duration, e WaitAsked) {
 	if c.heldCalls.children == nil {
 		c.heldCalls.children = map[string]time.Duration{}
 	}
@@ -31,8 +31,8 @@
 	c.heldCalls.held = append(c.heldCalls.held, heldCall{token: e.Token, args: e.Args, received: now})
 }
 
-// answerDueWaits answers the held calls that are due. Checking all calls in each step is cheap: a
-// node holds no more calls than it has children.
+// answerDueWaits answers the held calls that are due. Checking all calls in each step is
+// cheap: a node holds no more calls than it has children.
 func (c *Core) answerDueWaits(now time.Duration) {
 	remaining := c.heldCalls.held[:0]
 	for _, w := range c.heldCalls.held {
--- a/internal/confsync/list_read.go
+++ b/internal/confsync/list_read.go
@@ -58,8 +58,8 @@
 	return list, nil
 }
 
-// readListUnless reads the list unless it still has the tag. A platform without conditional reads
-// always returns the full list.
+// readListUnless reads the list unless it still has the tag. A platform without conditional
+// reads always returns the full list.
 func readListUnless(ctx context.Context, lists platform.VMs, tag string) (platform.TaggedVMs, error) {
 	if conditional, ok := lists.(platform.ConditionalVMs); ok {
 		return conditional.ListUnless(ctx, tag)
--- a/internal/confsync/list_read_test.go
+++ b/internal/confsync/list_read_test.go
@@ -61,12 +61,12 @@
 // readLists runs a node for a minute, changes the list, and runs it for another minute. It
 // returns the lists that the node reported.
 func readLists(t *testing.T, lists platform.VMs, change func()) []List {
-	var heard []List
+	var reported []List
 	s := New(Settings{}, Deps{
 		Store: noStore{}, Lists: lists, Log: slog.New(slog.DiscardHandler),
 		Self:    platform.VM{ID: "e1", FailureDomain: "manga"},
 		Members: func() []platform.VM { return nil },
-		OnList:  func(l List) { heard = append(heard, l) },
+		OnList:  func(l List) { reported = append(reported, l) },
 	})
 	if err := s.Start(); err != nil {
 		t.Fatal(err)
@@ -77,7 +77,7 @@
 	if err := s.Close(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	return heard
+	return reported
 }
 
 // Guards against full reads of an unchanged list. The list of 11,600 VMs has 1.3 MB, and a
@@ -87,10 +87,10 @@
 		is := is.New(t)
 		lists := &taggedLists{}
 		lists.set("e1")
-		heard := readLists(t, lists, func() { lists.set("e1", "e2") })
+		reported := readLists(t, lists, func() { lists.set("e1", "e2") })
 		is.Equal(lists.fullReads.Load(), int64(2))
-		is.Equal(len(heard), 2)
-		is.Equal(len(heard[1].VMs), 2)
+		is.Equal(len(reported), 2)
+		is.Equal(len(reported[1].VMs), 2)
 	})
 }
 
@@ -100,9 +100,9 @@
 		is := is.New(t)
 		lists := &countedLists{}
 		lists.set("e1")
-		heard := readLists(t, lists, func() { lists.set("e1", "e2") })
+		reported := readLists(t, lists, func() { lists.set("e1", "e2") })
 		is.True(lists.fullReads.Load() >= 50)
-		is.Equal(len(heard), 2)
+		is.Equal(len(reported), 2)
 	})
 }
 
--- a/internal/confsync/listing.go
+++ b/internal/confsync/listing.go
@@ -120,6 +120,6 @@
 // ListDigest returns the digest of the current VM list; 0 for none.
 func (c *Core) ListDigest() uint64 { return c.list.digest }
 
-// ListReadAt returns the read time of the current VM list, since the start of the process. It is
-// not later than the start of the read.
+// ListReadAt returns the read time of the current VM list, since the start of the process. It
+// is not later than the start of the read.
 func (c *Core) ListReadAt() time.Duration { return c.list.readAt }
--- a/internal/confsync/loop_list.go
+++ b/internal/confsync/loop_list.go
@@ -7,9 +7,9 @@
 	"github.com/hickorybank/hickorybank/internal/event"
 )
 
-// handleListRead keeps a list that was read here if the core accepts it: a slow read may be older
-// than the list that a peer has sent meanwhile. The archive is replaced before the step,
-// because the step's answers to children may send the archive on.
+// handleListRead keeps a list that was read here if the core accepts it: a slow read may be
+// older than the list that a peer has sent meanwhile. The archive is replaced before the
+// step, because the step's answers to children may send the archive on.
 func (l *loop) handleListRead(e Event, list *vmList) {
 	old := l.list
 	if old != nil && old.Tag() == list.digest {
--- a/internal/confsync/noticing.go
+++ b/internal/confsync/noticing.go
@@ -50,8 +50,8 @@
 	c.emit(SendNotice{Token: t, Notice: c.ownNotice(), Peers: peers})
 }
 
-// receiveNotice records a notice and reports it if it is new. A notice that a node serves is new
-// only after one that it stops.
+// receiveNotice records a notice and reports it if it is new. A notice that a node serves is
+// new only after one that it stops.
 func (c *Core) receiveNotice(n Notice, now time.Duration) {
 	old, known := c.notices[n.ID]
 	if !known && !n.Leaving || known && !n.supersedes(old) || n.Age > noticeTime {
--- a/internal/confsync/proof_state.go
+++ b/internal/confsync/proof_state.go
@@ -62,7 +62,8 @@
 	return true
 }
 
-// addPending adds a proof to the list, which keeps the latest proof for each of a few revisions.
+// addPending adds a proof to the list, which keeps the latest proof for each of a few
+// revisions.
 func addPending(list []Proof, p Proof) []Proof {
 	for i := range list {
 		if list[i].Revision == p.Revision {
@@ -98,8 +99,8 @@
 	return true
 }
 
-// youngest returns the instant of the latest proof of either kind.
-func (k *proofState) youngest() (time.Duration, bool) {
+// latestAt returns the instant of the latest proof of either kind.
+func (k *proofState) latestAt() (time.Duration, bool) {
 	if k.grant.newer(k.table) {
 		return k.grant.At, true
 	}
--- a/internal/confsync/pulling.go
+++ b/internal/confsync/pulling.go
@@ -165,9 +165,9 @@
 	c.nextCandidate(now)
 }
 
-// nextCandidate moves on to the next candidate. The first few follow quickly, so that a node that
-// loses its parent finds another one before its proof expires. Then the delay grows, so that
-// an outage of the table does not cause a flood of calls.
+// nextCandidate moves on to the next candidate. The first few follow quickly, so that a node
+// that loses its parent finds another one before its proof expires. Then the delay grows, so
+// that an outage of the table does not cause a flood of calls.
 func (c *Core) nextCandidate(now time.Duration) {
 	p := &c.pulls
 	if p.parent != "" {
--- a/internal/confsync/surveying.go
+++ b/internal/confsync/surveying.go
@@ -54,8 +54,8 @@
 	if now < c.surveys.nextSurvey || !c.isStale(now) {
 		return false
 	}
-	youngest, ok := c.state.youngest()
-	noRecentProof := !ok || now-youngest > 4*c.settings.ReadGap
+	latest, ok := c.state.latestAt()
+	noRecentProof := !ok || now-latest > 4*c.settings.ReadGap
 	return c.isReader(now) || noRecentProof
 }
 
--- a/internal/confsync/trying.go
+++ b/internal/confsync/trying.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// failedAttempt is the start of the last failed attempt to get a more recent proof: by a read of the
-// head, or by a call to a peer.
+// failedAttempt is the start of the last failed attempt to get a more recent proof: by a read
+// of the head, or by a call to a peer.
 type failedAttempt struct {
 	failed   bool
 	failedAt time.Duration
--- a/internal/gossip/roster_test.go
+++ b/internal/gossip/roster_test.go
@@ -182,9 +182,9 @@
 	}
 }
 
-// Hundreds of nodes have dozens of groups. In each group of leaders only the one with the
+// Hundreds of nodes have dozens of groups. In each circle of leaders only the one with the
 // highest bandwidth reads the table, and all leaders agree on it.
-func TestOneReaderPerLeaderGroup(t *testing.T) {
+func TestOneReaderPerCircle(t *testing.T) {
 	for _, c := range []struct{ nodes, circles int }{{18, 1}, {295, 1}, {1600, 3}} {
 		t.Run(fmt.Sprint(c.nodes), func(t *testing.T) {
 			is := is.New(t)
