--- a/internal/gateway/follow_peers.go
+++ b/internal/gateway/follow_peers.go
@@ -196,7 +196,7 @@
 		return
 	}
 	n.mu.Lock()
-	died := n.roster.Unreached(m.ID, time.Now())
+	died := n.roster.RecordMiss(m.ID, time.Now())
 	delete(n.peerStates, m.ID)
 	n.mu.Unlock()
 	if died {
--- a/internal/gossip/digest_test.go
+++ b/internal/gossip/digest_test.go
@@ -48,8 +48,8 @@
 	now := time.Unix(1000, 0)
 	a, fresh := NewRoster(member("a", 1)), NewRoster(member("f", 1))
 	a.Merge([]Member{member("c", 1)}, now)
-	a.Unreached("c", now)
-	a.Unreached("c", now)
+	a.RecordMiss("c", now)
+	a.RecordMiss("c", now)
 	syncRosters(a, fresh, now)
 	is.Equal(a.Hash(), fresh.Hash())
 }
@@ -66,7 +66,7 @@
 			case 0:
 				r.SetSelf(rapid.Bool().Draw(t, "ready"), false)
 			case 1:
-				r.Unreached(other.Self().ID, now)
+				r.RecordMiss(other.Self().ID, now)
 			case 2:
 				r.Merge([]Member{member(fmt.Sprintf("m%d", rapid.IntRange(0, 200).Draw(t, "member")), rapid.Int64Range(1, 3).Draw(t, "born"))}, now)
 			default:
--- a/internal/gossip/roster.go
+++ b/internal/gossip/roster.go
@@ -143,9 +143,9 @@
 	}
 }
 
-// Unreached records that a member did not respond, and reports whether this call marked it
+// RecordMiss records that a member did not respond, and reports whether this call marked it
 // dead.
-func (r *Roster) Unreached(id string, now time.Time) bool {
+func (r *Roster) RecordMiss(id string, now time.Time) bool {
 	e := r.members[id]
 	if e == nil {
 		return false
--- a/internal/gossip/roster_test.go
+++ b/internal/gossip/roster_test.go
@@ -27,8 +27,8 @@
 	}
 	sendKnown(a, b, now)
 	sendKnown(b, a, now)
-	is.True(!a.Unreached("c", now)) // one failed call is not enough
-	is.True(a.Unreached("c", now))
+	is.True(!a.RecordMiss("c", now)) // one failed call is not enough
+	is.True(a.RecordMiss("c", now))
 	sendKnown(a, b, now)
 	is.True(!b.Lives("c", 1))
 	sendKnown(c, b, now)
@@ -64,8 +64,8 @@
 	a, b := NewRoster(member("a", 1)), NewRoster(member("b", 1))
 	c := NewRoster(member("c", 1))
 	sendKnown(c, a, now)
-	a.Unreached("c", now)
-	a.Unreached("c", now)
+	a.RecordMiss("c", now)
+	a.RecordMiss("c", now)
 	later := now.Add(deadRetention + time.Second)
 	dead := a.Known(now)
 	is.Equal(len(a.Known(later)), 1)
@@ -92,7 +92,7 @@
 			case 1:
 				all[a].SetSelf(rapid.Bool().Draw(t, "ready"), false)
 			case 2:
-				all[a].Unreached(all[b].Self().ID, now)
+				all[a].RecordMiss(all[b].Self().ID, now)
 			}
 		}
 		for range 4 * count {
