--- a/internal/gateway/messages.go
+++ b/internal/gateway/messages.go
@@ -157,7 +157,7 @@
 
 // mergeMembers merges a peer's members into the roster; the caller holds mu.
 func (n *Node) mergeMembers(in gossip.Message, now time.Time) {
-	n.roster.Answered(in.From)
+	n.roster.RecordResponse(in.From)
 	for _, m := range n.roster.Merge(in.Members, now) {
 		event.PeerChanged.Log(n.log, slog.String("peer", m.ID), slog.String("from", in.From),
 			slog.Bool("ready", m.Ready), slog.Bool("leaving", m.Leaving), slog.Bool("dead", m.Dead), slog.Uint64("beat", m.Beat))
--- a/internal/gossip/roster.go
+++ b/internal/gossip/roster.go
@@ -136,8 +136,8 @@
 	return e != nil && e.Born == born && !e.Dead
 }
 
-// Answered records that a member responded.
-func (r *Roster) Answered(id string) {
+// RecordResponse records that a member responded.
+func (r *Roster) RecordResponse(id string) {
 	if e := r.members[id]; e != nil {
 		e.misses = 0
 	}
