--- a/internal/gateway/follow_rollouts.go
+++ b/internal/gateway/follow_rollouts.go
@@ -73,7 +73,7 @@
 func (n *Node) evaluateRollouts(now time.Time) []canary.Decision {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.canary.ClearInFlight(n.roster.Lives)
+	n.canary.ClearInFlight(n.roster.IsAlive)
 	return n.canary.Tick(now, canary.View{
 		Count:    func(service, version string) (int, int) { return n.fleet.Count(service, version, now) },
 		Complete: n.leadsGroup(),
--- a/internal/gossip/digest_test.go
+++ b/internal/gossip/digest_test.go
@@ -37,7 +37,7 @@
 	is.True(a.Hash() != b.Hash())
 	sent := syncRosters(a, b, now)
 	is.True(sent <= 20)
-	is.True(b.Lives("m7", 2))
+	is.True(b.IsAlive("m7", 2))
 	is.Equal(a.Hash(), b.Hash())
 }
 
--- a/internal/gossip/roster.go
+++ b/internal/gossip/roster.go
@@ -127,8 +127,8 @@
 	return slices.DeleteFunc(slices.Clone(r.Alive()), func(m Member) bool { return m.ID == r.self.ID })
 }
 
-// Lives reports whether the process of a node with the given start is alive.
-func (r *Roster) Lives(node string, born int64) bool {
+// IsAlive reports whether the process of a node with the given start is alive.
+func (r *Roster) IsAlive(node string, born int64) bool {
 	if node == r.self.ID {
 		return born == r.self.Born
 	}
--- a/internal/gossip/roster_test.go
+++ b/internal/gossip/roster_test.go
@@ -30,14 +30,14 @@
 	is.True(!a.RecordMiss("c", now)) // one failed call is not enough
 	is.True(a.RecordMiss("c", now))
 	sendKnown(a, b, now)
-	is.True(!b.Lives("c", 1))
+	is.True(!b.IsAlive("c", 1))
 	sendKnown(c, b, now)
-	is.True(!b.Lives("c", 1)) // an entry as old as the mark
-	sendKnown(b, c, now)      // c learns that it is marked dead
+	is.True(!b.IsAlive("c", 1)) // an entry as old as the mark
+	sendKnown(b, c, now)        // c learns that it is marked dead
 	sendKnown(c, b, now)
-	is.True(b.Lives("c", 1))
+	is.True(b.IsAlive("c", 1))
 	sendKnown(b, a, now)
-	is.True(a.Lives("c", 1))
+	is.True(a.IsAlive("c", 1))
 }
 
 // A process is killed and restarted: the new process replaces the old one, and late entries
@@ -53,8 +53,8 @@
 	sendKnown(old, a, now)
 	sendKnown(fresh, a, now)
 	sendKnown(old, a, now)
-	is.True(a.Lives("b", 2))
-	is.True(!a.Lives("b", 1))
+	is.True(a.IsAlive("b", 2))
+	is.True(!a.IsAlive("b", 1))
 }
 
 // Dead members are dropped after a while, and a peer's dead entry does not bring them back.
