--- a/internal/gateway/follow_flights.go
+++ b/internal/gateway/follow_flights.go
@@ -19,7 +19,7 @@
 		now := time.Now()
 		n.mu.Lock()
 		own := n.fleet.Flight()
-		n.flights.Take(gossip.FlightReport{From: n.settings.ID, Flight: own}, now)
+		n.flights.Record(gossip.FlightReport{From: n.settings.ID, Flight: own}, now)
 		role := n.roster.FlightRole()
 		n.mu.Unlock()
 		ok := true
@@ -70,7 +70,7 @@
 		work.Go(func() {
 			if reply, err := n.gossipClient.Flights(m.Peer, report); err == nil {
 				n.mu.Lock()
-				n.flights.Take(reply, time.Now())
+				n.flights.Record(reply, time.Now())
 				n.mu.Unlock()
 			}
 		})
--- a/internal/gossip/flight_role_test.go
+++ b/internal/gossip/flight_role_test.go
@@ -51,9 +51,9 @@
 		for id, r := range rosters {
 			role := r.FlightRole()
 			s := sums[id]
-			s.Take(FlightReport{From: id, Flight: flight(1, 1)}, now)
+			s.Record(FlightReport{From: id, Flight: flight(1, 1)}, now)
 			for _, other := range role.Others {
-				s.Take(sums[other.ID].Answer(FlightReport{From: id, Domain: true, Flight: s.Domain(now)}, other.ID, now), now)
+				s.Record(sums[other.ID].Answer(FlightReport{From: id, Domain: true, Flight: s.Domain(now)}, other.ID, now), now)
 			}
 			if role.To.ID != "" {
 				report := s.Report(id, role, now)
--- a/internal/gossip/flight_sums.go
+++ b/internal/gossip/flight_sums.go
@@ -40,8 +40,8 @@
 	return &FlightSums{members: map[string]timedFlight{}, groups: map[string]timedFlight{}, domains: map[string]timedFlight{}}
 }
 
-// Take records a report in place of the sender's previous one.
-func (s *FlightSums) Take(r FlightReport, now time.Time) {
+// Record records a report in place of the sender's previous one.
+func (s *FlightSums) Record(r FlightReport, now time.Time) {
 	to := s.members
 	switch {
 	case r.Domain:
@@ -61,7 +61,7 @@
 // Answer records a report and returns the response: the sum over this failure domain if the
 // report is from another domain, otherwise the sum over all nodes.
 func (s *FlightSums) Answer(in FlightReport, self string, now time.Time) FlightReport {
-	s.Take(in, now)
+	s.Record(in, now)
 	if in.Domain {
 		return FlightReport{From: self, Domain: true, Flight: s.Domain(now)}
 	}
