--- a/internal/gateway/follow_flights.go
+++ b/internal/gateway/follow_flights.go
@@ -52,7 +52,7 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.flights.TakeRest(all.Flight, report.Flight, time.Now())
+	n.flights.RecordRest(all.Flight, report.Flight, time.Now())
 	return true
 }
 
--- a/internal/gossip/flight_role_test.go
+++ b/internal/gossip/flight_role_test.go
@@ -57,7 +57,7 @@
 			}
 			if role.To.ID != "" {
 				report := s.Report(id, role, now)
-				s.TakeRest(sums[role.To.ID].Answer(report, role.To.ID, now).Flight, report.Flight, now)
+				s.RecordRest(sums[role.To.ID].Answer(report, role.To.ID, now).Flight, report.Flight, now)
 			}
 			attempts[id] = int(s.All(now).Counts[0])
 		}
--- a/internal/gossip/flight_sums.go
+++ b/internal/gossip/flight_sums.go
@@ -52,9 +52,9 @@
 	to[r.From] = timedFlight{r.Flight, now}
 }
 
-// TakeRest records the response of the node that this one reports to: all is the sum over
+// RecordRest records the response of the node that this one reports to: all is the sum over
 // all nodes, and reported is this node's own part of it, which is subtracted.
-func (s *FlightSums) TakeRest(all, reported fleet.Flight, now time.Time) {
+func (s *FlightSums) RecordRest(all, reported fleet.Flight, now time.Time) {
 	s.rest = timedFlight{fleet.Subtract(all, reported), now}
 }
 
