--- a/internal/membership/outcome.go
+++ b/internal/membership/outcome.go
@@ -11,8 +11,8 @@
 	ConnectFailed
 	// Broken means that a connection broke or no response arrived.
 	Broken
-	// SaidLeaving means that the VM reported that it is leaving.
-	SaidLeaving
+	// ReportedLeaving means that the VM reported that it is leaving.
+	ReportedLeaving
 	// SaidServing means that the VM reported that it is serving.
 	SaidServing
 )
--- a/internal/membership/record.go
+++ b/internal/membership/record.go
@@ -61,7 +61,7 @@
 		changed := r.reportedLeaving
 		r.reportedLeaving = false
 		return r.reached() || changed
-	case SaidLeaving:
+	case ReportedLeaving:
 		changed := !r.reportedLeaving
 		r.reportedLeaving = true
 		return changed
--- a/internal/membership/tracker.go
+++ b/internal/membership/tracker.go
@@ -77,7 +77,7 @@
 // otherwise.
 func (t *Tracker) MarkLeaving(id string) {
 	now := time.Now()
-	t.update(now, func() bool { return t.core.ObserveID(id, SaidLeaving, now) })
+	t.update(now, func() bool { return t.core.ObserveID(id, ReportedLeaving, now) })
 }
 
 // MarkServing records that the VM with an id reported that it is serving.
--- a/internal/node/notices.go
+++ b/internal/node/notices.go
@@ -41,6 +41,6 @@
 	u.balancer.ApplyNotice(vm.ID, a, at)
 	u.mu.Unlock()
 	if a.Leaving {
-		u.node.members.Observe(vm.Addr, membership.SaidLeaving) // also informs the other nodes
+		u.node.members.Observe(vm.Addr, membership.ReportedLeaving) // also informs the other nodes
 	}
 }
--- a/internal/node/upstreams.go
+++ b/internal/node/upstreams.go
@@ -271,7 +271,7 @@
 	u.node.suspects.observe(vm.ID, r)
 	switch {
 	case r.Leaving:
-		u.node.members.Observe(vm.Addr, membership.SaidLeaving)
+		u.node.members.Observe(vm.Addr, membership.ReportedLeaving)
 	case restarted:
 		// A new process on the VM invalidates the old one's announcement that it is leaving.
 		u.node.members.Observe(vm.Addr, membership.SaidServing)
