--- a/internal/membership/outcome.go
+++ b/internal/membership/outcome.go
@@ -13,6 +13,6 @@
 	Broken
 	// ReportedLeaving means that the VM reported that it is leaving.
 	ReportedLeaving
-	// SaidServing means that the VM reported that it is serving.
-	SaidServing
+	// ReportedServing means that the VM reported that it is serving.
+	ReportedServing
 )
--- a/internal/membership/record.go
+++ b/internal/membership/record.go
@@ -57,7 +57,7 @@
 	switch o {
 	case Reached:
 		return r.reached()
-	case SaidServing:
+	case ReportedServing:
 		changed := r.reportedLeaving
 		r.reportedLeaving = false
 		return r.reached() || changed
--- a/internal/membership/script_test.go
+++ b/internal/membership/script_test.go
@@ -16,7 +16,7 @@
 
 var outcomes = map[string]Outcome{
 	"reached": Reached, "connect-failed": ConnectFailed, "broken": Broken,
-	"said-leaving": ReportedLeaving, "said-serving": SaidServing,
+	"said-leaving": ReportedLeaving, "said-serving": ReportedServing,
 }
 
 func scriptTime(t *testing.T, d *datadriven.TestData) time.Time {
--- a/internal/membership/tracker.go
+++ b/internal/membership/tracker.go
@@ -83,7 +83,7 @@
 // MarkServing records that the VM with an id reported that it is serving.
 func (t *Tracker) MarkServing(id string) {
 	now := time.Now()
-	t.update(now, func() bool { return t.core.ObserveID(id, SaidServing, now) })
+	t.update(now, func() bool { return t.core.ObserveID(id, ReportedServing, now) })
 }
 
 // Addresses returns the entry addresses that a caller should use, and for how long.
--- a/internal/node/upstreams.go
+++ b/internal/node/upstreams.go
@@ -274,7 +274,7 @@
 		u.node.members.Observe(vm.Addr, membership.ReportedLeaving)
 	case restarted:
 		// A new process on the VM invalidates the old one's announcement that it is leaving.
-		u.node.members.Observe(vm.Addr, membership.SaidServing)
+		u.node.members.Observe(vm.Addr, membership.ReportedServing)
 	default:
 		u.node.members.Observe(vm.Addr, membership.Reached)
 	}
