--- a/internal/membership/stop_event.go
+++ b/internal/membership/stop_event.go
@@ -7,8 +7,8 @@
 const (
 	// StopOrdered requests a stop; further ones have no effect.
 	StopOrdered StopEvent = iota
-	// PeersTold means that all peers were notified to omit this node from their answers.
-	PeersTold
+	// PeersNotified means that all peers were notified to omit this node from their answers.
+	PeersNotified
 	// PeersMissed means that some peers could not be notified.
 	PeersMissed
 	// Tick only advances the time.
--- a/internal/membership/stopping.go
+++ b/internal/membership/stopping.go
@@ -56,7 +56,7 @@
 		s.phase = notifying
 		s.ordered = now
 		return []StopStep{LeaveAddresses}
-	case e == PeersTold && s.phase == notifying:
+	case e == PeersNotified && s.phase == notifying:
 		s.startWaiting(now.Add(s.settings.NotifyTime))
 	case e == PeersMissed && s.phase == notifying:
 		s.startWaiting(now.Add(s.settings.ListLag))
--- a/internal/node/stopping.go
+++ b/internal/node/stopping.go
@@ -97,7 +97,7 @@
 	if s.node.sync.AnnounceLeaving(ctx) > 0 {
 		return s.handle(ctx, membership.PeersMissed)
 	}
-	return s.handle(ctx, membership.PeersTold)
+	return s.handle(ctx, membership.PeersNotified)
 }
 
 func (s *stopping) flush(ctx context.Context) bool {
