--- a/internal/membership/script_test.go
+++ b/internal/membership/script_test.go
@@ -77,7 +77,7 @@
 // Commands of the scripts: EVENT at=T running=N prints the steps to take.
 func TestStoppingScripts(t *testing.T) {
 	events := map[string]StopEvent{
-		"stop": StopOrdered, "told": PeersNotified, "missed": PeersMissed, "tick": Tick, "flushed": BillsFlushed,
+		"stop": StopOrdered, "told": PeersNotified, "missed": PeersUnreachable, "tick": Tick, "flushed": BillsFlushed,
 	}
 	datadriven.Walk(t, "testdata/stopping", func(t *testing.T, path string) {
 		s := NewStopping(Settings{})
--- a/internal/membership/stop_event.go
+++ b/internal/membership/stop_event.go
@@ -9,8 +9,8 @@
 	StopOrdered StopEvent = iota
 	// PeersNotified means that all peers were notified to omit this node from their answers.
 	PeersNotified
-	// PeersMissed means that some peers could not be notified.
-	PeersMissed
+	// PeersUnreachable means that some peers could not be notified.
+	PeersUnreachable
 	// Tick only advances the time.
 	Tick
 	// BillsFlushed means that all bills are durable.
--- a/internal/membership/stopping.go
+++ b/internal/membership/stopping.go
@@ -58,7 +58,7 @@
 		return []StopStep{LeaveAddresses}
 	case e == PeersNotified && s.phase == notifying:
 		s.startWaiting(now.Add(s.settings.NotifyTime))
-	case e == PeersMissed && s.phase == notifying:
+	case e == PeersUnreachable && s.phase == notifying:
 		s.startWaiting(now.Add(s.settings.ListLag))
 	case e == BillsFlushed && s.phase == flushing:
 		s.phase = exited
--- a/internal/node/stopping.go
+++ b/internal/node/stopping.go
@@ -95,7 +95,7 @@
 func (s *stopping) leave(ctx context.Context) bool {
 	s.node.members.MarkLeaving(s.node.settings.ID)
 	if s.node.sync.AnnounceLeaving(ctx) > 0 {
-		return s.handle(ctx, membership.PeersMissed)
+		return s.handle(ctx, membership.PeersUnreachable)
 	}
 	return s.handle(ctx, membership.PeersNotified)
 }
