--- a/internal/confsync/syncer.go
+++ b/internal/confsync/syncer.go
@@ -160,8 +160,8 @@
 	return answer.(AnswerConfirm).Confirmation, nil
 }
 
-// Poke requests an immediate read of the head, after a change was accepted here.
-func (s *Syncer) Poke() { s.post(input{event: ReadRequested{}}) }
+// RequestRead requests an immediate read of the head, after a change was accepted here.
+func (s *Syncer) RequestRead() { s.post(input{event: ReadRequested{}}) }
 
 // MembersChanged reports that the result of [Deps.Members] has changed. It does not block, so
 // that the functions of Deps may call it.
--- a/internal/confsync/syncer_test.go
+++ b/internal/confsync/syncer_test.go
@@ -16,7 +16,7 @@
 	f.change(0, f.doc.Presets[0].Name)
 	f.await("revision 1", admitsUnder(1))
 	f.change(1, f.doc.Presets[1].Name)
-	f.nodes[3].Poke()
+	f.nodes[3].RequestRead()
 	f.await("revision 2", admitsUnder(2))
 	for _, m := range f.nodes {
 		is.Equal(m.Snapshot().Doc.Preset, f.doc.Presets[1].Name) // each revision has one preset
