--- a/internal/capacity/probe_confsync.go
+++ b/internal/capacity/probe_confsync.go
@@ -192,7 +192,7 @@
 	return m.CPU(func(n int) {
 		for range n {
 			now += 800 * time.Millisecond
-			answer(c.Step(now, confsync.WaitAsked{Token: 1, Args: confsync.WaitArgs{From: confsync.Notice{ID: "entry-00001"}, Revision: 1, Hold: true}}))
+			answer(c.Step(now, confsync.WaitRequested{Token: 1, Args: confsync.WaitArgs{From: confsync.Notice{ID: "entry-00001"}, Revision: 1, Hold: true}}))
 			answer(c.Step(now, confsync.Tick{}))
 		}
 	}), nil
--- a/internal/confsync/core.go
+++ b/internal/confsync/core.go
@@ -97,7 +97,7 @@
 
 func (c *Core) handlePeer(now time.Duration, e Event) {
 	switch e := e.(type) {
-	case WaitAsked:
+	case WaitRequested:
 		c.waitRequested(now, e)
 	case WaitReplied:
 		c.waitReplied(now, e)
--- a/internal/confsync/core_event.go
+++ b/internal/confsync/core_event.go
@@ -39,8 +39,8 @@
 	}
 	// ApplyFailed reports that a [Fetch] or an [Apply] failed.
 	ApplyFailed struct{ Token Token }
-	// WaitAsked is a pull by a peer; [AnswerWait] answers it.
-	WaitAsked struct {
+	// WaitRequested is a pull by a peer; [AnswerWait] answers it.
+	WaitRequested struct {
 		Token Token
 		Args  WaitArgs
 	}
@@ -84,7 +84,7 @@
 func (ListRejected) event()     {}
 func (Applied) event()          {}
 func (ApplyFailed) event()      {}
-func (WaitAsked) event()        {}
+func (WaitRequested) event()    {}
 func (WaitReplied) event()      {}
 func (WaitFailed) event()       {}
 func (SurveyRequested) event()  {}
--- a/internal/confsync/holding.go
+++ b/internal/confsync/holding.go
@@ -18,7 +18,7 @@
 	received time.Duration
 }
 
-func (c *Core) waitRequested(now time.Duration, e WaitAsked) {
+func (c *Core) waitRequested(now time.Duration, e WaitRequested) {
 	if c.heldCalls.children == nil {
 		c.heldCalls.children = map[string]time.Duration{}
 	}
--- a/internal/confsync/service.go
+++ b/internal/confsync/service.go
@@ -18,7 +18,7 @@
 
 // Wait serves a peer that pulls from this node; the call may be held.
 func (s *service) Wait(args WaitArgs, reply *WaitReply) error {
-	ask := func(t Token) Event { return WaitAsked{Token: t, Args: args} }
+	ask := func(t Token) Event { return WaitRequested{Token: t, Args: args} }
 	answer, err := s.syncer.ask(s.syncer.ctx, ask)
 	if err != nil {
 		return err
--- a/internal/confsync/sim_node_test.go
+++ b/internal/confsync/sim_node_test.go
@@ -135,7 +135,7 @@
 		if d.Args.Hold {
 			hold = w.settings.MaxHold
 		}
-		ask := func(t Token) Event { return WaitAsked{Token: t, Args: d.Args} }
+		ask := func(t Token) Event { return WaitRequested{Token: t, Args: d.Args} }
 		answer := func(e Event) Event {
 			r := e.(WaitReplied)
 			r.Token = d.Token
