--- a/internal/capacity/role_config.go
+++ b/internal/capacity/role_config.go
@@ -16,16 +16,16 @@
 	s := syncSettings()
 	readers := float64(c.Size.FailureDomains * s.Readers)
 	changes := c.Size.Changes / secondsPerDay
-	heads := c.calls(1/s.ReadGap.Seconds(), c.at("table.get", headBytes), c.at("table.get.bytes", headBytes))
+	heads := c.calls(1/s.ReadInterval.Seconds(), c.at("table.get", headBytes), c.at("table.get.bytes", headBytes))
 	row := c.changeBytes() * base64Growth
 	deltas := c.calls(changes, c.at("table.get", row), c.at("table.get.bytes", row))
 	busiest := heads.Plus(deltas)
 	return Role{
 		Name: "configuration: reading the table", Plane: Control,
 		State:     "the head's revision and proofs of when it was read",
-		Mechanism: fmt.Sprintf("%d readers a failure domain by rendezvous hash read the head every %v, and what each change changed: %.0f B, the document being %s; package confsync", s.Readers, s.ReadGap, c.changeBytes(), amount(c.at("config.bytes", c.Assume.Organisations))),
+		Mechanism: fmt.Sprintf("%d readers a failure domain by rendezvous hash read the head every %v, and what each change changed: %.0f B, the document being %s; package confsync", s.Readers, s.ReadInterval, c.changeBytes(), amount(c.at("config.bytes", c.Assume.Organisations))),
 		Each:      busiest.Times(readers / float64(c.Size.Nodes)), Busiest: busiest, Who: fmt.Sprintf("a reader, %.0f nodes", readers),
-		Reads: readers * (1/s.ReadGap.Seconds() + changes),
+		Reads: readers * (1/s.ReadInterval.Seconds() + changes),
 	}
 }
 
@@ -34,7 +34,7 @@
 // with each change.
 func (c *calc) waits() float64 {
 	s := syncSettings()
-	renewal := s.ReadGap.Seconds()
+	renewal := s.ReadInterval.Seconds()
 	hold := math.Ceil(s.MinHold.Seconds()/renewal) * renewal
 	return 1/hold + c.Size.Changes/secondsPerDay
 }
--- a/internal/confsync/core.go
+++ b/internal/confsync/core.go
@@ -164,7 +164,7 @@
 // lacksOwnProof reports whether this node's own reads have brought no proof for two read
 // intervals.
 func (c *Core) lacksOwnProof(now time.Duration) bool {
-	return !c.headReads.proved || now-c.headReads.provedAt > 2*c.settings.ReadGap
+	return !c.headReads.proved || now-c.headReads.provedAt > 2*c.settings.ReadInterval
 }
 
 // isReader reports whether this node reads the table for its failure domain.
--- a/internal/confsync/pulling.go
+++ b/internal/confsync/pulling.go
@@ -141,7 +141,7 @@
 	for _, n := range r.Notices {
 		c.receiveNotice(n, now)
 	}
-	recent := table.Valid && now-table.At < 2*c.settings.ReadGap && table.Revision >= c.state.applied
+	recent := table.Valid && now-table.At < 2*c.settings.ReadInterval && table.Revision >= c.state.applied
 	return newer || granted || recent
 }
 
--- a/internal/confsync/reading.go
+++ b/internal/confsync/reading.go
@@ -82,9 +82,9 @@
 // readInterval reports whether this node should read the table itself, and how often.
 func (c *Core) readInterval(now time.Duration) (time.Duration, bool) {
 	if c.isReader(now) {
-		return c.settings.ReadGap, true
+		return c.settings.ReadInterval, true
 	}
-	fallback := max(c.settings.ReadGap, time.Duration(len(c.roster.domain))*fallbackReadInterval)
+	fallback := max(c.settings.ReadInterval, time.Duration(len(c.roster.domain))*fallbackReadInterval)
 	return fallback, c.isStale(now)
 }
 
--- a/internal/confsync/settings.go
+++ b/internal/confsync/settings.go
@@ -12,8 +12,8 @@
 	// Bound is the maximum age of a node's latest proof for admitting new work. It must be
 	// the same on all nodes.
 	Bound time.Duration
-	// ReadGap is the interval between the starts of two reads of the head row by a reader.
-	ReadGap time.Duration
+	// ReadInterval is the interval between the starts of two reads of the head row by a reader.
+	ReadInterval time.Duration
 	// ReadTimeout bounds one read of the table.
 	ReadTimeout time.Duration
 	// ListGap is the interval between two reads of the VM list by a reader.
@@ -58,7 +58,7 @@
 // WithDefaults returns the settings with each zero field replaced by its default.
 func (s Settings) WithDefaults() Settings {
 	setDefault(&s.Bound, DefaultBound)
-	setDefault(&s.ReadGap, DefaultReadInterval)
+	setDefault(&s.ReadInterval, DefaultReadInterval)
 	setDefault(&s.ReadTimeout, DefaultReadTimeout)
 	setDefault(&s.ListGap, DefaultListInterval)
 	setDefault(&s.MinHold, DefaultMinHold)
@@ -82,8 +82,8 @@
 	if s.Bound <= s.MaxHold+2*s.CallTimeout {
 		return eris.Errorf("Bound is %v, must be above MaxHold plus two CallTimeouts (%v)", s.Bound, s.MaxHold+2*s.CallTimeout)
 	}
-	if s.ReadGap <= 0 || s.ReadGap >= s.Bound {
-		return eris.Errorf("ReadGap is %v, must be above 0 and below Bound (%v)", s.ReadGap, s.Bound)
+	if s.ReadInterval <= 0 || s.ReadInterval >= s.Bound {
+		return eris.Errorf("ReadGap is %v, must be above 0 and below Bound (%v)", s.ReadInterval, s.Bound)
 	}
 	if s.MinHold > s.MaxHold {
 		return eris.Errorf("MinHold is %v, must not be above MaxHold (%v)", s.MinHold, s.MaxHold)
--- a/internal/confsync/surveying.go
+++ b/internal/confsync/surveying.go
@@ -55,7 +55,7 @@
 		return false
 	}
 	latest, ok := c.state.latestAt()
-	noRecentProof := !ok || now-latest > 4*c.settings.ReadGap
+	noRecentProof := !ok || now-latest > 4*c.settings.ReadInterval
 	return c.isReader(now) || noRecentProof
 }
 
--- a/internal/confsync/syncer_test.go
+++ b/internal/confsync/syncer_test.go
@@ -91,6 +91,6 @@
 	is.NoErr(confsync.Settings{}.WithDefaults().Validate())
 	bad := confsync.Settings{Bound: confsync.DefaultMaxHold}.WithDefaults()
 	is.True(bad.Validate() != nil) // a held call takes longer than the bound
-	bad = confsync.Settings{ReadGap: confsync.DefaultBound}.WithDefaults()
+	bad = confsync.Settings{ReadInterval: confsync.DefaultBound}.WithDefaults()
 	is.True(bad.Validate() != nil) // reads are too rare for the bound
 }
--- a/internal/confsync/trying.go
+++ b/internal/confsync/trying.go
@@ -27,7 +27,7 @@
 // This is below the bound, so that a majority can vote for an outage before the first node
 // has to refuse work.
 func (c *Core) isStale(now time.Duration) bool {
-	return c.state.tableAge(now) > 3*c.settings.ReadGap
+	return c.state.tableAge(now) > 3*c.settings.ReadInterval
 }
 
 // seesOutage reports whether this node has failed to get a recent proof of the table.
@@ -44,7 +44,7 @@
 	// If the table does not respond at all, a read fails only at its timeout, which is too
 	// late to vote before the bound.
 	for _, r := range c.headReads.inFlight {
-		if now-r.at >= c.settings.ReadGap/2 && c.isValidAttempt(r.at) {
+		if now-r.at >= c.settings.ReadInterval/2 && c.isValidAttempt(r.at) {
 			return true
 		}
 	}
@@ -57,5 +57,5 @@
 	if began < c.stalls.stalledAt || c.headReads.proved && began <= c.headReads.provedAt {
 		return false
 	}
-	return !c.state.table.Valid || began-c.state.table.At > c.settings.ReadGap
+	return !c.state.table.Valid || began-c.state.table.At > c.settings.ReadInterval
 }
