--- a/internal/capacity/role_config.go
+++ b/internal/capacity/role_config.go
@@ -110,12 +110,12 @@
 	whole := c.calls(edits, 1.5*c.at("list.decode", vms), c.at("list.bytes", vms))
 	readers := float64(c.Size.FailureDomains * s.Readers)
 	const nothingNewer = 350 // bytes of a question and of the answer that nothing is newer
-	asking := c.calls(1/s.ListGap.Seconds(), c.at("table.get", 0), nothingNewer)
+	asking := c.calls(1/s.ListInterval.Seconds(), c.at("table.get", 0), nothingNewer)
 	reading := asking.Plus(whole)
 	return Role{
 		Name: "the VM list", Plane: Control,
 		State:     fmt.Sprintf("%d VMs with their addresses and failure domains", c.Size.VMs()),
-		Mechanism: fmt.Sprintf("one reader a failure domain asks every %v whether the list changed, by its entity tag, another stands by, and edits go down the tree; packages confsync, membership, balance", s.ListGap),
+		Mechanism: fmt.Sprintf("one reader a failure domain asks every %v whether the list changed, by its entity tag, another stands by, and edits go down the tree; packages confsync, membership, balance", s.ListInterval),
 		Each:      own.Plus(reading.Times(readers / float64(c.Size.Nodes))), Busiest: own.Plus(reading), Who: fmt.Sprintf("the list's readers, %.0f nodes", readers),
 		Over:   fmt.Sprintf("A list that changed comes whole, %.1f MB, every %.0f s: %.0f kB/s at a reader. Met if the nodes of a failure domain take turns at it, or the platform sends edits.", c.at("list.bytes", vms)/megabyte, 1/edits, whole.Network/kilobyte),
 		Mended: own.Plus(asking.Times(readers / float64(c.Size.Nodes))),
--- a/internal/confsync/listing.go
+++ b/internal/confsync/listing.go
@@ -78,7 +78,7 @@
 	l.inFlight = true
 	l.token = c.nextToken()
 	l.sent = now
-	l.nextRead = now + c.settings.ListGap
+	l.nextRead = now + c.settings.ListInterval
 	c.emit(ReadList{Token: l.token})
 }
 
@@ -86,7 +86,7 @@
 	if c.list.digest == 0 || c.roster.rank(now) == 0 {
 		return true
 	}
-	return c.isReader(now) && c.list.age(now) > standbyIntervals*c.settings.ListGap
+	return c.isReader(now) && c.list.age(now) > standbyIntervals*c.settings.ListInterval
 }
 
 // acceptPeerList applies a peer's list, or the later read time of the list that this node has.
--- a/internal/confsync/settings.go
+++ b/internal/confsync/settings.go
@@ -16,8 +16,8 @@
 	ReadInterval time.Duration
 	// ReadTimeout bounds one read of the table.
 	ReadTimeout time.Duration
-	// ListGap is the interval between two reads of the VM list by a reader.
-	ListGap time.Duration
+	// ListInterval is the interval between two reads of the VM list by a reader.
+	ListInterval time.Duration
 	// MinHold and MaxHold bound how long a parent holds a child's call while there is
 	// nothing newer. After MinHold the first more recent proof ends the hold.
 	MinHold time.Duration
@@ -60,7 +60,7 @@
 	setDefault(&s.Bound, DefaultBound)
 	setDefault(&s.ReadInterval, DefaultReadInterval)
 	setDefault(&s.ReadTimeout, DefaultReadTimeout)
-	setDefault(&s.ListGap, DefaultListInterval)
+	setDefault(&s.ListInterval, DefaultListInterval)
 	setDefault(&s.MinHold, DefaultMinHold)
 	setDefault(&s.MaxHold, DefaultMaxHold)
 	setDefault(&s.CallTimeout, DefaultCallTimeout)
