--- a/internal/confsync/evaluate.go
+++ b/internal/confsync/evaluate.go
@@ -19,8 +19,8 @@
 		return
 	}
 	c.addGrant(Proof{Revision: round.highestRevision(), At: oldest, Valid: true}, now)
-	c.surveys.backoff = c.settings.SurveyGap
-	c.surveys.nextSurvey = max(c.surveys.nextSurvey, round.sent+c.settings.SurveyGap)
+	c.surveys.backoff = c.settings.SurveyInterval
+	c.surveys.nextSurvey = max(c.surveys.nextSurvey, round.sent+c.settings.SurveyInterval)
 }
 
 // knowsElectors reports whether this node knows all electors. Without a list of the platform
--- a/internal/confsync/settings.go
+++ b/internal/confsync/settings.go
@@ -24,8 +24,8 @@
 	MaxHold time.Duration
 	// CallTimeout bounds a call to a peer. A held call may take MaxHold longer.
 	CallTimeout time.Duration
-	// SurveyGap is the maximum interval between two surveys during an outage of the table.
-	SurveyGap time.Duration
+	// SurveyInterval is the maximum interval between two surveys during an outage of the table.
+	SurveyInterval time.Duration
 	// Readers is the number of nodes of a failure domain that read the table.
 	Readers int
 	// FanOut is the number of children of a node in the tree.
@@ -64,7 +64,7 @@
 	setDefault(&s.MinHold, DefaultMinHold)
 	setDefault(&s.MaxHold, DefaultMaxHold)
 	setDefault(&s.CallTimeout, DefaultCallTimeout)
-	setDefault(&s.SurveyGap, DefaultSurveyInterval)
+	setDefault(&s.SurveyInterval, DefaultSurveyInterval)
 	setDefault(&s.Readers, DefaultReaders)
 	setDefault(&s.FanOut, DefaultFanOut)
 	setDefault(&s.DirectLimit, DefaultDirectLimit)
--- a/internal/confsync/surveying.go
+++ b/internal/confsync/surveying.go
@@ -8,7 +8,7 @@
 
 const (
 	// minSurveyBackoff is the delay after the first survey without a majority; it doubles up to
-	// the setting SurveyGap.
+	// the setting SurveyInterval.
 	minSurveyBackoff = 200 * time.Millisecond
 	// domainCacheTime is how long the statuses of a failure domain are reused.
 	domainCacheTime = 300 * time.Millisecond
@@ -43,7 +43,7 @@
 	if !c.shouldSurvey(now) {
 		return
 	}
-	s.backoff = min(max(2*s.backoff, minSurveyBackoff), c.settings.SurveyGap)
+	s.backoff = min(max(2*s.backoff, minSurveyBackoff), c.settings.SurveyInterval)
 	s.nextSurvey = now + s.backoff
 	c.startSurvey(forOutage, true, now)
 }
