--- a/internal/confsync/calls.go
+++ b/internal/confsync/calls.go
@@ -109,7 +109,7 @@
 func (s *Syncer) fetchPieces(d Wait) *archive.Update {
 	s.receiver.Begin(d.Args.Revision)
 	if d.Args.Full {
-		s.receiver.AskWhole()
+		s.receiver.RequestFull()
 	}
 	for deadline := time.Now().Add(piecesTimeout); time.Now().Before(deadline); {
 		var p transfer.Piece
@@ -128,7 +128,7 @@
 		_ = s.call(pieceTimeout, d.Addr, "Piece", s.receiver.Ask(), &p)
 		u, err := s.receiver.Decode()
 		if err != nil {
-			s.receiver.AskWhole()
+			s.receiver.RequestFull()
 			return nil
 		}
 		return &u
--- a/internal/transfer/receiver.go
+++ b/internal/transfer/receiver.go
@@ -88,8 +88,8 @@
 	return archive.DecodeUpdate(r.data)
 }
 
-// AskWhole makes the next request ask for the full document, whatever state the node has.
-func (r *Receiver) AskWhole() {
+// RequestFull makes the next request ask for the full document, whatever state the node has.
+func (r *Receiver) RequestFull() {
 	if !r.wantFull {
 		r.reset()
 		r.wantFull = true
