--- a/internal/ledger/hold/doc.go
+++ b/internal/ledger/hold/doc.go
@@ -1,3 +1,3 @@
-// Package hold keeps copies of rows of bills for processes in other failure
-// domains, while the platform does not take them. It does no I/O.
+// Package hold keeps copies of rows of bills in memory for processes in other failure
+// domains, while the platform's stores do not take them. It does no I/O.
 package hold
--- a/internal/ledger/hold/holder.go
+++ b/internal/ledger/hold/holder.go
@@ -9,59 +9,59 @@
 	"github.com/hickorybank/hickorybank/internal/ledger/bill"
 )
 
-// Settings are the settings of a [Holder].
+// Settings configure a [Holder].
 type Settings struct {
-	// MaxBills is the most bills held.
+	// MaxBills is the maximum number of bills held.
 	MaxBills int
-	// Silence is how long an owner may be silent before its rows are written
-	// by their holders.
+	// Silence is how long a row may go without a refresh before its holders take it
+	// over.
 	Silence time.Duration
 }
 
-// Holder keeps rows for their owners. An owner that falls silent may have
-// crashed, or may be paused or cut off: the holder then takes the rows over,
-// which is harmless if the owner still writes them too: the bills are the same.
+// Holder keeps copies of rows for their owners. An owner that sends no refreshes may
+// have crashed, or may be paused or partitioned. The holder then takes its rows over.
+// If the owner still writes them too, no harm is done, as the bills are the same.
 //
-// Each row is kept alive by itself. Of a lost owner's rows another holder may
-// have taken over some and speak for these; the others have nobody but this
-// holder, and must not wait because of it.
+// Each row is refreshed separately. If an owner is lost, another holder may take over
+// and refresh some of its rows only. The other rows must not stay here because of that.
 type Holder struct {
 	settings Settings
-	owners   map[string]owner
+	owners   map[string]ownedRows // by writer
 	bills    int
 }
 
-// owner is the rows of one writer, by their numbers.
-type owner map[uint64]*heldRow
+// ownedRows are the held rows of one writer, by sequence number.
+type ownedRows map[uint64]*heldRow
 
+// heldRow is a copy of a row, with the time of its last refresh.
 type heldRow struct {
-	row   bill.Row
-	heard time.Time
+	row         bill.Row
+	refreshedAt time.Time
 }
 
 // New returns an empty holder.
-func New(s Settings) *Holder { return &Holder{settings: s, owners: map[string]owner{}} }
+func New(s Settings) *Holder { return &Holder{settings: s, owners: map[string]ownedRows{}} }
 
-// Hold takes a copy of a row; false means that there is no room. Holding a
-// row twice is harmless.
+// Hold adds a copy of a row and returns false if there is no room for it. Holding a
+// row that is held already refreshes it.
 func (h *Holder) Hold(now time.Time, row bill.Row) bool {
 	if held := h.owners[row.Writer][row.Seq]; held != nil {
-		held.heard = now
+		held.refreshedAt = now
 		return true
 	}
 	if h.bills+row.Bills.Len() > h.settings.MaxBills {
 		return false
 	}
 	if h.owners[row.Writer] == nil {
-		h.owners[row.Writer] = owner{}
+		h.owners[row.Writer] = ownedRows{}
 	}
 	h.owners[row.Writer][row.Seq] = &heldRow{row, now}
 	h.bills += row.Bills.Len()
 	return true
 }
 
-// Refresh notes that somebody looks after rows, and returns which of them are
-// not held. A holder that was restarted has none.
+// Refresh records that some process still takes care of the rows, and returns which of
+// them are not held. A holder that was restarted holds none of them.
 func (h *Holder) Refresh(now time.Time, writer string, seqs []uint64) (missing []uint64) {
 	for _, seq := range seqs {
 		held := h.owners[writer][seq]
@@ -69,23 +69,23 @@
 			missing = append(missing, seq)
 			continue
 		}
-		held.heard = now
+		held.refreshedAt = now
 	}
 	return missing
 }
 
-// Drop forgets rows that their owner needs held no more.
+// Drop deletes rows whose owner no longer needs copies.
 func (h *Holder) Drop(writer string, seqs []uint64) {
 	for _, seq := range seqs {
 		h.remove(writer, seq)
 	}
 }
 
-// Gone notes that an owner stops for good.
+// Gone makes rows orphans at once, because their owner stops for good.
 func (h *Holder) Gone(writer string, seqs []uint64) {
 	for _, seq := range seqs {
 		if held := h.owners[writer][seq]; held != nil {
-			held.heard = time.Time{}
+			held.refreshedAt = time.Time{}
 		}
 	}
 }
@@ -102,13 +102,14 @@
 	}
 }
 
-// Orphans returns the rows that nobody has looked after for a while, and
-// forgets them: whoever takes them keeps them until they are written.
+// Orphans removes and returns the rows that were not refreshed within
+// Settings.Silence, sorted by writer and sequence number. The caller must keep them
+// until they are stored.
 func (h *Holder) Orphans(now time.Time) []bill.Row {
 	var rows []bill.Row
 	for writer, owned := range h.owners {
 		for seq, held := range owned {
-			if now.Sub(held.heard) > h.settings.Silence {
+			if now.Sub(held.refreshedAt) > h.settings.Silence {
 				rows = append(rows, held.row)
 				h.remove(writer, seq)
 			}
@@ -120,18 +121,18 @@
 	return rows
 }
 
-// All returns all rows, and forgets them, for a node that stops.
+// All removes and returns all rows, for a node that stops.
 func (h *Holder) All(now time.Time) []bill.Row {
 	for _, owned := range h.owners {
 		for _, held := range owned {
-			held.heard = time.Time{}
+			held.refreshedAt = time.Time{}
 		}
 	}
 	return h.Orphans(now)
 }
 
-// Bills is how many bills are held.
+// Bills returns the number of bills held.
 func (h *Holder) Bills() int { return h.bills }
 
-// Empty says whether nothing is held.
+// Empty reports whether no row is held.
 func (h *Holder) Empty() bool { return len(h.owners) == 0 }
--- a/internal/ledger/hold/holder_test.go
+++ b/internal/ledger/hold/holder_test.go
@@ -13,10 +13,10 @@
 	return bill.Row{Writer: writer, Seq: seq, Bills: bill.Pack([]bill.Bill{{Org: "o", Key: "k"}})}
 }
 
-// An answer was given while the platform was down, and the VM that kept its
-// bill is lost. The holder hears nothing from it any more, and takes the row
-// over. Without it the request would never be billed.
-func TestRowsOfSilentOwnerAreTakenOver(t *testing.T) {
+// A request is answered while the platform is down, and then the VM with its bill is
+// lost. If the holder did not take over the row once refreshes stop, the request would
+// never be billed.
+func TestRowsWithoutRefreshAreTakenOver(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
 	h := New(Settings{MaxBills: 10, Silence: 5 * time.Second})
@@ -33,10 +33,10 @@
 	is.True(h.Empty())
 }
 
-// The owner of two rows is lost, and another holder has taken over one of them
-// and speaks for it. The other row has nobody else: it must be taken over here
-// all the same, or the loss of this VM loses it. Found by the storm test.
-func TestEachRowIsKeptAliveByItself(t *testing.T) {
+// The owner of two rows is lost. Another holder takes over one of them and refreshes
+// it here. That must not keep the other row from being taken over, or the loss of this
+// VM would lose its last copy.
+func TestRefreshOfOneRowDoesNotKeepAnother(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
 	h := New(Settings{MaxBills: 10, Silence: 5 * time.Second})
@@ -49,9 +49,9 @@
 	is.Equal(h.Bills(), 1)
 }
 
-// A VM stops as planned. What it holds may be the last copy, whether or not the
-// owner was heard of a moment ago.
-func TestStoppingHolderGivesAllRows(t *testing.T) {
+// A VM stops as planned. It must hand on all rows that it holds, even if they were just
+// refreshed: its copy may be the last one.
+func TestStoppingHolderReturnsAllRows(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
 	h := New(Settings{MaxBills: 10, Silence: 5 * time.Second})
@@ -61,9 +61,9 @@
 	is.True(h.Empty())
 }
 
-// A holder was restarted and has lost its copies. Its owner must hear of it,
-// or the next loss of a VM would take the last copy.
-func TestRestartedHolderMissesAll(t *testing.T) {
+// A restarted holder has lost its copies. It must report them as missing to the owner,
+// or the next loss of a VM could lose the last copy.
+func TestRestartedHolderReportsAllRowsMissing(t *testing.T) {
 	is := is.New(t)
 	h := New(Settings{MaxBills: 1, Silence: time.Second})
 	is.Equal(h.Refresh(time.Unix(1, 0), "a", []uint64{1, 2}), []uint64{1, 2})
--- a/internal/ledger/key/bucket.go
+++ b/internal/ledger/key/bucket.go
@@ -7,57 +7,61 @@
 	"github.com/rotisserie/eris"
 )
 
-// Bucket names the bills that are settled together.
+// Bucket identifies a set of bills that are summarised together: those of one kind
+// of key in one span of time.
 type Bucket struct {
-	Kind   Kind
+	Kind Kind
+	// Number counts spans of time since 1970; [Layout.Span] gives their length.
 	Number int64
 }
 
-// Prefix is the beginning of the keys of the bucket's rows and objects.
+// Prefix returns the key prefix of the bucket's rows and objects.
 func (b Bucket) Prefix() string { return fmt.Sprintf("bills/%c/%012d/", b.Kind, b.Number) }
 
-// BillsPrefix is the beginning of the keys of all rows of a kind, those of older
-// buckets first.
+// BillsPrefix returns the key prefix of all rows of a kind. Rows of older buckets
+// sort first.
 func BillsPrefix(kind Kind) string { return fmt.Sprintf("bills/%c/", kind) }
 
-// BucketOfRow returns the bucket that a row's key names.
-func BucketOfRow(row string) (Bucket, error) {
+// BucketOfRow parses the bucket from a row's key. It returns an error if the key is
+// not that of a row of bills.
+func BucketOfRow(rowKey string) (Bucket, error) {
 	var b Bucket
-	if _, err := fmt.Sscanf(row, "bills/%c/%d/", &b.Kind, &b.Number); err != nil || !strings.HasPrefix(row, b.Prefix()) {
-		return Bucket{}, eris.Errorf("no row of bills: %q", row)
+	if _, err := fmt.Sscanf(rowKey, "bills/%c/%d/", &b.Kind, &b.Number); err != nil || !strings.HasPrefix(rowKey, b.Prefix()) {
+		return Bucket{}, eris.Errorf("no row of bills: %q", rowKey)
 	}
 	return b, nil
 }
 
-// Row is the key of a writer's row.
+// Row returns the key of a writer's row with the given sequence number.
 func (b Bucket) Row(writer string, seq uint64) string {
 	return fmt.Sprintf("%s%s/%010d", b.Prefix(), writer, seq)
 }
 
-// FoldPrefix is the beginning of the keys of the bucket's folds, each an object
-// with the bills of many.
+// FoldPrefix returns the key prefix of the bucket's compacted objects, each of which
+// holds the bills of many small objects.
 func (b Bucket) FoldPrefix() string { return fmt.Sprintf("folded/%c/%012d/", b.Kind, b.Number) }
 
-// Fold is the key of a process's fold.
+// Fold returns the key of a compacted object by the process that writes it and that
+// process's number for it.
 func (b Bucket) Fold(process string, number uint64) string {
 	return fmt.Sprintf("%s%s/%010d", b.FoldPrefix(), process, number)
 }
 
-// Summary is the key of the row that holds the bucket's totals.
+// Summary returns the key of the row that holds the bucket's totals.
 func (b Bucket) Summary() string { return fmt.Sprintf("%s%012d", b.SummaryPrefix(), b.Number) }
 
-// PartPrefix is the beginning of the keys of the rows that hold the totals of the
-// bucket's parts, until all are there.
+// PartPrefix returns the key prefix of the rows that hold partial totals of the
+// bucket. They exist only until the summary is complete.
 func (b Bucket) PartPrefix() string { return fmt.Sprintf("settling/%c/%012d/", b.Kind, b.Number) }
 
-// Part is the key of the row of a part.
+// Part returns the key of the row with one part's totals.
 func (b Bucket) Part(number uint64) string { return fmt.Sprintf("%s%06d", b.PartPrefix(), number) }
 
-// SummaryPrefix is the beginning of the keys of the summaries of the kind.
+// SummaryPrefix returns the key prefix of all summaries of the bucket's kind.
 func (b Bucket) SummaryPrefix() string { return fmt.Sprintf("settled/%c/", b.Kind) }
 
-// Previous is the bucket before.
+// Previous returns the bucket of the preceding span of time.
 func (b Bucket) Previous() Bucket { return Bucket{Kind: b.Kind, Number: b.Number - 1} }
 
-// String returns the bucket's name.
+// String returns the kind and number of the bucket as they stand in row keys.
 func (b Bucket) String() string { return fmt.Sprintf("%c/%012d", b.Kind, b.Number) }
--- a/internal/ledger/key/doc.go
+++ b/internal/ledger/key/doc.go
@@ -1,4 +1,4 @@
-// Package key says where the claim and the bill of a request's key are kept.
-// The place is a function of the organisation and the key alone, so that all
-// nodes agree on it without talking.
+// Package key computes where the claim and the bill of a request's key are stored.
+// The location of a claim depends only on the organisation and the key, so all
+// nodes compute the same one without coordination.
 package key
--- a/internal/ledger/key/id.go
+++ b/internal/ledger/key/id.go
@@ -10,12 +10,12 @@
 // Size is the length of an [ID] in bytes.
 const Size = 16
 
-// ID stands for a key of an organisation, or for an attempt. Two different
-// keys share one with probability 2^-128; the second would then be refused as
-// reused, never run twice.
+// ID is a fixed-size hash of an organisation's key, or identifies an attempt. Two
+// different keys collide with probability 2^-128. The second one is then refused as
+// reused; it never runs as the first.
 type ID [Size]byte
 
-// NewID returns the ID of an organisation's key.
+// NewID returns the ID of an organisation's key: a truncated SHA-256 hash of both.
 func NewID(org, key string) ID {
 	h := sha256.New()
 	h.Write([]byte(org))
@@ -25,19 +25,19 @@
 	return ID(h.Sum(sum[:0])[:Size])
 }
 
-// AttemptID returns the ID of an attempt, which should be a UUID; anything
-// else is hashed.
+// AttemptID returns the ID of an attempt: the UUID itself, or a hash if the attempt
+// is not a UUID.
 func AttemptID(attempt string) ID {
-	if u, err := uuid.Parse(attempt); err == nil && len(attempt) == textLen {
+	if u, err := uuid.Parse(attempt); err == nil && len(attempt) == uuidTextLen {
 		return ID(u)
 	}
 	return NewID("", attempt)
 }
 
-// Attempt returns the text of an attempt's ID: the attempt itself when that
-// was a UUID in lower case.
+// Attempt returns the ID as UUID text. For an attempt that was a lower-case UUID this
+// is the attempt itself.
 func (id ID) Attempt() string { return uuid.UUID(id).String() }
 
-// hash spreads IDs over shards. A UUIDv7 attempt is never sharded, so every ID
-// that comes here is the output of a hash.
+// hash returns the bits that select the shard. Only IDs of keys are sharded, never
+// UUIDv7 attempts, so the leading bytes are the output of a hash and evenly distributed.
 func (id ID) hash() uint64 { return binary.BigEndian.Uint64(id[:]) }
--- a/internal/ledger/key/key_test.go
+++ b/internal/ledger/key/key_test.go
@@ -13,7 +13,7 @@
 	return Layout{Shards: 4, OpaqueShards: 64, ClaimBucket: time.Minute, BillBucket: time.Hour}
 }
 
-// v7 returns a UUIDv7 of a time.
+// v7 returns a UUIDv7 with the given time in milliseconds.
 func v7(ms int64, tail byte) string {
 	var u uuid.UUID
 	for i := range 6 {
@@ -34,22 +34,22 @@
 	}
 }
 
-func TestPlacesSortByTime(t *testing.T) {
+func TestLogPrefixesSortByTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := layout()
 		a := rapid.Int64Range(0, 1<<44).Draw(t, "a")
 		b := rapid.Int64Range(a, 1<<44).Draw(t, "b")
-		la := Log{Kind: Timed, Bucket: bucket(time.UnixMilli(a), l.ClaimBucket)}
-		lb := Log{Kind: Timed, Bucket: bucket(time.UnixMilli(b), l.ClaimBucket)}
+		la := Log{Kind: Timed, Bucket: bucketAt(time.UnixMilli(a), l.ClaimBucket)}
+		lb := Log{Kind: Timed, Bucket: bucketAt(time.UnixMilli(b), l.ClaimBucket)}
 		if la.Prefix() > lb.Prefix() {
 			t.Fatalf("%s sorts after %s", la.Prefix(), lb.Prefix())
 		}
 	})
 }
 
-// A retry must find the claim of the first time: the log is a function of the
-// organisation and the key, whatever the clock says.
-func TestPlaceIsAFunctionOfTheKey(t *testing.T) {
+// A retry must find the claim of the first request. If the log depended on the clock,
+// a later retry would look in another log and run the work again.
+func TestLocationDependsOnlyOnTheKey(t *testing.T) {
 	is := is.New(t)
 	l := layout()
 	k := v7(1_700_000_000_123, 9)
--- a/internal/ledger/key/layout.go
+++ b/internal/ledger/key/layout.go
@@ -4,45 +4,47 @@
 	"time"
 )
 
-// Layout is how keys are spread. It must be alike on all nodes, and may not be
-// changed while claims are kept.
+// Layout defines how keys are distributed over logs and buckets. It must be the same
+// on all nodes, and must not change while claims are retained.
 type Layout struct {
-	// Shards is how many claim logs are written at one time.
+	// Shards is the number of claim logs per bucket of timed keys.
 	Shards int
-	// OpaqueShards is how many logs the keys without a time are spread over.
-	// A log is read whole before the first claim in it, so they are many.
+	// OpaqueShards is the number of claim logs for keys without a time. A process
+	// reads a whole log before its first claim in it, so many short logs are better
+	// than a few long ones.
 	OpaqueShards int
 	// ClaimBucket is the span of key times in one claim log.
 	ClaimBucket time.Duration
-	// BillBucket is the span of key times of bills that are settled together.
+	// BillBucket is the span of key times of bills that are summarised together.
 	BillBucket time.Duration
 }
 
-// opaqueBillBucket is the span of bills whose keys carry no time. Duplicates
-// of such a key are looked for in the bucket before, too, so it must not be
-// shorter than the window.
+// opaqueBillBucket is the span of a bucket of bills whose keys carry no time. Readers
+// look for duplicates of such a key in this bucket and the previous one only, so the
+// span must not be shorter than the retention window of keys.
 const opaqueBillBucket = 24 * time.Hour
 
-// Claim returns the log of a key.
+// Claim returns the claim log of an organisation's key.
 func (l Layout) Claim(org, key string) Log {
 	id := NewID(org, key)
 	at, ok := Time(key)
 	if !ok {
-		return Log{Kind: Opaque, Shard: shard(id, l.OpaqueShards)}
+		return Log{Kind: Opaque, Shard: shardOf(id, l.OpaqueShards)}
 	}
-	return Log{Kind: Timed, Shard: shard(id, l.Shards), Bucket: bucket(at, l.ClaimBucket)}
+	return Log{Kind: Timed, Shard: shardOf(id, l.Shards), Bucket: bucketAt(at, l.ClaimBucket)}
 }
 
-// Bill returns the bucket of a bill, which is a function of the key where it
-// carries a time, and else of when the request completed.
+// Bill returns the bucket of a bill: by the time in the key if it carries one, and
+// otherwise by the time at which the request completed.
 func (l Layout) Bill(key string, completed time.Time) Bucket {
 	if at, ok := Time(key); ok {
-		return Bucket{Kind: Timed, Number: bucket(at, l.BillBucket)}
+		return Bucket{Kind: Timed, Number: bucketAt(at, l.BillBucket)}
 	}
-	return Bucket{Kind: Opaque, Number: bucket(completed, opaqueBillBucket)}
+	return Bucket{Kind: Opaque, Number: bucketAt(completed, opaqueBillBucket)}
 }
 
-// Span returns the times that a bill bucket covers, to excluded.
+// Span returns the span of time that a bill bucket covers, from inclusive to
+// exclusive.
 func (l Layout) Span(b Bucket) (from, to time.Time) {
 	length := l.BillBucket
 	if b.Kind == Opaque {
@@ -52,20 +54,23 @@
 	return time.UnixMilli(b.Number * ms).UTC(), time.UnixMilli((b.Number + 1) * ms).UTC()
 }
 
-// Buckets returns the bill buckets of a kind that overlap a span of time.
+// Buckets returns the bill buckets of a kind that overlap the span of time from
+// inclusive to exclusive.
 func (l Layout) Buckets(kind Kind, from, to time.Time) []Bucket {
 	length := l.BillBucket
 	if kind == Opaque {
 		length = opaqueBillBucket
 	}
 	var all []Bucket
-	last := bucket(to.Add(-time.Millisecond), length)
-	for n := bucket(from, length); n <= last; n++ {
+	last := bucketAt(to.Add(-time.Millisecond), length)
+	for n := bucketAt(from, length); n <= last; n++ {
 		all = append(all, Bucket{Kind: kind, Number: n})
 	}
 	return all
 }
 
-func shard(id ID, shards int) int { return int(id.hash() % uint64(shards)) }
+// shardOf returns the shard of an ID, out of a number of shards.
+func shardOf(id ID, shards int) int { return int(id.hash() % uint64(shards)) }
 
-func bucket(at time.Time, length time.Duration) int64 { return at.UnixMilli() / length.Milliseconds() }
+// bucketAt returns the number of the bucket that contains a time.
+func bucketAt(at time.Time, span time.Duration) int64 { return at.UnixMilli() / span.Milliseconds() }
--- a/internal/ledger/key/time.go
+++ b/internal/ledger/key/time.go
@@ -6,20 +6,21 @@
 	"github.com/google/uuid"
 )
 
-// textLen is the length of a UUID in its usual form. Others that libraries
-// accept (braces, a urn) count as opaque.
-const textLen = 36
+// uuidTextLen is the length of a UUID in its canonical form. Other forms that the
+// uuid package parses (in braces, as a URN) count as opaque keys.
+const uuidTextLen = 36
 
-// timed is the UUID version that carries a time.
-const timed = 7
+// uuidV7 is the UUID version that carries a time.
+const uuidV7 = 7
 
-// Time returns the time that a UUIDv7 carries; ok is false for other keys.
+// Time returns the time of a UUIDv7 key, in whole milliseconds; ok is false for other
+// keys.
 func Time(key string) (at time.Time, ok bool) {
-	if len(key) != textLen {
+	if len(key) != uuidTextLen {
 		return time.Time{}, false
 	}
 	u, err := uuid.Parse(key)
-	if err != nil || u.Version() != timed || u.Variant() != uuid.RFC4122 {
+	if err != nil || u.Version() != uuidV7 || u.Variant() != uuid.RFC4122 {
 		return time.Time{}, false
 	}
 	var ms int64
--- a/internal/ledger/pace/pace.go
+++ b/internal/ledger/pace/pace.go
@@ -3,77 +3,79 @@
 import "time"
 
 const (
-	// growth is by how much a refusal widens the gap.
-	growth = 2
-	// shrink is the part of the gap above the floor that a success leaves.
-	shrink = 0.7
-	// steady is the same for a pace that seeks what a store allows: it takes
-	// some 35 successes to try a gap again that was refused.
-	steady = 0.98
-	// firstBackoff is the gap after a refusal when the floor is lower.
-	firstBackoff = 20 * time.Millisecond
+	// backoffFactor multiplies the gap after a failure.
+	backoffFactor = 2
+	// recoveryFactor multiplies the excess of the gap over the minimum after a success.
+	recoveryFactor = 0.7
+	// steadyRecoveryFactor is the recovery factor for calls whose allowed rate is not
+	// known. After a failure, about 35 successes pass before the gap is again as narrow
+	// as the one that failed.
+	steadyRecoveryFactor = 0.98
+	// minBackoff is the least gap after a failure, if the minimum gap is lower.
+	minBackoff = 20 * time.Millisecond
 )
 
-// Pace spends the writes of one writer: one each gap, and what was not spent
-// lately up to a bounded burst. So over any time no more are written than one
-// each gap and the burst. Refusals widen the gap and take the burst, successes
-// narrow the gap down to the floor.
+// Pace limits the writes of one writer, like a token bucket whose rate adapts. It
+// allows one write per gap, and a bounded burst of writes after idle time. Over any
+// span of time there are at most one write per gap plus the burst. A failure widens
+// the gap and uses up the burst; a success narrows the gap towards the minimum.
 type Pace struct {
-	floor time.Duration
-	ceil  time.Duration
-	gap   time.Duration
-	burst int
-	// due is when the next write would go if one went each gap; it may go
-	// earlier by the burst.
+	minGap time.Duration
+	maxGap time.Duration
+	gap    time.Duration
+	burst  int
+	// due is when the next write is due at one write per gap. The burst allows it
+	// earlier.
 	due     time.Time
 	started bool
-	// shrink is the part of the gap above the floor that a success leaves.
-	shrink float64
+	// recovery multiplies the excess of the gap over the minimum after a success.
+	recovery float64
 }
 
-// New returns a pace with the least and the widest gap.
-func New(floor, ceil time.Duration) *Pace {
-	return &Pace{floor: floor, ceil: max(floor, ceil), gap: floor, shrink: shrink}
+// New returns a pace with a minimum and a maximum gap. It starts at the minimum.
+func New(minGap, maxGap time.Duration) *Pace {
+	return &Pace{minGap: minGap, maxGap: max(minGap, maxGap), gap: minGap, recovery: recoveryFactor}
 }
 
-// NewSteady returns a pace that narrows slowly: each refusal costs others, too.
-func NewSteady(floor, ceil time.Duration) *Pace {
-	p := New(floor, ceil)
-	p.shrink = steady
+// NewSteady returns a pace whose gap narrows slowly after a failure. It is for calls
+// that share a limit with others, where each refusal costs the others, too.
+func NewSteady(minGap, maxGap time.Duration) *Pace {
+	p := New(minGap, maxGap)
+	p.recovery = steadyRecoveryFactor
 	return p
 }
 
-// SetFloor changes the least gap, as the number of writers changes.
-func (p *Pace) SetFloor(floor time.Duration) {
-	p.floor = floor
-	p.ceil = max(p.ceil, floor)
-	p.gap = max(p.gap, floor)
+// SetFloor changes the minimum gap, when the number of writers changes.
+func (p *Pace) SetFloor(minGap time.Duration) {
+	p.minGap = minGap
+	p.maxGap = max(p.maxGap, minGap)
+	p.gap = max(p.gap, minGap)
 }
 
-// SetBurst lets that many writes go before their gap, once they are saved up.
+// SetBurst sets how many writes beyond one per gap are allowed after idle time.
 func (p *Pace) SetBurst(burst int) { p.burst = burst }
 
-// early is how much before its gap a write may go. After refusals there is a
-// wide gap and so no more of them.
-func (p *Pace) early() time.Duration { return time.Duration(p.burst) * p.floor }
+// burstAllowance returns how long before it is due a write may go. It is counted in
+// minimum gaps, so it no longer matters once failures have widened the gap.
+func (p *Pace) burstAllowance() time.Duration { return time.Duration(p.burst) * p.minGap }
 
-// Next is when the next write may go.
+// Next returns the earliest time at which the next write is allowed.
 func (p *Pace) Next() time.Time {
 	if !p.started {
 		return p.due
 	}
-	return p.due.Add(-p.early())
+	return p.due.Add(-p.burstAllowance())
 }
 
-// Free says whether a write may go now.
+// Free reports whether a write is allowed now.
 func (p *Pace) Free(now time.Time) bool { return !now.Before(p.Next()) }
 
-// Took notes that a write went. A writer that begins has nothing saved up: else
-// a duty that goes round would spend a burst with each turn.
+// Took records that a write was sent. A new writer starts without a burst: otherwise
+// a duty that moves from node to node would use a burst with each move.
 func (p *Pace) Took(now time.Time) {
 	if !p.started {
 		p.started = true
-		p.due = now.Add(p.early())
+		p.due = now.Add(p.burstAllowance())
 	}
 	if p.due.Before(now) {
 		p.due = now
@@ -81,18 +83,18 @@
 	p.due = p.due.Add(p.gap)
 }
 
-// Failed notes that a write was refused or its answer lost. Without a wider
-// gap, the writers of a platform that is overloaded would keep it so.
+// Failed records that a write was refused or its answer was lost, and widens the gap.
+// At an unchanged rate, the writers would keep an overloaded platform overloaded.
 func (p *Pace) Failed(now time.Time) {
 	p.started = true
-	p.gap = min(max(p.gap*growth, firstBackoff), p.ceil)
-	p.due = now.Add(p.gap + p.early())
+	p.gap = min(max(p.gap*backoffFactor, minBackoff), p.maxGap)
+	p.due = now.Add(p.gap + p.burstAllowance())
 }
 
-// Succeeded notes that a write was answered.
+// Succeeded records that a write was answered, and narrows the gap.
 func (p *Pace) Succeeded() {
-	p.gap = p.floor + time.Duration(float64(p.gap-p.floor)*p.shrink)
+	p.gap = p.minGap + time.Duration(float64(p.gap-p.minGap)*p.recovery)
 }
 
-// Gap is the present gap.
+// Gap returns the current gap between writes.
 func (p *Pace) Gap() time.Duration { return p.gap }
--- a/internal/ledger/pace/pace_test.go
+++ b/internal/ledger/pace/pace_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestIdleWriterGoesAtOnce(t *testing.T) {
+func TestIdleWriterIsAllowedAtOnce(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
 	p := New(50*time.Millisecond, time.Second)
@@ -18,15 +18,15 @@
 	is.True(p.Free(now.Add(50 * time.Millisecond)))
 }
 
-// A settlement follows its claim within milliseconds, into the same log, and
-// waited for the log's gap although nothing was written for seconds before.
-func TestSavedWritesGoBeforeTheirGap(t *testing.T) {
+// A settlement follows its claim within milliseconds in the same log. Without a burst
+// it waits for the log's gap even if the log was idle for seconds before.
+func TestBurstIsAllowedAfterIdleTime(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
 	p := New(50*time.Millisecond, time.Second)
 	p.SetBurst(2)
 	p.Took(now)
-	is.Equal(p.Next(), now.Add(50*time.Millisecond)) // nothing is saved up yet
+	is.Equal(p.Next(), now.Add(50*time.Millisecond)) // a new writer has no burst yet
 	now = now.Add(5 * time.Second)
 	for range 3 {
 		is.True(p.Free(now))
@@ -37,9 +37,9 @@
 	is.Equal(p.Next(), now.Add(100*time.Millisecond))
 }
 
-// The table's limit is for all writes: at any load, and whenever writers come
-// and go, there may be no more than one each gap, and the burst.
-func TestBurstsStayInTheBudget(t *testing.T) {
+// The table's limit counts all writes. A pace that allows more than one write per gap
+// plus the burst, in any span of time, exceeds the limit.
+func TestBurstsStayWithinTheBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const gap = 10 * time.Millisecond
 		burst := rapid.IntRange(0, 8).Draw(t, "burst")
@@ -47,28 +47,27 @@
 		p.SetBurst(burst)
 		start := time.Unix(100, 0)
 		now := start
-		var went []time.Time
+		var sent []time.Time
 		for _, wait := range rapid.SliceOf(rapid.IntRange(0, 30)).Draw(t, "waits") {
 			now = now.Add(time.Duration(wait) * time.Millisecond)
 			if p.Free(now) {
 				p.Took(now)
-				went = append(went, now)
+				sent = append(sent, now)
 			}
 		}
-		for i := range went {
-			for j := i; j < len(went); j++ {
-				if most := 1 + burst + int(went[j].Sub(went[i])/gap); j-i+1 > most {
-					t.Fatalf("%d writes in %s", j-i+1, went[j].Sub(went[i]))
+		for i := range sent {
+			for j := i; j < len(sent); j++ {
+				if limit := 1 + burst + int(sent[j].Sub(sent[i])/gap); j-i+1 > limit {
+					t.Fatalf("%d writes in %s", j-i+1, sent[j].Sub(sent[i]))
 				}
 			}
 		}
 	})
 }
 
-// The platform stays overloaded after a burst when refused writers come back
-// as often as before. They must come more seldom with each refusal, and find
-// back to their gap when writes go through again.
-func TestGapFollowsRefusals(t *testing.T) {
+// An overloaded platform stays overloaded if refused writers retry at an unchanged
+// rate. Each refusal must widen the gap, and successes must narrow it to the minimum.
+func TestRefusalsWidenAndSuccessesNarrowTheGap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := New(10*time.Millisecond, time.Second)
 		now := time.Unix(100, 0)
--- a/internal/ledger/rank/doc.go
+++ b/internal/ledger/rank/doc.go
@@ -1,4 +1,4 @@
-// Package rank orders nodes for a duty by rendezvous hashing. The order only
-// decides who bothers: nodes that see different members may pick differently,
-// which must be harmless to whoever uses it.
+// Package rank selects nodes for a duty by rendezvous hashing. Nodes with different
+// member lists may select different nodes, so callers must not rely on a duty having
+// only one holder.
 package rank
--- a/internal/ledger/rank/rank.go
+++ b/internal/ledger/rank/rank.go
@@ -6,28 +6,31 @@
 	"github.com/hickorybank/hickorybank/internal/platform"
 )
 
-// First returns the n members that should take the duty, the first one first.
-// A member that joins or leaves moves only the duties that it takes or had.
+// First returns the n members with the highest weights for the duty, highest first,
+// or all members if there are fewer. A member that joins or leaves only moves the
+// duties that it takes over or had.
 func First(duty string, members []platform.VM, n int) []platform.VM {
 	best := make([]candidate, 0, n+1)
-	of := xxhash.Sum64String(duty)
+	dutyHash := xxhash.Sum64String(duty)
 	for i := range members {
-		c := candidate{weight: mix(of, xxhash.Sum64String(members[i].ID)), index: i}
+		c := candidate{weight: mix(dutyHash, xxhash.Sum64String(members[i].ID)), index: i}
 		best = insert(best, c, n)
 	}
-	first := make([]platform.VM, 0, len(best))
+	chosen := make([]platform.VM, 0, len(best))
 	for _, c := range best {
-		first = append(first, members[c.index])
+		chosen = append(chosen, members[c.index])
 	}
-	return first
+	return chosen
 }
 
+// candidate is a member, by its index, with its weight for the duty.
 type candidate struct {
 	weight uint64
 	index  int
 }
 
-// insert keeps the n heaviest, in order. n is small: a duty has few holders.
+// insert adds a candidate to the n with the highest weights, in descending order.
+// Linear insertion is enough because a duty has few holders.
 func insert(best []candidate, c candidate, n int) []candidate {
 	i := len(best)
 	for i > 0 && best[i-1].weight < c.weight {
@@ -42,8 +45,8 @@
 	return best[:min(len(best), n)]
 }
 
-// mix is the finaliser of SplitMix64, which lets every bit of both hashes
-// reach every bit of the weight.
+// mix combines two hashes with the finaliser of SplitMix64, so that every bit of both
+// affects every bit of the weight.
 func mix(a, b uint64) uint64 {
 	z := a ^ b*0x9e3779b97f4a7c15
 	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
--- a/internal/ledger/wire/alive.go
+++ b/internal/ledger/wire/alive.go
@@ -1,9 +1,10 @@
 package wire
 
-// AliveArgs asks a node for its process.
+// AliveArgs asks a node which process it runs.
 type AliveArgs struct{}
 
-// AliveReply names it.
+// AliveReply answers [AliveArgs].
 type AliveReply struct {
+	// Process identifies the process; a restart changes it.
 	Process string
 }
--- a/internal/ledger/wire/append.go
+++ b/internal/ledger/wire/append.go
@@ -6,8 +6,9 @@
 	"github.com/hickorybank/hickorybank/internal/request"
 )
 
-// AppendArgs asks a batcher to bring an entry into a claim log. IDs are slices
-// since gob sends arrays of bytes number by number.
+// AppendArgs asks a batcher to append an entry to a claim log. IDs are slices because
+// gob encodes byte arrays element by element. See claim.Entry for the fields from Kind
+// to Bill.
 type AppendArgs struct {
 	LogKind byte
 	Shard   int
@@ -20,21 +21,23 @@
 	Outcome request.Outcome
 	Answer  []byte
 	Bill    bill.Columns
-	// WaitMillis is how long the entry is worth writing.
+	// WaitMillis is how long the batcher may keep trying to write the entry, in
+	// milliseconds.
 	WaitMillis int64
 }
 
-// Log is the log that is meant.
+// Log returns the log to append to.
 func (a *AppendArgs) Log() key.Log {
 	return key.Log{Kind: key.Kind(a.LogKind), Shard: a.Shard, Bucket: a.Bucket}
 }
 
-// AppendReply tells what became of the entry, and of its key.
+// AppendReply returns the verdict on the entry, and the record of its key.
 type AppendReply struct {
-	Verdict   uint8
-	Print     []byte
-	Attempt   string
-	Node      string
+	Verdict uint8 // a claim.Verdict
+	Print   []byte
+	Attempt string
+	Node    string
+	// AtMillis is when the key was claimed, in milliseconds since 1970.
 	AtMillis  int64
 	Outcome   request.Outcome
 	Answer    []byte
--- a/internal/ledger/wire/collect.go
+++ b/internal/ledger/wire/collect.go
@@ -2,12 +2,12 @@
 
 import "github.com/hickorybank/hickorybank/internal/ledger/bill"
 
-// CollectArgs asks a collector to make bills safe.
+// CollectArgs asks a collector to store bills durably.
 type CollectArgs struct {
 	Bills bill.Columns
 }
 
-// CollectReply says for each bill where it is kept.
+// CollectReply returns where each bill is kept, in the order of the request.
 type CollectReply struct {
-	Safety []byte
+	Safety []byte // bill.Safety values
 }
--- a/internal/ledger/wire/doc.go
+++ b/internal/ledger/wire/doc.go
@@ -1,3 +1,3 @@
-// Package wire holds the messages between the ledgers of the nodes. They go
-// over net/rpc; every call may be repeated without harm.
+// Package wire defines the messages that the ledgers of the nodes exchange over
+// net/rpc. All calls are idempotent.
 package wire
--- a/internal/ledger/wire/hold.go
+++ b/internal/ledger/wire/hold.go
@@ -14,33 +14,33 @@
 	Bills  bill.Columns
 }
 
-// NewHoldArgs returns the message for a row.
+// NewHoldArgs returns the message that asks to hold the row.
 func NewHoldArgs(row bill.Row) HoldArgs {
 	return HoldArgs{Writer: row.Writer, Seq: row.Seq, Kind: byte(row.Bucket.Kind), Bucket: row.Bucket.Number, Bills: row.Bills}
 }
 
-// Row is the row that is meant.
+// Row returns the row to hold.
 func (a *HoldArgs) Row() bill.Row {
 	return bill.Row{Bucket: key.Bucket{Kind: key.Kind(a.Kind), Number: a.Bucket}, Writer: a.Writer, Seq: a.Seq, Bills: a.Bills}
 }
 
-// HoldReply says whether the copy is held.
+// HoldReply answers [HoldArgs].
 type HoldReply struct {
-	Held bool
+	Held bool // false if the node has no room
 }
 
-// PiecesArgs names rows of a writer that a node holds copies of.
+// PiecesArgs refreshes or drops the copies that a node holds of a writer's rows.
 type PiecesArgs struct {
 	Writer string
 	Rows   Ranges
-	// Gone says that the writer stops for good; the holders take over.
+	// Gone means that the writer stops for good and the holders take the rows over.
 	Gone bool
 }
 
-// Seqs returns the rows' numbers.
+// Seqs returns the sequence numbers of the rows.
 func (a *PiecesArgs) Seqs() []uint64 { return a.Rows.Unpack() }
 
-// PiecesReply names those that it does not hold.
+// PiecesReply returns the rows that the node does not hold.
 type PiecesReply struct {
 	Missing Ranges
 }
--- a/internal/ledger/wire/ranges.go
+++ b/internal/ledger/wire/ranges.go
@@ -2,16 +2,16 @@
 
 import "slices"
 
-// Ranges are numbers as pairs: each pair is the gap from the end of the one
-// before, and how many follow one another. The rows that a holder has of one
-// writer are mostly consecutive, so that naming all of them takes few bytes
-// also after hours of an outage.
+// Ranges is a run-length encoding of a set of numbers. Each pair is the distance from
+// the end of the previous run, and the length of the run. The rows that a holder has
+// of one writer are mostly consecutive, so their list stays short even after an outage
+// of hours.
 type Ranges []uint64
 
-// maxUnpacked bounds what a message may name.
+// maxUnpacked bounds the memory that a malformed message can use, in numbers.
 const maxUnpacked = 1 << 20
 
-// Pack returns the ranges of numbers.
+// Pack encodes numbers, in any order and with duplicates.
 func Pack(numbers []uint64) Ranges {
 	sorted := slices.Clone(numbers)
 	slices.Sort(sorted)
@@ -19,18 +19,18 @@
 	var r Ranges
 	next := uint64(0)
 	for i := 0; i < len(sorted); {
-		n := 1
-		for i+n < len(sorted) && sorted[i+n] == sorted[i]+uint64(n) {
-			n++
+		length := 1
+		for i+length < len(sorted) && sorted[i+length] == sorted[i]+uint64(length) {
+			length++
 		}
-		r = append(r, sorted[i]-next, uint64(n))
-		next = sorted[i] + uint64(n)
-		i += n
+		r = append(r, sorted[i]-next, uint64(length))
+		next = sorted[i] + uint64(length)
+		i += length
 	}
 	return r
 }
 
-// Unpack returns the numbers in order, at most a million.
+// Unpack returns the numbers in ascending order, at most maxUnpacked of them.
 func (r Ranges) Unpack() []uint64 {
 	var numbers []uint64
 	next := uint64(0)
