--- a/internal/ledger/claim/bench_test.go
+++ b/internal/ledger/claim/bench_test.go
@@ -29,7 +29,7 @@
 	return e
 }
 
-// drive brings a batch of operations into the log and returns its row.
+// drive writes a batch of operations to the log and returns the row.
 func drive(b *testing.B, l *Log, now time.Time, ops []Op) Row {
 	for i := range ops {
 		l.Add(now, ops[i])
@@ -49,8 +49,7 @@
 	}
 }
 
-// BenchmarkBatch is the cost of a claim in the batcher's core and codec, by
-// the size of the batch.
+// BenchmarkBatch measures the cost of a claim in Log and in the codec, by batch size.
 func BenchmarkBatch(b *testing.B) {
 	for _, size := range []int{1, 16, 256} {
 		b.Run(fmt.Sprintf("claims=%d", size), func(b *testing.B) {
@@ -77,8 +76,8 @@
 	}
 }
 
-// BenchmarkDecode is the cost of reading a row of 256 claims, or settlements
-// with answers of 200 bytes.
+// BenchmarkDecode measures the cost of decoding a row of 256 claims, or of 256
+// settlements with answers of 200 bytes.
 func BenchmarkDecode(b *testing.B) {
 	for name, kind := range map[string]Kind{"claims": KindClaim, "settlements": KindSettle} {
 		b.Run(name, func(b *testing.B) {
@@ -101,7 +100,7 @@
 	}
 }
 
-// BenchmarkKeptKeys is the memory of a key that a log keeps.
+// BenchmarkKeptKeys measures the memory that a log uses per key.
 func BenchmarkKeptKeys(b *testing.B) {
 	const keys = 100_000
 	for b.Loop() {
--- a/internal/ledger/claim/codec.go
+++ b/internal/ledger/claim/codec.go
@@ -11,38 +11,38 @@
 	"github.com/hickorybank/hickorybank/internal/request"
 )
 
-// wireRow is a row as gob carries it: a column for each field, since gob is
-// compact and fast on byte slices and slices of numbers, and neither on arrays
-// of bytes. Claims fill Prints and Nodes, settlements Outcomes and Answers.
+// wireRow is the gob encoding of a row, with one column per field. Gob is compact and
+// fast on byte slices and slices of numbers, but not on byte arrays. Only claims have
+// values in Prints and Nodes, and only settlements in Outcomes and Answers.
 type wireRow struct {
 	Writer   string
 	Number   uint64
-	Base     int64 // the first entry's At
+	Base     int64 // At of the first entry
 	Kinds    []byte
 	IDs      []byte
 	Attempts []byte
-	After    []int64 // At after Base
+	After    []int64 // At minus Base
 	Prints   []byte
-	Names    []string // the nodes that Nodes counts through
+	Names    []string // names of nodes, indexed by Nodes
 	Nodes    []uint
 	Outcomes []string
 	Answers  [][]byte
 	Bills    bill.Columns
-	BillOf   []uint // the entry of each bill
+	BillOf   []uint // index of each bill's entry
 }
 
 const printSize = len(request.Fingerprint{})
 
-// Encode returns the row's bytes.
+// Encode returns the gob encoding of the row.
 func (r *Row) Encode() ([]byte, error) {
 	var buf bytes.Buffer
-	if err := gob.NewEncoder(&buf).Encode(r.wire()); err != nil {
+	if err := gob.NewEncoder(&buf).Encode(r.columns()); err != nil {
 		return nil, eris.Wrap(err, "encode claim row")
 	}
 	return buf.Bytes(), nil
 }
 
-func (r *Row) wire() *wireRow {
+func (r *Row) columns() *wireRow {
 	w := &wireRow{Writer: r.Writer, Number: r.Number}
 	if len(r.Entries) > 0 {
 		w.Base = r.Entries[0].At
@@ -51,10 +51,10 @@
 	var bills []bill.Bill
 	for i := range r.Entries {
 		e := &r.Entries[i]
-		w.common(e)
+		w.addCommon(e)
 		switch e.Kind {
 		case KindClaim:
-			w.claim(e, names)
+			w.addClaim(e, names)
 		case KindSettle:
 			w.Outcomes = append(w.Outcomes, string(e.Outcome))
 			w.Answers = append(w.Answers, e.Answer)
@@ -68,14 +68,14 @@
 	return w
 }
 
-func (w *wireRow) common(e *Entry) {
+func (w *wireRow) addCommon(e *Entry) {
 	w.Kinds = append(w.Kinds, byte(e.Kind))
 	w.IDs = append(w.IDs, e.ID[:]...)
 	w.Attempts = append(w.Attempts, e.Attempt[:]...)
 	w.After = append(w.After, e.At-w.Base)
 }
 
-func (w *wireRow) claim(e *Entry, names map[string]uint) {
+func (w *wireRow) addClaim(e *Entry, names map[string]uint) {
 	w.Prints = append(w.Prints, e.Print[:]...)
 	n, ok := names[e.Node]
 	if !ok {
@@ -86,22 +86,22 @@
 	w.Nodes = append(w.Nodes, n)
 }
 
-// errRow says that the bytes are not a claim row.
-var errRow = eris.New("malformed claim row")
+// errMalformedRow means that decoded columns do not form a valid claim row.
+var errMalformedRow = eris.New("malformed claim row")
 
-// Decode reads a row; bytes that are not one give an error.
+// Decode decodes a row. It returns an error if the bytes are not a complete valid row.
 func Decode(data []byte) (Row, error) {
 	var w wireRow
 	if err := gob.NewDecoder(bytes.NewReader(data)).Decode(&w); err != nil {
 		return Row{}, eris.Wrap(err, "decode claim row")
 	}
 	if !w.consistent() {
-		return Row{}, errRow
+		return Row{}, errMalformedRow
 	}
 	return w.row()
 }
 
-// consistent says whether the columns fit each other.
+// consistent reports whether the lengths of the columns match the kinds of entries.
 func (w *wireRow) consistent() bool {
 	n := len(w.Kinds)
 	if len(w.IDs) != n*key.Size || len(w.Attempts) != n*key.Size || len(w.After) != n {
@@ -127,7 +127,7 @@
 		switch e.Kind {
 		case KindClaim:
 			if w.Nodes[claims] >= uint(len(w.Names)) {
-				return Row{}, errRow
+				return Row{}, errMalformedRow
 			}
 			e.Print = request.Fingerprint(w.Prints[claims*printSize:])
 			e.Node = w.Names[w.Nodes[claims]]
@@ -138,21 +138,21 @@
 			settles++
 		}
 	}
-	return r, w.attach(r.Entries)
+	return r, w.attachBills(r.Entries)
 }
 
-// attach gives the settlements their bills.
-func (w *wireRow) attach(entries []Entry) error {
+// attachBills sets the bills of the settlements.
+func (w *wireRow) attachBills(entries []Entry) error {
 	bills, err := w.Bills.Unpack()
 	if err != nil {
 		return err
 	}
 	if len(bills) != len(w.BillOf) {
-		return errRow
+		return errMalformedRow
 	}
 	for i, of := range w.BillOf {
 		if of >= uint(len(entries)) || entries[of].Kind != KindSettle {
-			return errRow
+			return errMalformedRow
 		}
 		entries[of].Bill = &bills[i]
 	}
--- a/internal/ledger/claim/codec_test.go
+++ b/internal/ledger/claim/codec_test.go
@@ -49,15 +49,15 @@
 		is.Equal(len(back.Entries), len(row.Entries))
 		for i := range row.Entries {
 			if len(row.Entries[i].Answer) == 0 {
-				back.Entries[i].Answer = nil // gob does not tell nil from empty
+				back.Entries[i].Answer = nil // gob does not distinguish nil from empty
 			}
 			is.Equal(back.Entries[i], row.Entries[i])
 		}
 	})
 }
 
-// A row that was damaged must be refused whole: an entry that is left out or
-// made up would let work run twice.
+// A corrupted row must be rejected as a whole. An entry that is left out or made up
+// would let work run twice.
 func FuzzDecode(f *testing.F) {
 	row := Row{Writer: "w", Number: 3, Entries: []Entry{
 		{Kind: KindClaim, Node: "n", At: 5},
--- a/internal/ledger/claim/decide.go
+++ b/internal/ledger/claim/decide.go
@@ -6,67 +6,68 @@
 	"github.com/hickorybank/hickorybank/internal/ledger/key"
 )
 
-// Ready returns what the log wants done now.
+// Ready returns the call to make now, if any, and the replies since the last call of
+// Ready.
 func (l *Log) Ready(now time.Time) Ready {
 	l.expire(now)
 	var r Ready
-	if !l.busy {
+	if !l.callInFlight {
 		l.decide(now, &r)
 	}
 	r.Replies, l.replies = l.replies, nil
-	r.Wake = earliest(r.Wake, l.deadline())
+	r.Wake = earliest(r.Wake, l.nextDeadline())
 	return r
 }
 
 func (l *Log) decide(now time.Time, r *Ready) {
-	if l.flight == nil && len(l.pending) == 0 {
+	if l.inFlight == nil && len(l.pending) == 0 {
 		return
 	}
-	if !l.fresh || l.floor == nil {
-		l.read(now, r)
+	if !l.upToDate || l.floor == nil {
+		l.startRead(now, r)
 		return
 	}
-	if l.flight == nil {
-		l.judgePending()
+	if l.inFlight == nil {
+		l.evaluatePending()
 	}
-	if !l.fresh {
-		l.read(now, r)
+	if !l.upToDate {
+		l.startRead(now, r)
 		return
 	}
-	if l.flight == nil && len(l.pending) == 0 {
+	if l.inFlight == nil && len(l.pending) == 0 {
 		return
 	}
 	if !l.writes.Free(now) {
 		r.Wake = l.writes.Next()
 		return
 	}
-	if l.flight == nil {
-		l.launch()
+	if l.inFlight == nil {
+		l.startBatch()
 	}
-	l.busy = true
-	l.asked = l.adds
+	l.callInFlight = true
+	l.opsAtCall = l.opsAdded
 	l.writes.Took(now)
-	r.Create = &Create{Seq: l.flight.seq, Row: l.flight.row, Floor: l.floor.Version}
+	r.Create = &Create{Seq: l.inFlight.seq, Row: l.inFlight.row, Floor: l.floor.Version}
 }
 
-func (l *Log) read(now time.Time, r *Ready) {
+func (l *Log) startRead(now time.Time, r *Ready) {
 	if !l.reads.Free(now) {
 		r.Wake = l.reads.Next()
 		return
 	}
-	l.busy = true
-	l.asked = l.adds
+	l.callInFlight = true
+	l.opsAtCall = l.opsAdded
 	l.reads.Took(now)
 	r.Read = &Read{From: l.next, Floor: l.floor == nil}
 }
 
-// judgePending answers what needs no writing.
-func (l *Log) judgePending() {
-	kept := l.pending[:l.judged]
-	for _, op := range l.pending[l.judged:] {
-		v, r := l.judge(&op)
-		if l.outdated(v, &op) {
-			l.fresh = false
+// evaluatePending replies to pending operations that need no write.
+func (l *Log) evaluatePending() {
+	kept := l.pending[:l.evaluated]
+	for _, op := range l.pending[l.evaluated:] {
+		v, r := l.evaluate(&op)
+		if l.mayBeStale(v, &op) {
+			l.upToDate = false
 			v = verdictWrite
 		}
 		if v == verdictWrite {
@@ -77,42 +78,42 @@
 	}
 	clear(l.pending[len(kept):])
 	l.pending = kept
-	l.judged = len(kept)
+	l.evaluated = len(kept)
 }
 
-func (l *Log) judge(op *Op) (Verdict, record) {
+func (l *Log) evaluate(op *Op) (Verdict, record) {
 	if l.deleted() {
 		return VerdictTooOld, record{}
 	}
-	return l.index.judge(&op.Entry)
+	return l.index.evaluate(&op.Entry)
 }
 
-// outdated says whether a verdict may have been overtaken by rows that another
-// process wrote: a retry would hear "running" long after the work was settled.
-// The other verdicts are final, or are written under the row's condition.
-func (l *Log) outdated(v Verdict, op *Op) bool {
-	return (v == VerdictRunning || v == VerdictReused) && l.asOf < op.added
+// mayBeStale reports whether rows that another process wrote may have changed the
+// verdict. Without this check, a retry could get "running" long after the work was
+// settled. The other verdicts are final, or are confirmed by a conditional write.
+func (l *Log) mayBeStale(v Verdict, op *Op) bool {
+	return (v == VerdictRunning || v == VerdictReused) && l.opsAtRefresh < op.serial
 }
 
-// launch makes a batch of pending operations. Of several with one key only the
-// first goes: the others are judged by what it leaves.
-func (l *Log) launch() {
-	l.number++
-	f := &flight{seq: l.next, row: Row{Writer: l.settings.Writer, Number: l.number}}
+// startBatch makes a batch of pending operations. It contains only the first one of
+// each key, because the others must be evaluated against its result.
+func (l *Log) startBatch() {
+	l.batchNumber++
+	b := &batch{seq: l.next, row: Row{Writer: l.settings.Writer, Number: l.batchNumber}}
 	seen := make(map[key.ID]bool, len(l.pending))
 	size := 0
 	var left []Op
 	for i := range l.pending {
 		op := l.pending[i]
 		size += op.Entry.size()
-		if seen[op.Entry.ID] || len(f.ops) >= l.settings.MaxEntries || (size > l.settings.MaxBytes && len(f.ops) > 0) {
+		if seen[op.Entry.ID] || len(b.ops) >= l.settings.MaxEntries || (size > l.settings.MaxBytes && len(b.ops) > 0) {
 			left = append(left, op)
 			continue
 		}
 		seen[op.Entry.ID] = true
-		f.ops = append(f.ops, op)
-		f.row.Entries = append(f.row.Entries, op.Entry)
+		b.ops = append(b.ops, op)
+		b.row.Entries = append(b.row.Entries, op.Entry)
 	}
-	l.pending, l.judged = left, len(left)
-	l.flight = f
+	l.pending, l.evaluated = left, len(left)
+	l.inFlight = b
 }
--- a/internal/ledger/claim/expire.go
+++ b/internal/ledger/claim/expire.go
@@ -2,75 +2,77 @@
 
 import "time"
 
-// expire answers the operations whose time is up: those that were never sent
-// are refused, those on their way are in doubt, and stay on their way.
+// expire replies to operations that have waited long enough. Those that were never
+// sent are refused. Those in flight are in doubt, as their batch may still be written.
 func (l *Log) expire(now time.Time) {
 	kept := l.pending[:0]
-	judged := l.judged
+	evaluated := l.evaluated
 	for i, op := range l.pending {
-		if !l.over(now, &op) {
+		if !l.expired(now, &op) {
 			kept = append(kept, op)
 			continue
 		}
-		if i < judged {
-			l.judged--
+		if i < evaluated {
+			l.evaluated--
 		}
 		l.reply(&op, VerdictRefused, record{})
 	}
 	clear(l.pending[len(kept):])
 	l.pending = kept
-	l.expireFlight(now)
+	l.expireBatch(now)
 }
 
-func (l *Log) expireFlight(now time.Time) {
-	if l.flight == nil {
+func (l *Log) expireBatch(now time.Time) {
+	if l.inFlight == nil {
 		return
 	}
-	kept := l.flight.ops[:0]
-	for _, op := range l.flight.ops {
-		if !l.over(now, &op) {
+	kept := l.inFlight.ops[:0]
+	for _, op := range l.inFlight.ops {
+		if !l.expired(now, &op) {
 			kept = append(kept, op)
 			continue
 		}
 		l.reply(&op, VerdictInDoubt, record{})
 	}
-	l.flight.ops = kept
+	l.inFlight.ops = kept
 }
 
-// over says whether an operation has waited long enough: its time is up, or the
-// table has failed for a while, also since it came. Its sender can ask another
-// process then, which may reach the table, or tell its caller soon.
-func (l *Log) over(now time.Time, op *Op) bool {
+// expired reports whether an operation has waited long enough. That is so after its
+// deadline, or once the table has failed for LogSettings.FailAfter and also since the
+// operation was added. The sender can then try another process, which may reach the
+// table, or return an error to its caller early.
+func (l *Log) expired(now time.Time, op *Op) bool {
 	if !now.Before(op.Deadline) {
 		return true
 	}
-	return !l.failing.IsZero() && now.Sub(l.failing) >= l.settings.FailAfter && !l.failed.Before(op.came)
+	return !l.failingSince.IsZero() && now.Sub(l.failingSince) >= l.settings.FailAfter && !l.lastFailure.Before(op.addedAt)
 }
 
-func (l *Log) noteFailure(now time.Time) {
-	l.failed = now
-	if l.failing.IsZero() {
-		l.failing = now
+func (l *Log) recordFailure(now time.Time) {
+	l.lastFailure = now
+	if l.failingSince.IsZero() {
+		l.failingSince = now
 	}
 }
 
-func (l *Log) succeeded() { l.failing = time.Time{} }
+func (l *Log) recordSuccess() { l.failingSince = time.Time{} }
 
-// deadline is the next one of an operation.
-func (l *Log) deadline() time.Time {
+// nextDeadline returns the earliest nextDeadline of all operations, or zero if there are
+// none.
+func (l *Log) nextDeadline() time.Time {
 	var first time.Time
 	for i := range l.pending {
 		first = earliest(first, l.pending[i].Deadline)
 	}
-	if l.flight != nil {
-		for i := range l.flight.ops {
-			first = earliest(first, l.flight.ops[i].Deadline)
+	if l.inFlight != nil {
+		for i := range l.inFlight.ops {
+			first = earliest(first, l.inFlight.ops[i].Deadline)
 		}
 	}
 	return first
 }
 
-// earliest takes a zero time for none.
+// earliest returns the earlier of two times, where zero means none.
 func earliest(a, b time.Time) time.Time {
 	if a.IsZero() || (!b.IsZero() && b.Before(a)) {
 		return b
--- a/internal/ledger/claim/flight.go
+++ b/internal/ledger/claim/flight.go
@@ -1,37 +1,38 @@
 package claim
 
-// flight is a batch on its way into the log. Its row and number in the log
-// stay the same until its fate is known, however often it is sent: whichever
-// sending takes effect, the row is the same.
-type flight struct {
+// batch is the row that is being written, with its operations. The row and its sequence
+// number stay the same in all tries until the result is known. So it does not matter
+// which of the tries takes effect.
+type batch struct {
 	seq uint64
 	row Row
 	ops []Op
-	// doubted says that a sending got no answer and may take effect yet.
-	doubted bool
+	// unanswered means that a try got no answer and may still take effect.
+	unanswered bool
 }
 
-// resolve ends the flight when its place in the log is taken: by its own row,
-// or by that of another writer, which bars it for good.
-func (l *Log) resolve(stored *StoredRow) {
-	f := l.flight
-	if f == nil || f.seq != stored.Seq {
+// resolveBatch ends the batch in flight once the log has a row with its sequence
+// number. That is its own row, or the row of another writer; then the batch can never
+// be written there.
+func (l *Log) resolveBatch(stored *StoredRow) {
+	b := l.inFlight
+	if b == nil || b.seq != stored.Seq {
 		return
 	}
-	l.flight = nil
-	if stored.Row.Writer != f.row.Writer || stored.Row.Number != f.row.Number {
-		l.requeue(f.ops)
+	l.inFlight = nil
+	if stored.Row.Writer != b.row.Writer || stored.Row.Number != b.row.Number {
+		l.requeue(b.ops)
 		return
 	}
-	for i := range f.ops {
-		l.answer(&f.ops[i])
+	for i := range b.ops {
+		l.replyFromIndex(&b.ops[i])
 	}
 }
 
-// answer replies by what the log says now, which is also right if the entry
-// had no effect in its row.
-func (l *Log) answer(op *Op) {
-	v, r := l.index.judge(&op.Entry)
+// replyFromIndex replies according to the current index. This is also correct if the
+// entry is in the row but had no effect.
+func (l *Log) replyFromIndex(op *Op) {
+	v, r := l.index.evaluate(&op.Entry)
 	if v == verdictWrite {
 		v = VerdictRejected
 	}
@@ -42,20 +43,20 @@
 	l.replies = append(l.replies, Reply{Number: op.Number, Verdict: v, Record: l.index.export(r), Row: r.row})
 }
 
-// requeue puts operations that were not written before those that came later.
+// requeue puts operations that were not written ahead of those added later.
 func (l *Log) requeue(ops []Op) {
 	l.pending = append(ops, l.pending...)
-	l.judged = 0
+	l.evaluated = 0
 }
 
-// landUnlessDoubted gives up the flight after a refusal, so that its operations
-// can be dropped or joined by others. A doubted one has to go on: an earlier
-// sending may still take effect.
-func (l *Log) landUnlessDoubted() {
-	if l.flight.doubted {
+// requeueUnlessUnanswered dissolves the batch in flight after a refusal, so that its
+// operations can expire or be batched with others. A batch with an unanswered try must
+// be kept, because that try may still take effect.
+func (l *Log) requeueUnlessUnanswered() {
+	if l.inFlight.unanswered {
 		return
 	}
-	ops := l.flight.ops
-	l.flight = nil
+	ops := l.inFlight.ops
+	l.inFlight = nil
 	l.requeue(ops)
 }
--- a/internal/ledger/claim/floor.go
+++ b/internal/ledger/claim/floor.go
@@ -2,39 +2,39 @@
 
 import "github.com/hickorybank/hickorybank/internal/ledger/key"
 
-// takeFloor passes over what the shard says was deleted.
-func (l *Log) takeFloor() {
+// applyFloor skips the rows that the floor says were deleted.
+func (l *Log) applyFloor() {
 	if l.floor == nil {
 		return
 	}
-	// The rows below the floor of an opaque shard were deleted because their
-	// keys are older than the window; nothing in them is still needed.
+	// All keys in the rows below the floor of an opaque shard are older than the
+	// retention window, so these rows are not needed.
 	if l.name.Kind == key.Opaque {
 		l.next = max(l.next, l.floor.Seq)
 	}
-	if l.flight != nil && (l.deleted() || l.flight.seq < l.next) {
+	if l.inFlight != nil && (l.deleted() || l.inFlight.seq < l.next) {
 		l.abort()
 	}
 }
 
-// deleted says whether the log's rows are deleted, since its keys are older
-// than the window. A deleted log looks empty: without this it would grant all
-// its keys again.
+// deleted reports whether the log's rows were deleted because its keys are older than
+// the retention window. A deleted log looks empty, so without this check all its keys
+// would be granted again.
 func (l *Log) deleted() bool {
 	return l.name.Kind == key.Timed && l.floor != nil && l.floor.Bucket > l.name.Bucket
 }
 
-// abort gives up a flight whose place was deleted. No sending of it can take
-// effect any more, since each was under an older floor; but a doubted one may
-// have, before its row was deleted.
+// abort ends a batch whose row lies below the floor. No try of it can take effect any
+// more, since each was conditional on an older version of the floor. But an unanswered
+// try may have taken effect before the row was deleted.
 func (l *Log) abort() {
-	f := l.flight
-	l.flight = nil
-	if !f.doubted {
-		l.requeue(f.ops)
+	b := l.inFlight
+	l.inFlight = nil
+	if !b.unanswered {
+		l.requeue(b.ops)
 		return
 	}
-	for i := range f.ops {
-		l.reply(&f.ops[i], VerdictInDoubt, record{})
+	for i := range b.ops {
+		l.reply(&b.ops[i], VerdictInDoubt, record{})
 	}
 }
--- a/internal/ledger/claim/floor_codec.go
+++ b/internal/ledger/claim/floor_codec.go
@@ -6,18 +6,20 @@
 	"github.com/rotisserie/eris"
 )
 
+// wireFloor is the JSON encoding of a floor.
 type wireFloor struct {
 	Bucket int64  `json:"bucket"`
 	Seq    uint64 `json:"seq"`
 }
 
-// Encode returns the floor's bytes.
+// Encode returns the JSON encoding of the floor, without its version.
 func (f Floor) Encode() ([]byte, error) {
 	data, err := json.Marshal(wireFloor{f.Bucket, f.Seq})
 	return data, eris.Wrap(err, "encode floor")
 }
 
-// DecodeFloor reads the floor from its row.
+// DecodeFloor decodes a floor from the value and version of its row. It returns an
+// error if the value is not valid JSON.
 func DecodeFloor(version uint64, data []byte) (*Floor, error) {
 	var w wireFloor
 	if err := json.Unmarshal(data, &w); err != nil {
--- a/internal/ledger/claim/harness_test.go
+++ b/internal/ledger/claim/harness_test.go
@@ -11,17 +11,18 @@
 	"github.com/hickorybank/hickorybank/internal/standin/platform/table"
 )
 
-// variant breaks the protocol at its edge, to show that the checks notice.
+// variant breaks one guard of the protocol, to show that the checks detect it.
 type variant struct {
-	noAbsence     bool // rows are written whether or not they are absent
-	noFloor       bool // the floor is no condition
-	lostIsRefused bool // a lost answer is taken for a refusal
-	conflictIsOwn bool // a conflict is taken for the writer's own row
+	noAbsence     bool // rows are written without the condition that they are absent
+	noFloor       bool // rows are written without the condition on the floor
+	lostIsRefused bool // a lost answer is treated as a refusal
+	conflictIsOwn bool // a conflict is treated as the writer's own row
 	shortRead     bool // a read leaves out the newest row
 }
 
-// store is a table that knows the rows of claim logs. The values in it are
-// numbers of rows: the codec has tests of its own, and takes most of the time.
+// store is a table with the rows of claim logs. Its values are indexes into values
+// rather than encoded rows, because the codec has tests of its own and would take most
+// of the time.
 type store struct {
 	table   *table.Table
 	values  []Row
@@ -63,7 +64,7 @@
 	return f
 }
 
-// floorFor reads the floor if it was asked for.
+// floorFor returns the floor if the read requests it.
 func (s *store) floorFor(name key.Log, read *Read) *Floor {
 	if !read.Floor {
 		return nil
@@ -72,8 +73,8 @@
 	return &f
 }
 
-// raise deletes the rows of all buckets below one.
-func (s *store) raise(name key.Log, bucket int64) {
+// raiseFloor deletes the rows of all buckets below the given one.
+func (s *store) raiseFloor(name key.Log, bucket int64) {
 	txn := platform.Txn{Writes: []platform.Write{{Key: name.Floor(), Value: fmt.Append(nil, bucket)}}}
 	below := name
 	below.Bucket = bucket
--- a/internal/ledger/claim/index.go
+++ b/internal/ledger/claim/index.go
@@ -7,6 +7,7 @@
 	"github.com/hickorybank/hickorybank/internal/request"
 )
 
+// phase is the state of a key that was claimed.
 type phase uint8
 
 const (
@@ -15,53 +16,54 @@
 	released
 )
 
-// record is what is kept in memory of a key. Answers stay in the table: they
-// are read when a retry asks for one.
+// record is the state of a key in memory. Answers are not part of it: they are read
+// from the table when a retry asks for one.
 type record struct {
 	print   request.Fingerprint
 	attempt key.ID
-	at      int64 // milliseconds since 1970
-	row     uint64
-	node    uint32
+	at      int64  // milliseconds since 1970
+	row     uint64 // of the claim, or of the settlement once settled
+	node    uint32 // index into index.nodes
 	phase   phase
 }
 
-// index is the state that the rows of a log add up to. Whoever has read the
-// same rows has the same index.
+// index is the state that results from the rows of a log. It is a function of the rows
+// alone: all processes that have read the same rows have the same index.
 type index struct {
-	// window is how long a key is kept; 0 means as long as its log.
+	// window is how long a key is retained; 0 means as long as its log.
 	window  int64 // milliseconds
 	records map[key.ID]record
-	// barred are the attempts that were released, by key. They are few.
-	barred map[key.ID][]key.ID
-	nodes  []string
-	number map[string]uint32
+	// releasedAttempts are the attempts that were released, by key. They are few.
+	releasedAttempts map[key.ID][]key.ID
+	nodes            []string
+	nodeIndex        map[string]uint32
 }
 
 func newIndex(window time.Duration) *index {
 	return &index{
-		window:  window.Milliseconds(),
-		records: map[key.ID]record{},
-		barred:  map[key.ID][]key.ID{},
-		number:  map[string]uint32{},
+		window:           window.Milliseconds(),
+		records:          map[key.ID]record{},
+		releasedAttempts: map[key.ID][]key.ID{},
+		nodeIndex:        map[string]uint32{},
 	}
 }
 
-// judge says what an entry would do. The rows decide alone: an entry that is
-// judged otherwise than verdictWrite changes nothing even if it is in a row.
-func (x *index) judge(e *Entry) (Verdict, record) {
+// evaluate returns the verdict on an entry against the rows applied so far. An entry
+// whose verdict is not verdictWrite has no effect, even if it is in a row.
+func (x *index) evaluate(e *Entry) (Verdict, record) {
 	r, known := x.find(e)
 	switch e.Kind {
 	case KindClaim:
-		return x.judgeClaim(e, r, known), r
+		return x.evaluateClaim(e, r, known), r
 	case KindSettle:
-		return judgeSettle(e, r, known), r
+		return evaluateSettle(e, r, known), r
 	default:
-		return x.judgeRelease(e, r, known), r
+		return x.evaluateRelease(e, r, known), r
 	}
 }
 
-// find returns the key's record, unless it is older than the window.
+// find returns the key's record. For a claim, it leaves out a record older than the
+// retention window.
 func (x *index) find(e *Entry) (record, bool) {
 	r, ok := x.records[e.ID]
 	if ok && x.window > 0 && e.Kind == KindClaim && e.At-r.at > x.window {
@@ -70,9 +72,9 @@
 	return r, ok
 }
 
-func (x *index) judgeClaim(e *Entry, r record, known bool) Verdict {
+func (x *index) evaluateClaim(e *Entry, r record, known bool) Verdict {
 	switch {
-	case x.isBarred(e):
+	case x.isReleased(e):
 		return VerdictRejected
 	case !known || r.phase == released:
 		return verdictWrite
@@ -87,19 +89,19 @@
 	}
 }
 
-// judgeSettle has an entry written that does nothing, rather than reject it at
-// once: the log may have been deleted while it was read, and the conditions of
-// the write tell.
-func judgeSettle(e *Entry, r record, known bool) Verdict {
+// evaluateSettle returns verdictWrite also for a settlement that will have no effect,
+// instead of rejecting it at once. The log may have been deleted while it was read,
+// which only the conditions of the write reveal.
+func evaluateSettle(e *Entry, r record, known bool) Verdict {
 	if known && r.attempt == e.Attempt && r.phase == settled {
 		return VerdictDone
 	}
 	return verdictWrite
 }
 
-func (x *index) judgeRelease(e *Entry, r record, known bool) Verdict {
+func (x *index) evaluateRelease(e *Entry, r record, known bool) Verdict {
 	switch {
-	case x.isBarred(e):
+	case x.isReleased(e):
 		return VerdictDone
 	case known && r.attempt == e.Attempt && r.phase == settled:
 		return VerdictRejected
@@ -108,8 +110,8 @@
 	}
 }
 
-func (x *index) isBarred(e *Entry) bool {
-	for _, attempt := range x.barred[e.ID] {
+func (x *index) isReleased(e *Entry) bool {
+	for _, attempt := range x.releasedAttempts[e.ID] {
 		if attempt == e.Attempt {
 			return true
 		}
@@ -117,9 +119,10 @@
 	return false
 }
 
-// apply lets an entry of a row take effect, if it has any.
+// apply applies an entry of the row with the given sequence number, if it has an
+// effect.
 func (x *index) apply(seq uint64, e *Entry) {
-	if v, _ := x.judge(e); v != verdictWrite {
+	if v, _ := x.evaluate(e); v != verdictWrite {
 		return
 	}
 	switch e.Kind {
@@ -136,7 +139,7 @@
 }
 
 func (x *index) release(e *Entry) {
-	x.barred[e.ID] = append(x.barred[e.ID], e.Attempt)
+	x.releasedAttempts[e.ID] = append(x.releasedAttempts[e.ID], e.Attempt)
 	if r, ok := x.records[e.ID]; ok && r.attempt == e.Attempt {
 		r.phase = released
 		x.records[e.ID] = r
@@ -144,16 +147,16 @@
 }
 
 func (x *index) intern(node string) uint32 {
-	n, ok := x.number[node]
+	n, ok := x.nodeIndex[node]
 	if !ok {
 		n = uint32(len(x.nodes))
 		x.nodes = append(x.nodes, node)
-		x.number[node] = n
+		x.nodeIndex[node] = n
 	}
 	return n
 }
 
-// export returns the record for a reply.
+// export returns the exported form of a record, without the settlement.
 func (x *index) export(r record) Record {
 	if r.at == 0 {
 		return Record{}
--- a/internal/ledger/claim/log.go
+++ b/internal/ledger/claim/log.go
@@ -8,42 +8,46 @@
 	"github.com/hickorybank/hickorybank/internal/ledger/pace"
 )
 
-// Log is one append-only log of claims, as one process sees it. Any number of
-// processes may hold the same log. What keeps them apart is the table: row n
-// is created only if absent, and only by a process that has read the rows
-// before n and judged its entries by them. A process that lost the race reads
-// the winner's row and judges again. So a paused process that wakes needs no
-// care: what it writes next fails, unless nobody wrote meanwhile.
+// Log is the state of one append-only log of claims in one process. Any number of
+// processes may write the same log; conditional writes to the table order them. Row n is
+// created only if absent, and only by a process that has read all rows before n and
+// evaluated its entries against them. A process that loses the race reads the winner's
+// row and evaluates its entries again. A process that resumes after a pause is therefore
+// safe: its next write fails if another process wrote in the meantime.
+//
+// The caller makes the calls that Ready returns and passes their results to RowsRead,
+// ReadFailed or WriteDone.
 type Log struct {
-	settings LogSettings
-	name     key.Log
-	index    *index
-	floor    *Floor // nil when it is not known
-	next     uint64 // the first row that was not read
-	fresh    bool   // no row is known to be missing
-	busy     bool   // a call is out
-	// adds counts the operations; asked is the count when the call went out,
-	// and asOf the one at which the index was last known to be the newest. A
-	// clock would not do: what happens within one tick of it has an order too.
-	adds    uint64
-	asked   uint64
-	asOf    uint64
-	writes  *pace.Pace
-	reads   *pace.Pace
-	failing time.Time // since when no call has succeeded
-	failed  time.Time // when the last call failed
+	settings     LogSettings
+	name         key.Log
+	index        *index
+	floor        *Floor // nil if not known
+	next         uint64 // sequence number of the first row that was not read
+	upToDate     bool   // false if rows may have been added that were not read
+	callInFlight bool   // a call is in flight
+	// opsAdded counts the operations. opsAtCall is the count when the call in flight
+	// began. opsAtRefresh is the count at the start of the last call that brought the
+	// index up to date. Counts are used rather than times because events within one
+	// tick of the clock are ordered, too.
+	opsAdded     uint64
+	opsAtCall    uint64
+	opsAtRefresh uint64
+	writes       *pace.Pace
+	reads        *pace.Pace
+	failingSince time.Time // time of the first failure since the last success
+	lastFailure  time.Time // time of the last failure
 
 	pending []Op
-	// judged is how many of pending were judged by the present index.
-	judged  int
-	flight  *flight
-	number  uint64
-	replies []Reply
-	used    time.Time
+	// evaluated is how many of pending were evaluated against the current index.
+	evaluated   int
+	inFlight    *batch // the batch in flight, or nil
+	batchNumber uint64 // number of the last batch
+	replies     []Reply
+	lastUsed    time.Time
 }
 
-// NewLog returns a log of which nothing was read yet. The floor may be one that
-// was read before, or nil; under an old one no write takes effect.
+// NewLog returns a log without any rows read. The floor may be nil, or one that was
+// read earlier. If that one is out of date, no write takes effect until it is read again.
 func NewLog(name key.Log, s LogSettings, floor *Floor) *Log {
 	l := &Log{
 		settings: s,
@@ -57,58 +61,60 @@
 	return l
 }
 
-// Add takes an operation; its reply comes in a later Ready.
+// Add adds an operation and sets the time of its entry. A later Ready returns its reply.
 func (l *Log) Add(now time.Time, op Op) {
-	l.used = now
+	l.lastUsed = now
 	op.Entry.At = now.UnixMilli()
-	l.adds++
-	op.added = l.adds
-	op.came = now
+	l.opsAdded++
+	op.serial = l.opsAdded
+	op.addedAt = now
 	l.pending = append(l.pending, op)
 }
 
-// Floor is the floor that the log goes by, or nil.
+// Floor returns the last known floor, or nil if it must be read.
 func (l *Log) Floor() *Floor { return l.floor }
 
-// Idle says whether the log could be dropped from memory: nobody waits.
+// Idle reports whether the log can be dropped from memory: no call is in flight and no
+// operation or reply is left.
 func (l *Log) Idle() bool {
-	return !l.busy && l.flight == nil && len(l.pending) == 0 && len(l.replies) == 0
+	return !l.callInFlight && l.inFlight == nil && len(l.pending) == 0 && len(l.replies) == 0
 }
 
-// Used is when the last operation came.
-func (l *Log) Used() time.Time { return l.used }
+// Used returns the time of the last Add.
+func (l *Log) Used() time.Time { return l.lastUsed }
 
-// Keys is the number of keys that the log holds in memory.
+// Keys returns the number of keys that the log holds in memory.
 func (l *Log) Keys() int { return len(l.index.records) }
 
-// SetGap changes the time between two writes, and how many may go before it.
+// SetGap changes the minimum time between two writes and the burst of writes that is
+// allowed after idle time.
 func (l *Log) SetGap(gap time.Duration, burst int) {
 	l.writes.SetFloor(gap)
 	l.writes.SetBurst(burst)
 }
 
-// RowsRead takes the result of a Read; the floor is nil if it was not asked
-// for. More says that further rows may follow.
+// RowsRead processes the result of a Read. The floor is nil if it was not requested;
+// more means that there may be further rows.
 func (l *Log) RowsRead(floor *Floor, rows []StoredRow, more bool) {
-	l.busy = false
+	l.callInFlight = false
 	l.reads.Succeeded()
-	l.succeeded()
-	l.judged = 0
+	l.recordSuccess()
+	l.evaluated = 0
 	if floor != nil {
 		l.floor = floor
 	}
-	l.takeFloor()
+	l.applyFloor()
 	for i := range rows {
-		l.take(&rows[i])
+		l.applyRow(&rows[i])
 	}
-	l.fresh = !more
-	if l.fresh {
-		l.asOf = l.asked
+	l.upToDate = !more
+	if l.upToDate {
+		l.opsAtRefresh = l.opsAtCall
 	}
 }
 
-// take applies the next row. A row that was read before is passed over.
-func (l *Log) take(stored *StoredRow) {
+// applyRow applies the next row. It ignores a row that was applied before.
+func (l *Log) applyRow(stored *StoredRow) {
 	if stored.Seq != l.next {
 		return
 	}
@@ -116,41 +122,41 @@
 		l.index.apply(stored.Seq, &stored.Row.Entries[i])
 	}
 	l.next++
-	l.resolve(stored)
+	l.resolveBatch(stored)
 }
 
-// ReadFailed notes that a Read got no answer.
+// ReadFailed records that a Read failed.
 func (l *Log) ReadFailed(now time.Time) {
-	l.busy = false
+	l.callInFlight = false
 	l.reads.Failed(now)
-	l.noteFailure(now)
+	l.recordFailure(now)
 }
 
-// WriteDone takes the result of a Create.
+// WriteDone processes the result of a Create.
 func (l *Log) WriteDone(now time.Time, f fate.Fate) {
-	l.busy = false
+	l.callInFlight = false
 	switch f {
 	case fate.Applied:
 		l.writes.Succeeded()
-		l.succeeded()
-		l.judged = 0
-		l.asOf = l.asked
-		l.take(&StoredRow{Seq: l.flight.seq, Row: l.flight.row})
+		l.recordSuccess()
+		l.evaluated = 0
+		l.opsAtRefresh = l.opsAtCall
+		l.applyRow(&StoredRow{Seq: l.inFlight.seq, Row: l.inFlight.row})
 	case fate.Conflict:
 		l.writes.Succeeded()
-		l.succeeded()
-		l.fresh = false
-		l.floor = nil // it may be the floor that failed the write
+		l.recordSuccess()
+		l.upToDate = false
+		l.floor = nil // the condition on the floor may be the one that failed
 	case fate.Refused:
 		l.writes.Failed(now)
-		l.noteFailure(now)
-		l.landUnlessDoubted()
+		l.recordFailure(now)
+		l.requeueUnlessUnanswered()
 	case fate.Unanswered:
-		// The write may have taken effect, or may yet. The row tells whose
-		// it is by its writer and number, once there is one.
+		// The write may have taken effect, or may do so later. Once the row exists, its
+		// writer and number tell whether it is this one.
 		l.writes.Failed(now)
-		l.noteFailure(now)
-		l.flight.doubted = true
-		l.fresh = false
+		l.recordFailure(now)
+		l.inFlight.unanswered = true
+		l.upToDate = false
 	}
 }
--- a/internal/ledger/claim/ready.go
+++ b/internal/ledger/claim/ready.go
@@ -2,37 +2,37 @@
 
 import "time"
 
-// Floor is what a shard says of its deleted rows.
+// Floor is the low watermark of a shard: the rows below it were deleted.
 type Floor struct {
-	// Version is the version of the floor's row; 0 when there is none.
+	// Version is the version of the floor's row in the table; 0 if there is none.
 	Version uint64
-	// Bucket is the lowest bucket of timed keys that still has its rows.
+	// Bucket is the lowest bucket of timed keys whose rows still exist.
 	Bucket int64
-	// Seq is the lowest row that an opaque shard still has.
+	// Seq is the lowest sequence number of a row that still exists, for opaque keys.
 	Seq uint64
 }
 
-// Read asks for the rows from a number on, and for the floor if that is not
-// known, in any order.
+// Read requests the rows from a sequence number on, and the floor if it is not known.
+// The two may be read in any order.
 type Read struct {
 	From  uint64
 	Floor bool
 }
 
-// Create asks for a row to be created, under two conditions: that it is
-// absent, and that the floor still has this version.
+// Create requests that a row be created, on condition that it is absent and that the
+// floor still has the version Floor.
 type Create struct {
 	Seq   uint64
 	Row   Row
 	Floor uint64
 }
 
-// Ready is what a log wants done. At most one of Read and Create is set, and
-// no other comes before its result was given back.
+// Ready holds the calls to make for a log, and replies. At most one of Read and Create
+// is set. No further call is requested before the log has its result.
 type Ready struct {
 	Read    *Read
 	Create  *Create
 	Replies []Reply
-	// Wake is when to call again without an event; zero means not at all.
+	// Wake is when to call Ready again if there is no event before; zero means never.
 	Wake time.Time
 }
--- a/internal/ledger/claim/record.go
+++ b/internal/ledger/claim/record.go
@@ -7,19 +7,19 @@
 	"github.com/hickorybank/hickorybank/internal/request"
 )
 
-// Record is what the ledger knows of a key.
+// Record is the state of a key that was claimed.
 type Record struct {
 	Fingerprint request.Fingerprint
 	Attempt     string
-	// Node is the node that claimed, with the id of its process.
+	// Node is the node that claimed the key, with the id of its process.
 	Node string
 	// At is when the key was claimed, in whole milliseconds.
 	At time.Time
-	// Settled says that the fields below hold.
+	// Settled means that the attempt was settled and the fields below are valid.
 	Settled bool
 	Outcome request.Outcome
-	// Answer is the answer, if it was small enough to keep.
+	// Answer is the answer to the request, if it was small enough to keep.
 	Answer []byte
-	// Bill is the bill that the settlement came with.
+	// Bill is the bill of the settlement; nil if there is none.
 	Bill *bill.Bill
 }
--- a/internal/ledger/claim/result.go
+++ b/internal/ledger/claim/result.go
@@ -1,23 +1,22 @@
 package claim
 
-// State is what became of a claim.
+// State is the result of a claim.
 type State int
 
-// The states.
+// The possible results of a claim.
 const (
 	// Granted means that this attempt, and no other, may run.
 	Granted State = iota + 1
 	// Running means that another attempt holds the key and has not ended.
 	Running
-	// Settled means that another attempt ended; its record holds the outcome.
+	// Settled means that another attempt ended; the record has its outcome.
 	Settled
-	// Unknown means that another attempt held the key and vanished. The key
-	// is never granted again.
+	// Unknown means that another attempt holds the key and its process is lost. The
+	// key is never granted again.
 	Unknown
-	// KeyReused means that the key came before with another body.
+	// KeyReused means that the key was claimed before with another body.
 	KeyReused
-	// KeyTooOld means that the key's time lies before the window in which
-	// keys are kept.
+	// KeyTooOld means that the key's time lies before the retention window of keys.
 	KeyTooOld
 	// KeyInvalid means that the key's time lies in the future.
 	KeyInvalid
@@ -25,17 +24,17 @@
 
 var stateNames = [...]string{"none", "granted", "running", "settled", "unknown", "key_reused", "key_too_old", "key_invalid"}
 
-// String returns the state's name.
+// String returns the name of the state in lower case.
 func (s State) String() string { return stateNames[s] }
 
-// Result answers a [Request].
+// Result is the result of a [Request].
 type Result struct {
 	State State
 	// Record is the key's record for Running, Settled, Unknown and KeyReused.
 	Record Record
-	// Doubted says that a copy of the claim may still be on its way, though
-	// the key is held by another attempt. Should that one be released, the
-	// copy may take the key for a moment, until the ledger, which does so
-	// without being asked, has released this attempt too.
+	// Doubted means that another attempt holds the key, but a copy of this claim may
+	// still be written later. If the other attempt is released, the copy may then take
+	// the key for a short time. The ledger releases this attempt too, without a call by
+	// the claimant.
 	Doubted bool
 }
--- a/internal/ledger/claim/script_test.go
+++ b/internal/ledger/claim/script_test.go
@@ -14,30 +14,30 @@
 	"github.com/hickorybank/hickorybank/internal/request"
 )
 
-// script runs the scenarios of testdata: several processes that hold one log,
-// with every call to the table in the script's hand.
+// script runs the scenarios in testdata: several processes write one log, and the
+// scenario determines the result of each call to the table.
 type script struct {
-	store  *store
-	name   key.Log
-	now    time.Time
-	writer map[string]*writer
-	number uint64
-	asked  map[uint64]string
-	out    strings.Builder
+	store        *store
+	name         key.Log
+	now          time.Time
+	writers      map[string]*writer
+	number       uint64
+	descriptions map[uint64]string
+	out          strings.Builder
 }
 
 type writer struct {
-	log    *Log
-	read   *Read
-	create *Create
-	late   []platform.Txn
+	log        *Log
+	read       *Read
+	create     *Create
+	lateWrites []platform.Txn
 }
 
 func TestScenarios(t *testing.T) {
 	datadriven.Walk(t, "testdata/scenario", func(t *testing.T, path string) {
 		s := &script{
 			store: newStore(), name: key.Log{Kind: key.Timed, Shard: 1, Bucket: 7},
-			now: time.Unix(1000, 0).UTC(), writer: map[string]*writer{}, asked: map[uint64]string{},
+			now: time.Unix(1000, 0).UTC(), writers: map[string]*writer{}, descriptions: map[uint64]string{},
 		}
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			s.out.Reset()
@@ -50,7 +50,7 @@
 func (s *script) run(t *testing.T, d *datadriven.TestData) {
 	switch d.Cmd {
 	case "process":
-		s.writer[d.CmdArgs[0].Key] = &writer{log: NewLog(s.name, settings(d.CmdArgs[0].Key), nil)}
+		s.writers[d.CmdArgs[0].Key] = &writer{log: NewLog(s.name, settings(d.CmdArgs[0].Key), nil)}
 	case "claim", "settle", "release":
 		s.add(t, d)
 	case "time":
@@ -62,7 +62,7 @@
 	case "read", "read-fails", "write", "write-lost", "write-refused", "write-late", "land", "run":
 		s.call(t, d)
 	case "delete-below":
-		s.store.raise(s.name, atoi(t, d, d.CmdArgs[0].Key))
+		s.store.raiseFloor(s.name, atoi(t, d, d.CmdArgs[0].Key))
 	case "rows":
 		s.rows()
 	default:
@@ -92,16 +92,16 @@
 		e.Kind = KindRelease
 	}
 	s.number++
-	s.asked[s.number] = fmt.Sprintf("%s %s %s", d.Cmd, k, attempt)
-	w := s.writer[d.CmdArgs[0].Key]
+	s.descriptions[s.number] = fmt.Sprintf("%s %s %s", d.Cmd, k, attempt)
+	w := s.writers[d.CmdArgs[0].Key]
 	w.log.Add(s.now, Op{Number: s.number, Entry: e, Deadline: s.now.Add(limit)})
 	s.ready(d.CmdArgs[0].Key, w)
 }
 
-// call gives the result of the call that is out.
+// call ends the call in flight with the result that the command says.
 func (s *script) call(t *testing.T, d *datadriven.TestData) {
 	id := d.CmdArgs[0].Key
-	w := s.writer[id]
+	w := s.writers[id]
 	reads, writes := strings.HasPrefix(d.Cmd, "read"), strings.HasPrefix(d.Cmd, "write")
 	if reads && w.read == nil || writes && w.create == nil {
 		d.Fatalf(t, "no such call of %s is out", id)
@@ -118,8 +118,8 @@
 		w.create = nil
 		w.log.WriteDone(s.now, s.fate(d.Cmd, w, txn))
 	case "land":
-		fmt.Fprintf(&s.out, "%s: late write: %s\n", id, s.store.commit(w.late[0]))
-		w.late = w.late[1:]
+		fmt.Fprintf(&s.out, "%s: late write: %s\n", id, s.store.commit(w.lateWrites[0]))
+		w.lateWrites = w.lateWrites[1:]
 	}
 	s.ready(id, w)
 }
@@ -131,7 +131,7 @@
 	case "write-lost":
 		s.store.commit(txn)
 	case "write-late":
-		w.late = append(w.late, txn)
+		w.lateWrites = append(w.lateWrites, txn)
 	case "write-refused":
 		return fate.Refused
 	}
@@ -141,7 +141,7 @@
 func (s *script) ready(id string, w *writer) {
 	r := w.log.Ready(s.now)
 	for _, reply := range r.Replies {
-		fmt.Fprintf(&s.out, "%s: %s: %s\n", id, s.asked[reply.Number], reply.Verdict)
+		fmt.Fprintf(&s.out, "%s: %s: %s\n", id, s.descriptions[reply.Number], reply.Verdict)
 	}
 	if r.Read != nil {
 		w.read = r.Read
--- a/internal/ledger/claim/settlement.go
+++ b/internal/ledger/claim/settlement.go
@@ -5,20 +5,20 @@
 	"github.com/hickorybank/hickorybank/internal/request"
 )
 
-// Settlement ends a claim for good.
+// Settlement records the final outcome of a claimed attempt.
 type Settlement struct {
 	Org     string
 	Key     string
 	Attempt string
 	Outcome request.Outcome
-	// Answer is kept for retries with the same key when it is not longer than
-	// Settings.MaxAnswer; longer ones are dropped.
+	// Answer is kept for retries with the same key, unless it is longer than the
+	// ledger's Settings.MaxAnswer.
 	Answer []byte
-	// Bill is nil when the work costs nothing.
+	// Bill is nil if the work costs nothing.
 	Bill *bill.Bill
 }
 
-// Release gives a key back: its attempt did not run and never will.
+// Release gives up a key: the attempt did not run and never will.
 type Release struct {
 	Org     string
 	Key     string
--- a/internal/ledger/claim/sim_check_test.go
+++ b/internal/ledger/claim/sim_check_test.go
@@ -8,15 +8,15 @@
 	"github.com/hickorybank/hickorybank/internal/request"
 )
 
-// hear is what a node does with a reply, and where the invariants are checked.
-func (s *sim) hear(reply *Reply) {
+// handleReply does what a node does on a reply, and checks the invariants.
+func (s *sim) handleReply(reply *Reply) {
 	w := s.waits[reply.Number]
 	delete(s.waits, reply.Number)
 	a := w.attempt
 	alive := a.boot == a.owner.boot
 	switch {
 	case reply.Verdict == VerdictRefused:
-		s.open[w.way]--
+		s.unrefused[w.delivery]--
 	case reply.Verdict == VerdictSettled:
 		s.checkAnswer(a.id, reply)
 		if a.phase == "asking" {
@@ -32,7 +32,7 @@
 	}
 }
 
-// start runs the work: it must be the only run that the key ever sees.
+// start runs the work, and checks that the key never ran before.
 func (s *sim) start(a *simAttempt) {
 	if other := s.ran[a.id]; other != nil {
 		s.fail("key ran twice: attempts %s and %s", other.attempt.Attempt(), a.attempt.Attempt())
@@ -42,10 +42,11 @@
 	a.phase = "running"
 }
 
-// checkAnswer looks the answer up as the shell does. It must never change.
+// checkAnswer looks up the settled answer as the ledger does, and checks that it never
+// changes.
 func (s *sim) checkAnswer(id key.ID, reply *Reply) {
 	if s.deleted {
-		return // its row is gone; the shell says that the key is too old
+		return // the row was deleted; the ledger returns that the key is too old
 	}
 	answer := ""
 	for _, row := range s.store.rows(s.name, reply.Row) {
@@ -55,20 +56,20 @@
 			}
 		}
 	}
-	if first, ok := s.settled[id]; ok && first != answer {
+	if first, ok := s.firstAnswers[id]; ok && first != answer {
 		s.fail("settled answer changed from %q to %q", first, answer)
 	}
 	if a := s.ran[id]; a == nil || answer != "answer of "+a.attempt.Attempt() {
 		s.fail("settled answer %q is not that of the run", answer)
 	}
-	s.settled[id] = answer
+	s.firstAnswers[id] = answer
 }
 
-// heal ends all faults, lets everybody finish, and asks for every key once
-// more through a new process. What was promised must still hold.
-func (s *sim) heal() {
-	for len(s.late) > 0 && s.wrong == nil {
-		s.land()
+// finish ends all faults, lets all processes finish, and claims every key once more
+// through a new process. Earlier replies must still be valid then.
+func (s *sim) finish() {
+	for len(s.lateWrites) > 0 && s.violation == nil {
+		s.applyLateWrite()
 	}
 	s.checkRefused()
 	asker := &simNode{}
@@ -86,14 +87,14 @@
 		asker.log.Add(s.now, op)
 	}
 	for range 200 {
-		s.settleDown(asker, asked)
+		s.finishStep(asker, asked)
 	}
-	if len(asked) > 0 && s.wrong == nil {
+	if len(asked) > 0 && s.violation == nil {
 		s.fail("%d claims got no answer after all faults had ended", len(asked))
 	}
 }
 
-func (s *sim) settleDown(asker *simNode, asked map[uint64]key.ID) {
+func (s *sim) finishStep(asker *simNode, asked map[uint64]key.ID) {
 	s.now = s.now.Add(100 * time.Millisecond)
 	for _, n := range s.nodes {
 		n.paused = false
@@ -113,13 +114,13 @@
 		r := n.log.Ready(s.now)
 		n.read, n.create = r.Read, r.Create
 		for i := range r.Replies {
-			s.checkLast(asked[r.Replies[i].Number], &r.Replies[i])
+			s.checkFinalReply(asked[r.Replies[i].Number], &r.Replies[i])
 			delete(asked, r.Replies[i].Number)
 		}
 	}
 }
 
-func (s *sim) checkLast(id key.ID, reply *Reply) {
+func (s *sim) checkFinalReply(id key.ID, reply *Reply) {
 	a := s.ran[id]
 	switch {
 	case s.deleted && reply.Verdict != VerdictTooOld:
@@ -127,7 +128,7 @@
 	case s.deleted:
 	case reply.Verdict == VerdictSettled:
 		s.checkAnswer(id, reply)
-	case reply.Verdict == VerdictReused && a != nil && a.another:
+	case reply.Verdict == VerdictReused && a != nil && a.otherBody:
 	case a != nil && a.acked:
 		s.fail("an acknowledged settlement is lost: %s", reply.Verdict)
 	case a != nil && reply.Verdict == VerdictGranted:
@@ -137,11 +138,11 @@
 	}
 }
 
-// checkRefused finds entries that were refused and are in the log after all.
+// checkRefused fails if an entry is in the log although its writer refused it.
 func (s *sim) checkRefused() {
 	for _, row := range s.store.rows(s.name, 0) {
 		for _, e := range row.Row.Entries {
-			if s.open[simWay{row.Row.Writer, e.Attempt, e.Kind}] == 0 {
+			if s.unrefused[simDelivery{row.Row.Writer, e.Attempt, e.Kind}] == 0 {
 				s.fail("row %d holds an entry that its writer refused", row.Seq)
 			}
 		}
--- a/internal/ledger/claim/sim_step_test.go
+++ b/internal/ledger/claim/sim_step_test.go
@@ -16,20 +16,20 @@
 	case p < 12:
 		s.arrive(n)
 	case p < 22:
-		s.sendAgain()
+		s.resend()
 	case p < 34:
-		s.end()
+		s.settle()
 	case p < 38:
-		s.giveUp()
+		s.release()
 	case p < 43:
 		n.paused = !n.paused
 	case p < 45:
 		s.boot(n)
 	case p < 53:
-		s.land()
+		s.applyLateWrite()
 	case p == 53 && s.rng.IntN(4) == 0:
 		s.deleted = true
-		s.store.raise(s.name, s.name.Bucket+1)
+		s.store.raiseFloor(s.name, s.name.Bucket+1)
 	default:
 		s.call(n)
 	}
@@ -38,7 +38,7 @@
 	}
 }
 
-// arrive lets a caller send a request, or send it again with its key.
+// arrive simulates a caller that sends a request, or repeats it with the same key.
 func (s *sim) arrive(owner *simNode) {
 	k := fmt.Sprintf("key-%d", s.rng.IntN(simKeys))
 	a := &simAttempt{
@@ -46,7 +46,7 @@
 		print: request.NewFingerprint("org", []byte(k)), owner: owner, boot: owner.boot, phase: "asking",
 	}
 	if s.rng.IntN(10) == 0 {
-		a.another = true
+		a.otherBody = true
 		a.print = request.NewFingerprint("org", []byte("another body"))
 	}
 	s.attempts = append(s.attempts, a)
@@ -54,46 +54,46 @@
 }
 
 func (s *sim) pick(phase string) *simAttempt {
-	var fit []*simAttempt
+	var candidates []*simAttempt
 	for _, a := range s.attempts {
 		if a.phase == phase && a.boot == a.owner.boot && !a.owner.paused {
-			fit = append(fit, a)
+			candidates = append(candidates, a)
 		}
 	}
-	if len(fit) == 0 {
+	if len(candidates) == 0 {
 		return nil
 	}
-	return fit[s.rng.IntN(len(fit))]
+	return candidates[s.rng.IntN(len(candidates))]
 }
 
-// sendAgain is what a node does that heard nothing: it asks another batcher.
-func (s *sim) sendAgain() {
+// resend simulates a node that got no answer and tries another batcher.
+func (s *sim) resend() {
 	if a := s.pick("asking"); a != nil {
 		s.send(a, KindClaim)
 	}
 }
 
-func (s *sim) end() {
+func (s *sim) settle() {
 	if a := s.pick("running"); a != nil {
 		s.send(a, KindSettle)
 	}
 }
 
-func (s *sim) giveUp() {
+func (s *sim) release() {
 	if a := s.pick("asking"); a != nil {
 		a.phase = "given-up"
 		s.send(a, KindRelease)
 	}
 }
 
-// send brings an operation to any node: the sender's idea of who batches the
-// log may be any.
+// send adds an operation at a random node, because senders may disagree about which
+// node batches the log.
 func (s *sim) send(a *simAttempt, kind Kind) {
 	to := s.nodes[s.rng.IntN(len(s.nodes))]
 	s.number++
-	way := simWay{to.boot, a.attempt, kind}
-	s.open[way]++
-	s.waits[s.number] = &simWait{a, kind, way}
+	delivery := simDelivery{to.boot, a.attempt, kind}
+	s.unrefused[delivery]++
+	s.waits[s.number] = &simWait{a, kind, delivery}
 	e := Entry{Kind: kind, ID: a.id, Attempt: a.attempt}
 	switch kind {
 	case KindClaim:
@@ -105,7 +105,7 @@
 	to.log.Add(s.now, Op{Number: s.number, Entry: e, Deadline: s.now.Add(wait)})
 }
 
-// call ends the call that a node has out, one way or another.
+// call ends a node's call in flight with a random result.
 func (s *sim) call(n *simNode) {
 	if n.paused {
 		return
@@ -126,8 +126,8 @@
 	}
 	floor := s.store.floorFor(s.name, read)
 	rows := s.store.rows(s.name, read.From)
-	if s.rng.IntN(5) == 0 { // something happens between the two reads
-		s.between()
+	if s.rng.IntN(5) == 0 { // an event between the reads of the floor and the rows
+		s.eventBetweenReads()
 		if s.rng.IntN(2) == 0 {
 			floor = s.store.floorFor(s.name, read)
 		} else {
@@ -141,13 +141,13 @@
 	n.log.RowsRead(floor, rows, false)
 }
 
-func (s *sim) between() {
+func (s *sim) eventBetweenReads() {
 	if s.rng.IntN(40) > 0 {
-		s.land()
+		s.applyLateWrite()
 		return
 	}
 	s.deleted = true
-	s.store.raise(s.name, s.name.Bucket+1)
+	s.store.raiseFloor(s.name, s.name.Bucket+1)
 }
 
 func (s *sim) endWrite(n *simNode) {
@@ -164,21 +164,21 @@
 		s.store.commit(txn)
 		n.log.WriteDone(s.now, lost)
 	case p < 9:
-		s.late = append(s.late, txn)
+		s.lateWrites = append(s.lateWrites, txn)
 		n.log.WriteDone(s.now, lost)
 	default:
 		n.log.WriteDone(s.now, fate.Refused)
 	}
 }
 
-// land lets a write take effect whose sender got no answer.
-func (s *sim) land() {
-	if len(s.late) == 0 {
+// applyLateWrite lets a write take effect whose sender got no answer.
+func (s *sim) applyLateWrite() {
+	if len(s.lateWrites) == 0 {
 		return
 	}
-	i := s.rng.IntN(len(s.late))
-	s.store.commit(s.late[i])
-	s.late = append(s.late[:i], s.late[i+1:]...)
+	i := s.rng.IntN(len(s.lateWrites))
+	s.store.commit(s.lateWrites[i])
+	s.lateWrites = append(s.lateWrites[:i], s.lateWrites[i+1:]...)
 }
 
 func (s *sim) ready(n *simNode) {
@@ -193,6 +193,6 @@
 		n.create = r.Create
 	}
 	for i := range r.Replies {
-		s.hear(&r.Replies[i])
+		s.handleReply(&r.Replies[i])
 	}
 }
--- a/internal/ledger/claim/sim_test.go
+++ b/internal/ledger/claim/sim_test.go
@@ -17,26 +17,26 @@
 	firstSeed = flag.Uint64("first-seed", 1, "the first of them")
 )
 
-// sim is a random schedule of several processes that hold one log, each with
-// its own idea of who batches it, over a table that loses answers, refuses,
-// and lets writes take effect late. Everything is drawn from the seed.
+// sim is a random schedule of several processes that write one log. They disagree about
+// which of them batches it. The table loses answers, refuses calls and applies writes
+// late. All choices derive from the seed.
 type sim struct {
-	rng      *rand.Rand
-	store    *store
-	name     key.Log
-	now      time.Time
-	nodes    []*simNode
-	boots    int
-	attempts []*simAttempt
-	waits    map[uint64]*simWait
-	number   uint64
-	late     []platform.Txn
-	deleted  bool
-
-	ran     map[key.ID]*simAttempt
-	settled map[key.ID]string // the answer first heard
-	open    map[simWay]int    // operations given that were not refused
-	wrong   error
+	rng        *rand.Rand
+	store      *store
+	name       key.Log
+	now        time.Time
+	nodes      []*simNode
+	boots      int
+	attempts   []*simAttempt
+	waits      map[uint64]*simWait
+	number     uint64
+	lateWrites []platform.Txn
+	deleted    bool
+
+	ran          map[key.ID]*simAttempt
+	firstAnswers map[key.ID]string   // the first answer that was returned
+	unrefused    map[simDelivery]int // operations added, less those refused
+	violation    error               // the first violation found
 }
 
 type simNode struct {
@@ -49,24 +49,24 @@
 
 // simAttempt is one arrival of a caller's request at a node.
 type simAttempt struct {
-	id      key.ID
-	attempt key.ID
-	print   request.Fingerprint
-	owner   *simNode
-	boot    string // of the owner, which may have crashed since
-	phase   string // asking, running, ended, given-up
-	acked   bool   // its settlement was answered
-	another bool   // its body is another one
+	id        key.ID
+	attempt   key.ID
+	print     request.Fingerprint
+	owner     *simNode
+	boot      string // the owner's process at the time; it may have crashed since
+	phase     string // asking, running, ended, given-up
+	acked     bool   // its settlement was acknowledged
+	otherBody bool   // its body differs from that of the key's other requests
 }
 
 type simWait struct {
-	attempt *simAttempt
-	kind    Kind
-	way     simWay
+	attempt  *simAttempt
+	kind     Kind
+	delivery simDelivery
 }
 
-// simWay is an entry and the process that it was given to.
-type simWay struct {
+// simDelivery is an entry and the process that it was sent to.
+type simDelivery struct {
 	writer  string
 	attempt key.ID
 	kind    Kind
@@ -82,7 +82,7 @@
 	s := &sim{
 		rng: rand.New(rand.NewPCG(seed, 0)), store: newStore(),
 		name: key.Log{Kind: key.Timed, Shard: 1, Bucket: 7}, now: time.Unix(1000, 0),
-		waits: map[uint64]*simWait{}, ran: map[key.ID]*simAttempt{}, settled: map[key.ID]string{}, open: map[simWay]int{},
+		waits: map[uint64]*simWait{}, ran: map[key.ID]*simAttempt{}, firstAnswers: map[key.ID]string{}, unrefused: map[simDelivery]int{},
 	}
 	s.store.variant = v
 	for range simNodes {
@@ -93,7 +93,7 @@
 	return s
 }
 
-// boot starts a node's process, or starts it anew after a crash.
+// boot starts a node's process, or restarts it after a crash.
 func (s *sim) boot(n *simNode) {
 	s.boots++
 	n.boot = fmt.Sprintf("n%d", s.boots)
@@ -101,7 +101,7 @@
 	n.read, n.create, n.paused = nil, nil, false
 }
 
-// oldFloor is what a process may know of the floor from before.
+// oldFloor returns the floor that a process may have cached, or nil.
 func (s *sim) oldFloor() *Floor {
 	if s.rng.IntN(2) == 0 {
 		return nil
@@ -111,22 +111,23 @@
 }
 
 func (s *sim) run() error {
-	for step := 0; step < simSteps && s.wrong == nil; step++ {
+	for step := 0; step < simSteps && s.violation == nil; step++ {
 		s.step()
 	}
-	if s.wrong == nil {
-		s.heal()
+	if s.violation == nil {
+		s.finish()
 	}
-	return s.wrong
+	return s.violation
 }
 
 func (s *sim) fail(format string, args ...any) {
-	if s.wrong == nil {
-		s.wrong = fmt.Errorf(format, args...)
+	if s.violation == nil {
+		s.violation = fmt.Errorf(format, args...)
 	}
 }
 
-// TestRandomSchedules is the randomised proof. A failing seed is run again by
+// Random schedules of faults must never let a key run twice, change a settled answer or
+// lose an acknowledged settlement. To repeat a failing seed, use
 // -run TestRandomSchedules -first-seed N -seeds 1.
 func TestRandomSchedules(t *testing.T) {
 	var runs, settles int
@@ -136,7 +137,7 @@
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 		runs += len(s.ran)
-		settles += len(s.settled)
+		settles += len(s.firstAnswers)
 	}
 	t.Logf("%d seeds, %d runs, %d settled answers heard", *seeds, runs, settles)
 	if runs < *seeds || settles < *seeds/4 {
@@ -144,8 +145,8 @@
 	}
 }
 
-// Without one of its guards the protocol must be caught breaking, or the
-// schedules prove nothing.
+// If the random schedules did not detect a protocol that lacks one of its guards, they
+// would prove nothing.
 func TestBrokenVariantsAreCaught(t *testing.T) {
 	const enough = 5000
 	for name, v := range map[string]variant{
