--- a/internal/ledger/batcher.go
+++ b/internal/ledger/batcher.go
@@ -13,30 +13,31 @@
 	"github.com/hickorybank/hickorybank/internal/ledger/key"
 )
 
-// idleLog is how long a log that nobody uses stays in memory.
-const idleLog = 3 * time.Minute
+// maxIdle is how long an unused log stays in memory.
+const maxIdle = 3 * time.Minute
 
-// batcher is the duty that brings entries into claim logs. Any node may batch
-// any log; which one does is decided elsewhere and only for economy.
+// batcher is the background task that appends entries to claim logs. Any node may batch
+// any log. That one node batches a log at a time only saves writes; correctness does not
+// depend on it.
 type batcher struct {
 	settings Settings
 	process  string
 	store    *store
 	log      *slog.Logger
 
-	ring  *ring
+	loop  *eventLoop
 	calls conc.WaitGroup
-	// The fields below belong to the duty.
-	logs    map[key.Log]*openLog
-	floors  map[string]*claim.Floor // by the keys of their rows
-	dirty   map[*openLog]struct{}
-	waits   map[uint64]chan claim.Reply
-	number  uint64
-	swept   time.Time
-	running context.Context
+	// The fields below are only accessed by the event loop.
+	logs       map[key.Log]*openLog
+	floors     map[string]*claim.Floor // by the keys of their rows
+	changed    map[*openLog]struct{}
+	replies    map[uint64]chan claim.Reply
+	lastNumber uint64
+	lastSweep  time.Time
+	baseCtx    context.Context
 }
 
-// openLog is a log in memory.
+// openLog is a log in memory, with the time of its next wake-up.
 type openLog struct {
 	name key.Log
 	core *claim.Log
@@ -45,42 +46,42 @@
 
 func newBatcher(s Settings, process string, st *store, log *slog.Logger) *batcher {
 	return &batcher{
-		settings: s, process: process, store: st, log: log, ring: newRing(),
-		logs: map[key.Log]*openLog{}, floors: map[string]*claim.Floor{}, dirty: map[*openLog]struct{}{}, waits: map[uint64]chan claim.Reply{},
+		settings: s, process: process, store: st, log: log, loop: newEventLoop(),
+		logs: map[key.Log]*openLog{}, floors: map[string]*claim.Floor{}, changed: map[*openLog]struct{}{}, replies: map[uint64]chan claim.Reply{},
 	}
 }
 
-// run is the duty. It ends with ctx, when the calls that are out have ended.
+// run runs the task until ctx ends and all calls in flight have ended.
 func (b *batcher) run(ctx context.Context) {
-	b.running = ctx
-	b.ring.run(ctx, b.step)
+	b.baseCtx = ctx
+	b.loop.run(ctx, b.step)
 	b.calls.Wait()
 }
 
-// append brings an entry into a log and waits for the reply, which comes at
-// the deadline at the latest.
+// append appends an entry to a log and waits for the reply, which comes within the wait
+// time.
 func (b *batcher) append(name key.Log, e claim.Entry, wait time.Duration) claim.Reply {
 	reply := make(chan claim.Reply, 1)
-	taken := b.ring.post(func(now time.Time) {
-		b.number++
-		b.waits[b.number] = reply
+	posted := b.loop.post(func(now time.Time) {
+		b.lastNumber++
+		b.replies[b.lastNumber] = reply
 		open := b.open(now, name)
-		open.core.Add(now, claim.Op{Number: b.number, Entry: e, Deadline: now.Add(wait)})
-		b.dirty[open] = struct{}{}
+		open.core.Add(now, claim.Op{Number: b.lastNumber, Entry: e, Deadline: now.Add(wait)})
+		b.changed[open] = struct{}{}
 	})
-	if !taken {
+	if !posted {
 		return claim.Reply{Verdict: claim.VerdictRefused}
 	}
 	select {
 	case r := <-reply:
 		return r
-	case <-b.ring.done:
+	case <-b.loop.done:
 		return claim.Reply{Verdict: claim.VerdictInDoubt}
 	}
 }
 
 func (b *batcher) open(now time.Time, name key.Log) *openLog {
-	settings := b.settings.log(name, b.process, now)
+	settings := b.settings.claimLog(name, b.process, now)
 	open := b.logs[name]
 	if open == nil {
 		open = &openLog{name: name, core: claim.NewLog(name, settings, b.floors[name.Floor()])}
@@ -90,18 +91,18 @@
 	return open
 }
 
-// step looks at the logs that something happened to, or whose time has come.
+// step processes the logs that had an event or are due to wake up.
 func (b *batcher) step(now time.Time) time.Time {
 	var wake time.Time
 	for _, open := range b.logs {
-		if _, ok := b.dirty[open]; ok || (!open.wake.IsZero() && !now.Before(open.wake)) {
+		if _, ok := b.changed[open]; ok || (!open.wake.IsZero() && !now.Before(open.wake)) {
 			b.ready(now, open)
 		}
 		if !open.wake.IsZero() && (wake.IsZero() || open.wake.Before(wake)) {
 			wake = open.wake
 		}
 	}
-	clear(b.dirty)
+	clear(b.changed)
 	b.sweep(now)
 	return wake
 }
@@ -110,8 +111,8 @@
 	r := open.core.Ready(now)
 	open.wake = r.Wake
 	for _, reply := range r.Replies {
-		b.waits[reply.Number] <- reply // has room for the one reply it gets
-		delete(b.waits, reply.Number)
+		b.replies[reply.Number] <- reply // the channel has room for the one reply
+		delete(b.replies, reply.Number)
 	}
 	if r.Read != nil {
 		b.calls.Go(func() { b.read(open, *r.Read) })
@@ -124,14 +125,14 @@
 func (b *batcher) read(open *openLog, read claim.Read) {
 	var floor *claim.Floor
 	var floorErr error
-	var both conc.WaitGroup
+	var floorRead conc.WaitGroup
 	if read.Floor {
-		both.Go(func() { floor, floorErr = b.store.floor(b.running, open.name) })
+		floorRead.Go(func() { floor, floorErr = b.store.floor(b.baseCtx, open.name) })
 	}
-	rows, more, err := b.store.claims(b.running, open.name, read.From)
-	both.Wait()
+	rows, more, err := b.store.claims(b.baseCtx, open.name, read.From)
+	floorRead.Wait()
 	err = cmp.Or(err, floorErr)
-	b.back(open, func(now time.Time) {
+	b.postResult(open, func(now time.Time) {
 		if err != nil {
 			event.LedgerReadFailed.Log(b.log, slog.String("log", open.name.Prefix()), slog.Any("error", err))
 			open.core.ReadFailed(now)
@@ -143,32 +144,32 @@
 }
 
 func (b *batcher) create(open *openLog, create claim.Create) {
-	f, err := b.store.createClaims(b.running, open.name, &create)
+	f, err := b.store.createClaims(b.baseCtx, open.name, &create)
 	if err != nil {
 		event.LedgerRowMalformed.Log(b.log, slog.String("log", open.name.Prefix()), slog.Any("error", err))
 	}
-	b.back(open, func(now time.Time) { open.core.WriteDone(now, f) })
+	b.postResult(open, func(now time.Time) { open.core.WriteDone(now, f) })
 }
 
-// back brings the result of a call to the duty.
-func (b *batcher) back(open *openLog, event func(now time.Time)) {
-	b.ring.post(func(now time.Time) {
+// postResult passes the result of a call to the event loop.
+func (b *batcher) postResult(open *openLog, event func(now time.Time)) {
+	b.loop.post(func(now time.Time) {
 		event(now)
-		b.dirty[open] = struct{}{}
+		b.changed[open] = struct{}{}
 	})
 }
 
-// sweep drops logs from memory that are not in use: those idle for long, and
-// more when the keys would take too much. A dropped log is read again when it
-// is needed.
+// sweep drops idle logs from memory: those idle for longer than maxIdle, and further
+// ones, oldest first, while there are more than MaxKeys keys. A dropped log is read again
+// when it is needed.
 func (b *batcher) sweep(now time.Time) {
-	if now.Sub(b.swept) < time.Second {
+	if now.Sub(b.lastSweep) < time.Second {
 		return
 	}
-	b.swept = now
+	b.lastSweep = now
 	keys := 0
 	for name, open := range b.logs {
-		if open.core.Idle() && now.Sub(open.core.Used()) > idleLog {
+		if open.core.Idle() && now.Sub(open.core.Used()) > maxIdle {
 			delete(b.logs, name)
 			continue
 		}
@@ -194,8 +195,8 @@
 	return oldest
 }
 
-// settled reads what a settlement in a row says of a key.
-func (b *batcher) settled(ctx context.Context, name key.Log, row uint64, id key.ID) (claim.Entry, bool) {
+// readSettlement reads the settlement of a key from a row.
+func (b *batcher) readSettlement(ctx context.Context, name key.Log, row uint64, id key.ID) (claim.Entry, bool) {
 	stored, err := b.store.get(ctx, name.Row(row))
 	if err != nil || stored.Version == 0 {
 		return claim.Entry{}, false
--- a/internal/ledger/bill/health.go
+++ b/internal/ledger/bill/health.go
@@ -40,7 +40,7 @@
 	return h.healthy() || best || !now.Before(h.nextProbe)
 }
 
-// recordSent records that a write was recordSent.
+// recordSent records that a write was sent.
 func (h *storeHealth) recordSent(now time.Time) {
 	h.inFlight = append(h.inFlight, now)
 	if !h.healthy() {
--- a/internal/ledger/bill_reader.go
+++ b/internal/ledger/bill_reader.go
@@ -12,49 +12,51 @@
 	"github.com/hickorybank/hickorybank/internal/platform"
 )
 
-// errPageOver says that a page's time is up in the middle of a bucket.
-var errPageOver = errors.New("the page's time is up")
+// errPageTimeout means that the time for a page ended in the middle of a bucket.
+var errPageTimeout = errors.New("the page's time is up")
 
-// billReader reads the bills of buckets, at the pace of its reading.
+// billReader reads the bills of buckets, at a limited rate.
 type billReader struct {
-	store   *store
-	reading *reading
-	window  time.Duration
-	read    *readObjects
-	closes  func(key.Bucket) time.Time
+	store    *store
+	limiter  *readLimiter
+	window   time.Duration
+	progress *readCache
+	closesAt func(key.Bucket) time.Time
 }
 
-// folded says whether a bucket may have folds: small objects that were folded
-// are still there, and rows of the table are folded long after it has closed.
-func (r *billReader) folded(b key.Bucket, objects int) bool {
-	return objects >= minFold || !time.Now().Before(r.closes(b))
+// mayBeCompacted reports whether a bucket may have compacted objects, given its number of
+// objects. Small objects remain after their compaction, and rows of the table are only
+// compacted after the bucket has closed.
+func (r *billReader) mayBeCompacted(b key.Bucket, objects int) bool {
+	return objects >= minCompact || !time.Now().Before(r.closesAt(b))
 }
 
 func newBillReader(s *store, settings Settings) *billReader {
-	return &billReader{store: s, reading: newReading(settings.BillReadsPerSecond), window: settings.Window, read: newReadObjects(), closes: settings.closes}
+	return &billReader{store: s, limiter: newReadLimiter(settings.BillReadsPerSecond), window: settings.Window, progress: newReadCache(), closesAt: settings.closesAt}
 }
 
-// bills reads the bills of a bucket, each once. The error is errPageOver if that
-// takes until after the time, unless it is zero; the next call goes on from there.
+// bills reads the bills of a bucket without duplicates. The error is errPageOver if that
+// takes longer than until the given time, unless it is zero. The next call then continues
+// where this one stopped.
 func (r *billReader) bills(ctx context.Context, b key.Bucket, until time.Time) ([]bill.Bill, error) {
-	all, err := r.raw(ctx, b, until)
+	all, err := r.readAll(ctx, b, until)
 	if err != nil {
 		return nil, err
 	}
 	if b.Kind == key.Timed {
 		return bill.Merge(all, r.window), nil
 	}
-	// A repetition of an opaque key may stand in the bucket before.
-	before, err := r.raw(ctx, b.Previous(), until)
+	// The previous bucket may have earlier bills of the same opaque keys.
+	before, err := r.readAll(ctx, b.Previous(), until)
 	if err != nil {
 		return nil, err
 	}
 	merged := bill.Merge(append(before, all...), r.window)
-	return of(b, merged), nil
+	return inBucket(b, merged), nil
 }
 
-// of keeps the bills of an opaque bucket.
-func of(b key.Bucket, bills []bill.Bill) []bill.Bill {
+// inBucket returns the bills that belong to an opaque bucket.
+func inBucket(b key.Bucket, bills []bill.Bill) []bill.Bill {
 	var kept []bill.Bill
 	for _, one := range bills {
 		if (key.Layout{}).Bill(one.Key, one.At) == b {
@@ -64,19 +66,19 @@
 	return kept
 }
 
-// raw reads all rows and objects of a bucket.
-func (r *billReader) raw(ctx context.Context, b key.Bucket, until time.Time) ([]bill.Bill, error) {
-	// The table first: rows that are folded and deleted meanwhile are found in
-	// their folds.
-	fromTable, err := r.table(ctx, b)
+// readAll reads all rows and objects of a bucket, with duplicates.
+func (r *billReader) readAll(ctx context.Context, b key.Bucket, until time.Time) ([]bill.Bill, error) {
+	// The table is read first, so that rows which are compacted and deleted in the
+	// meantime are found in compacted objects.
+	fromTable, err := r.tableBills(ctx, b)
 	if err != nil {
 		return nil, err
 	}
-	fromObjects, err := r.objects(ctx, b, until)
+	fromObjects, err := r.objectBills(ctx, b, until)
 	return append(fromTable, fromObjects...), err
 }
 
-func (r *billReader) table(ctx context.Context, b key.Bucket) ([]bill.Bill, error) {
+func (r *billReader) tableBills(ctx context.Context, b key.Bucket) ([]bill.Bill, error) {
 	var all []bill.Bill
 	after := ""
 	for {
@@ -98,10 +100,10 @@
 	}
 }
 
-// objects reads the bills among a bucket's objects: those of its folds, and
-// those of the objects that no fold covers.
-func (r *billReader) objects(ctx context.Context, b key.Bucket, until time.Time) ([]bill.Bill, error) {
-	progress, err := r.read.of(ctx, b)
+// objectBills reads the bills in a bucket's objectBills: the compacted objectBills, and the
+// objectBills that these do not cover.
+func (r *billReader) objectBills(ctx context.Context, b key.Bucket, until time.Time) ([]bill.Bill, error) {
+	progress, err := r.progress.acquire(ctx, b)
 	if err != nil {
 		return nil, err
 	}
@@ -115,7 +117,7 @@
 			continue
 		}
 		if !until.IsZero() && time.Now().After(until) {
-			return nil, errPageOver
+			return nil, errPageTimeout
 		}
 		value, err := r.get(ctx, k)
 		if err != nil {
@@ -128,38 +130,38 @@
 		progress.bills[k] = bills
 	}
 	all := progress.all()
-	r.read.done(b)
+	r.progress.forget(b)
 	return all, nil
 }
 
-// uncovered lists the objects of a bucket that no fold covers, and reads the
-// folds.
-func (r *billReader) uncovered(ctx context.Context, b key.Bucket, progress *bucketObjects) ([]string, error) {
+// uncovered lists the objects of a bucket that no compacted object covers. It adds the
+// compacted objects to the progress.
+func (r *billReader) uncovered(ctx context.Context, b key.Bucket, progress *bucketProgress) ([]string, error) {
 	keys, err := r.list(ctx, b.Prefix())
-	if err != nil || !r.folded(b, len(keys)) {
+	if err != nil || !r.mayBeCompacted(b, len(keys)) {
 		return keys, err
 	}
-	folds, err := r.list(ctx, b.FoldPrefix())
+	compacted, err := r.list(ctx, b.FoldPrefix())
 	if err != nil {
 		return nil, err
 	}
-	for _, k := range folds {
-		if progress.folds[k] {
+	for _, k := range compacted {
+		if progress.compacted[k] {
 			continue
 		}
 		value, err := r.get(ctx, k)
 		if err != nil {
 			return nil, err
 		}
-		if err := progress.take(k, value); err != nil {
+		if err := progress.addCompacted(k, value); err != nil {
 			return nil, err
 		}
 	}
-	return progress.without(keys), nil
+	return progress.uncovered(keys), nil
 }
 
 func (r *billReader) scan(ctx context.Context, prefix, after string) (rows []platform.Row, err error) {
-	err = r.reading.try(ctx, func(ctx context.Context) error {
+	err = r.limiter.do(ctx, func(ctx context.Context) error {
 		rows, err = r.store.scan(ctx, prefix, after, scanRows)
 		return err
 	})
@@ -167,17 +169,18 @@
 }
 
 func (r *billReader) list(ctx context.Context, prefix string) (keys []string, err error) {
-	err = r.reading.try(ctx, func(ctx context.Context) error {
+	err = r.limiter.do(ctx, func(ctx context.Context) error {
 		keys, err = r.store.listObjects(ctx, prefix)
 		return err
 	})
 	return keys, eris.Wrap(err, "list bills among the objects")
 }
 
-// get reads an object that was listed. None is ever deleted.
+// get reads an object that was listed. The error if it is missing is a fault of the store,
+// as objects are never deleted.
 func (r *billReader) get(ctx context.Context, k string) (value []byte, err error) {
 	var ok bool
-	err = r.reading.try(ctx, func(ctx context.Context) error {
+	err = r.limiter.do(ctx, func(ctx context.Context) error {
 		value, ok, err = r.store.getObject(ctx, k)
 		return err
 	})
--- a/internal/ledger/bill_stream.go
+++ b/internal/ledger/bill_stream.go
@@ -10,33 +10,34 @@
 	"github.com/hickorybank/hickorybank/internal/platform"
 )
 
-// source says where a row of bills is.
+// source identifies a row or object with bills.
 type source struct {
 	name string
 	kind sourceKind
 }
 
+// sourceKind is where the bills of a source are stored.
 type sourceKind uint8
 
 const (
 	tableRow sourceKind = iota
 	smallObject
-	foldObject
+	compactedObject
 )
 
-// each hands over the rows of a bucket one after the other: those of the table,
-// the folds, and the objects that no fold covers. No more than a page of rows is
-// in memory. The table comes first: rows that are folded and deleted meanwhile
-// are found in their folds.
-func (r *billReader) each(ctx context.Context, b key.Bucket, take func(source, []bill.Bill) error) error {
-	if err := r.eachRow(ctx, b, take); err != nil {
+// forEach passes the rows of a bucket to a function, one after the other: those of the
+// table, the compacted objects, and the objects that these do not cover. At most one scan
+// of rows is in memory. The table comes first, so that rows which are compacted and
+// deleted in the meantime are found in compacted objects.
+func (r *billReader) forEach(ctx context.Context, b key.Bucket, take func(source, []bill.Bill) error) error {
+	if err := r.forEachRow(ctx, b, take); err != nil {
 		return err
 	}
 	keys, err := r.list(ctx, b.Prefix())
 	if err != nil {
 		return err
 	}
-	covered, err := r.eachFold(ctx, b, len(keys), take)
+	covered, err := r.forEachCompacted(ctx, b, len(keys), take)
 	if err != nil {
 		return err
 	}
@@ -44,14 +45,14 @@
 		if covered[k] {
 			continue
 		}
-		if err := r.one(ctx, source{k, smallObject}, take); err != nil {
+		if err := r.readOne(ctx, source{k, smallObject}, take); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (r *billReader) eachRow(ctx context.Context, b key.Bucket, take func(source, []bill.Bill) error) error {
+func (r *billReader) forEachRow(ctx context.Context, b key.Bucket, take func(source, []bill.Bill) error) error {
 	after := ""
 	for {
 		rows, err := r.scan(ctx, b.Prefix(), after)
@@ -79,9 +80,10 @@
 	return bills, eris.Wrap(err, "row "+row.Key)
 }
 
-// eachFold returns the objects that the folds cover.
-func (r *billReader) eachFold(ctx context.Context, b key.Bucket, objects int, take func(source, []bill.Bill) error) (map[string]bool, error) {
-	if !r.folded(b, objects) {
+// forEachCompacted passes the bills of each compacted object of a bucket to a function,
+// and returns the keys of the objects and rows that they cover.
+func (r *billReader) forEachCompacted(ctx context.Context, b key.Bucket, objects int, take func(source, []bill.Bill) error) (map[string]bool, error) {
+	if !r.mayBeCompacted(b, objects) {
 		return nil, nil
 	}
 	covered := map[string]bool{}
@@ -90,7 +92,7 @@
 		return nil, err
 	}
 	for _, k := range folds {
-		f, err := r.fold(ctx, k)
+		f, err := r.getCompacted(ctx, k)
 		if err != nil {
 			return nil, err
 		}
@@ -101,14 +103,14 @@
 		if err != nil {
 			return nil, eris.Wrap(err, "fold "+k)
 		}
-		if err := take(source{k, foldObject}, bills); err != nil {
+		if err := take(source{k, compactedObject}, bills); err != nil {
 			return nil, err
 		}
 	}
 	return covered, nil
 }
 
-func (r *billReader) fold(ctx context.Context, k string) (bill.Fold, error) {
+func (r *billReader) getCompacted(ctx context.Context, k string) (bill.Fold, error) {
 	value, err := r.get(ctx, k)
 	if err != nil {
 		return bill.Fold{}, err
@@ -117,21 +119,21 @@
 	return f, eris.Wrap(err, "fold "+k)
 }
 
-func (r *billReader) one(ctx context.Context, from source, take func(source, []bill.Bill) error) error {
-	bills, err := r.again(ctx, from)
+func (r *billReader) readOne(ctx context.Context, from source, take func(source, []bill.Bill) error) error {
+	bills, err := r.readSource(ctx, from)
 	if err != nil {
 		return err
 	}
 	return take(from, bills)
 }
 
-// again reads one row of bills.
-func (r *billReader) again(ctx context.Context, from source) ([]bill.Bill, error) {
+// read reads the bills of one source.
+func (r *billReader) readSource(ctx context.Context, from source) ([]bill.Bill, error) {
 	switch from.kind {
 	case tableRow:
-		return r.row(ctx, from.name)
-	case foldObject:
-		f, err := r.fold(ctx, from.name)
+		return r.readRow(ctx, from.name)
+	case compactedObject:
+		f, err := r.getCompacted(ctx, from.name)
 		if err != nil {
 			return nil, err
 		}
@@ -146,29 +148,32 @@
 	}
 }
 
-// errRowMoved says that a row of the table was moved into a fold since it was read.
+// errRowMoved means that a row was moved from the table to a compacted object after it
+// was first read.
 var errRowMoved = eris.New("a row was moved meanwhile")
 
-// fewRows are read one by one; more take less if all are gone through.
+// fewRows is the maximum number of rows that are read one by one. For more rows, it is
+// cheaper to scan the whole bucket.
 const fewRows = 200
 
-// rows reads some rows of a bucket again.
-func (r *billReader) rows(ctx context.Context, b key.Bucket, some map[source]struct{}, take func([]bill.Bill)) error {
-	left := len(some)
+// reread reads some rows of a bucket again. The error is errRowMoved if one of them no
+// longer exists.
+func (r *billReader) reread(ctx context.Context, b key.Bucket, wanted map[source]struct{}, take func([]bill.Bill)) error {
+	left := len(wanted)
 	one := func(from source, bills []bill.Bill) error {
-		if _, ok := some[from]; ok {
+		if _, ok := wanted[from]; ok {
 			left--
 			take(bills)
 		}
 		return nil
 	}
 	if left > fewRows {
-		if err := r.each(ctx, b, one); err != nil {
+		if err := r.forEach(ctx, b, one); err != nil {
 			return err
 		}
 	} else {
-		for from := range some {
-			if err := r.one(ctx, from, one); err != nil {
+		for from := range wanted {
+			if err := r.readOne(ctx, from, one); err != nil {
 				return err
 			}
 		}
@@ -179,9 +184,9 @@
 	return nil
 }
 
-func (r *billReader) row(ctx context.Context, name string) ([]bill.Bill, error) {
+func (r *billReader) readRow(ctx context.Context, name string) ([]bill.Bill, error) {
 	var row platform.Row
-	err := r.reading.try(ctx, func(ctx context.Context) error {
+	err := r.limiter.do(ctx, func(ctx context.Context) error {
 		var err error
 		row, err = r.store.get(ctx, name)
 		return err
--- a/internal/ledger/billing.go
+++ b/internal/ledger/billing.go
@@ -13,45 +13,46 @@
 )
 
 const (
-	// maxSends is how many messages with bills may be out at one time. While
-	// they are, bills gather for the next: so messages are few under load, and
-	// a bill that comes alone goes at once.
+	// maxSends is the maximum number of messages with bills in flight. Meanwhile, further
+	// bills are queued for the next message. So there are few messages under load, and a
+	// single bill is sent at once.
 	maxSends = 2
-	// maxSend is the most bills in a message.
-	maxSend = 500
-	// collectTimeout is longer than a collector takes to call a bill unsafe.
+	// maxSendBills is the maximum number of bills in a message.
+	maxSendBills = 500
+	// collectTimeout is longer than a collector takes to report a bill as unsafe.
 	collectTimeout = giveUp + 2*time.Second
 )
 
-// billing is the duty that brings this node's bills to the collector of its
+// billSender is the background task that sends this node's bills to the collector of its
 // failure domain.
-type billing struct {
+type billSender struct {
 	ledger *Ledger
 
-	ring  *ring
+	loop  *eventLoop
 	calls conc.WaitGroup
-	// The fields below belong to the duty.
-	open  []sentBill
-	sends int
+	// The fields below are only accessed by the event loop.
+	queue    []queuedBill
+	inFlight int // messages in flight
 }
 
-type sentBill struct {
+// queuedBill is a bill to send, and the channel for its result.
+type queuedBill struct {
 	bill bill.Bill
 	safe chan<- bill.Safety
 }
 
-func newBilling(l *Ledger) *billing { return &billing{ledger: l, ring: newRing()} }
+func newBillSender(l *Ledger) *billSender { return &billSender{ledger: l, loop: newEventLoop()} }
 
-// run is the duty.
-func (b *billing) run(ctx context.Context) {
-	b.ring.run(ctx, b.step)
+// run runs the task until ctx ends and all calls in flight have ended.
+func (b *billSender) run(ctx context.Context) {
+	b.loop.run(ctx, b.step)
 	b.calls.Wait()
 }
 
-// send makes a bill safe.
-func (b *billing) send(ctx context.Context, one bill.Bill) bill.Safety {
+// send sends a bill to a collector and returns where it is stored.
+func (b *billSender) send(ctx context.Context, one bill.Bill) bill.Safety {
 	safe := make(chan bill.Safety, 1)
-	if !b.ring.post(func(time.Time) { b.open = append(b.open, sentBill{one, safe}) }) {
+	if !b.loop.post(func(time.Time) { b.queue = append(b.queue, queuedBill{one, safe}) }) {
 		return bill.Unsafe
 	}
 	select {
@@ -59,25 +60,25 @@
 		return s
 	case <-ctx.Done():
 		return bill.Unsafe
-	case <-b.ring.done:
+	case <-b.loop.done:
 		return bill.Unsafe
 	}
 }
 
-func (b *billing) step(time.Time) time.Time {
-	for len(b.open) > 0 && b.sends < maxSends {
-		n := min(len(b.open), maxSend)
-		batch := append([]sentBill(nil), b.open[:n]...)
-		b.open = append(b.open[:0], b.open[n:]...)
-		b.sends++
+func (b *billSender) step(time.Time) time.Time {
+	for len(b.queue) > 0 && b.inFlight < maxSends {
+		n := min(len(b.queue), maxSendBills)
+		batch := append([]queuedBill(nil), b.queue[:n]...)
+		b.queue = append(b.queue[:0], b.queue[n:]...)
+		b.inFlight++
 		b.calls.Go(func() { b.deliver(batch) })
 	}
 	return time.Time{}
 }
 
-// deliver asks the collector, the next one, and at last this node itself. Two
-// that both write a bill write it under one key.
-func (b *billing) deliver(batch []sentBill) {
+// deliver sends bills to the collector, the next candidate, or this node itself. If two
+// of them write a bill, they write it under the same key.
+func (b *billSender) deliver(batch []queuedBill) {
 	bills := make([]bill.Bill, 0, len(batch))
 	for _, s := range batch {
 		bills = append(bills, s.bill)
@@ -85,22 +86,22 @@
 	l := b.ledger
 	args := wire.CollectArgs{Bills: bill.Pack(bills)}
 	h := hedge[[]byte]{
-		after: l.settings.HedgeAfter, route: l.route, calls: &b.calls, alive: l.alive, final: allSafe,
-		ask: func(vm platform.VM) ([]byte, error) { return b.ask(vm, &args, bills) },
+		after: l.settings.HedgeAfter, router: l.router, calls: &b.calls, alive: l.alive, isFinal: allSafe,
+		call: func(vm platform.VM) ([]byte, error) { return b.callCollect(vm, &args, bills) },
 	}
-	answers, _ := h.run(l.running, l.route.collectors(time.Now()))
+	answers, _ := h.run(l.baseCtx, l.router.collectors(time.Now()))
 	for i, s := range batch {
-		s.safe <- best(answers, i) // has room for the one answer it gets
+		s.safe <- safest(answers, i) // the channel has room for the one result
 	}
-	b.ring.post(func(time.Time) { b.sends-- })
+	b.loop.post(func(time.Time) { b.inFlight-- })
 }
 
-func (b *billing) ask(vm platform.VM, args *wire.CollectArgs, bills []bill.Bill) ([]byte, error) {
+func (b *billSender) callCollect(vm platform.VM, args *wire.CollectArgs, bills []bill.Bill) ([]byte, error) {
 	l := b.ledger
 	if vm.ID == l.deps.Self.ID {
 		return safetyBytes(l.collecting.collect(bills)), nil
 	}
-	ctx, cancel := context.WithTimeout(l.running, collectTimeout)
+	ctx, cancel := context.WithTimeout(l.baseCtx, collectTimeout)
 	defer cancel()
 	var reply wire.CollectReply
 	if err := l.deps.Peers.Call(ctx, vm.Peer, methodCollect, args, &reply); err != nil {
@@ -121,8 +122,8 @@
 	return true
 }
 
-// best is the safest place that any answer names for a bill.
-func best(answers []answer[[]byte], i int) bill.Safety {
+// safest returns the safest place for a bill in any of the answers.
+func safest(answers []answer[[]byte], i int) bill.Safety {
 	safest := bill.Unsafe
 	for _, a := range answers {
 		if a.err == nil {
--- a/internal/ledger/claim/expire.go
+++ b/internal/ledger/claim/expire.go
@@ -57,7 +57,7 @@
 
 func (l *Log) recordSuccess() { l.failingSince = time.Time{} }
 
-// nextDeadline returns the earliest nextDeadline of all operations, or zero if there are
+// nextDeadline returns the earliest deadline of all operations, or zero if there are
 // none.
 func (l *Log) nextDeadline() time.Time {
 	var first time.Time
--- a/internal/ledger/claim_waits_test.go
+++ b/internal/ledger/claim_waits_test.go
@@ -15,25 +15,25 @@
 	"github.com/hickorybank/hickorybank/internal/standin/platform/fault"
 )
 
-// A call that may not be repeated waits for its claim before its first byte
-// leaves. The test prints for how long under each failure, and what becomes of
-// the claims; those that fail must be free again when the platform is well.
-func TestClaimsUnderEachFailure(t *testing.T) {
-	calm := fault.Fault{DelayMS: 10}
+// A non-repeatable call waits for its claim before it returns its first byte. The test
+// prints the waits and the failed claims for each fault. Attempts whose claim failed must
+// be granted after the fault.
+func TestFailedClaimsAreFreeAfterEachFault(t *testing.T) {
+	healthy := fault.Fault{DelayMS: 10}
 	for _, phase := range []struct {
 		name   string
 		table  fault.Fault
 		frozen []string
 	}{
-		{"all is well", calm, nil},
+		{"all is well", healthy, nil},
 		{"table slow, 1 s", fault.Fault{DelayMS: 1000}, nil},
 		{"table loses half of its answers", fault.Fault{DelayMS: 10, LoseAckFraction: 0.5}, nil},
 		{"table refuses half", fault.Fault{DelayMS: 10, RefuseFraction: 0.5}, nil},
 		{"table down", fault.Fault{Down: true}, nil},
-		{"three of eight nodes are frozen", calm, []string{"e3", "e4", "e5"}},
+		{"three of eight nodes are frozen", healthy, []string{"e3", "e4", "e5"}},
 	} {
 		inBubble(t, 8, func(is *is.I, c *cluster) {
-			c.fail(fault.Change{Table: &phase.table})
+			c.setFaults(fault.Change{Table: &phase.table})
 			c.fabric.mu.Lock()
 			for _, id := range phase.frozen {
 				c.fabric.frozen[id] = make(chan struct{})
@@ -42,17 +42,18 @@
 			load := &claimLoad{c: c, frozen: phase.frozen}
 			load.run()
 			load.print(t, phase.name)
-			c.fail(fault.Change{Table: &calm})
+			c.setFaults(fault.Change{Table: &healthy})
 			time.Sleep(10 * time.Second)
 			for _, r := range load.failed {
 				got, err := claimIn(c.ledgers["e0"], 10*time.Second, r)
 				is.NoErr(err)
-				is.Equal(got.State, claim.Granted) // the same attempt may ask again
+				is.Equal(got.State, claim.Granted) // the same attempt may claim again
 			}
 		})
 	}
 }
 
+// claimLoad sends claims at a steady rate from all nodes that are not frozen.
 type claimLoad struct {
 	c       *cluster
 	frozen  []string
@@ -96,14 +97,14 @@
 		at(0.5), at(0.99), at(1), len(p.waits), len(p.failed), p.unknown, p.c.platform.Stats().Conflicts)
 }
 
-// A short call that may not be repeated took 55 ms longer than its work: its
-// settlement comes a moment after its claim, into the same log, and waited for
-// the fixed gap between two writes of it, though hardly any were spent. Each may
-// wait for its write of 10 ms (of virtual time) and one that is out already.
-func TestSettlementGoesAtOnceWhileWritesAreLeft(t *testing.T) {
+// The settlement of a short call follows its claim in the same log. If it had to wait for
+// the gap between two writes although the budget is hardly used, the call would take 55 ms
+// longer. A claim or settlement may only wait for its own write, which takes 10 ms of
+// virtual time, and for one in flight.
+func TestSettlementIsWrittenAtOnceWithinTheBurst(t *testing.T) {
 	inBubble(t, 8, func(is *is.I, c *cluster) {
 		calm := fault.Fault{DelayMS: 10}
-		c.fail(fault.Change{Table: &calm, Objects: &calm})
+		c.setFaults(fault.Change{Table: &calm, Objects: &calm})
 		took := func() (claimed, settled time.Duration) {
 			r := claimOf(newKey(), uuid.NewString(), "body")
 			b := billOf(r.Key, 1)
@@ -116,7 +117,7 @@
 			is.NoErr(err)
 			return claimed, time.Since(began)
 		}
-		for range 32 { // all logs of the minute are read and written once
+		for range 32 { // until all logs of the claim bucket were read and written once
 			took()
 		}
 		for range 20 {
--- a/internal/ledger/claims.go
+++ b/internal/ledger/claims.go
@@ -14,15 +14,15 @@
 	"github.com/hickorybank/hickorybank/internal/ledger/wire"
 )
 
-// Claim asks for the right to run. The error is [ErrNotClaimed] or
+// Claim requests the right to run the work of a key. The error is [ErrNotClaimed] or
 // [ErrClaimUnknown].
 func (l *Ledger) Claim(ctx context.Context, r ClaimRequest) (ClaimResult, error) {
-	if !l.enter() {
+	if !l.beginCall() {
 		return ClaimResult{}, eris.Wrap(ErrNotClaimed, ErrClosed.Error())
 	}
-	defer l.leave()
+	defer l.endCall()
 	l.stats.claims.Add(1)
-	if state, ok := l.checkTime(r.Key); !ok {
+	if state, ok := l.checkKeyTime(r.Key); !ok {
 		return ClaimResult{State: state}, nil
 	}
 	name := l.settings.Layout.Claim(r.Org, r.Key)
@@ -30,24 +30,23 @@
 		Kind: claim.KindClaim, ID: key.NewID(r.Org, r.Key), Attempt: key.AttemptID(r.Attempt),
 		Print: r.Fingerprint, Node: l.process,
 	}
-	patient, cancel := context.WithTimeout(ctx, l.settings.ClaimPatience)
+	claimCtx, cancel := context.WithTimeout(ctx, l.settings.ClaimPatience)
 	defer cancel()
-	out := l.appendEntry(patient, name, &e)
-	doubted := out.doubt && out.verdict != claim.VerdictGranted && out.verdict != claim.VerdictRefused
-	if doubted {
-		// The caller hears that it does not hold the key. A copy of the
-		// claim that is still on its way could take the key later, for
-		// nobody and for good, if it were not barred.
-		l.release(name, e.ID, e.Attempt)
+	out := l.appendEntry(claimCtx, name, &e)
+	inDoubt := out.inDoubt && out.verdict != claim.VerdictGranted && out.verdict != claim.VerdictRefused
+	if inDoubt {
+		// The caller is told that it does not hold the key. Without a release, a copy of
+		// the claim still in flight could take the key later and block it for good.
+		l.releaseLater(name, e.ID, e.Attempt)
 	}
-	result, err := l.claimed(ctx, out)
-	result.Doubted = doubted
+	result, err := l.claimResult(ctx, out)
+	result.Doubted = inDoubt
 	return result, err
 }
 
-// checkTime refuses keys whose logs may be deleted already, and those that
-// would have logs before their time.
-func (l *Ledger) checkTime(k string) (claim.State, bool) {
+// checkKeyTime rejects keys whose log may already be deleted, and keys with a time in
+// the future. If it does, ok is false and the state is the reason.
+func (l *Ledger) checkKeyTime(k string) (claim.State, bool) {
 	at, ok := key.Time(k)
 	if !ok {
 		return 0, true
@@ -62,7 +61,7 @@
 	}
 }
 
-func (l *Ledger) claimed(ctx context.Context, out outcome) (ClaimResult, error) {
+func (l *Ledger) claimResult(ctx context.Context, out outcome) (ClaimResult, error) {
 	result := ClaimResult{Record: out.record}
 	switch out.verdict {
 	case claim.VerdictGranted:
@@ -72,13 +71,13 @@
 		result.State = l.runningOrUnknown(ctx, out.record)
 	case claim.VerdictSettled:
 		result.State = claim.Settled
-		return result, l.billAgain(ctx, out.record.Bill)
+		return result, l.ensureBilled(ctx, out.record.Bill)
 	case claim.VerdictReused:
 		result.State = claim.KeyReused
 	case claim.VerdictTooOld:
 		result.State = claim.KeyTooOld
 	case claim.VerdictRefused:
-		if out.doubt {
+		if out.inDoubt {
 			return ClaimResult{}, eris.Wrap(ErrClaimUnknown, "no answer in time")
 		}
 		return ClaimResult{}, eris.Wrap(ErrNotClaimed, "the table cannot be written")
@@ -88,9 +87,10 @@
 	return result, nil
 }
 
-// billAgain makes sure of the bill before a kept answer is given out: the node
-// that settled may have been lost before the bill was safe. It is one bill.
-func (l *Ledger) billAgain(ctx context.Context, b *Bill) error {
+// ensureBilled stores the bill of a settlement again before the kept answer is returned.
+// The node that settled may have been lost before the bill was safe. A bill that is
+// stored twice counts once.
+func (l *Ledger) ensureBilled(ctx context.Context, b *Bill) error {
 	if b == nil {
 		return nil
 	}
@@ -100,17 +100,18 @@
 	return nil
 }
 
-// runningOrUnknown asks the node that claimed whether its process still lives.
+// runningOrUnknown returns Running unless the claim is too old or the process that
+// claimed is known to have ended.
 func (l *Ledger) runningOrUnknown(ctx context.Context, r claim.Record) claim.State {
 	if time.Since(r.At) > l.settings.RunLimit {
 		return claim.Unknown
 	}
 	node, _, _ := strings.Cut(r.Node, processSeparator)
-	vm, ok := l.route.find(node)
+	vm, ok := l.router.find(node)
 	switch {
 	case r.Node == l.process:
 		return claim.Running
-	case !ok && time.Since(r.At) > listLag:
+	case !ok && time.Since(r.At) > maxListLag:
 		return claim.Unknown
 	case !ok:
 		return claim.Running
@@ -122,29 +123,29 @@
 	return claim.Running
 }
 
-// listLag is how late the list of VMs may be with a node that is there.
-const listLag = time.Minute
+// maxListLag is how long a live node may be missing from the list of VMs.
+const maxListLag = time.Minute
 
-// Release gives a key back that was not run. The error is [ErrUnsafe]; the
-// ledger goes on trying then.
+// Release gives up a key whose work was not run. The error is [ErrUnsafe]; unless the
+// attempt does not hold the key, the ledger keeps trying in the background.
 func (l *Ledger) Release(ctx context.Context, r ReleaseRequest) error {
-	if !l.enter() {
+	if !l.beginCall() {
 		return eris.Wrap(ErrUnsafe, ErrClosed.Error())
 	}
-	defer l.leave()
+	defer l.endCall()
 	name := l.settings.Layout.Claim(r.Org, r.Key)
 	e := claim.Entry{Kind: claim.KindRelease, ID: key.NewID(r.Org, r.Key), Attempt: key.AttemptID(r.Attempt)}
-	return l.appendOrLater(ctx, name, &e)
+	return l.appendOrQueue(ctx, name, &e)
 }
 
-// release gives a key back behind the caller.
-func (l *Ledger) release(name key.Log, id, attempt key.ID) {
-	l.later.add(name, &claim.Entry{Kind: claim.KindRelease, ID: id, Attempt: attempt})
+// releaseLater releases an attempt in the background.
+func (l *Ledger) releaseLater(name key.Log, id, attempt key.ID) {
+	l.retries.add(name, &claim.Entry{Kind: claim.KindRelease, ID: id, Attempt: attempt})
 }
 
-// appendOrLater brings an entry into its log, now or, if that takes too long,
-// behind the caller.
-func (l *Ledger) appendOrLater(ctx context.Context, name key.Log, e *claim.Entry) error {
+// appendOrQueue appends an entry to its log. If that fails, it queues the entry for
+// retries in the background and returns an error.
+func (l *Ledger) appendOrQueue(ctx context.Context, name key.Log, e *claim.Entry) error {
 	out := l.appendEntry(ctx, name, e)
 	switch out.verdict {
 	case claim.VerdictDone, claim.VerdictTooOld:
@@ -153,7 +154,7 @@
 		event.LedgerRejected.Log(l.deps.Log, slog.String("log", name.Prefix()), slog.String("attempt", e.Attempt.Attempt()))
 		return eris.Wrap(ErrUnsafe, "the attempt does not hold the key")
 	default:
-		l.later.add(name, e)
+		l.retries.add(name, e)
 		return eris.Wrap(ErrUnsafe, "the claim's log cannot be written")
 	}
 }
--- a/internal/ledger/collecting.go
+++ b/internal/ledger/collecting.go
@@ -13,80 +13,81 @@
 	"github.com/hickorybank/hickorybank/internal/ledger/hold"
 )
 
-// collecting is the duty that makes bills safe: this node's own, and while it
-// collects for its failure domain, those of its neighbours. It also keeps the
-// copies that others want held.
+// collecting is the background task that stores bills: this node's own, and those of
+// other nodes while it is the collector of its failure domain. It also holds copies of
+// rows for nodes in other failure domains.
 type collecting struct {
 	settings Settings
 	process  string
 	store    *store
-	route    *route
+	router   *router
 	holders  *holders
 	log      *slog.Logger
 
-	ring  *ring
+	loop  *eventLoop
 	calls conc.WaitGroup
-	// The fields below belong to the duty.
-	core    *bill.Collector
-	holder  *hold.Holder
-	waits   map[uint64]func(bill.Safety)
-	number  uint64
-	looked  time.Time
-	leaving bool        // takes no more copies
-	safest  bill.Safety // of the last answers, for the log
-	running context.Context
-
+	// The fields below are only accessed by the event loop.
+	core           *bill.Collector
+	holder         *hold.Holder
+	replies        map[uint64]func(bill.Safety)
+	lastNumber     uint64
+	lastMaintained time.Time
+	stopping       bool        // accepts no further copies
+	lastPlace      bill.Safety // place of the last bill, to log changes
+	baseCtx        context.Context
+
+	// Sizes for other goroutines, updated after each step.
 	waiting  atomic.Int64
 	unstored atomic.Int64
 	held     atomic.Int64
 	full     atomic.Bool
 }
 
-func newCollecting(s Settings, process string, st *store, r *route, h *holders, log *slog.Logger) *collecting {
+func newCollecting(s Settings, process string, st *store, r *router, h *holders, log *slog.Logger) *collecting {
 	return &collecting{
-		settings: s, process: process, store: st, route: r, holders: h, log: log, ring: newRing(),
+		settings: s, process: process, store: st, router: r, holders: h, log: log, loop: newEventLoop(),
 		core: bill.NewCollector(s.collector(process)), holder: hold.New(s.holder()),
-		waits: map[uint64]func(bill.Safety){}, safest: bill.InTable,
+		replies: map[uint64]func(bill.Safety){}, lastPlace: bill.InTable,
 	}
 }
 
-// run is the duty. It ends with ctx, when the calls that are out have ended.
+// run runs the task until ctx ends and all calls in flight have ended.
 func (c *collecting) run(ctx context.Context) {
-	c.running = ctx
-	c.ring.run(ctx, c.step)
+	c.baseCtx = ctx
+	c.loop.run(ctx, c.step)
 	c.calls.Wait()
 }
 
-// collect makes bills safe and says for each where it is kept.
+// collect stores bills and returns for each where it is stored.
 func (c *collecting) collect(bills []bill.Bill) []bill.Safety {
 	safe := make([]bill.Safety, len(bills))
-	left := len(bills)
+	remaining := len(bills)
 	done := make(chan struct{})
-	taken := c.ring.post(func(time.Time) {
+	posted := c.loop.post(func(time.Time) {
 		for i, b := range bills {
-			c.number++
-			c.waits[c.number] = func(s bill.Safety) {
+			c.lastNumber++
+			c.replies[c.lastNumber] = func(s bill.Safety) {
 				safe[i] = s
-				if left--; left == 0 {
+				if remaining--; remaining == 0 {
 					close(done)
 				}
 			}
-			c.core.Add(c.number, b)
+			c.core.Add(c.lastNumber, b)
 		}
 	})
-	if !taken || len(bills) == 0 {
+	if !posted || len(bills) == 0 {
 		return safe
 	}
 	select {
 	case <-done:
 		return safe
-	case <-c.ring.done:
+	case <-c.loop.done:
 		return make([]bill.Safety, len(bills))
 	}
 }
 
 func (c *collecting) step(now time.Time) time.Time {
-	c.look(now)
+	c.maintain(now)
 	r := c.core.Ready(now)
 	for _, w := range r.Table {
 		c.calls.Go(func() { c.write(w) })
@@ -101,48 +102,49 @@
 		c.calls.Go(func() { c.refresh(r.Refresh) })
 	}
 	if len(r.Drop) > 0 {
-		c.calls.Go(func() { c.holders.drop(c.running, r.Drop) })
+		c.calls.Go(func() { c.holders.drop(c.baseCtx, r.Drop) })
 	}
 	for _, reply := range r.Replies {
-		c.waits[reply.Number](reply.Safety)
-		delete(c.waits, reply.Number)
-		c.report(reply.Safety)
+		c.replies[reply.Number](reply.Safety)
+		delete(c.replies, reply.Number)
+		c.logPlace(reply.Safety)
 	}
-	c.publish()
-	return c.wake(now, r.Wake)
+	c.updateSizes()
+	return c.nextWake(now, r.Wake)
 }
 
-// look takes over the rows of silent owners and fits the gap to the number of
-// failure domains, each of which has one collector.
-func (c *collecting) look(now time.Time) {
-	if now.Sub(c.looked) < time.Second {
+// maintain takes over the rows of lost owners, and adapts the gap between writes to the
+// number of failure domains, each of which has one collector. It does so once a second.
+func (c *collecting) maintain(now time.Time) {
+	if now.Sub(c.lastMaintained) < time.Second {
 		return
 	}
-	c.looked = now
-	c.core.SetGap(c.settings.billGap(c.route.domains()))
+	c.lastMaintained = now
+	c.core.SetGap(c.settings.billPacing(c.router.domainCount()))
 	for _, row := range c.holder.Orphans(now) {
 		event.LedgerAdopted.Log(c.log, slog.String("writer", row.Writer), slog.Int("bills", row.Bills.Len()))
 		c.core.Adopt(now, row)
 	}
 }
 
-// leave takes over all copies that others have here, and takes no more. A copy
-// may be the last: its owner may be lost, and the other holders may stop at the
-// same time, before anybody has noticed; its request would never be billed.
-// Taken over, it is one of the bills that the stop waits for. An owner that
-// lives hears that the copy is gone and has it held elsewhere.
-func (c *collecting) leave() {
-	_ = c.withHolder(func(now time.Time, c *collecting) { // none, if the duty has ended
-		c.leaving = true
+// stopHolding takes over all rows held for other nodes and accepts no more. A copy may be
+// the last one, if its owner is lost and the other holders stop at the same time, before
+// the loss is detected. Its request would then never be billed. Close waits for rows that
+// were taken over. An owner that is alive finds the copy missing at its next refresh and
+// has it held elsewhere.
+func (c *collecting) stopHolding() {
+	_ = c.withHolder(func(now time.Time, c *collecting) { // there are none if the task has ended
+		c.stopping = true
 		for _, row := range c.holder.All(now) {
 			c.core.Adopt(now, row)
 		}
-		c.publish()
+		c.updateSizes()
 	})
 }
 
-// wake lets the duty look again while it holds something.
-func (c *collecting) wake(now, wake time.Time) time.Time {
+// nextWake returns the time of the next step: at most a second from now while rows are
+// held.
+func (c *collecting) nextWake(now, wake time.Time) time.Time {
 	if c.holder.Empty() {
 		return wake
 	}
@@ -152,16 +154,16 @@
 	return wake
 }
 
-func (c *collecting) publish() {
+func (c *collecting) updateSizes() {
 	c.waiting.Store(int64(c.core.Waiting()))
 	c.unstored.Store(int64(c.core.Unstored()))
 	c.held.Store(int64(c.holder.Bills()))
 	c.full.Store(c.core.Full())
 }
 
-// report logs when bills leave the usual way, and when they are back on it.
-func (c *collecting) report(s bill.Safety) {
-	if s == c.safest {
+// logPlace logs a change of the place where bills are stored.
+func (c *collecting) logPlace(s bill.Safety) {
+	if s == c.lastPlace {
 		return
 	}
 	switch s {
@@ -172,37 +174,38 @@
 	default:
 		event.LedgerTableDown.Log(c.log, slog.String("kept", s.String()))
 	}
-	c.safest = s
+	c.lastPlace = s
 }
 
 func (c *collecting) write(w bill.Write) {
-	f, err := c.store.createBills(c.running, w.Row)
-	c.encoded(err)
-	c.ring.post(func(now time.Time) { c.core.TableDone(now, w, f) })
+	f, err := c.store.createBills(c.baseCtx, w.Row)
+	c.panicOnEncodeError(err)
+	c.loop.post(func(now time.Time) { c.core.TableDone(now, w, f) })
 }
 
 func (c *collecting) put(w bill.Write) {
-	f, _ := c.store.putBills(c.running, w.Row) // the fate says it all
-	c.ring.post(func(now time.Time) { c.core.ObjectDone(now, w, f) })
+	f, _ := c.store.putBills(c.baseCtx, w.Row) // the fate covers the error
+	c.loop.post(func(now time.Time) { c.core.ObjectDone(now, w, f) })
 }
 
-// encoded panics on bills that do not encode: they are plain values.
-func (c *collecting) encoded(err error) {
+// panicOnEncodeError panics if bills could not be encoded, which cannot happen with
+// plain values.
+func (c *collecting) panicOnEncodeError(err error) {
 	if err != nil {
 		panic(err)
 	}
 }
 
 func (c *collecting) hold(w bill.Write) {
-	by := c.holders.hold(c.running, w.Row)
-	c.ring.post(func(now time.Time) { c.core.HoldDone(now, w, by) })
+	holderIDs := c.holders.hold(c.baseCtx, w.Row)
+	c.loop.post(func(now time.Time) { c.core.HoldDone(now, w, holderIDs) })
 }
 
-func (c *collecting) refresh(pieces []bill.Piece) {
-	missing := c.holders.refresh(c.running, pieces)
-	c.ring.post(func(time.Time) {
-		for _, piece := range missing {
-			c.core.PieceLost(piece)
+func (c *collecting) refresh(heldRows []bill.Piece) {
+	missing := c.holders.refresh(c.baseCtx, heldRows)
+	c.loop.post(func(time.Time) {
+		for _, heldRow := range missing {
+			c.core.PieceLost(heldRow)
 		}
 	})
 }
--- a/internal/ledger/cursor.go
+++ b/internal/ledger/cursor.go
@@ -6,16 +6,16 @@
 	"github.com/rotisserie/eris"
 )
 
-// cursor is a place in the bills of a query.
+// cursor is a position in the result of a query.
 type cursor struct {
-	bucket int // counted from the first of the query
-	offset int // bills of the bucket that were given already
+	bucket int // index among the buckets of the query
+	offset int // number of the bucket's bills that were already returned
 }
 
-// String is the cursor's text, for callers.
+// String returns the cursor in the form that callers pass back.
 func (c cursor) String() string { return fmt.Sprintf("%d.%d", c.bucket, c.offset) }
 
-// next is the text of the cursor, or empty at the end.
+// next returns the text of the cursor, or an empty string after the last bucket.
 func (c cursor) next(buckets int) string {
 	if c.bucket >= buckets {
 		return ""
--- a/internal/ledger/deps.go
+++ b/internal/ledger/deps.go
@@ -7,7 +7,7 @@
 	"github.com/hickorybank/hickorybank/internal/platform"
 )
 
-// Deps are what a ledger reaches the outside with.
+// Deps are the external dependencies of a ledger.
 type Deps struct {
 	Table   platform.Table
 	Objects platform.Objects
@@ -15,7 +15,7 @@
 	// Members returns the entry VMs that this node sees, with their Peer
 	// addresses and failure domains. It must not block.
 	Members func() []platform.VM
-	// Self is this node; its Peer address is the one that others see.
+	// Self is this node, with the Peer address that other nodes use.
 	Self platform.VM
 	Log  *slog.Logger
 }
--- a/internal/ledger/doc.go
+++ b/internal/ledger/doc.go
@@ -1,5 +1,5 @@
-// Package ledger keeps what must last of a request: claims, so that work that
-// may not be repeated runs at most once, and bills, so that each request is
-// billed exactly once. It is the shell around the decisions of packages claim
-// and bill: it carries them to peers, the table and the object store.
+// Package ledger stores the durable state of requests. Claims make sure that
+// non-repeatable work runs at most once, and bills that each request is billed exactly
+// once. Packages claim and bill make the decisions; this package does their I/O with
+// peers, the table and the object store.
 package ledger
--- a/internal/ledger/entries.go
+++ b/internal/ledger/entries.go
@@ -11,48 +11,48 @@
 	"github.com/hickorybank/hickorybank/internal/platform"
 )
 
-// outcome is what became of an entry, asked of any number of batchers.
+// outcome is the combined result of sending an entry to one or more batchers.
 type outcome struct {
 	verdict claim.Verdict
 	record  claim.Record
-	// doubt says that a batcher may bring the entry into the log yet, or has.
-	doubt bool
+	// inDoubt means that a batcher may have written the entry, or may do so later.
+	inDoubt bool
 }
 
-// appendEntry brings an entry into the log of its key, through the batcher of
-// the log, the next one, or this node itself.
+// appendEntry appends an entry to a log through the log's batcher, the next candidate,
+// or this node itself.
 func (l *Ledger) appendEntry(ctx context.Context, name key.Log, e *claim.Entry) outcome {
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		deadline = time.Now().Add(maxAppend)
 	}
 	h := hedge[wire.AppendReply]{
-		after: l.settings.HedgeAfter, route: l.route, calls: &l.calls, alive: l.alive, final: finalReply,
-		ask: func(vm platform.VM) (wire.AppendReply, error) { return l.askAppend(vm, name, e, deadline) },
+		after: l.settings.HedgeAfter, router: l.router, calls: &l.calls, alive: l.alive, isFinal: isFinalReply,
+		call: func(vm platform.VM) (wire.AppendReply, error) { return l.callAppend(vm, name, e, deadline) },
 	}
-	answers, open := h.run(ctx, l.route.batchers(time.Now(), name))
-	return sumUp(answers, open)
+	answers, open := h.run(ctx, l.router.batchers(time.Now(), name))
+	return combineAnswers(answers, open)
 }
 
 const (
-	// maxAppend is how long an entry is tried when its context has no end.
+	// maxAppend is how long an entry is tried if its context has no deadline.
 	maxAppend = 10 * time.Second
-	// margin is how much earlier a batcher gives up than its asker: so that
-	// "not written, for certain" still arrives, and is not taken for doubt.
-	margin = 200 * time.Millisecond
-	// grace is how much longer a batcher is listened to than it may take,
-	// before its connection counts as stuck.
-	grace = 500 * time.Millisecond
+	// replyMargin is how much earlier than its caller a batcher gives up. Then its reply
+	// that the entry was not written still arrives, and the entry is not in doubt.
+	replyMargin = 200 * time.Millisecond
+	// callGrace is how long after a batcher's time limit its call times out. Then the
+	// connection counts as stuck.
+	callGrace = 500 * time.Millisecond
 )
 
-func (l *Ledger) askAppend(vm platform.VM, name key.Log, e *claim.Entry, deadline time.Time) (wire.AppendReply, error) {
-	wait := max(0, time.Until(deadline)-margin)
+func (l *Ledger) callAppend(vm platform.VM, name key.Log, e *claim.Entry, deadline time.Time) (wire.AppendReply, error) {
+	wait := max(0, time.Until(deadline)-replyMargin)
 	if vm.ID == l.deps.Self.ID {
-		return l.appendHere(name, e, wait), nil
+		return l.appendLocal(name, e, wait), nil
 	}
-	// The caller's own end does not end the call: that would cut the
-	// connection, with the calls of others on it.
-	ctx, cancel := context.WithTimeout(l.running, wait+grace)
+	// The call does not end with the caller's context: cancelling it would close the
+	// connection, with other calls on it.
+	ctx, cancel := context.WithTimeout(l.baseCtx, wait+callGrace)
 	defer cancel()
 	var reply wire.AppendReply
 	args := appendArgs(name, e, wait)
@@ -60,12 +60,12 @@
 	return reply, err
 }
 
-// appendHere brings an entry into a log from this node.
-func (l *Ledger) appendHere(name key.Log, e *claim.Entry, wait time.Duration) wire.AppendReply {
+// appendLocal appends an entry to a log through this node's batcher.
+func (l *Ledger) appendLocal(name key.Log, e *claim.Entry, wait time.Duration) wire.AppendReply {
 	reply := l.batcher.append(name, *e, wait)
 	out := appendReply(reply)
 	if reply.Verdict == claim.VerdictSettled {
-		settled, ok := l.batcher.settled(l.running, name, reply.Row, e.ID)
+		settled, ok := l.batcher.readSettlement(l.baseCtx, name, reply.Row, e.ID)
 		if !ok {
 			return wire.AppendReply{Verdict: uint8(claim.VerdictRefused)}
 		}
@@ -74,22 +74,22 @@
 	return out
 }
 
-func finalReply(r wire.AppendReply) bool {
+func isFinalReply(r wire.AppendReply) bool {
 	v := claim.Verdict(r.Verdict)
 	return v != claim.VerdictRefused && v != claim.VerdictInDoubt
 }
 
-func sumUp(answers []answer[wire.AppendReply], open int) outcome {
-	out := outcome{verdict: claim.VerdictRefused, doubt: open > 0}
+func combineAnswers(answers []answer[wire.AppendReply], open int) outcome {
+	out := outcome{verdict: claim.VerdictRefused, inDoubt: open > 0}
 	for _, a := range answers {
 		switch {
 		case a.err != nil:
-			out.doubt = out.doubt || !notSent(a.err)
-		case finalReply(a.value):
+			out.inDoubt = out.inDoubt || !notSent(a.err)
+		case isFinalReply(a.value):
 			out.verdict = claim.Verdict(a.value.Verdict)
 			out.record = recordOf(&a.value)
 		case claim.Verdict(a.value.Verdict) == claim.VerdictInDoubt:
-			out.doubt = true
+			out.inDoubt = true
 		}
 	}
 	return out
@@ -103,16 +103,16 @@
 	}
 }
 
-func entryOf(a *wire.AppendArgs) (claim.Entry, bool) {
+func decodeEntry(a *wire.AppendArgs) (claim.Entry, bool) {
 	e := claim.Entry{Kind: claim.Kind(a.Kind), Node: a.Node, Outcome: a.Outcome, Answer: a.Answer, Bill: unpackBill(a.Bill)}
 	if e.Kind < claim.KindClaim || e.Kind > claim.KindRelease {
 		return e, false
 	}
-	fits := copy(e.ID[:], a.ID) == len(e.ID) && copy(e.Attempt[:], a.Attempt) == len(e.Attempt) && copy(e.Print[:], a.Print) == len(e.Print)
-	return e, fits
+	ok := copy(e.ID[:], a.ID) == len(e.ID) && copy(e.Attempt[:], a.Attempt) == len(e.Attempt) && copy(e.Print[:], a.Print) == len(e.Print)
+	return e, ok
 }
 
-// appendReply leaves out the record where it says what the asker knows.
+// appendReply encodes a reply. It leaves out the record where the caller knows it.
 func appendReply(r claim.Reply) wire.AppendReply {
 	if r.Verdict == claim.VerdictGranted || r.Verdict == claim.VerdictDone {
 		return wire.AppendReply{Verdict: uint8(r.Verdict)}
--- a/internal/ledger/fabric_test.go
+++ b/internal/ledger/fabric_test.go
@@ -23,8 +23,8 @@
 	"github.com/hickorybank/hickorybank/internal/standin/platform/memory"
 )
 
-// fabric joins ledgers within a process and one time bubble. It can freeze
-// nodes, cut them off and lose their answers.
+// fabric is an in-process network between ledgers in one synctest bubble. It can freeze
+// nodes, disconnect them and lose their answers.
 type fabric struct {
 	mu     sync.Mutex
 	nodes  map[string]*service
@@ -45,7 +45,7 @@
 		return peer.ErrNotSent
 	}
 	done := make(chan error, 1)
-	got := copyOf(reply)
+	got := newReply(reply)
 	go func() {
 		if frozen != nil {
 			<-frozen
@@ -62,12 +62,12 @@
 		if err != nil {
 			return errors.New(err.Error()) // net/rpc keeps only the text
 		}
-		return through(got, reply)
+		return copyByGob(got, reply)
 	}
 }
 
-// through carries a message over gob, as net/rpc does.
-func through(from, to any) error {
+// copyByGob copies a message by gob, as net/rpc does.
+func copyByGob(from, to any) error {
 	var buf bytes.Buffer
 	if err := gob.NewEncoder(&buf).Encode(from); err != nil {
 		return err
@@ -75,7 +75,7 @@
 	return gob.NewDecoder(&buf).Decode(to)
 }
 
-func copyOf(reply any) any {
+func newReply(reply any) any {
 	switch reply.(type) {
 	case *wire.AppendReply:
 		return new(wire.AppendReply)
@@ -109,13 +109,13 @@
 
 func handle[A, R any](method func(*A, *R) error, args, reply any) error {
 	var got A
-	if err := through(args, &got); err != nil {
+	if err := copyByGob(args, &got); err != nil {
 		return err
 	}
 	return method(&got, reply.(*R))
 }
 
-// cluster is some ledgers over one platform.
+// cluster is a set of ledgers with one platform.
 type cluster struct {
 	t        *testing.T
 	platform *memory.Platform
@@ -127,7 +127,8 @@
 	mu       sync.Mutex
 }
 
-// newCluster starts n nodes in four failure domains.
+// newCluster starts n nodes in four failure domains. If broken, the table ignores the
+// conditions of transactions.
 func newCluster(t *testing.T, n int, broken bool) *cluster {
 	c := &cluster{t: t, platform: memory.New(), fabric: newFabric(), ledgers: map[string]*Ledger{}, settings: DefaultSettings()}
 	c.table = c.platform
@@ -167,7 +168,7 @@
 	return c.members
 }
 
-// lose ends a node without any care, as the loss of its VM does.
+// lose ends a node abruptly, as the loss of its VM does.
 func (c *cluster) lose(id string) {
 	c.fabric.mu.Lock()
 	delete(c.fabric.nodes, id)
@@ -177,10 +178,10 @@
 	l.open = false
 	l.mu.Unlock()
 	l.stop()
-	l.duties.Wait()
+	l.tasks.Wait()
 }
 
-// close thaws and ends the nodes that still run.
+// close unfreezes and closes the nodes that still run.
 func (c *cluster) close() {
 	c.fabric.mu.Lock()
 	for _, thaw := range c.fabric.frozen {
@@ -193,21 +194,21 @@
 		_ = l.Close(ctx)
 		cancel()
 	}
-	time.Sleep(maxAppend + time.Second) // calls that were overtaken end
+	time.Sleep(maxAppend + time.Second) // until abandoned hedged calls have ended
 }
 
-func (c *cluster) fail(change fault.Change) {
+func (c *cluster) setFaults(change fault.Change) {
 	if err := c.platform.SetFaults(change); err != nil {
 		c.t.Fatal(err)
 	}
 }
 
-// storeDown takes the table and the object store down, or up again.
+// storeDown takes the table and the object store down, or brings them back.
 func (c *cluster) storeDown(down bool) {
-	c.fail(fault.Change{Table: &fault.Fault{Down: down}, Objects: &fault.Fault{Down: down}})
+	c.setFaults(fault.Change{Table: &fault.Fault{Down: down}, Objects: &fault.Fault{Down: down}})
 }
 
-// allBills reads the bills that count.
+// allBills lists all bills, without duplicates, through a node.
 func (c *cluster) allBills(id string) []Bill {
 	q := BillQuery{From: time.Now().Add(-48 * time.Hour), To: time.Now().Add(time.Hour)}
 	var all []Bill
@@ -224,7 +225,7 @@
 	}
 }
 
-// unconditional is a table that forgets the conditions of transactions.
+// unconditional is a table that ignores the conditions of transactions.
 type unconditional struct{ platform.Table }
 
 // Commit implements platform.Table.
@@ -236,7 +237,7 @@
 func inBubble(t *testing.T, n int, do func(is *is.I, c *cluster)) { bubble(t, n, false, do) }
 
 func bubble(t *testing.T, n int, broken bool, do func(is *is.I, c *cluster)) {
-	defer steady()()
+	defer singleProcessor()()
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, n, broken)
 		defer c.close()
@@ -244,8 +245,8 @@
 	})
 }
 
-// newKey returns a UUIDv7 of the bubble's time. The library's own never go
-// back, and each bubble begins at the same time.
+// newKey returns a UUIDv7 with the bubble's time. The uuid package cannot be used: its
+// times never go back, but each bubble begins at the same time.
 func newKey() string { return keyAt(time.Now()) }
 
 func keyAt(at time.Time) string {
--- a/internal/ledger/fleet_bench_test.go
+++ b/internal/ledger/fleet_bench_test.go
@@ -13,8 +13,8 @@
 	"github.com/hickorybank/hickorybank/internal/ledger/key"
 )
 
-// The load of one node: 94,000 requests a second over 1,600 nodes, of which a
-// tenth may not be repeated.
+// The load of one node: 94,000 requests per second over 1,600 nodes, of which a tenth are
+// not repeatable.
 const (
 	nodeRate   = 94_000.0 / 1600
 	claimShare = 0.1
@@ -22,52 +22,52 @@
 	tableTime  = 10 * time.Millisecond
 	runTime    = 500 * time.Millisecond
 	fleetTime  = 20 * time.Second
-	// todayRate is a node's share of 130 requests a second at 8 nodes.
+	// todayRate is a node's share of 130 requests per second at 8 nodes.
 	todayRate = 130.0 / 8
-	// todayRun is what a short call takes: its settlement follows its claim.
+	// todayRun is the run time of a short call, from its claim to its settlement.
 	todayRun = 20 * time.Millisecond
 )
 
-// fleet drives the cores of a whole fleet in virtual time: a collector for
-// each failure domain and the claim logs of one bucket, each at its batcher.
+// fleet simulates a whole fleet in virtual time: a collector for each failure domain, and
+// the claim logs of one bucket, each at its batcher.
 type fleet struct {
 	settings   Settings
 	rng        *rand.Rand
 	nodes      int
-	rate       float64 // requests a second of a node
+	rate       float64 // requests per second of a node
 	runTime    time.Duration
 	now, start time.Time
 	collectors []*bill.Collector
 	logs       []*claim.Log
 	due        []dueEvent
 	number     uint64
-	asked      map[uint64]time.Time
+	addedAt    map[uint64]time.Time
 
 	billWrites, claimWrites int
 	billBytes, claimBytes   int
 	billWaits, claimWaits   []time.Duration
 }
 
-// dueEvent happens at its time.
+// dueEvent is a function to call at a time.
 type dueEvent struct {
 	at time.Time
 	do func()
 }
 
 func newFleet(nodes, shards int, rate float64, run time.Duration) *fleet {
-	f := &fleet{settings: DefaultSettings(), rng: rand.New(rand.NewPCG(1, 1)), nodes: nodes, rate: rate, runTime: run, now: time.Unix(60_000, 0), asked: map[uint64]time.Time{}}
+	f := &fleet{settings: DefaultSettings(), rng: rand.New(rand.NewPCG(1, 1)), nodes: nodes, rate: rate, runTime: run, now: time.Unix(60_000, 0), addedAt: map[uint64]time.Time{}}
 	f.start = f.now
 	f.settings.Layout.Shards = shards
 	domains := min(nodes, maxDomains)
 	for i := range domains {
 		s := f.settings.collector(fmt.Sprint("w", i))
-		s.MinGap, s.Burst = f.settings.billGap(domains)
+		s.MinGap, s.Burst = f.settings.billPacing(domains)
 		s.MaxWaiting = 1 << 20
 		f.collectors = append(f.collectors, bill.NewCollector(s))
 	}
 	for i := range shards {
 		name := key.Log{Kind: key.Timed, Shard: i, Bucket: f.now.UnixMilli() / f.settings.Layout.ClaimBucket.Milliseconds()}
-		f.logs = append(f.logs, claim.NewLog(name, f.settings.log(name, fmt.Sprint("w", i), f.now), nil))
+		f.logs = append(f.logs, claim.NewLog(name, f.settings.claimLog(name, fmt.Sprint("w", i), f.now), nil))
 	}
 	return f
 }
@@ -81,7 +81,7 @@
 		for credit += perStep; credit >= 1; credit-- {
 			f.arrive()
 		}
-		f.happen()
+		f.runDue()
 		for _, c := range f.collectors {
 			f.collect(c)
 		}
@@ -94,7 +94,7 @@
 func (f *fleet) arrive() {
 	f.number++
 	if f.rng.Float64() < claimShare {
-		f.entry(f.logs[f.rng.IntN(len(f.logs))], claim.KindClaim, f.number)
+		f.addEntry(f.logs[f.rng.IntN(len(f.logs))], claim.KindClaim, f.number)
 		return
 	}
 	f.addBill()
@@ -102,29 +102,29 @@
 
 func (f *fleet) addBill() {
 	f.number++
-	f.asked[f.number] = f.now
+	f.addedAt[f.number] = f.now
 	f.collectors[f.rng.IntN(len(f.collectors))].Add(f.number, Bill{
 		Org: fmt.Sprint("org", f.number%10), Key: newKey(), Class: "heavy", Version: fmt.Sprint("m", f.number%24), Cost: 1000, OutputTokens: 320, At: f.now,
 	})
 }
 
-func (f *fleet) entry(l *claim.Log, kind claim.Kind, id uint64) {
+func (f *fleet) addEntry(l *claim.Log, kind claim.Kind, id uint64) {
 	f.number++
-	f.asked[f.number] = f.now
+	f.addedAt[f.number] = f.now
 	e := claim.Entry{Kind: kind, ID: key.NewID("org", fmt.Sprint(id)), Attempt: key.NewID("", fmt.Sprint(id)), Node: "entry-17~f47ac10b-58cc-4372-a567-0e02b2c3d479"}
 	if kind == claim.KindSettle {
 		e.Node, e.Outcome, e.Answer = "", "completed", make([]byte, 200)
 	}
 	l.Add(f.now, claim.Op{Number: f.number, Entry: e, Deadline: f.now.Add(time.Hour)})
 	if kind == claim.KindClaim {
-		f.later(f.runTime, func() {
-			f.entry(l, claim.KindSettle, id)
+		f.schedule(f.runTime, func() {
+			f.addEntry(l, claim.KindSettle, id)
 			f.addBill()
 		})
 	}
 }
 
-func (f *fleet) later(d time.Duration, do func()) {
+func (f *fleet) schedule(d time.Duration, do func()) {
 	e := dueEvent{f.now.Add(d), do}
 	at, _ := slices.BinarySearchFunc(f.due, e, func(a, b dueEvent) int {
 		if a.at.After(b.at) {
@@ -135,7 +135,7 @@
 	f.due = slices.Insert(f.due, at, e)
 }
 
-func (f *fleet) happen() {
+func (f *fleet) runDue() {
 	for len(f.due) > 0 && !f.due[0].at.After(f.now) {
 		do := f.due[0].do
 		f.due = f.due[1:]
@@ -149,7 +149,7 @@
 		f.billWrites++
 		data, _ := w.Row.Encode()
 		f.billBytes += len(data)
-		f.later(tableTime, func() { c.TableDone(f.now, w, fate.Applied) })
+		f.schedule(tableTime, func() { c.TableDone(f.now, w, fate.Applied) })
 	}
 	for _, reply := range r.Replies {
 		f.billWaits = append(f.billWaits, f.waited(reply.Number))
@@ -165,7 +165,7 @@
 		f.claimWrites++
 		data, _ := r.Create.Row.Encode()
 		f.claimBytes += len(data)
-		f.later(tableTime, func() { l.WriteDone(f.now, fate.Applied) })
+		f.schedule(tableTime, func() { l.WriteDone(f.now, fate.Applied) })
 	}
 	for _, reply := range r.Replies {
 		f.claimWaits = append(f.claimWaits, f.waited(reply.Number))
@@ -173,13 +173,13 @@
 }
 
 func (f *fleet) waited(number uint64) time.Duration {
-	d := f.now.Sub(f.asked[number])
-	delete(f.asked, number)
+	d := f.now.Sub(f.addedAt[number])
+	delete(f.addedAt, number)
 	return d
 }
 
-// BenchmarkFleet is how the writes of the table, and the waits, follow the
-// size of the fleet, at the load that each node has at the size aimed for.
+// BenchmarkFleet measures table writes and waits by the size of the fleet, with the load
+// that each node has at full size, and with a small load.
 func BenchmarkFleet(b *testing.B) {
 	for _, size := range []struct{ nodes, shards int }{{2, 4}, {8, 4}, {32, 4}, {128, 4}, {1600, 4}, {1600, 16}, {1600, 64}} {
 		b.Run(fmt.Sprintf("nodes=%d/shards=%d", size.nodes, size.shards), func(b *testing.B) {
@@ -206,13 +206,13 @@
 	b.ReportMetric(float64(f.billBytes+f.claimBytes)/seconds/float64(f.nodes), "tableB/s/node")
 	b.ReportMetric(float64(f.claimBytes)/float64(f.claimWrites), "B/claimrow")
 	b.ReportMetric(float64(f.billBytes)/float64(f.billWrites), "B/billrow")
-	b.ReportMetric(at(f.billWaits, 0.5), "bill-p50-ms")
-	b.ReportMetric(at(f.billWaits, 0.99), "bill-p99-ms")
-	b.ReportMetric(at(f.claimWaits, 0.5), "claim-p50-ms")
-	b.ReportMetric(at(f.claimWaits, 0.99), "claim-p99-ms")
+	b.ReportMetric(quantileMS(f.billWaits, 0.5), "bill-p50-ms")
+	b.ReportMetric(quantileMS(f.billWaits, 0.99), "bill-p99-ms")
+	b.ReportMetric(quantileMS(f.claimWaits, 0.5), "claim-p50-ms")
+	b.ReportMetric(quantileMS(f.claimWaits, 0.99), "claim-p99-ms")
 }
 
-func at(waits []time.Duration, part float64) float64 {
+func quantileMS(waits []time.Duration, part float64) float64 {
 	slices.Sort(waits)
 	return float64(waits[int(part*float64(len(waits)-1))]) / 1e6
 }
--- a/internal/ledger/folding.go
+++ b/internal/ledger/folding.go
@@ -13,46 +13,46 @@
 )
 
 const (
-	// minFold is how many objects of a bucket are worth a fold.
-	minFold = 16
-	// maxFold bounds the objects of one fold, and maxFoldBills their bills,
-	// which take about 35 B each.
-	maxFold      = 500
-	maxFoldBills = 20_000
-	// foldBuckets is how many buckets are looked at in a period. Each costs one
-	// read if it has few objects.
-	foldBuckets = 12
-	// foldAfter is for how long a closed bucket is left alone; most of what is
-	// late comes into it meanwhile.
-	foldAfter = 5 * time.Minute
+	// minCompact is the minimum number of objects in a bucket that are compacted.
+	minCompact = 16
+	// maxCompact bounds the number of objects compacted into one, and maxCompactBills
+	// the number of their bills, which take about 35 bytes each.
+	maxCompact      = 500
+	maxCompactBills = 20_000
+	// compactBuckets is the number of buckets checked in a run. Each costs one read if
+	// it has few objects.
+	compactBuckets = 12
+	// compactAfter is the age from which a bucket is compacted. Most late bills arrive
+	// before.
+	compactAfter = 5 * time.Minute
 )
 
-// foldSome folds the small objects of some buckets of the window, others each
-// period, until all had their turn.
-func (j *janitor) foldSome(ctx context.Context, now time.Time) error {
+// compactSome compacts the small objects of some buckets of the retention window. Each
+// run takes other buckets, until all had their turn.
+func (j *janitor) compactSome(ctx context.Context, now time.Time) error {
 	l := j.ledger
-	to := now.Add(-foldAfter)
+	to := now.Add(-compactAfter)
 	buckets := l.settings.Layout.Buckets(key.Timed, to.Add(-l.settings.Window), to)
-	buckets = buckets[:max(0, len(buckets)-1)] // the last may be open
-	turns := int64((len(buckets) + foldBuckets - 1) / foldBuckets)
-	// Those of opaque keys are open for a day, which is too long to wait.
+	buckets = buckets[:max(0, len(buckets)-1)] // the last one may not be complete
+	turns := int64((len(buckets) + compactBuckets - 1) / compactBuckets)
+	// Buckets of opaque keys last a day, so they are compacted before their end.
 	buckets = append(buckets, l.settings.Layout.Buckets(key.Opaque, to.Add(-l.settings.Window), to)...)
 	period := now.UnixNano() / int64(l.settings.Janitor)
 	for _, b := range buckets {
 		if b.Number%turns != period%turns {
 			continue
 		}
-		if err := l.foldBucket(ctx, b); err != nil {
+		if err := l.compactBucket(ctx, b); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// foldBucket folds the objects of a bucket that no fold covers yet. Two nodes
-// may do it at one time: their folds hold the same bills.
-func (l *Ledger) foldBucket(ctx context.Context, b key.Bucket) error {
-	progress, err := l.reader.read.of(ctx, b)
+// compactBucket compacts the objects of a bucket that no compacted object covers yet. Two
+// nodes may do it at a time: their compacted objects have the same bills.
+func (l *Ledger) compactBucket(ctx context.Context, b key.Bucket) error {
+	progress, err := l.reader.progress.acquire(ctx, b)
 	if err != nil {
 		return err
 	}
@@ -61,8 +61,8 @@
 	if err != nil {
 		return err
 	}
-	for len(left) >= minFold {
-		n, err := l.foldFirst(ctx, b, left)
+	for len(left) >= minCompact {
+		n, err := l.compactFirst(ctx, b, left)
 		if err != nil {
 			return err
 		}
@@ -71,11 +71,11 @@
 	return nil
 }
 
-// foldFirst folds as many of the objects as fit, and returns how many.
-func (l *Ledger) foldFirst(ctx context.Context, b key.Bucket, keys []string) (int, error) {
+// compactFirst compacts as many of the objects as the bounds allow, and returns how many.
+func (l *Ledger) compactFirst(ctx context.Context, b key.Bucket, keys []string) (int, error) {
 	var bills []bill.Bill
 	n := 0
-	for n < min(len(keys), maxFold) && len(bills) < maxFoldBills {
+	for n < min(len(keys), maxCompact) && len(bills) < maxCompactBills {
 		value, err := l.reader.get(ctx, keys[n])
 		if err != nil {
 			return 0, err
@@ -88,9 +88,9 @@
 		n++
 	}
 	bills = bill.Distinct(bills)
-	fold := bill.Fold{Covers: keys[:n], Bills: bill.Pack(bills)}
-	name := b.Fold(l.process, l.folds.Add(1))
-	if err := l.store.putFold(ctx, name, &fold); err != nil {
+	object := bill.Fold{Covers: keys[:n], Bills: bill.Pack(bills)}
+	name := b.Fold(l.process, l.lastCompacted.Add(1))
+	if err := l.store.putCompacted(ctx, name, &object); err != nil {
 		return 0, eris.Wrap(err, "write fold "+name)
 	}
 	event.LedgerFolded.Log(l.deps.Log, slog.String("bucket", b.String()), slog.Int("objects", n), slog.Int("bills", len(bills)))
--- a/internal/ledger/hedge.go
+++ b/internal/ledger/hedge.go
@@ -9,46 +9,46 @@
 	"github.com/hickorybank/hickorybank/internal/platform"
 )
 
-// answer is what one node said.
+// answer is the result of a call to one node.
 type answer[T any] struct {
 	from  platform.VM
 	value T
-	// err is peer.ErrNotSent, or anything else that leaves it open whether
-	// the node acted.
+	// err is peer.ErrNotSent if the node cannot have acted. After any other error, it
+	// may have acted.
 	err error
 }
 
-// life says whether a node lives.
-type life struct {
+// probeResult is whether a node is alive.
+type probeResult struct {
 	vm    platform.VM
 	alive bool
 }
 
-// hedge asks one node after the other: the next one when the one before has
-// failed, was not final, or does not show that it lives. All that is asked
-// this way may be done twice. A call that is overtaken goes on to its own end:
-// ending it would cut the connection, with the other calls on it.
+// hedge makes a hedged call to several nodes in order. It calls the next node when a call
+// has failed, when its answer is not final, or when the node does not answer a probe. The
+// operation must be idempotent, as several nodes may perform it. Calls that are no longer
+// needed are not cancelled: that would close the connection, with other calls on it.
 type hedge[T any] struct {
-	route *route
-	calls *conc.WaitGroup
-	// after is how long a node may take before it is asked whether it lives.
+	router *router
+	calls  *conc.WaitGroup
+	// after is how long a node may take before it is probed.
 	after time.Duration
-	ask   func(vm platform.VM) (T, error)
-	// alive asks a node whether it lives. One that does is waited for on: it
-	// is the table that is slow, and a second node would only compete.
+	call  func(vm platform.VM) (T, error)
+	// alive probes a node. While a node is alive, its answer is awaited: then the
+	// table is slow, and a second node would only add load.
 	alive func(vm platform.VM) bool
-	// final says whether an answer needs no second opinion.
-	final func(T) bool
+	// isFinal reports whether no further node needs to be called after an answer.
+	isFinal func(T) bool
 }
 
-// run returns the answers up to the first final one, which is the last then.
-// Open is how many nodes were asked and have not answered.
+// run returns the answers up to and including the first final one. Open is the number of
+// nodes that were called and have not answered.
 func (h hedge[T]) run(ctx context.Context, nodes []platform.VM) (answers []answer[T], open int) {
 	results := make(chan answer[T], len(nodes))
-	lives := make(chan life, 1)
+	probes := make(chan probeResult, 1)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	asked := 0
+	called := 0
 	for {
 		select {
 		case <-ctx.Done():
@@ -56,59 +56,59 @@
 		case a := <-results:
 			open--
 			answers = append(answers, a)
-			if a.err == nil && h.final(a.value) {
+			if a.err == nil && h.isFinal(a.value) {
 				return answers, open
 			}
-			asked, open = h.next(nodes, asked, open, results, timer)
-		case l := <-lives:
-			if l.alive {
+			called, open = h.next(nodes, called, open, results, timer)
+		case result := <-probes:
+			if result.alive {
 				timer.Reset(h.after)
 				break
 			}
-			h.route.silent(l.vm)
-			asked, open = h.next(nodes, asked, open, results, timer)
+			h.router.markSuspect(result.vm)
+			called, open = h.next(nodes, called, open, results, timer)
 		case <-timer.C:
 			if open > 0 {
-				h.probe(nodes[asked-1], lives)
+				h.probe(nodes[called-1], probes)
 				break
 			}
-			asked, open = h.next(nodes, asked, open, results, timer)
+			called, open = h.next(nodes, called, open, results, timer)
 		}
-		if open == 0 && asked == len(nodes) {
+		if open == 0 && called == len(nodes) {
 			return answers, 0
 		}
 	}
 }
 
-// next asks the next node, if there is one.
-func (h hedge[T]) next(nodes []platform.VM, asked, open int, results chan<- answer[T], timer *time.Timer) (int, int) {
-	if asked == len(nodes) {
-		return asked, open
+// next calls the next node, if there is one.
+func (h hedge[T]) next(nodes []platform.VM, called, open int, results chan<- answer[T], timer *time.Timer) (int, int) {
+	if called == len(nodes) {
+		return called, open
 	}
-	h.start(nodes[asked], results)
+	h.start(nodes[called], results)
 	timer.Reset(h.after)
-	return asked + 1, open + 1
+	return called + 1, open + 1
 }
 
 func (h hedge[T]) start(vm platform.VM, results chan<- answer[T]) {
 	h.calls.Go(func() {
-		value, err := h.ask(vm)
+		value, err := h.call(vm)
 		if err == nil {
-			h.route.answered(vm)
+			h.router.clearSuspect(vm)
 		} else {
-			h.route.silent(vm)
+			h.router.markSuspect(vm)
 		}
-		results <- answer[T]{vm, value, err} // has room for each node's one
+		results <- answer[T]{vm, value, err} // the channel has room for one answer per node
 	})
 }
 
-// probe asks the node that was asked last whether it lives. An answer that
-// comes when another waits already, or nobody listens any more, is left out.
-func (h hedge[T]) probe(vm platform.VM, lives chan<- life) {
+// probe probes a node. Its result is dropped if another one is still unread or run has
+// returned.
+func (h hedge[T]) probe(vm platform.VM, probes chan<- probeResult) {
 	h.calls.Go(func() {
-		l := life{vm, h.alive(vm)}
+		result := probeResult{vm, h.alive(vm)}
 		select {
-		case lives <- l:
+		case probes <- result:
 		default:
 		}
 	})
--- a/internal/ledger/history_test.go
+++ b/internal/ledger/history_test.go
@@ -21,30 +21,31 @@
 
 var histories = flag.Int("histories", 60, "how many random histories to check")
 
-// operation is one call of the ledger, as the history checker sees it.
+// operation is the input of a call of the ledger for the history checker.
 type operation struct {
 	kind    string // claim, settle, release
 	key     string
 	attempt string
 }
 
-// output is its result; unknown results may or may not have taken effect.
+// output is the result of an operation.
 type output struct {
 	state   claim.State
-	refused bool // no effect, for certain
-	unknown bool
+	refused bool // the call had no effect
+	unknown bool // the call may or may not have taken effect
 	doubted bool // see claim.Result
 	answer  string
 }
 
-// keyState is what the model knows of a key.
+// keyState is the model's state of a key.
 type keyState struct {
-	holder  string
-	settled bool
-	barred  string // the attempts that were released
+	holder   string
+	settled  bool
+	released string // the attempts that were released, concatenated
 }
 
-// ledgerModel says what a ledger that is a single thing would answer.
+// ledgerModel is the sequential specification of a ledger: how a single ledger with one
+// client would answer.
 var ledgerModel = porcupine.NondeterministicModel{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byKey := map[string][]porcupine.Operation{}
@@ -72,13 +73,13 @@
 	applied := s
 	switch in.kind {
 	case "claim":
-		if s.holder == "" && !strings.Contains(s.barred, in.attempt) {
+		if s.holder == "" && !strings.Contains(s.released, in.attempt) {
 			applied.holder = in.attempt
 		}
 	case "settle":
 		applied.settled = s.settled || s.holder == in.attempt
 	case "release":
-		applied.barred += in.attempt
+		applied.released += in.attempt
 		if s.holder == in.attempt && !s.settled {
 			applied.holder = ""
 		}
@@ -98,7 +99,7 @@
 	return []any{applied}
 }
 
-// answer is what a claim hears.
+// answer returns the state that a claim must return.
 func (s keyState) answer(in operation) claim.State {
 	switch {
 	case s.settled:
@@ -110,15 +111,15 @@
 	}
 }
 
-// recorder notes calls with their times.
+// recorder records calls with the order of their beginnings and ends.
 type recorder struct {
 	mu      sync.Mutex
 	history []porcupine.Operation
 	events  int64
 }
 
-// tick orders the beginnings and ends of calls; virtual time alone would let
-// many fall together.
+// tick returns increasing numbers for the beginnings and ends of calls. In virtual time,
+// many of them have the same time.
 func (r *recorder) tick() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -137,7 +138,7 @@
 	}
 	r.history = append(r.history, porcupine.Operation{ClientId: client, Input: in, Call: began, Output: out, Return: ended})
 	if out.doubted {
-		// A copy may take the key once more, until it is released.
+		// A copy of the claim may still take the key, until the ledger releases it.
 		for _, kind := range []string{"claim", "release"} {
 			again := operation{kind, in.key, in.attempt}
 			r.history = append(r.history, porcupine.Operation{ClientId: client, Input: again, Call: began, Output: output{unknown: true}, Return: never})
@@ -146,41 +147,41 @@
 	return out
 }
 
-// checkTime bounds the check of one history. It is exponential in the calls of
-// unknown fate, and a few histories have many.
+// checkTime bounds the check of one history. The check is exponential in the number of
+// calls with unknown results, and a few histories have many of them.
 const checkTime = time.Second
 
-// never is the end of calls that may take effect at any time.
+// never is the end time of calls that may take effect at any later time.
 const never = 1 << 40
 
-// Callers race for the same keys through several nodes, while the platform
-// refuses, stalls and loses answers, and nodes freeze. What they hear must be
-// what one single ledger could have said.
+// Callers compete for the same keys through several nodes, while the platform refuses
+// calls, stalls and loses answers, and nodes freeze. The results must be linearisable: a
+// single ledger could have returned them.
 func TestHistoriesUnderFaults(t *testing.T) {
-	heard := map[output]int{}
+	results := map[output]int{}
 	undecided := 0
 	for seed := range uint64(*histories) {
 		history := historyOf(t, seed, false)
 		switch porcupine.CheckOperationsTimeout(ledgerModel.ToModel(), history, checkTime) {
 		case porcupine.Illegal:
-			t.Fatalf("seed %d: impossible history:\n%s", seed, impossible(history))
+			t.Fatalf("seed %d: impossible history:\n%s", seed, illegalCalls(history))
 		case porcupine.Unknown:
 			undecided++
 		}
 		for _, op := range history {
 			out := op.Output.(output)
 			out.answer = ""
-			heard[out]++
+			results[out]++
 		}
 	}
-	t.Logf("%d histories, %d undecided: %+v", *histories, undecided, heard)
+	t.Logf("%d histories, %d undecided: %+v", *histories, undecided, results)
 	if undecided > *histories/20 {
 		t.Fatalf("%d of %d histories are too tangled to be checked", undecided, *histories)
 	}
 }
 
-// Over a table that forgets its conditions the same calls must give a history
-// that the checker finds impossible, or it proves nothing.
+// With a table that ignores conditions, the checker must reject a history of the same
+// calls. Otherwise the test above would prove nothing.
 func TestHistoriesCatchTableWithoutConditions(t *testing.T) {
 	const enough = 50
 	for seed := range uint64(enough) {
@@ -192,8 +193,8 @@
 	t.Fatalf("not caught in %d histories", enough)
 }
 
-// impossible prints the calls for the key whose history is impossible.
-func impossible(history []porcupine.Operation) string {
+// illegalCalls returns the calls of the keys whose history is not linearisable.
+func illegalCalls(history []porcupine.Operation) string {
 	var text strings.Builder
 	for _, part := range ledgerModel.Partition(history) {
 		if porcupine.CheckOperationsTimeout(ledgerModel.ToModel(), part, checkTime) != porcupine.Illegal {
@@ -248,15 +249,15 @@
 	for {
 		select {
 		case <-done:
-			h.c.fail(fault.Change{Table: &fault.Fault{}})
+			h.c.setFaults(fault.Change{Table: &fault.Fault{}})
 			return
 		case <-time.After(time.Duration(50+h.rng.IntN(400)) * time.Millisecond):
-			h.disturb()
+			h.injectFault()
 		}
 	}
 }
 
-func (h *historyRun) disturb() {
+func (h *historyRun) injectFault() {
 	f := fault.Fault{}
 	switch h.rng.IntN(5) {
 	case 0:
@@ -268,7 +269,7 @@
 	case 3:
 		f.DelayMS = int64(h.rng.IntN(2000))
 	}
-	h.c.fail(fault.Change{Table: &f})
+	h.c.setFaults(fault.Change{Table: &f})
 	addr := fmt.Sprintf("e%d", h.rng.IntN(4))
 	h.c.fabric.mu.Lock()
 	defer h.c.fabric.mu.Unlock()
@@ -283,7 +284,7 @@
 	}
 }
 
-// request claims a key, runs, and settles or releases it.
+// request claims a key, waits for a random time, and settles or releases it.
 func (h *historyRun) request(client int, rng *rand.Rand) {
 	l := h.c.ledgers[fmt.Sprintf("e%d", rng.IntN(4))]
 	k, attempt := h.keys[rng.IntN(len(h.keys))], uuid.NewString()
--- a/internal/ledger/holders.go
+++ b/internal/ledger/holders.go
@@ -15,25 +15,25 @@
 // holdTimeout bounds a call to one holder.
 const holdTimeout = time.Second
 
-// holders speaks to the peers that hold copies of this node's rows.
+// holders calls the peers that hold copies of this node's rows.
 type holders struct {
-	peers peer.Caller
-	route *route
+	peers  peer.Caller
+	router *router
 }
 
-// hold has a row held in as many other failure domains as needed, and returns
-// the ids of the VMs that hold it.
+// hold has peers in holdCopies other failure domains hold a row, and returns the ids of
+// the VMs that do. There may be fewer.
 func (h *holders) hold(ctx context.Context, row bill.Row) []string {
 	var ids []string
-	left := h.route.holders(time.Now(), row.Writer)
+	left := h.router.holders(time.Now(), row.Writer)
 	taken := map[string]bool{}
 	for len(ids) < holdCopies {
 		var round []platform.VM
-		round, left = h.round(left, taken, holdCopies-len(ids))
+		round, left = h.pickRound(left, taken, holdCopies-len(ids))
 		if len(round) == 0 {
 			return ids
 		}
-		for _, vm := range h.askAll(ctx, round, row) {
+		for _, vm := range h.holdAll(ctx, round, row) {
 			ids = append(ids, vm.ID)
 			taken[vm.FailureDomain] = true
 		}
@@ -41,8 +41,9 @@
 	return ids
 }
 
-// round picks the next candidates, each in another failure domain.
-func (h *holders) round(candidates []platform.VM, taken map[string]bool, n int) (round, left []platform.VM) {
+// pickRound picks up to n of the candidates, each in another failure domain, none of which
+// is taken. It also returns the candidates left for a later round.
+func (h *holders) pickRound(candidates []platform.VM, taken map[string]bool, n int) (round, left []platform.VM) {
 	seen := maps.Clone(taken)
 	for _, vm := range candidates {
 		switch {
@@ -57,7 +58,7 @@
 	return round, left
 }
 
-func (h *holders) askAll(ctx context.Context, vms []platform.VM, row bill.Row) []platform.VM {
+func (h *holders) holdAll(ctx context.Context, vms []platform.VM, row bill.Row) []platform.VM {
 	held := make([]bool, len(vms))
 	var wg sync.WaitGroup
 	for i, vm := range vms {
@@ -78,15 +79,15 @@
 	return by
 }
 
-// refresh tells the holders that the owner of their pieces lives, and returns
-// the pieces of which a copy is missing.
-func (h *holders) refresh(ctx context.Context, pieces []bill.Piece) []bill.Piece {
+// refresh refreshes rows at their holders, and returns the rows of which a copy is
+// missing.
+func (h *holders) refresh(ctx context.Context, heldRows []bill.Piece) []bill.Piece {
 	var mu sync.Mutex
 	var missing []bill.Piece
 	var wg sync.WaitGroup
-	for to, seqs := range byHolder(pieces) {
+	for to, seqs := range byHolder(heldRows) {
 		wg.Go(func() {
-			lost := h.ask(ctx, to, seqs)
+			lost := h.missingAt(ctx, to, seqs)
 			mu.Lock()
 			defer mu.Unlock()
 			for _, seq := range lost {
@@ -98,9 +99,10 @@
 	return missing
 }
 
-// ask returns the rows that a holder has not: all, if it does not answer.
-func (h *holders) ask(ctx context.Context, to target, seqs []uint64) []uint64 {
-	vm, ok := h.route.find(to.holder)
+// missingAt refreshes rows at one holder and returns those that it does not hold, which
+// are all of them if it does not answer.
+func (h *holders) missingAt(ctx context.Context, to target, seqs []uint64) []uint64 {
+	vm, ok := h.router.find(to.holder)
 	if !ok {
 		return seqs
 	}
@@ -112,21 +114,22 @@
 	return reply.Missing.Unpack()
 }
 
-// drop tells holders that rows are needed no more. One that does not hear of
-// it writes them when their owner is silent, which is harmless.
-func (h *holders) drop(ctx context.Context, pieces []bill.Piece) {
-	h.tell(ctx, pieces, false)
+// drop tells holders that rows are no longer needed. A holder that does not get the call
+// takes the rows over later and writes them, which does no harm.
+func (h *holders) drop(ctx context.Context, heldRows []bill.Piece) {
+	h.callDrop(ctx, heldRows, false)
 }
 
-// gone tells the holders that the owner stops, so that they write at once.
-func (h *holders) gone(ctx context.Context, pieces []bill.Piece) {
-	h.tell(ctx, pieces, true)
+// ownerStopped tells the holders that the owner stops, so that they take the rows over
+// at once.
+func (h *holders) ownerStopped(ctx context.Context, heldRows []bill.Piece) {
+	h.callDrop(ctx, heldRows, true)
 }
 
-func (h *holders) tell(ctx context.Context, pieces []bill.Piece, gone bool) {
+func (h *holders) callDrop(ctx context.Context, heldRows []bill.Piece, gone bool) {
 	var wg sync.WaitGroup
-	for to, seqs := range byHolder(pieces) {
-		if vm, ok := h.route.find(to.holder); ok {
+	for to, seqs := range byHolder(heldRows) {
+		if vm, ok := h.router.find(to.holder); ok {
 			wg.Go(func() {
 				args := wire.PiecesArgs{Writer: to.writer, Rows: wire.Pack(seqs), Gone: gone}
 				_ = h.call(ctx, vm, methodDrop, &args, &wire.PiecesReply{})
@@ -141,17 +144,17 @@
 	defer cancel()
 	err := h.peers.Call(ctx, vm.Peer, method, args, reply)
 	if err != nil {
-		h.route.silent(vm)
+		h.router.markSuspect(vm)
 	}
 	return err
 }
 
-// target is a holder and the writer whose rows are meant.
+// target is a holder, and the writer of the rows that it holds.
 type target struct{ holder, writer string }
 
-func byHolder(pieces []bill.Piece) map[target][]uint64 {
+func byHolder(heldRows []bill.Piece) map[target][]uint64 {
 	seqs := map[target][]uint64{}
-	for _, p := range pieces {
+	for _, p := range heldRows {
 		for _, id := range p.Holders {
 			to := target{id, p.Writer}
 			seqs[to] = append(seqs[to], p.Seq)
--- a/internal/ledger/janitor.go
+++ b/internal/ledger/janitor.go
@@ -15,27 +15,27 @@
 )
 
 const (
-	// floorStep is how far a floor moves at least. Each move makes the next
+	// floorStep is the granularity of floors. Each change of a floor makes the next
 	// write of every batcher of the shard fail once.
 	floorStep = time.Hour
 	// maxDeletes bounds the rows deleted in one transaction.
 	maxDeletes = 500
-	// maxTidy bounds the transactions of one shard in one period.
-	maxTidy = 20
-	// settleBack is how far back closed buckets are looked at for settling.
-	settleBack = 48 * time.Hour
-	// maxSettle bounds the buckets, or parts of them, settled in one period.
-	maxSettle = 20
+	// maxDeleteTxns bounds the transactions that delete rows of one shard in one run.
+	maxDeleteTxns = 20
+	// summaryLookback is the age up to which closed buckets are checked for a summary.
+	summaryLookback = 48 * time.Hour
+	// maxSummarySteps bounds the buckets, or parts of them, summarised in one run.
+	maxSummarySteps = 20
 )
 
-// janitor is the duty that deletes claims older than the window, settles closed
-// buckets, folds small objects and moves old bills out of the table. It falls on
-// one node a period; two at a time are harmless.
+// janitor is the background task that deletes claims older than the retention window,
+// summarises closed buckets, compacts small objects and moves old bills out of the table.
+// One node does it in each period. It is safe if two nodes do it at a time.
 type janitor struct{ ledger *Ledger }
 
 func newJanitor(l *Ledger) *janitor { return &janitor{ledger: l} }
 
-// run is the duty.
+// run runs the task until ctx ends.
 func (j *janitor) run(ctx context.Context) {
 	every := j.ledger.settings.Janitor
 	ticker := time.NewTicker(every)
@@ -45,20 +45,20 @@
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			if j.ledger.route.janitor(now, now.UnixNano()/int64(every)) {
-				j.tidy(ctx, now)
+			if j.ledger.router.isJanitor(now, now.UnixNano()/int64(every)) {
+				j.runOnce(ctx, now)
 			}
 		}
 	}
 }
 
-func (j *janitor) tidy(ctx context.Context, now time.Time) {
+func (j *janitor) runOnce(ctx context.Context, now time.Time) {
 	err := j.ledger.deleteOld(ctx, now)
 	if err == nil {
-		err = j.settle(ctx, now)
+		err = j.summarise(ctx, now)
 	}
 	if err == nil {
-		err = j.foldSome(ctx, now)
+		err = j.compactSome(ctx, now)
 	}
 	if err == nil {
 		err = j.prune(ctx, now)
@@ -68,26 +68,26 @@
 	}
 }
 
-// settle settles the closed buckets that have no summary yet.
-func (j *janitor) settle(ctx context.Context, now time.Time) error {
+// summarise summarises closed buckets that have no summary yet.
+func (j *janitor) summarise(ctx context.Context, now time.Time) error {
 	l := j.ledger
-	left := maxSettle
+	left := maxSummarySteps
 	for _, kind := range []key.Kind{key.Timed, key.Opaque} {
 		to := now.Add(-l.settings.Window)
-		buckets := l.settings.Layout.Buckets(kind, to.Add(-settleBack), to)
-		settled, err := l.store.summaries(ctx, buckets[0])
+		buckets := l.settings.Layout.Buckets(kind, to.Add(-summaryLookback), to)
+		summarised, err := l.store.summaries(ctx, buckets[0])
 		if err != nil {
 			return err
 		}
 		for _, b := range buckets {
-			if left == 0 || now.Before(l.closes(b)) {
+			if left == 0 || now.Before(l.closesAt(b)) {
 				break
 			}
-			if settled[b.Summary()] {
+			if summarised[b.Summary()] {
 				continue
 			}
 			for done := false; !done && left > 0; left-- {
-				if done, err = l.settleStep(ctx, b); err != nil {
+				if done, err = l.summariseStep(ctx, b); err != nil {
 					return err
 				}
 			}
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// deleteOld deletes the claims of keys that are older than the window.
+// deleteOld deletes the claims of keys older than the retention window.
 func (l *Ledger) deleteOld(ctx context.Context, now time.Time) error {
 	before := now.Add(-l.settings.Window - 2*l.settings.Skew - l.settings.RunLimit).Truncate(floorStep)
 	for shard := range l.settings.Layout.Shards {
@@ -112,9 +112,9 @@
 	return nil
 }
 
-// raiseTimed moves the floor of a shard to a bucket, and then deletes the rows
-// below it. The floor goes first: a write under the old one fails from then
-// on, so that no row can come back after it was deleted.
+// raiseTimed raises the floor of a shard to the bucket of a time, and then deletes the
+// rows below it. The floor is raised first: from then on, writes on condition of the old
+// floor fail, so that no deleted row can be written again.
 func (l *Ledger) raiseTimed(ctx context.Context, name key.Log, before time.Time) error {
 	floor, err := l.store.floor(ctx, name)
 	if err != nil {
@@ -122,7 +122,7 @@
 	}
 	bucket := before.UnixMilli() / l.settings.Layout.ClaimBucket.Milliseconds()
 	if bucket > floor.Bucket {
-		if err := l.raise(ctx, name, claim.Floor{Version: floor.Version, Bucket: bucket}); err != nil {
+		if err := l.raiseFloor(ctx, name, claim.Floor{Version: floor.Version, Bucket: bucket}); err != nil {
 			return err
 		}
 	}
@@ -130,8 +130,8 @@
 	return l.deleteBelow(ctx, name.ShardPrefix(), name.Prefix())
 }
 
-// raiseOpaque moves the floor of an opaque shard over the rows that are wholly
-// older than a time, and deletes them.
+// raiseOpaque raises the floor of an opaque shard above the rows whose entries are all
+// older than a time, and deletes these rows.
 func (l *Ledger) raiseOpaque(ctx context.Context, name key.Log, before time.Time) error {
 	floor, err := l.store.floor(ctx, name)
 	if err != nil {
@@ -146,14 +146,14 @@
 		seq = max(seq, row.Seq+1)
 	}
 	if seq > floor.Seq {
-		if err := l.raise(ctx, name, claim.Floor{Version: floor.Version, Seq: seq}); err != nil {
+		if err := l.raiseFloor(ctx, name, claim.Floor{Version: floor.Version, Seq: seq}); err != nil {
 			return err
 		}
 	}
 	return l.deleteBelow(ctx, name.Prefix(), name.Row(seq))
 }
 
-// oldClaims reads the first rows of an opaque log that are wholly older than a
+// oldClaims reads the first rows of an opaque log whose entries are all older than a
 // time.
 func (l *Ledger) oldClaims(ctx context.Context, name key.Log, before time.Time) ([]claim.StoredRow, error) {
 	first, err := l.store.scan(ctx, name.Prefix(), "", 1)
@@ -181,7 +181,7 @@
 	return at
 }
 
-func (l *Ledger) raise(ctx context.Context, name key.Log, floor claim.Floor) error {
+func (l *Ledger) raiseFloor(ctx context.Context, name key.Log, floor claim.Floor) error {
 	value, err := floor.Encode()
 	if err != nil {
 		return err
@@ -196,10 +196,10 @@
 	return nil
 }
 
-// deleteBelow deletes rows that sort before a key.
+// deleteBelow deletes the rows with a prefix that sort before the key end.
 func (l *Ledger) deleteBelow(ctx context.Context, prefix, end string) error {
-	limit := 1 // most of the time there is nothing to delete
-	for range maxTidy {
+	limit := 1 // usually there is nothing to delete
+	for range maxDeleteTxns {
 		rows, err := l.store.scan(ctx, prefix, "", limit)
 		if err != nil {
 			return eris.Wrap(err, "read old rows")
--- a/internal/ledger/janitor_test.go
+++ b/internal/ledger/janitor_test.go
@@ -15,8 +15,8 @@
 	"github.com/hickorybank/hickorybank/internal/standin/platform/fault"
 )
 
-// Nobody looks after the table. Claims must not pile up for ever: after the
-// window their rows go, and only then may an opaque key be used anew.
+// Claims older than the retention window must be deleted, or the table would grow without
+// limit. An opaque key must not be granted again before that.
 func TestOldClaimsAreDeleted(t *testing.T) {
 	inBubble(t, 2, func(is *is.I, c *cluster) {
 		claimAs := func(id, k string) claim.State {
@@ -40,38 +40,37 @@
 	})
 }
 
-// A bill is written at two nodes with two amounts, one row in the table and
-// one among the objects. The bucket closes and is settled, once, by whichever
-// node comes first; a bill that was held through a long outage comes later and
-// makes a second revision.
-func TestClosedBucketIsSettledOnce(t *testing.T) {
+// Two nodes write the same bill with different amounts, one to the table and one to the
+// object store. The closed bucket must be summarised once, whichever node does it, with the
+// first amount. A late bill, held during a long outage, must lead to a second revision.
+func TestClosedBucketIsSummarisedOnce(t *testing.T) {
 	inBubble(t, 4, func(is *is.I, c *cluster) {
 		k, late := newKey(), newKey()
 		b := billOf(k, 7)
 		_, err := billIn(c.ledgers["e0"], 5*time.Second, b)
 		is.NoErr(err)
-		c.fail(fault.Change{Table: &fault.Fault{Down: true}})
-		dear := b
-		dear.Cost, dear.At = 9, b.At.Add(time.Second)
-		_, err = billIn(c.ledgers["e1"], 5*time.Second, dear)
+		c.setFaults(fault.Change{Table: &fault.Fault{Down: true}})
+		expensive := b
+		expensive.Cost, expensive.At = 9, b.At.Add(time.Second)
+		_, err = billIn(c.ledgers["e1"], 5*time.Second, expensive)
 		is.NoErr(err)
-		c.fail(fault.Change{Table: &fault.Fault{}})
+		c.setFaults(fault.Change{Table: &fault.Fault{}})
 
 		bucket := c.settings.Layout.Bill(k, time.Time{})
-		_, err = c.ledgers["e0"].SettleBucket(context.Background(), bucket)
+		_, err = c.ledgers["e0"].SummariseBucket(context.Background(), bucket)
 		is.True(errors.Is(err, ErrOpenBucket))
 		time.Sleep(27 * time.Hour)
 		is.Equal(len(c.platform.Dump(bucket.Summary()).Rows), 1)
-		is.Equal(len(c.platform.Dump(bucket.Previous().Summary()).Rows), 1) // one without bills
+		is.Equal(len(c.platform.Dump(bucket.Previous().Summary()).Rows), 1) // a bucket without bills
 		want := []Total{{Org: "org", Bills: 1, Cost: 7}}
 		for id := range c.ledgers {
-			s, err := c.ledgers[id].SettleBucket(context.Background(), bucket)
+			s, err := c.ledgers[id].SummariseBucket(context.Background(), bucket)
 			is.NoErr(err)
 			is.Equal(s, Summary{Revision: 1, Totals: want})
 		}
 		_, err = billIn(c.ledgers["e2"], 5*time.Second, billOf(late, 1))
 		is.NoErr(err)
-		s, err := c.ledgers["e3"].SettleBucket(context.Background(), bucket)
+		s, err := c.ledgers["e3"].SummariseBucket(context.Background(), bucket)
 		is.NoErr(err)
 		is.Equal(s, Summary{Revision: 2, Totals: []Total{{Org: "org", Bills: 2, Cost: 8}}})
 		from, to := c.settings.Layout.Span(bucket)
@@ -81,9 +80,9 @@
 	})
 }
 
-// A bucket holds more bills than a page may. The pages must give each bill
-// once, also if they are asked for at different nodes.
-func TestPagesGiveEachBillOnce(t *testing.T) {
+// A bucket has more bills than a page may have. The pages must return each bill once, also
+// if they are requested from different nodes.
+func TestPagesReturnEachBillOnce(t *testing.T) {
 	inBubble(t, 2, func(is *is.I, c *cluster) {
 		const bills = pageBills + 10
 		var wg sync.WaitGroup
@@ -103,9 +102,9 @@
 	})
 }
 
-// A caller uses its own order numbers as keys and sends one again over
-// midnight. The two bills lie in two buckets, and are one bill of the first.
-func TestOpaqueKeyIsBilledOnceOverMidnight(t *testing.T) {
+// A caller uses order numbers as keys and repeats a request after midnight. The two bills
+// are in two buckets. They must count as one bill of the first bucket.
+func TestOpaqueKeyIsBilledOnceAcrossBuckets(t *testing.T) {
 	inBubble(t, 2, func(is *is.I, c *cluster) {
 		time.Sleep(23 * time.Hour) // the bubble begins at midnight
 		first := billOf("order", 7)
--- a/internal/ledger/key_index.go
+++ b/internal/ledger/key_index.go
@@ -2,12 +2,12 @@
 
 import "slices"
 
-// keyIndex holds, for each key of a part, some bits of its hash and the row where
-// it stood, in 8 bytes. Two keys may share the bits: they are taken for one that
-// is repeated, which costs another reading of their rows and nothing else.
+// keyIndex has, for each bill of a part, some bits of the hash of its key and the index of
+// its row, in 8 bytes. Two keys may have the same bits. They then count as one repeated
+// key, and the only cost is that their rows are read again.
 type keyIndex struct {
-	// cells are split by the last bits of the hash, so that each grows and is
-	// sorted by itself; the first bits are alike in a part.
+	// cells are selected by the last bits of the hash, since the first bits are the same
+	// within a part. Each cell grows and is sorted separately.
 	cells [1 << cellBits][]uint64
 }
 
@@ -22,8 +22,8 @@
 	*cell = append(*cell, hash>>cellBits<<rowBits|uint64(row))
 }
 
-// repeated calls found for each place where a key of a cell stands that is there
-// more than once.
+// repeated calls found for each occurrence of the keys of a cell that occur more than
+// once.
 func (x *keyIndex) repeated(cell int, found func(key repeatedKey, row uint32)) {
 	all := x.cells[cell]
 	slices.Sort(all)
@@ -35,7 +35,7 @@
 	}
 }
 
-// repeatedKey is what the index knows of a key.
+// repeatedKey identifies a key by the bits of its hash in the index.
 type repeatedKey struct {
 	cell int
 	bits uint64
--- a/internal/ledger/later.go
+++ b/internal/ledger/later.go
@@ -10,57 +10,57 @@
 )
 
 const (
-	maxLater  = 10_000
-	laterGap  = time.Second
-	laterTry  = 5 * time.Second
-	laterPara = 8
+	maxQueued     = 10_000          // entries in the queue
+	retryInterval = time.Second     // time between flushes
+	retryTimeout  = 5 * time.Second // for a batch of entries
+	maxRetries    = 8               // entries in flight
 )
 
-// later is the duty that brings settlements and releases into their logs that
-// could not be written in time, while the table is down. If the node is lost
-// meanwhile, the key stays unknown: it is never run again, and its caller has
-// had its answer.
-type later struct {
+// retryQueue retries settlements and releases that could not be written in time because
+// the table is down. If the node is lost before they are written, the state of their keys
+// stays unknown: the work is never run again, and the callers already have their answers.
+type retryQueue struct {
 	try func(ctx context.Context, name key.Log, e *claim.Entry) bool
 
 	mu    sync.Mutex
-	queue []laterEntry
+	queue []queuedEntry
 }
 
-type laterEntry struct {
+// queuedEntry is an entry to append to a log.
+type queuedEntry struct {
 	name  key.Log
 	entry *claim.Entry
 }
 
-// add takes an entry; beyond the bound the oldest is given up.
-func (q *later) add(name key.Log, e *claim.Entry) {
+// add appends an entry to the queue. If the queue is full, the oldest entry is dropped.
+func (q *retryQueue) add(name key.Log, e *claim.Entry) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if len(q.queue) >= maxLater {
+	if len(q.queue) >= maxQueued {
 		q.queue = q.queue[1:]
 	}
-	q.queue = append(q.queue, laterEntry{name, e})
+	q.queue = append(q.queue, queuedEntry{name, e})
 }
 
-// Len is how many entries wait.
-func (q *later) Len() int {
+// Len returns the number of entries in the queue.
+func (q *retryQueue) Len() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return len(q.queue)
 }
 
-func (q *later) take(n int) []laterEntry {
+func (q *retryQueue) dequeue(n int) []queuedEntry {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	n = min(n, len(q.queue))
-	taken := append([]laterEntry(nil), q.queue[:n]...)
+	taken := append([]queuedEntry(nil), q.queue[:n]...)
 	q.queue = q.queue[n:]
 	return taken
 }
 
-// run is the duty.
-func (q *later) run(ctx context.Context) {
-	ticker := time.NewTicker(laterGap)
+// run flushes the queue periodically until ctx ends.
+func (q *retryQueue) run(ctx context.Context) {
+	ticker := time.NewTicker(retryInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -72,18 +72,18 @@
 	}
 }
 
-// flush tries what waits, until a try fails.
-func (q *later) flush(ctx context.Context) {
+// flush retries the entries in the queue until one fails.
+func (q *retryQueue) flush(ctx context.Context) {
 	for {
-		taken := q.take(laterPara)
+		taken := q.dequeue(maxRetries)
 		if len(taken) == 0 || !q.tryAll(ctx, taken) {
 			return
 		}
 	}
 }
 
-func (q *later) tryAll(ctx context.Context, entries []laterEntry) bool {
-	ctx, cancel := context.WithTimeout(ctx, laterTry)
+func (q *retryQueue) tryAll(ctx context.Context, entries []queuedEntry) bool {
+	ctx, cancel := context.WithTimeout(ctx, retryTimeout)
 	defer cancel()
 	var wg sync.WaitGroup
 	failed := make([]bool, len(entries))
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -22,94 +22,95 @@
 	"github.com/hickorybank/hickorybank/internal/platform"
 )
 
-// processSeparator stands between a node's id and its process's.
+// processSeparator separates a node's id from the random id of its process.
 const processSeparator = "~"
 
-// Ledger is a node's part of the ledger.
+// Ledger is the ledger of one node. It works together with the ledgers of other nodes.
 type Ledger struct {
 	settings Settings
 	deps     Deps
-	process  string // this node's id and a random one of its process
-
-	store      *store
-	route      *route
-	holders    *holders
-	batcher    *batcher
-	collecting *collecting
-	billing    *billing
-	later      *later
-	janitor    *janitor
-	reader     *billReader
-	folds      atomic.Uint64 // numbers of this process's folds
-	stats      counters
-
-	duties  conc.WaitGroup
+	process  string // this node's id and a random id of this process
+
+	store         *store
+	router        *router
+	holders       *holders
+	batcher       *batcher
+	collecting    *collecting
+	billSender    *billSender
+	retries       *retryQueue
+	janitor       *janitor
+	reader        *billReader
+	lastCompacted atomic.Uint64 // number of this process's last compacted object
+	stats         counters
+
+	tasks   conc.WaitGroup
 	calls   conc.WaitGroup
-	running context.Context
+	baseCtx context.Context
 	stop    context.CancelFunc
 
-	mu     sync.RWMutex
-	open   bool
-	inside sync.WaitGroup // calls of others
+	mu          sync.RWMutex
+	open        bool
+	activeCalls sync.WaitGroup // calls by callers and peers
 }
 
+// counters counts calls since the start.
 type counters struct {
 	claims, granted, bills atomic.Uint64
 }
 
-// New returns a ledger that is not yet started.
+// New returns a ledger. It refuses all calls until Start.
 func New(s Settings, d Deps) *Ledger {
-	l := &Ledger{settings: s, deps: d, process: d.Self.ID + processSeparator + processName()}
-	l.running, l.stop = context.WithCancel(context.Background())
+	l := &Ledger{settings: s, deps: d, process: d.Self.ID + processSeparator + newProcessID()}
+	l.baseCtx, l.stop = context.WithCancel(context.Background())
 	l.store = &store{table: d.Table, objects: d.Objects}
-	l.route = newRoute(d)
-	l.holders = &holders{peers: d.Peers, route: l.route}
+	l.router = newRouter(d)
+	l.holders = &holders{peers: d.Peers, router: l.router}
 	l.batcher = newBatcher(s, l.process, l.store, d.Log)
-	l.collecting = newCollecting(s, l.process, l.store, l.route, l.holders, d.Log)
-	l.billing = newBilling(l)
-	l.later = &later{try: l.tryLater}
+	l.collecting = newCollecting(s, l.process, l.store, l.router, l.holders, d.Log)
+	l.billSender = newBillSender(l)
+	l.retries = &retryQueue{try: l.retryEntry}
 	l.janitor = newJanitor(l)
 	l.reader = newBillReader(l.store, s)
 	return l
 }
 
-// processName is unique among processes; it goes with every claim, so it is
+// newProcessID returns a unique id for this process. It is part of every claim, so it is
 // kept short.
-func processName() string {
+func newProcessID() string {
 	u := uuid.New()
 	return base64.RawURLEncoding.EncodeToString(u[:])
 }
 
-// Start begins the ledger's duties.
+// Start starts the ledger's background tasks. It always returns nil.
 func (l *Ledger) Start() error {
 	l.mu.Lock()
 	l.open = true
 	l.mu.Unlock()
-	l.duties.Go(func() { l.batcher.run(l.running) })
-	l.duties.Go(func() { l.collecting.run(l.running) })
-	l.duties.Go(func() { l.billing.run(l.running) })
-	l.duties.Go(func() { l.later.run(l.running) })
-	l.duties.Go(func() { l.janitor.run(l.running) })
+	l.tasks.Go(func() { l.batcher.run(l.baseCtx) })
+	l.tasks.Go(func() { l.collecting.run(l.baseCtx) })
+	l.tasks.Go(func() { l.billSender.run(l.baseCtx) })
+	l.tasks.Go(func() { l.retries.run(l.baseCtx) })
+	l.tasks.Go(func() { l.janitor.run(l.baseCtx) })
 	event.LedgerStarted.Log(l.deps.Log, slog.String("process", l.process))
 	return nil
 }
 
-// enter counts a call; false means that the ledger is closed.
-func (l *Ledger) enter() bool {
+// beginCall registers a call, unless the ledger is closed; then it returns false.
+func (l *Ledger) beginCall() bool {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
 	if l.open {
-		l.inside.Add(1)
+		l.activeCalls.Add(1)
 	}
 	return l.open
 }
 
-func (l *Ledger) leave() { l.inside.Done() }
+func (l *Ledger) endCall() { l.activeCalls.Done() }
 
-// Close makes all bills in hand safe, then stops the duties: its own have to be
-// in a store, those that it holds for others there or held by others. The
-// context bounds how long it tries; bills that only peers hold then are left to
-// them.
+// Close secures all bills in memory and then stops the background tasks. This node's
+// bills must be in a store. Bills that it holds for other nodes must be in a store or be
+// held by other peers. The context bounds how long it tries. After that, bills that only
+// peers hold are left to them, and the error says how many.
 func (l *Ledger) Close(ctx context.Context) error {
 	l.mu.Lock()
 	wasOpen := l.open
@@ -119,77 +120,79 @@
 		l.stop()
 		return nil
 	}
-	l.collecting.leave()
+	l.collecting.stopHolding()
 	err := l.flush(ctx)
 	l.handOver()
 	l.stop()
-	// In this order: duties and calls of others begin calls to peers.
-	l.duties.Wait()
-	l.inside.Wait()
+	// The order matters: background tasks and active calls start calls to peers.
+	l.tasks.Wait()
+	l.activeCalls.Wait()
 	l.calls.Wait()
 	event.LedgerStopped.Log(l.deps.Log, slog.String("process", l.process))
 	return err
 }
 
-// flushTick is how often a ledger that closes looks whether it is done.
+// flushTick is how often Close checks whether all bills are secured.
 const flushTick = 20 * time.Millisecond
 
 func (l *Ledger) flush(ctx context.Context) error {
 	ticker := time.NewTicker(flushTick)
 	defer ticker.Stop()
-	for l.collecting.unstored.Load() > 0 || l.later.Len() > 0 {
-		l.later.flush(ctx)
+	for l.collecting.unstored.Load() > 0 || l.retries.Len() > 0 {
+		l.retries.flush(ctx)
 		select {
 		case <-ctx.Done():
-			return l.abandon()
+			return l.flushError()
 		case <-ticker.C:
 		}
 	}
 	return nil
 }
 
-// handOver leaves the bills that no store has taken to the peers that hold them.
+// handOver has the peers that hold this node's unstored bills take them over.
 func (l *Ledger) handOver() {
-	var pieces []bill.Piece
-	_ = l.collecting.withHolder(func(_ time.Time, c *collecting) { pieces = c.core.Pieces() }) // none, if the duty has ended
-	l.holders.gone(context.Background(), pieces)
+	var heldRows []bill.Piece
+	_ = l.collecting.withHolder(func(_ time.Time, c *collecting) { heldRows = c.core.Pieces() }) // none if the task has ended
+	l.holders.ownerStopped(context.Background(), heldRows)
 }
 
-func (l *Ledger) abandon() error {
+func (l *Ledger) flushError() error {
 	left := l.collecting.unstored.Load()
-	event.LedgerFlushFailed.Log(l.deps.Log, slog.Int64("bills", left), slog.Int("settlements", l.later.Len()))
-	return eris.Errorf("%d bills and %d settlements are in no store yet", left, l.later.Len())
+	event.LedgerFlushFailed.Log(l.deps.Log, slog.Int64("bills", left), slog.Int("settlements", l.retries.Len()))
+	return eris.Errorf("%d bills and %d settlements are in no store yet", left, l.retries.Len())
 }
 
-// Ready says whether the ledger could make a further bill safe; when not, new
-// work should be refused as not run.
+// Ready reports whether the ledger can take further bills. If not, new work should be
+// refused before it runs.
 func (l *Ledger) Ready() bool {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
 	return l.open && !l.collecting.full.Load()
 }
 
-// Bill returns when the bill is safe. The error is [ErrUnsafe].
+// Bill stores a bill, and returns once it is safe, with the place where it is stored. The
+// error is [ErrUnsafe].
 func (l *Ledger) Bill(ctx context.Context, b Bill) (Safety, error) {
-	if !l.enter() {
+	if !l.beginCall() {
 		return bill.Unsafe, eris.Wrap(ErrUnsafe, ErrClosed.Error())
 	}
-	defer l.leave()
+	defer l.endCall()
 	return l.bill(ctx, b)
 }
 
 func (l *Ledger) bill(ctx context.Context, b Bill) (Safety, error) {
 	l.stats.bills.Add(1)
 	b.At = b.At.Truncate(time.Millisecond)
-	safety := l.billing.send(ctx, b)
+	safety := l.billSender.send(ctx, b)
 	if safety == bill.Unsafe {
 		return safety, eris.Wrap(ErrUnsafe, "no store and too few peers took the bill")
 	}
 	return safety, nil
 }
 
-// tryLater tries an entry whose time was up before.
-func (l *Ledger) tryLater(ctx context.Context, name key.Log, e *claim.Entry) bool {
+// retryEntry tries once more to append an entry. It reports whether the entry needs no
+// further try.
+func (l *Ledger) retryEntry(ctx context.Context, name key.Log, e *claim.Entry) bool {
 	switch l.appendEntry(ctx, name, e).verdict {
 	case claim.VerdictDone, claim.VerdictTooOld, claim.VerdictRejected:
 		return true
@@ -198,17 +201,17 @@
 	}
 }
 
-// alive says whether a node answers at once, which needs no platform.
+// alive reports whether a node answers a call that does not depend on the platform.
 func (l *Ledger) alive(vm platform.VM) bool {
 	if vm.ID == l.deps.Self.ID {
 		return true
 	}
-	ctx, cancel := context.WithTimeout(l.running, aliveTimeout)
+	ctx, cancel := context.WithTimeout(l.baseCtx, aliveTimeout)
 	defer cancel()
 	return l.deps.Peers.Call(ctx, vm.Peer, methodAlive, &wire.AliveArgs{}, &wire.AliveReply{}) == nil
 }
 
-// aliveTimeout is long for a call that needs no waiting, also between regions.
+// aliveTimeout is ample for a call that is answered at once, also between regions.
 const aliveTimeout = 400 * time.Millisecond
 
 func (l *Ledger) call(ctx context.Context, vm platform.VM, method string, args, reply any) error {
@@ -217,12 +220,12 @@
 	return l.deps.Peers.Call(ctx, vm.Peer, method, args, reply)
 }
 
-// notSent says that a peer was not reached and cannot have acted.
+// notSent reports whether an error shows that a peer cannot have acted on a call.
 func notSent(err error) bool {
 	return errors.Is(err, peer.ErrNotSent) || err.Error() == ErrClosed.Error()
 }
 
-// Stats returns the present counts.
+// Stats returns the current counts and sizes.
 func (l *Ledger) Stats() Stats {
 	return Stats{
 		Claims: l.stats.claims.Load(), Granted: l.stats.granted.Load(), Bills: l.stats.bills.Load(),
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -53,7 +53,7 @@
 			is.Equal(r.State, claim.Settled)
 			is.Equal(string(r.Record.Answer), "yes")
 			is.Equal(r.Record.Outcome, request.Completed)
-			is.Equal(c.allBills("e3"), []Bill{b}) // billed again by the retry, and once
+			is.Equal(c.allBills("e3"), []Bill{b}) // the retry stores the bill again, but it counts once
 		})
 	}
 }
@@ -72,10 +72,9 @@
 	})
 }
 
-// A VM is lost with a call running that may not be repeated. Its caller sends
-// it again through another node. It must never run again, and the caller is
-// told that nobody knows: at once when a new process has the node's place,
-// else when the list of VMs has had time to lose it.
+// A VM is lost while it runs a non-repeatable call, and the caller retries through another
+// node. The call must never run again. Its state is Unknown as soon as a new process runs
+// in the node's place, or after the time limit of the list of VMs.
 func TestClaimOfLostNodeIsUnknown(t *testing.T) {
 	inBubble(t, 4, func(is *is.I, c *cluster) {
 		k := newKey()
@@ -95,9 +94,8 @@
 	})
 }
 
-// The table is down when a call comes that may not be repeated. It is refused,
-// for certain: nothing was sent. The same attempt is granted when the table is
-// back.
+// A claim arrives while the table is down. It must fail, and the same attempt must be
+// granted when the table is back.
 func TestTableDownRefusesClaims(t *testing.T) {
 	inBubble(t, 4, func(is *is.I, c *cluster) {
 		c.storeDown(true)
@@ -111,11 +109,11 @@
 	})
 }
 
-// The table takes a claim and its answer is lost on the way. The claim must be
-// granted all the same, and only once.
-func TestLostAnswerOfTheTableIsResolved(t *testing.T) {
+// The table stores a claim but its answer is lost. The claim must still be granted, and
+// only once.
+func TestClaimIsGrantedAfterLostAnswerOfTheTable(t *testing.T) {
 	inBubble(t, 4, func(is *is.I, c *cluster) {
-		c.fail(fault.Change{Table: &fault.Fault{LoseAcks: 1}})
+		c.setFaults(fault.Change{Table: &fault.Fault{LoseAcks: 1}})
 		k := newKey()
 		got, err := claimIn(c.ledgers["e0"], 5*time.Second, claimOf(k, uuid.NewString(), "body"))
 		is.NoErr(err)
@@ -127,10 +125,10 @@
 	})
 }
 
-// A peer is frozen while it batches claims and collects bills. Calls through
-// it must go on through others after the first wait, and it must do no harm
-// when it is thawed and acts on all that it was asked.
-func TestFrozenPeerIsPassedOver(t *testing.T) {
+// Peers freeze while they batch claims and collect bills. Calls must continue through other
+// nodes after the first timeout. When the peers resume and process the old calls, no claim
+// may be granted again and no bill may count twice.
+func TestFrozenPeersAreSkipped(t *testing.T) {
 	inBubble(t, 4, func(is *is.I, c *cluster) {
 		thaw := make(chan struct{})
 		c.fabric.mu.Lock()
@@ -162,9 +160,9 @@
 	})
 }
 
-// A claim's answer is lost between the nodes, twice. The node asks further and
-// learns that it holds the key itself.
-func TestLostAnswerOfPeersIsResolved(t *testing.T) {
+// Peers append a claim but their answers are lost. The node must try further batchers, in
+// the end itself, and find that it holds the key.
+func TestClaimIsGrantedAfterLostAnswersOfPeers(t *testing.T) {
 	inBubble(t, 4, func(is *is.I, c *cluster) {
 		c.fabric.mu.Lock()
 		for _, vm := range c.members[1:] {
@@ -179,9 +177,8 @@
 	})
 }
 
-// The platform is down for long. Bills are safe in peers, and callers get
-// their answers. Then the VM that keeps them is lost. When the platform is
-// back, every bill is there once: the holders have written them.
+// During a long outage of the platform, bills are held by peers. Then the VM with the bills
+// is lost. If the holders did not write them when the platform is back, they would be lost.
 func TestBillsOfLostNodeSurviveAnOutage(t *testing.T) {
 	inBubble(t, 4, func(is *is.I, c *cluster) {
 		c.storeDown(true)
@@ -199,27 +196,27 @@
 	})
 }
 
-// The table alone is down. Bills go to the object store, and readers find them
-// there beside those in the table.
+// Only the table is down. Bills must go to the object store, and readers must find them
+// there as well as those in the table.
 func TestTableDownBillsGoToObjects(t *testing.T) {
 	inBubble(t, 4, func(is *is.I, c *cluster) {
 		safety, err := billIn(c.ledgers["e0"], 8*time.Second, billOf(newKey(), 1))
 		is.NoErr(err)
 		is.Equal(safety, bill.InTable)
-		c.fail(fault.Change{Table: &fault.Fault{Down: true}})
+		c.setFaults(fault.Change{Table: &fault.Fault{Down: true}})
 		for range 5 {
 			safety, err = billIn(c.ledgers["e0"], 8*time.Second, billOf(newKey(), 1))
 			is.NoErr(err)
 			is.Equal(safety, bill.InObjects)
 		}
-		c.fail(fault.Change{Table: &fault.Fault{}})
+		c.setFaults(fault.Change{Table: &fault.Fault{}})
 		is.Equal(len(c.allBills("e2")), 6)
 	})
 }
 
-// A node is told to stop while the platform is down: it waits for its bills as
-// long as it may, and leaves them to the peers that hold them. These write
-// them at once when the platform is back.
+// A node stops while the platform is down. It waits for its bills until the time limit and
+// then leaves them to the peers that hold them. The peers must write them as soon as the
+// platform is back.
 func TestStoppingNodeLeavesBillsToPeers(t *testing.T) {
 	inBubble(t, 4, func(is *is.I, c *cluster) {
 		c.storeDown(true)
@@ -228,7 +225,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 		defer cancel()
 		err = c.ledgers["e0"].Close(ctx)
-		is.True(err != nil) // says what is left
+		is.True(err != nil) // reports the bills that are not stored
 		is.NoErr(c.ledgers["e0"].Close(context.Background()))
 		c.storeDown(false)
 		time.Sleep(5 * time.Second)
@@ -238,8 +235,9 @@
 	})
 }
 
-// Nobody takes the bill: the caller must not get its last bytes.
-func TestBillThatNobodyTakesIsUnsafe(t *testing.T) {
+// No store and no peer takes the bill. Bill must fail, so that the caller does not get the
+// end of its answer unbilled.
+func TestBillThatNoStoreOrPeerTakesIsUnsafe(t *testing.T) {
 	inBubble(t, 1, func(is *is.I, c *cluster) {
 		c.storeDown(true)
 		_, err := billIn(c.ledgers["e0"], 10*time.Second, billOf(newKey(), 1))
@@ -247,8 +245,8 @@
 	})
 }
 
-// The table is down when a call ends. Its bill is safe elsewhere, so its
-// caller gets the answer, and the settlement follows when the table is back.
+// The table is down when a call ends. Its bill is safe elsewhere, so Settle succeeds. If
+// the settlement were not written when the table is back, a retry would not get the answer.
 func TestSettlementFollowsAfterAnOutage(t *testing.T) {
 	inBubble(t, 4, func(is *is.I, c *cluster) {
 		k, attempt := newKey(), uuid.NewString()
@@ -268,9 +266,9 @@
 	})
 }
 
-// The platform is down for so long that the memory for bills is used up. The
-// ledger says that it is not ready, so that new work is refused as not run,
-// and says so no more when the platform has taken the bills.
+// During a long outage of the platform, the limit of bills in memory is reached. Ready must
+// be false then, so that new work is refused before it runs. It must be true again when the
+// platform has taken the bills.
 func TestFullMemoryRefusesNewWork(t *testing.T) {
 	inBubble(t, 4, func(is *is.I, c *cluster) {
 		c.settings.MaxWaiting = 3
--- a/internal/ledger/places_test.go
+++ b/internal/ledger/places_test.go
@@ -12,41 +12,40 @@
 	"github.com/hickorybank/hickorybank/internal/standin/platform/fault"
 )
 
-// An answer's last bytes wait for its bill. While the platform fails in one
-// way after the other, every bill must still find a safe place, and the test
-// prints for how long the answers had to wait.
-func TestBillsFindAPlaceUnderEachFailure(t *testing.T) {
-	calm := fault.Fault{DelayMS: 10}
+// The end of an answer waits until its bill is safe. Under each fault of the platform,
+// every bill must still be stored safely. The test prints how long the bills took.
+func TestBillsAreStoredUnderEachFault(t *testing.T) {
+	healthy := fault.Fault{DelayMS: 10}
 	down := fault.Fault{Down: true}
 	slow := fault.Fault{DelayMS: 1000}
-	hangs := fault.Fault{OneWay: true}
+	hanging := fault.Fault{OneWay: true}
 	for _, phase := range []struct {
 		name           string
 		table, objects fault.Fault
 		place          bill.Safety // at least
 	}{
-		{"all is well", calm, calm, bill.InTable},
-		{"table down", down, calm, bill.InObjects},
-		{"table slow, 1 s", slow, calm, bill.InObjects},
-		{"table hangs", hangs, calm, bill.InObjects},
-		{"table loses half of its answers", fault.Fault{DelayMS: 10, LoseAckFraction: 0.5}, calm, bill.InObjects},
-		{"table refuses half", fault.Fault{DelayMS: 10, RefuseFraction: 0.5}, calm, bill.InObjects},
+		{"all is well", healthy, healthy, bill.InTable},
+		{"table down", down, healthy, bill.InObjects},
+		{"table slow, 1 s", slow, healthy, bill.InObjects},
+		{"table hangs", hanging, healthy, bill.InObjects},
+		{"table loses half of its answers", fault.Fault{DelayMS: 10, LoseAckFraction: 0.5}, healthy, bill.InObjects},
+		{"table refuses half", fault.Fault{DelayMS: 10, RefuseFraction: 0.5}, healthy, bill.InObjects},
 		{"both down", down, down, bill.InPeers},
 		{"both slow, 1 s", slow, slow, bill.InPeers},
-		{"both hang", hangs, hangs, bill.InPeers},
+		{"both hang", hanging, hanging, bill.InPeers},
 	} {
 		inBubble(t, 8, func(is *is.I, c *cluster) {
-			c.fail(fault.Change{Table: &calm, Objects: &calm})
+			c.setFaults(fault.Change{Table: &healthy, Objects: &healthy})
 			load := &placeLoad{c: c}
 			load.run(2 * time.Second)
 			load.waits, load.places = nil, [4]int{}
-			c.fail(fault.Change{Table: &phase.table, Objects: &phase.objects})
+			c.setFaults(fault.Change{Table: &phase.table, Objects: &phase.objects})
 			load.run(8 * time.Second)
 			load.print(t, phase.name)
 			for place := bill.Unsafe; place < phase.place; place++ {
 				is.Equal(load.places[place], 0)
 			}
-			c.fail(fault.Change{Table: &calm, Objects: &calm})
+			c.setFaults(fault.Change{Table: &healthy, Objects: &healthy})
 			time.Sleep(time.Minute)
 			is.Equal(len(c.allBills("e0")), load.sent)
 		})
--- a/internal/ledger/planned_stop_test.go
+++ b/internal/ledger/planned_stop_test.go
@@ -11,10 +11,10 @@
 	"github.com/hickorybank/hickorybank/internal/ledger/bill"
 )
 
-// The stores are down, an entry has answered, and its VM is lost; its bill is in
-// the memory of two others. Both are replaced as planned and end before they
-// have noticed that the owner is silent; then the stores come back. The answer
-// was never billed: a stop saw to its own bills only, not to those that it held.
+// The stores are down, and the VM that answered a request is lost. Two other VMs hold its
+// bill. Both stop as planned before they detect the loss, and then the stores come back. If
+// a node that stops only secured its own bills, not those that it holds, the request would
+// never be billed.
 func TestPlannedStopKeepsBillsHeldForALostNode(t *testing.T) {
 	inBubble(t, 3, func(is *is.I, c *cluster) {
 		c.storeDown(true)
@@ -35,11 +35,10 @@
 	})
 }
 
-// The stores are down. The nodes that hold a living node's bill are replaced as
-// planned, one after the other, and none may wait for the stores: others are
-// there to hold it. Then the node itself is lost. The bill went with it: each
-// replaced holder took its copy along, and nobody else was asked in time.
-func TestPlannedStopsHandHeldBillsOver(t *testing.T) {
+// The stores are down. The nodes that hold a live node's bill are replaced as planned, one
+// after the other, without waiting for the stores. Then the node itself is lost. If a
+// holder that stops did not hand its copy over to another node, the bill would be lost.
+func TestPlannedStopsHandOverHeldBills(t *testing.T) {
 	inBubble(t, 8, func(is *is.I, c *cluster) {
 		c.storeDown(true)
 		b := billOf(newKey(), 7)
@@ -62,7 +61,7 @@
 	})
 }
 
-// waitingAt is the node whose collector has the bill.
+// waitingAt returns the id of the node whose collector has the bill.
 func waitingAt(c *cluster) string {
 	for id, l := range c.ledgers {
 		if l.Stats().Waiting > 0 {
--- a/internal/ledger/pruning.go
+++ b/internal/ledger/pruning.go
@@ -14,16 +14,16 @@
 	"github.com/hickorybank/hickorybank/internal/platform"
 )
 
-// maxPrune bounds the folds of rows in one period, each of up to 200 rows.
-const maxPrune = 100
+// maxPruneTxns bounds the transactions that move rows in one run, each of up to scanRows
+// rows.
+const maxPruneTxns = 100
 
-// prune moves the rows of settled buckets out of the table, the oldest first.
-// They go into folds, where readers find them; so bills are kept, and the table
-// keeps a few days of rows.
+// prune moves the rows of summarised buckets from the table to compacted objects, oldest
+// first. The bills remain readable there, and the table only has the rows of a few days.
 func (j *janitor) prune(ctx context.Context, now time.Time) error {
 	for _, kind := range []key.Kind{key.Timed, key.Opaque} {
 		more := true
-		for n := 0; more && n < maxPrune; n++ {
+		for n := 0; more && n < maxPruneTxns; n++ {
 			var err error
 			if more, err = j.ledger.pruneOldest(ctx, kind, now); err != nil {
 				return err
@@ -33,21 +33,22 @@
 	return nil
 }
 
-// pruneOldest folds and deletes the oldest rows of a kind, if their time has
-// come.
+// pruneOldest compacts and deletes the oldest rows of a kind, if they are old enough. More
+// means that there may be further rows.
 //
-// A row is deleted only after a fold that has its bills was put, and readers read
-// the table before they list the folds: so each finds a row or its fold. A writer
-// that comes late needs no care. A row that it makes anew, which was deleted, has
-// bills that the fold has too, and they are one; any other row is there until it
-// is folded itself. The deletion fails if the bucket was settled anew meanwhile.
+// A row is deleted only after its bills were put in a compacted object, and readers read
+// the table before they list compacted objects. So each reader finds the row or the
+// compacted object. Late writers are safe, too. If one writes a deleted row again, its
+// bills are duplicates of those in the compacted object. Any other late row stays until it
+// is compacted itself. The deletion fails if the bucket was summarised again in the
+// meantime.
 func (l *Ledger) pruneOldest(ctx context.Context, kind key.Kind, now time.Time) (more bool, err error) {
 	rows, err := l.reader.scan(ctx, key.BillsPrefix(kind), "")
 	if err != nil || len(rows) == 0 {
 		return false, err
 	}
 	b, err := key.BucketOfRow(rows[0].Key)
-	if err != nil || now.Before(l.closes(b).Add(l.settings.PruneAfter)) {
+	if err != nil || now.Before(l.closesAt(b).Add(l.settings.PruneAfter)) {
 		return false, err
 	}
 	summary, err := l.store.get(ctx, b.Summary())
@@ -55,19 +56,19 @@
 		return false, eris.Wrap(err, "read summary")
 	}
 	if summary.Version == 0 {
-		_, err := l.settleStep(ctx, b)
+		_, err := l.summariseStep(ctx, b)
 		return true, err
 	}
 	return true, l.pruneRows(ctx, b, summary.Version, rows)
 }
 
-// pruneRows folds and deletes the first of some rows that are of a bucket.
+// pruneRows compacts and deletes those of the first rows that belong to a bucket.
 func (l *Ledger) pruneRows(ctx context.Context, b key.Bucket, summary uint64, rows []platform.Row) error {
 	txn := platform.Txn{Conditions: []platform.Condition{{Key: b.Summary(), Version: summary}}}
-	var fold bill.Fold
+	var object bill.Fold
 	var bills []bill.Bill
 	for _, row := range rows {
-		if of, err := key.BucketOfRow(row.Key); err != nil || of != b || len(bills) >= maxFoldBills {
+		if of, err := key.BucketOfRow(row.Key); err != nil || of != b || len(bills) >= maxCompactBills {
 			break
 		}
 		more, err := decodeRow(row)
@@ -75,18 +76,18 @@
 			return err
 		}
 		bills = append(bills, more...)
-		fold.Covers = append(fold.Covers, row.Key)
+		object.Covers = append(object.Covers, row.Key)
 		txn.Conditions = append(txn.Conditions, platform.Condition{Key: row.Key, Version: row.Version})
 		txn.Writes = append(txn.Writes, platform.Write{Key: row.Key, Delete: true})
 	}
-	fold.Bills = bill.Pack(bill.Distinct(bills))
-	name := b.Fold(l.process, l.folds.Add(1))
-	if err := l.store.putFold(ctx, name, &fold); err != nil {
+	object.Bills = bill.Pack(bill.Distinct(bills))
+	name := b.Fold(l.process, l.lastCompacted.Add(1))
+	if err := l.store.putCompacted(ctx, name, &object); err != nil {
 		return eris.Wrap(err, "write fold "+name)
 	}
 	if f, _ := l.store.commit(ctx, txn); f != fate.Applied {
 		return eris.New("folded rows were not deleted: " + f.String())
 	}
-	event.LedgerPruned.Log(l.deps.Log, slog.String("bucket", b.String()), slog.Int("rows", len(fold.Covers)))
+	event.LedgerPruned.Log(l.deps.Log, slog.String("bucket", b.String()), slog.Int("rows", len(object.Covers)))
 	return nil
 }
--- a/internal/ledger/pruning_test.go
+++ b/internal/ledger/pruning_test.go
@@ -12,26 +12,26 @@
 	"github.com/hickorybank/hickorybank/internal/platform"
 )
 
-// Rows of bills stayed in the table for ever. Once settled and old they are moved
-// to the object store, and a listing must give the same bills as before. Then a
-// process that was paused for days wakes and writes: a row that was moved already,
-// which must not be billed again, and one that nobody has, which must be.
+// Old rows of summarised buckets are moved to the object store, or the table would grow
+// without limit. A listing must return the same bills as before. Then a process that was
+// paused for days writes two rows: one that was already moved, whose bills must not count
+// again, and a new one, whose bills must.
 func TestOldRowsAreMovedOutOfTheTable(t *testing.T) {
 	inBubble(t, 2, func(is *is.I, c *cluster) {
-		bucket := fill(is, c, 200)
+		bucket := fillBucket(is, c, 200)
 		rows := c.platform.Dump(bucket.Prefix()).Rows
 		is.Equal(len(rows), 10)
 		l := c.ledgers["e0"]
 		before, err := l.reader.bills(context.Background(), bucket, time.Time{})
 		is.NoErr(err)
-		time.Sleep(time.Until(l.closes(bucket).Add(47 * time.Hour)))
+		time.Sleep(time.Until(l.closesAt(bucket).Add(47 * time.Hour)))
 		is.Equal(len(c.platform.Dump(bucket.Prefix()).Rows), 10)
 		time.Sleep(2 * time.Hour)
 		is.Equal(len(c.platform.Dump(bucket.Prefix()).Rows), 0)
 		read := func() []Bill {
 			bills, err := l.reader.bills(context.Background(), bucket, time.Time{})
 			is.NoErr(err)
-			s, err := l.SettleBucket(context.Background(), bucket)
+			s, err := l.SummariseBucket(context.Background(), bucket)
 			is.NoErr(err)
 			sum := newTotals()
 			sum.add(bills)
@@ -56,18 +56,18 @@
 	})
 }
 
-// Rows are moved while somebody reads the bucket: after its first row, all of the
-// table's rows go. The reader must find each bill, in a row or in a fold.
-func TestReaderFindsRowsThatAreMovedMeanwhile(t *testing.T) {
+// All rows are moved out of the table after a reader has read the first one. The reader
+// must find each bill in a row or in a compacted object.
+func TestReaderFindsRowsThatAreMovedWhileItReads(t *testing.T) {
 	inBubble(t, 1, func(is *is.I, c *cluster) {
-		bucket := fill(is, c, 5000)
+		bucket := fillBucket(is, c, 5000)
 		l := c.ledgers["e0"]
 		want, err := l.reader.bills(context.Background(), bucket, time.Time{})
 		is.NoErr(err)
-		time.Sleep(time.Until(l.closes(bucket).Add(time.Hour)))
+		time.Sleep(time.Until(l.closesAt(bucket).Add(time.Hour)))
 		seen := map[string]bool{}
 		first := true
-		err = l.reader.each(context.Background(), bucket, func(_ source, bills []Bill) error {
+		err = l.reader.forEach(context.Background(), bucket, func(_ source, bills []Bill) error {
 			for first {
 				more, err := l.pruneOldest(context.Background(), key.Timed, time.Now().Add(l.settings.PruneAfter))
 				is.NoErr(err)
--- a/internal/ledger/query.go
+++ b/internal/ledger/query.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// BillQuery asks for bills by their time: that of the key where it carries
-// one, else of the completion. So spans that do not overlap have no bill in
-// common, and a bill that comes late does not move.
+// BillQuery selects bills by time: the time in the key if it carries one, otherwise the
+// time of completion. Each bill has one such time, also if it is stored late, so spans
+// that do not overlap have no bill in common.
 type BillQuery struct {
 	// Org is the organisation; empty means all.
 	Org string
-	// From and To bound the time, To excluded.
+	// From and To bound the time; To is exclusive.
 	From time.Time
 	To   time.Time
-	// Cursor is the Next of the page before.
+	// Cursor is the Next of the previous page; empty for the first page.
 	Cursor string
 }
 
-// BillPage is a part of the bills, each key once.
+// BillPage is a page of the result of a query, without duplicate bills.
 type BillPage struct {
 	Bills []Bill
-	// Next is the cursor of the next page; empty when this is the last.
+	// Next is the cursor of the next page; empty if this is the last one.
 	Next string
 }
 
-// Total is what an organisation has to pay for a span of time.
+// Total is the sum of an organisation's bills in a span of time.
 type Total struct {
 	Org   string `json:"org"`
 	Bills int64  `json:"bills"`
--- a/internal/ledger/race_off_test.go
+++ b/internal/ledger/race_off_test.go
@@ -2,5 +2,5 @@
 
 package ledger
 
-// steady does nothing without the race detector.
-func steady() (restore func()) { return func() {} }
+// singleProcessor does nothing without the race detector.
+func singleProcessor() (restore func()) { return func() {} }
--- a/internal/ledger/race_on_test.go
+++ b/internal/ledger/race_on_test.go
@@ -4,11 +4,12 @@
 
 import "runtime"
 
-// steady keeps a bubble to one processor. The race detector's context of a
-// bubble's timers is shared by all processors (Go 1.26): two that find timers
-// due at one time crash it, at about one run of this package in four. What the
-// detector finds does not depend on how many processors there are.
-func steady() (restore func()) {
+// singleProcessor limits a bubble to one processor and returns a function that undoes
+// this. In Go 1.26, all processors share the race detector's context for a bubble's timers.
+// If two of them find due timers at the same time, the detector crashes, in about one of
+// four runs of this package. The races that it detects do not depend on the number of
+// processors.
+func singleProcessor() (restore func()) {
 	before := runtime.GOMAXPROCS(1)
 	return func() { runtime.GOMAXPROCS(before) }
 }
--- a/internal/ledger/read_objects.go
+++ b/internal/ledger/read_objects.go
@@ -12,87 +12,88 @@
 )
 
 const (
-	// maxReading is how many buckets that were read in part are remembered.
-	maxReading = 4
-	// readingAge is for how long they are, after the last read.
-	readingAge = 2 * time.Minute
+	// maxProgress is the maximum number of partly read buckets that are cached.
+	maxProgress = 4
+	// progressTTL is how long they are cached after the last read.
+	progressTTL = 2 * time.Minute
 )
 
-// readObjects remembers what was read of buckets that take longer than a page,
-// so that the next page goes on where this one ended. Objects of bills never
-// change.
-type readObjects struct {
+// readCache caches the objects already read of buckets that take longer than a page,
+// so that the next page continues there. The cache is never stale, as objects with bills
+// never change.
+type readCache struct {
 	mu      sync.Mutex
-	buckets map[key.Bucket]*bucketObjects
+	buckets map[key.Bucket]*bucketProgress
 }
 
-func newReadObjects() *readObjects { return &readObjects{buckets: map[key.Bucket]*bucketObjects{}} }
+func newReadCache() *readCache { return &readCache{buckets: map[key.Bucket]*bucketProgress{}} }
 
-// bucketObjects is what was read of a bucket. Its turn is kept while it is read
-// on: two that list the same bucket read it once. That takes long, so who waits for
-// the turn can be called off, which a mutex cannot.
-type bucketObjects struct {
-	turn    chan struct{}
-	used    time.Time // guarded by the lock of readObjects
-	bills   map[string][]bill.Bill
-	folds   map[string]bool
-	covered map[string]bool
+// bucketProgress is the part of a bucket's objects that was already read. A reader holds
+// its lock while it reads on, so two listings of the same bucket read it once. The lock is
+// a channel because reading takes long and a context must be able to end the wait for it.
+type bucketProgress struct {
+	lock      chan struct{}
+	lastUsed  time.Time // guarded by readCache.mu
+	bills     map[string][]bill.Bill
+	compacted map[string]bool
+	covered   map[string]bool
 }
 
-// of returns what was read of a bucket, when it is the caller's turn.
-func (r *readObjects) of(ctx context.Context, b key.Bucket) (*bucketObjects, error) {
+// acquire returns the progress of a bucket, locked for the caller. The error is
+// [ErrReading].
+func (r *readCache) acquire(ctx context.Context, b key.Bucket) (*bucketProgress, error) {
 	one := r.find(b, time.Now())
 	select {
-	case one.turn <- struct{}{}:
+	case one.lock <- struct{}{}:
 		return one, nil
 	case <-ctx.Done():
 		return nil, &readError{ctx.Err()}
 	}
 }
 
-// release ends the caller's turn.
-func (o *bucketObjects) release() { <-o.turn }
+// release unlocks the progress.
+func (o *bucketProgress) release() { <-o.lock }
 
-func (r *readObjects) find(b key.Bucket, now time.Time) *bucketObjects {
+func (r *readCache) find(b key.Bucket, now time.Time) *bucketProgress {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for other, one := range r.buckets {
-		if now.Sub(one.used) > readingAge {
+		if now.Sub(one.lastUsed) > progressTTL {
 			delete(r.buckets, other)
 		}
 	}
 	one := r.buckets[b]
 	if one == nil {
-		r.makeRoom()
-		one = &bucketObjects{turn: make(chan struct{}, 1), bills: map[string][]bill.Bill{}, folds: map[string]bool{}, covered: map[string]bool{}}
+		r.evictOldest()
+		one = &bucketProgress{lock: make(chan struct{}, 1), bills: map[string][]bill.Bill{}, compacted: map[string]bool{}, covered: map[string]bool{}}
 		r.buckets[b] = one
 	}
-	one.used = now
+	one.lastUsed = now
 	return one
 }
 
-func (r *readObjects) makeRoom() {
-	if len(r.buckets) < maxReading {
+func (r *readCache) evictOldest() {
+	if len(r.buckets) < maxProgress {
 		return
 	}
 	var oldest key.Bucket
 	for b, one := range r.buckets {
-		if first := r.buckets[oldest]; first == nil || one.used.Before(first.used) {
+		if first := r.buckets[oldest]; first == nil || one.lastUsed.Before(first.lastUsed) {
 			oldest = b
 		}
 	}
 	delete(r.buckets, oldest)
 }
 
-// done forgets a bucket that was read whole: more may come into it.
-func (r *readObjects) done(b key.Bucket) {
+// forget removes a bucket that was read completely: objects may be added to it.
+func (r *readCache) forget(b key.Bucket) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.buckets, b)
 }
 
-// take adds a fold.
-func (o *bucketObjects) take(k string, value []byte) error {
+// addCompacted adds a compacted object.
+func (o *bucketProgress) addCompacted(k string, value []byte) error {
 	f, err := bill.DecodeFold(value)
 	if err != nil {
 		return eris.Wrap(err, "fold "+k)
@@ -101,7 +102,7 @@
 	if err != nil {
 		return eris.Wrap(err, "fold "+k)
 	}
-	o.folds[k] = true
+	o.compacted[k] = true
 	o.bills[k] = bills
 	for _, covered := range f.Covers {
 		o.covered[covered] = true
@@ -109,18 +110,18 @@
 	return nil
 }
 
-// without returns the keys that no fold covers.
-func (o *bucketObjects) without(keys []string) []string {
-	var left []string
+// uncovered returns the keys that no compacted object covers.
+func (o *bucketProgress) uncovered(keys []string) []string {
+	var uncovered []string
 	for _, k := range keys {
 		if !o.covered[k] {
-			left = append(left, k)
+			uncovered = append(uncovered, k)
 		}
 	}
-	return left
+	return uncovered
 }
 
-func (o *bucketObjects) all() []bill.Bill {
+func (o *bucketProgress) all() []bill.Bill {
 	var all []bill.Bill
 	for _, bills := range o.bills {
 		all = append(all, bills...)
--- a/internal/ledger/reader.go
+++ b/internal/ledger/reader.go
@@ -9,19 +9,20 @@
 )
 
 const (
-	// pageBuckets is how many buckets one page looks through at most, so that
-	// a long span without bills does not read for ever.
+	// pageBuckets is the maximum number of buckets read for a page, so that a page of a
+	// long span without bills ends.
 	pageBuckets = 100
-	// pageBills is the most bills in a page.
+	// pageBills is the maximum number of bills in a page.
 	pageBills = 2000
-	// pageTime is how long a page reads.
+	// pageTime is the maximum time to read a page, except for the call in flight.
 	pageTime = 5 * time.Second
 )
 
-// Bills returns bills by their time. A page holds bills of one bucket; buckets
-// come in order of time, first those of keys that carry one. A page ends after a
-// while, then it may be empty and not the last: this node remembers what it has
-// read, so that the next one goes on from there. The error is [ErrReading].
+// Bills returns a page of bills selected by time. A page has bills of one bucket. Buckets
+// come in order of time, those of keys with a time first. A page also ends after a time
+// limit, so it may be empty without being the last. This node keeps what it has read, and
+// continues there for the next page. The error is [ErrReading] if a read fails; other
+// errors mean that the cursor is invalid or stored bills are malformed.
 func (l *Ledger) Bills(ctx context.Context, q BillQuery) (BillPage, error) {
 	buckets := l.buckets(q)
 	at, err := parseCursor(q.Cursor)
@@ -34,13 +35,13 @@
 			break
 		}
 		bills, err := l.reader.bills(ctx, buckets[at.bucket], until)
-		if errors.Is(err, errPageOver) {
+		if errors.Is(err, errPageTimeout) {
 			break
 		}
 		if err != nil {
 			return BillPage{}, err
 		}
-		bills = q.fitting(bills)
+		bills = q.filter(bills)
 		bills = bills[min(at.offset, len(bills)):]
 		if len(bills) > pageBills {
 			at.offset += pageBills
@@ -54,7 +55,8 @@
 	return BillPage{Next: at.next(len(buckets))}, nil
 }
 
-// Totals returns what each organisation has to pay, in order of their names.
+// Totals returns the sum of the selected bills for each organisation, sorted by name. The
+// errors are those of Bills.
 func (l *Ledger) Totals(ctx context.Context, q BillQuery) ([]Total, error) {
 	sum := newTotals()
 	for {
@@ -78,18 +80,18 @@
 	return append(all, l.settings.Layout.Buckets(key.Opaque, q.From, q.To)...)
 }
 
-func (q BillQuery) fitting(bills []Bill) []Bill {
-	fit := bills[:0]
+func (q BillQuery) filter(bills []Bill) []Bill {
+	selected := bills[:0]
 	for _, b := range bills {
 		at := timeOf(&b)
 		if (q.Org == "" || b.Org == q.Org) && !at.Before(q.From) && at.Before(q.To) {
-			fit = append(fit, b)
+			selected = append(selected, b)
 		}
 	}
-	return fit
+	return selected
 }
 
-// timeOf is the time that a bill belongs to.
+// timeOf returns the time by which a bill is selected.
 func timeOf(b *Bill) time.Time {
 	if at, ok := key.Time(b.Key); ok {
 		return at
--- a/internal/ledger/reading.go
+++ b/internal/ledger/reading.go
@@ -11,39 +11,39 @@
 )
 
 const (
-	// maxReadGap is the widest gap, for a store that keeps refusing.
+	// maxReadGap is the maximum gap between reads, while a store keeps refusing.
 	maxReadGap = 500 * time.Millisecond
-	// readPatience is for how long a read is tried. With pageTime it must stay
-	// below what an operator's request may take.
-	readPatience = 5 * time.Second
+	// readRetryTime is how long a read is retried. Together with pageTime it must be
+	// shorter than the time limit of an operator's request.
+	readRetryTime = 5 * time.Second
 )
 
-// ErrReading says that bills could not be read now. None is lost; what was read
-// already is not read again when the same page is asked for soon.
+// ErrReading means that bills could not be read at present. None is lost. If the same
+// page is requested again soon, the part that was already read is not read again.
 var ErrReading = eris.New("the store does not let bills be read now; ask again for the same page")
 
-// reading lets reads of bills go one after the other, at a pace that all of
-// this node share and that the platform's refusals slow down. Without it, a
-// listing after an outage asks for thousands of objects at once, is refused,
-// and takes the reads that requests need; its next try does the same.
-type reading struct {
+// readLimiter limits the rate of all reads of bills by this node. Refusals by the platform
+// lower the rate. Without it, a listing after an outage requests thousands of objects at
+// once, is refused, and uses up the rate limit that requests need, again with each retry.
+type readLimiter struct {
 	mu   sync.Mutex
 	pace *pace.Pace
 }
 
-func newReading(perSecond float64) *reading {
-	return &reading{pace: pace.NewSteady(gap(1, perSecond), maxReadGap)}
+func newReadLimiter(perSecond float64) *readLimiter {
+	return &readLimiter{pace: pace.NewSteady(writeGap(1, perSecond), maxReadGap)}
 }
 
-// try makes a read until it succeeds, the patience is over, or ctx ends.
-func (r *reading) try(ctx context.Context, read func(ctx context.Context) error) error {
-	end := time.Now().Add(readPatience)
+// do retries a read until it succeeds, readRetryTime is over, or ctx ends. The error is
+// a readError.
+func (r *readLimiter) do(ctx context.Context, read func(ctx context.Context) error) error {
+	end := time.Now().Add(readRetryTime)
 	for {
-		if err := r.turn(ctx); err != nil {
+		if err := r.wait(ctx); err != nil {
 			return &readError{err}
 		}
 		err := read(ctx)
-		r.ended(err)
+		r.recordResult(err)
 		if err == nil {
 			return nil
 		}
@@ -53,8 +53,8 @@
 	}
 }
 
-// turn waits until the next read may go.
-func (r *reading) turn(ctx context.Context) error {
+// wait waits until the next read is allowed.
+func (r *readLimiter) wait(ctx context.Context) error {
 	r.mu.Lock()
 	now := time.Now()
 	at := r.pace.Next()
@@ -73,7 +73,7 @@
 	}
 }
 
-func (r *reading) ended(err error) {
+func (r *readLimiter) recordResult(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err != nil {
@@ -83,7 +83,7 @@
 	r.pace.Succeeded()
 }
 
-// readError is [ErrReading] with what the platform said.
+// readError is [ErrReading] with its cause.
 type readError struct{ cause error }
 
 func (e *readError) Error() string { return ErrReading.Error() + ": " + e.cause.Error() }
--- a/internal/ledger/reading_test.go
+++ b/internal/ledger/reading_test.go
@@ -17,8 +17,9 @@
 	"github.com/hickorybank/hickorybank/internal/standin/platform/memory"
 )
 
-// outage leaves a bucket with n bills, each an object of its own.
-func outage(is *is.I, c *cluster, n int) key.Bucket {
+// fillWithObjects fills a bucket with n bills, each in an object of its own, as after an fillWithObjects of
+// the table.
+func fillWithObjects(is *is.I, c *cluster, n int) key.Bucket {
 	var bucket key.Bucket
 	for i := range n {
 		b := billOf(newKey(), 1)
@@ -37,13 +38,12 @@
 	}
 }
 
-// The table was down for long, and the bills of that time are many small
-// objects. In the morning an operator lists the bills and hears "over the rate
-// limit", again and again: all objects of a bucket were read at once, and the
-// next try began from the first again.
-func TestBillsOfAnOutageAreListedAtThePlatformsPace(t *testing.T) {
+// A long outage of the table leaves many small objects with bills. If a listing read all
+// objects of a bucket at once, and each retry started from the first one, it would exceed
+// the platform's rate limit again and again and never end.
+func TestManySmallObjectsAreListedWithinTheRateLimit(t *testing.T) {
 	inBubble(t, 2, func(is *is.I, c *cluster) {
-		outage(is, c, 1000)
+		fillWithObjects(is, c, 1000)
 		c.readLimit(80)
 		q := BillQuery{From: time.Now().Add(-time.Hour), To: time.Now().Add(time.Hour)}
 		listed := map[string]int{}
@@ -63,12 +63,12 @@
 	})
 }
 
-// The store is down, and an operator lists the bills. The answer has to say so
-// in time, not to be an empty list or a caller's time-out.
-func TestListingSaysThatTheStoreRefuses(t *testing.T) {
+// The object store is down while an operator lists the bills. The call must return an error
+// within its time limit, not an empty list, and the caller's deadline must not pass.
+func TestListingFailsWhileTheStoreIsDown(t *testing.T) {
 	inBubble(t, 2, func(is *is.I, c *cluster) {
-		outage(is, c, 10)
-		c.fail(fault.Change{Objects: &fault.Fault{Down: true}})
+		fillWithObjects(is, c, 10)
+		c.setFaults(fault.Change{Objects: &fault.Fault{Down: true}})
 		ctx, cancel := context.WithTimeout(context.Background(), 15*time.Second)
 		defer cancel()
 		_, err := c.ledgers["e0"].Bills(ctx, BillQuery{From: time.Now().Add(-time.Hour), To: time.Now().Add(time.Hour)})
@@ -78,12 +78,12 @@
 	})
 }
 
-// After an outage a bucket has a thousand small objects for ever, and each
-// listing reads them all. The janitor folds them, once; bills that come later
-// still count, and a bill that is there twice counts once.
-func TestSmallObjectsAreFolded(t *testing.T) {
+// After an outage, a bucket has a thousand small objects, which each listing would have to
+// read. The janitor must compact them once. Later bills must still be found, and repeated
+// ones must count once.
+func TestSmallObjectsAreCompacted(t *testing.T) {
 	inBubble(t, 2, func(is *is.I, c *cluster) {
-		bucket := outage(is, c, 1000)
+		bucket := fillWithObjects(is, c, 1000)
 		time.Sleep(2 * time.Hour)
 		l := c.ledgers["e0"]
 		read := func() uint64 {
@@ -97,7 +97,7 @@
 		folds, err := c.platform.Objects().List(context.Background(), bucket.FoldPrefix())
 		is.NoErr(err)
 		is.True(len(folds) >= 2)
-		for i := range 3 { // some were put again, as rows of another writer
+		for i := range 3 { // some bills are put again, in rows of another writer
 			one, err := l.reader.bills(context.Background(), bucket, time.Time{})
 			is.NoErr(err)
 			_, err = l.store.putBills(context.Background(), bill.Row{Bucket: bucket, Writer: fmt.Sprint("late", i), Bills: bill.Pack(one[:5])})
@@ -105,7 +105,7 @@
 		}
 		is.True(read() < 13)
 		var open key.Bucket
-		for i := range minFold {
+		for i := range minCompact {
 			b := billOf(fmt.Sprint("order-", i), 1)
 			open = c.settings.Layout.Bill(b.Key, b.At)
 			_, err = l.store.putBills(context.Background(), bill.Row{Bucket: open, Writer: "lost", Seq: uint64(i), Bills: bill.Pack([]bill.Bill{b})})
@@ -114,19 +114,19 @@
 		time.Sleep(2 * time.Hour)
 		after, err := c.platform.Objects().List(context.Background(), bucket.FoldPrefix())
 		is.NoErr(err)
-		is.Equal(after, folds) // a few objects are not worth another
+		is.Equal(after, folds) // a few objects are not compacted again
 		opaque, err := c.platform.Objects().List(context.Background(), open.FoldPrefix())
 		is.NoErr(err)
-		is.Equal(len(opaque), 1) // a day's bucket is folded before it closes
+		is.Equal(len(opaque), 1) // a bucket of a day is compacted before it closes
 	})
 }
 
-// Two operators list the same bucket at one time, and the janitor folds it. One
-// waits for the other, and must not wait for longer than it may: it hung on a
-// mutex that was kept through paced reads.
-func TestTwoListingsOfABucket(t *testing.T) {
+// Two listings of the same bucket run at a time, and one waits for the other. A third one
+// with a deadline must end at that. With a mutex held during the rate-limited reads, it
+// would hang.
+func TestListingWaitsForAnotherUntilItsDeadline(t *testing.T) {
 	inBubble(t, 1, func(is *is.I, c *cluster) {
-		bucket := outage(is, c, 500)
+		bucket := fillWithObjects(is, c, 500)
 		reader := c.ledgers["e0"].reader
 		var lists conc.WaitGroup
 		for range 2 {
--- a/internal/ledger/ring.go
+++ b/internal/ledger/ring.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// ringSize bounds the events that wait for a duty; who brings more, waits.
-const ringSize = 256
+// maxQueuedEvents bounds the queue of events. Posting to a full queue blocks.
+const maxQueuedEvents = 256
 
-// ring joins the outside to a duty: a goroutine that owns a decision core and
-// takes one event after the other.
-type ring struct {
+// eventLoop runs a background task in one goroutine, which owns the state of the task.
+// Other goroutines post events, which are processed one after the other.
+type eventLoop struct {
 	events chan func(now time.Time)
 	done   chan struct{}
 }
 
-func newRing() *ring {
-	return &ring{events: make(chan func(time.Time), ringSize), done: make(chan struct{})}
+func newEventLoop() *eventLoop {
+	return &eventLoop{events: make(chan func(time.Time), maxQueuedEvents), done: make(chan struct{})}
 }
 
-// post hands over an event; false means that the duty has ended.
-func (r *ring) post(event func(now time.Time)) bool {
+// post adds an event to the queue; it returns false if the loop has ended.
+func (r *eventLoop) post(event func(now time.Time)) bool {
 	select {
 	case r.events <- event:
 		return true
@@ -29,9 +29,9 @@
 	}
 }
 
-// run takes events until ctx ends. After each, and at the time that it asked
-// for, step is called.
-func (r *ring) run(ctx context.Context, step func(now time.Time) (wake time.Time)) {
+// run processes events until ctx ends. It calls step after the events that are queued,
+// and at the time that the last step returned.
+func (r *eventLoop) run(ctx context.Context, step func(now time.Time) (wake time.Time)) {
 	defer close(r.done)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -51,9 +51,9 @@
 	}
 }
 
-// drain takes the events that are there, so that they are decided together.
-func (r *ring) drain() {
-	for range ringSize {
+// drain processes the events that are queued, so that one step handles all of them.
+func (r *eventLoop) drain() {
+	for range maxQueuedEvents {
 		select {
 		case event := <-r.events:
 			event(time.Now())
--- a/internal/ledger/route.go
+++ b/internal/ledger/route.go
@@ -15,73 +15,73 @@
 )
 
 const (
-	// candidates is how many nodes are asked before one helps itself.
-	candidates = 2
-	// suspicion is how long a peer that did not answer is passed over.
-	suspicion = 5 * time.Second
-	// epoch is how long one node collects the bills of its failure domain. The
-	// duty goes round, so that its cost, and the bills that wait in memory
-	// while the platform is down, are spread over the domain's nodes.
+	// maxCandidates is how many nodes are called before a node does the work itself.
+	maxCandidates = 2
+	// suspectTime is how long a peer that did not answer is skipped.
+	suspectTime = 5 * time.Second
+	// epoch is how long one node collects the bills of its failure domain. The duty
+	// rotates, so its cost is spread over the domain's nodes. So are the bills that wait
+	// in memory while the platform is down.
 	epoch = 5 * time.Second
 )
 
-// route picks nodes for duties by rendezvous hashing over the members that
-// this node sees. Other nodes may see others, and pick others.
-type route struct {
+// router selects nodes for duties by rendezvous hashing over the members that this node
+// sees. Nodes with other member lists may select other nodes.
+type router struct {
 	self    platform.VM
 	members func() []platform.VM
 	log     *slog.Logger
 	view    atomic.Pointer[view]
 
 	mu       sync.Mutex
-	suspects map[string]time.Time // until when, by id
+	suspects map[string]time.Time // end of the suspicion, by VM id
 }
 
-func newRoute(d Deps) *route {
-	return &route{self: d.Self, members: d.Members, log: d.Log, suspects: map[string]time.Time{}}
+func newRouter(d Deps) *router {
+	return &router{self: d.Self, members: d.Members, log: d.Log, suspects: map[string]time.Time{}}
 }
 
-// batchers returns who should bring entries into a log: the members of any
-// failure domain, in order, and this node in the end.
-func (r *route) batchers(now time.Time, name key.Log) []platform.VM {
-	return r.withSelf(r.first(now, name.Prefix(), r.look(now).all, candidates))
+// batchers returns the nodes that should append entries to a log, in order of preference.
+// They may be in any failure domain; this node is the last one.
+func (r *router) batchers(now time.Time, name key.Log) []platform.VM {
+	return r.withSelf(r.selectNodes(now, name.Prefix(), r.currentView(now).all, maxCandidates))
 }
 
-// collectors returns who should collect this node's bills.
-func (r *route) collectors(now time.Time) []platform.VM {
+// collectors returns the nodes that should collect this node's bills, in order of
+// preference. They are in its failure domain; this node is the last one.
+func (r *router) collectors(now time.Time) []platform.VM {
 	duty := "collect/" + r.self.FailureDomain + "/" + strconv.FormatInt(now.UnixNano()/int64(epoch), 10)
-	return r.withSelf(r.first(now, duty, r.look(now).here, candidates))
+	return r.withSelf(r.selectNodes(now, duty, r.currentView(now).sameDomain, maxCandidates))
 }
 
-// holders returns who should hold copies of a writer's rows, in order; there are
-// more than needed, for those that have no room or do not answer.
-func (r *route) holders(now time.Time, writer string) []platform.VM {
-	return r.first(now, "hold/"+writer, r.look(now).elsewhere, 3*holdCopies)
+// holders returns the nodes that should hold copies of a writer's rows, in order of
+// preference. There are more than needed, as some may have no room or not answer.
+func (r *router) holders(now time.Time, writer string) []platform.VM {
+	return r.selectNodes(now, "hold/"+writer, r.currentView(now).otherDomains, 3*holdCopies)
 }
 
-// janitor says whether this node sees to old rows in this period.
-func (r *route) janitor(now time.Time, period int64) bool {
+// isJanitor reports whether this node is the janitor in a period.
+func (r *router) isJanitor(now time.Time, period int64) bool {
 	duty := "janitor/" + strconv.FormatInt(period, 10)
-	return r.first(now, duty, r.look(now).all, 1)[0].ID == r.self.ID
+	return r.selectNodes(now, duty, r.currentView(now).all, 1)[0].ID == r.self.ID
 }
 
-// domains is how many failure domains the members are in.
-func (r *route) domains() int { return r.look(time.Now()).domains }
+// domainCount returns the number of failure domains of the members.
+func (r *router) domainCount() int { return r.currentView(time.Now()).domainCount }
 
-// look returns the members as they are, or were a moment ago: to sort out all
-// members for each message would cost a large fleet's nodes most of what they
-// may spend.
-func (r *route) look(now time.Time) *view {
+// currentView returns a view of the members that is at most maxViewAge old. Grouping all
+// members for each message would use most of the processor time in a large fleet.
+func (r *router) currentView(now time.Time) *view {
 	v := r.view.Load()
-	if v == nil || now.Sub(v.at) > viewAge {
+	if v == nil || now.Sub(v.createdAt) > maxViewAge {
 		v = newView(now, r.self, r.members())
 		r.view.Store(v)
 	}
 	return v
 }
 
-// first returns the first of a group, without those under suspicion.
-func (r *route) first(now time.Time, duty string, group []platform.VM, n int) []platform.VM {
+// selectNodes returns the first n nodes of a group for a duty, without suspects.
+func (r *router) selectNodes(now time.Time, duty string, group []platform.VM, n int) []platform.VM {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	maps.DeleteFunc(r.suspects, func(_ string, until time.Time) bool { return !now.Before(until) })
@@ -95,7 +95,7 @@
 	return usable
 }
 
-func (r *route) find(id string) (platform.VM, bool) {
+func (r *router) find(id string) (platform.VM, bool) {
 	if id == r.self.ID {
 		return r.self, true
 	}
@@ -107,8 +107,9 @@
 	return platform.VM{}, false
 }
 
-// withSelf ends the order with this node, which can do everything itself.
-func (r *route) withSelf(order []platform.VM) []platform.VM {
+// withSelf truncates the order after this node, or appends it: this node needs no other
+// to do the work.
+func (r *router) withSelf(order []platform.VM) []platform.VM {
 	for i := range order {
 		if order[i].ID == r.self.ID {
 			return order[:i+1]
@@ -117,9 +118,9 @@
 	return append(order, r.self)
 }
 
-// silent notes that a peer did not answer in time. A frozen peer would
-// otherwise be waited for by each call that it comes first for.
-func (r *route) silent(vm platform.VM) {
+// markSuspect records that a peer did not answer in time. Otherwise each call for which
+// a frozen peer is the first choice would wait for it.
+func (r *router) markSuspect(vm platform.VM) {
 	if vm.ID == r.self.ID {
 		return
 	}
@@ -128,11 +129,11 @@
 	if _, ok := r.suspects[vm.ID]; !ok {
 		event.LedgerPeerSuspect.Log(r.log, slog.String("peer", vm.ID))
 	}
-	r.suspects[vm.ID] = time.Now().Add(suspicion)
+	r.suspects[vm.ID] = time.Now().Add(suspectTime)
 }
 
-// answered notes that a peer answered.
-func (r *route) answered(vm platform.VM) {
+// clearSuspect records that a peer answered.
+func (r *router) clearSuspect(vm platform.VM) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.suspects, vm.ID)
--- a/internal/ledger/rpc_test.go
+++ b/internal/ledger/rpc_test.go
@@ -20,8 +20,9 @@
 	"github.com/hickorybank/hickorybank/internal/standin/platform/memory"
 )
 
-// TestOverTCP runs three ledgers that reach each other by net/rpc.
-func TestOverTCP(t *testing.T) {
+// Three ledgers call each other by net/rpc over TCP. Claims, settlements, bills and held
+// copies must survive the real encoding.
+func TestLedgersOverTCP(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	is := is.New(t)
 	store := memory.New()
--- a/internal/ledger/service.go
+++ b/internal/ledger/service.go
@@ -9,7 +9,7 @@
 	"github.com/hickorybank/hickorybank/internal/peer"
 )
 
-// The methods that peers call.
+// The net/rpc methods that peers call.
 const (
 	serviceName   = "Ledger"
 	methodAppend  = serviceName + ".Append"
@@ -20,37 +20,37 @@
 	methodAlive   = serviceName + ".Alive"
 )
 
-// service answers peers, in net/rpc's form.
+// service handles calls from peers by net/rpc.
 type service struct{ ledger *Ledger }
 
-// Register offers the ledger's methods to peers, under the name "Ledger".
+// Register registers the ledger's methods for peers under the name "Ledger".
 func (l *Ledger) Register(s *peer.Server) error {
 	return s.Register(serviceName, &service{l})
 }
 
 var errMalformed = eris.New("malformed message")
 
-// Append brings an entry into a claim log.
+// Append appends an entry to a claim log and returns the verdict.
 func (s *service) Append(args *wire.AppendArgs, reply *wire.AppendReply) error {
-	if !s.ledger.enter() {
+	if !s.ledger.beginCall() {
 		return ErrClosed
 	}
-	defer s.ledger.leave()
-	e, ok := entryOf(args)
+	defer s.ledger.endCall()
+	e, ok := decodeEntry(args)
 	if !ok {
 		return errMalformed
 	}
 	wait := min(time.Duration(args.WaitMillis)*time.Millisecond, maxAppend)
-	*reply = s.ledger.appendHere(args.Log(), &e, wait)
+	*reply = s.ledger.appendLocal(args.Log(), &e, wait)
 	return nil
 }
 
-// Collect makes bills safe.
+// Collect stores bills and returns the place where each is stored.
 func (s *service) Collect(args *wire.CollectArgs, reply *wire.CollectReply) error {
-	if !s.ledger.enter() {
+	if !s.ledger.beginCall() {
 		return ErrClosed
 	}
-	defer s.ledger.leave()
+	defer s.ledger.endCall()
 	bills, err := args.Bills.Unpack()
 	if err != nil {
 		return err
@@ -59,30 +59,30 @@
 	return nil
 }
 
-// Hold keeps a copy of a row.
+// Hold holds a copy of a row, if there is room and the node does not stop.
 func (s *service) Hold(args *wire.HoldArgs, reply *wire.HoldReply) error {
-	if !s.ledger.enter() {
+	if !s.ledger.beginCall() {
 		return ErrClosed
 	}
-	defer s.ledger.leave()
+	defer s.ledger.endCall()
 	row := args.Row()
 	if _, err := row.Bills.Unpack(); err != nil {
 		return err
 	}
 	return s.ledger.collecting.withHolder(func(now time.Time, c *collecting) {
-		// A writer's own copy would go with the row that it is a copy of.
-		reply.Held = !c.leaving && row.Writer != c.process && c.holder.Hold(now, row)
+		// A copy at the writer itself would be lost together with the row.
+		reply.Held = !c.stopping && row.Writer != c.process && c.holder.Hold(now, row)
 	})
 }
 
-// Refresh hears that an owner lives.
+// Refresh refreshes copies and returns the rows that this node does not hold.
 func (s *service) Refresh(args *wire.PiecesArgs, reply *wire.PiecesReply) error {
 	return s.ledger.collecting.withHolder(func(now time.Time, c *collecting) {
 		reply.Missing = wire.Pack(c.holder.Refresh(now, args.Writer, args.Seqs()))
 	})
 }
 
-// Drop forgets copies, or hears that their owner stops.
+// Drop deletes copies or, if their owner stops for good, takes the rows over.
 func (s *service) Drop(args *wire.PiecesArgs, _ *wire.PiecesReply) error {
 	return s.ledger.collecting.withHolder(func(_ time.Time, c *collecting) {
 		if args.Gone {
@@ -93,27 +93,27 @@
 	})
 }
 
-// Alive names this process.
+// Alive returns the id of this process.
 func (s *service) Alive(_ *wire.AliveArgs, reply *wire.AliveReply) error {
 	reply.Process = s.ledger.process
 	return nil
 }
 
-// withHolder does something to the copies on the duty that owns them, and
-// waits until it is done.
-func (c *collecting) withHolder(do func(now time.Time, c *collecting)) error {
+// withHolder calls a function in the event loop that owns the held copies, and waits
+// until it returns. The error is [ErrClosed].
+func (c *collecting) withHolder(fn func(now time.Time, c *collecting)) error {
 	done := make(chan struct{})
-	taken := c.ring.post(func(now time.Time) {
-		do(now, c)
+	posted := c.loop.post(func(now time.Time) {
+		fn(now, c)
 		close(done)
 	})
-	if !taken {
+	if !posted {
 		return ErrClosed
 	}
 	select {
 	case <-done:
 		return nil
-	case <-c.ring.done:
+	case <-c.loop.done:
 		return ErrClosed
 	}
 }
--- a/internal/ledger/settle.go
+++ b/internal/ledger/settle.go
@@ -11,31 +11,31 @@
 	"github.com/hickorybank/hickorybank/internal/ledger/key"
 )
 
-// settlePatience is how long a settlement is waited for when its bill is safe,
-// but not in the table: that is down, then.
-const settlePatience = 200 * time.Millisecond
+// maxSettleWait is how long Settle waits for the settlement if the bill is safe, but not
+// in the table, which means that the table is down.
+const maxSettleWait = 200 * time.Millisecond
 
-// Settle ends a claim and makes its bill safe. It returns when the bill is
-// safe and the settlement is in its log; while the table is down it returns
-// with the bill alone, and brings the settlement into the log later. The error
-// is [ErrUnsafe].
+// Settle records the outcome of a claimed attempt and stores its bill. It returns once
+// the bill is safe and the settlement is in its log. While the table is down, it returns
+// once the bill is safe, and the settlement is written in the background. The error is
+// [ErrUnsafe].
 func (l *Ledger) Settle(ctx context.Context, s Settlement) (Safety, error) {
-	if !l.enter() {
+	if !l.beginCall() {
 		return bill.Unsafe, eris.Wrap(ErrUnsafe, ErrClosed.Error())
 	}
-	defer l.leave()
+	defer l.endCall()
 	name := l.settings.Layout.Claim(s.Org, s.Key)
 	e := l.settleEntry(s)
 	if s.Bill == nil {
-		return bill.Unsafe, l.appendOrLater(ctx, name, e)
+		return bill.Unsafe, l.appendOrQueue(ctx, name, e)
 	}
 	appended := make(chan error, 1)
-	l.calls.Go(func() { appended <- l.appendOrLater(ctx, name, e) })
+	l.calls.Go(func() { appended <- l.appendOrQueue(ctx, name, e) })
 	safety, err := l.bill(ctx, *s.Bill)
 	if err != nil {
 		return bill.Unsafe, err
 	}
-	l.await(ctx, appended, safety)
+	l.awaitAppended(ctx, appended, safety)
 	return safety, nil
 }
 
@@ -50,12 +50,13 @@
 	return e
 }
 
-// await waits for the settlement's place in the log. The bill is safe and the
-// work has run, so the caller may have its answer whatever becomes of that.
-func (l *Ledger) await(ctx context.Context, appended <-chan error, safety Safety) {
+// awaitAppended waits until the settlement is in the log, or for maxSettleWait. The
+// result does not matter: the bill is safe and the work has run, so the caller may have
+// its answer.
+func (l *Ledger) awaitAppended(ctx context.Context, appended <-chan error, safety Safety) {
 	if safety != bill.InTable {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, settlePatience)
+		ctx, cancel = context.WithTimeout(ctx, maxSettleWait)
 		defer cancel()
 	}
 	select {
--- a/internal/ledger/settle_steps.go
+++ b/internal/ledger/settle_steps.go
@@ -13,20 +13,21 @@
 	"github.com/hickorybank/hickorybank/internal/platform"
 )
 
-// partRow is what one part of a bucket adds up to, until all are there.
+// partRow is the row with the totals of one part of a bucket. It exists until the summary
+// is written.
 type partRow struct {
 	Bits   int     `json:"bits"`
 	Number uint64  `json:"number"`
 	Totals []Total `json:"totals"`
 }
 
-// settleStep does the next step of settling a closed bucket: its next part,
-// which is the whole bucket where that is small. The parts that are done are in
-// the table, so any node goes on where another has ended. A step that two do is
-// written once, under the condition of the row's absence.
-func (l *Ledger) settleStep(ctx context.Context, b key.Bucket) (done bool, err error) {
+// summariseStep does the next step of summarising a closed bucket: the next part, which
+// is the whole bucket if it is small. Finished parts are in the table, so any node can
+// continue. If two nodes do the same step, only one of them writes it, since the row must
+// be absent.
+func (l *Ledger) summariseStep(ctx context.Context, b key.Bucket) (done bool, err error) {
 	if b.Kind == key.Opaque {
-		_, err := l.SettleBucket(ctx, b)
+		_, err := l.SummariseBucket(ctx, b)
 		return true, err
 	}
 	rows, err := l.store.scan(ctx, b.PartPrefix(), "", scanRows)
@@ -34,25 +35,25 @@
 		return false, eris.Wrap(err, "read parts")
 	}
 	if len(rows) == 0 {
-		return l.settleBegin(ctx, b)
+		return l.beginSummary(ctx, b)
 	}
 	parts, err := decodeParts(rows)
 	if err != nil {
 		return false, err
 	}
-	p := part{bits: parts[0].Bits, number: missing(parts)}
+	p := part{bits: parts[0].Bits, number: firstMissing(parts)}
 	if p.number < p.count() {
-		sum, err := l.settleNext(ctx, b, p)
+		sum, err := l.summariseNext(ctx, b, p)
 		if err != nil {
 			return false, err
 		}
 		return false, l.writePart(ctx, b, p, sum)
 	}
-	return true, l.settleEnd(ctx, b, rows, parts)
+	return true, l.finishSummary(ctx, b, rows, parts)
 }
 
-func (l *Ledger) settleBegin(ctx context.Context, b key.Bucket) (bool, error) {
-	p, sum, err := l.settleFirst(ctx, b)
+func (l *Ledger) beginSummary(ctx context.Context, b key.Bucket) (bool, error) {
+	p, sum, err := l.summariseFirst(ctx, b)
 	if err != nil {
 		return false, err
 	}
@@ -62,8 +63,8 @@
 	return false, l.writePart(ctx, b, p, sum)
 }
 
-// settleEnd writes the summary, and deletes the parts with it.
-func (l *Ledger) settleEnd(ctx context.Context, b key.Bucket, rows []platform.Row, parts []partRow) error {
+// finishSummary writes the summary and deletes the parts, in one transaction.
+func (l *Ledger) finishSummary(ctx context.Context, b key.Bucket, rows []platform.Row, parts []partRow) error {
 	var sum []Total
 	for _, p := range parts {
 		sum = addTotals(sum, p.Totals)
@@ -81,8 +82,8 @@
 	return parts, nil
 }
 
-// missing is the first part that is not there.
-func missing(parts []partRow) uint64 {
+// firstMissing returns the number of the first part that is missing.
+func firstMissing(parts []partRow) uint64 {
 	n := uint64(0)
 	for slices.ContainsFunc(parts, func(p partRow) bool { return p.Number == n }) {
 		n++
@@ -100,15 +101,15 @@
 		Conditions: []platform.Condition{{Key: name}, {Key: b.Summary()}},
 		Writes:     []platform.Write{{Key: name, Value: value}},
 	})
-	if f != fate.Applied && f != fate.Conflict { // another node's is as good
+	if f != fate.Applied && f != fate.Conflict { // after a conflict, another node wrote the same
 		return eris.New("part was not written: " + f.String())
 	}
 	return nil
 }
 
-// settleOpaque adds up a bucket of opaque keys, whose repetitions may stand in
-// the bucket before. It is read whole.
-func (l *Ledger) settleOpaque(ctx context.Context, b key.Bucket) ([]Total, error) {
+// summariseOpaque computes the totals of a bucket of opaque keys. It reads all bills into
+// memory, as earlier bills of the same keys may be in the previous bucket.
+func (l *Ledger) summariseOpaque(ctx context.Context, b key.Bucket) ([]Total, error) {
 	bills, err := l.reader.bills(ctx, b, time.Time{})
 	if err != nil {
 		return nil, err
--- a/internal/ledger/settling.go
+++ b/internal/ledger/settling.go
@@ -17,12 +17,13 @@
 const (
 	// maxPartBits bounds the parts of a bucket to 128, fewer than scanRows.
 	maxPartBits = 7
-	// repeatedShare is the share of a part's keys of which the bills are held at
-	// one time, if they are there more than once.
+	// repeatedShare bounds the repeated keys whose bills are in memory at a time, as a
+	// share of the keys of a part.
 	repeatedShare = 1.0 / 32
 )
 
-// part is the bills of a bucket whose keys' hashes begin with some bits.
+// part is the part of a bucket with the keys whose hash begins with the given number, in
+// the given number of bits.
 type part struct {
 	bits   int
 	number uint64
@@ -30,31 +31,31 @@
 
 func (p part) has(hash uint64) bool { return p.bits == 0 || hash>>(64-p.bits) == p.number }
 
-// count is in how many parts the bucket is cut.
+// count returns the number of parts into which the bucket is divided.
 func (p part) count() uint64 { return 1 << p.bits }
 
-// partFullError says that a part has more bills than may be held.
+// partFullError means that a part has more bills than the limit.
 type partFullError struct{ bills int }
 
 func (e *partFullError) Error() string {
 	return fmt.Sprintf("the part has too many bills, %d", e.bills)
 }
 
-// settling adds up a part of a bucket, row by row. It holds a few bytes for each
-// key, no bills: all are added as they come. The rows where a key stands that is
-// there more than once are read again, its bills taken off, and those that count
-// added.
-type settling struct {
-	part part
-	most int // keys
-	sum  *totals
-
-	rows  []source
-	keys  keyIndex
-	bills int // also those that are more than may be held
+// partSum computes the totals of a part of a bucket, row by row. It keeps a few bytes
+// for each key, but no bills: all bills are added first. Then the rows with repeated keys
+// are read again. The bills of these keys are subtracted, and those that are not
+// duplicates are added.
+type partSum struct {
+	part  part
+	limit int
+	sum   *totals
+
+	rows      []source
+	keys      keyIndex
+	billCount int // including those above the limit
 }
 
-func newSettling(p part, most int) *settling { return &settling{part: p, most: most, sum: newTotals()} }
+func newPartSum(p part, limit int) *partSum { return &partSum{part: p, limit: limit, sum: newTotals()} }
 
 func hashOf(b *bill.Bill) uint64 {
 	var h xxhash.Digest
@@ -65,8 +66,8 @@
 	return h.Sum64()
 }
 
-// take adds the bills of a row.
-func (s *settling) take(from source, bills []bill.Bill) error {
+// addRow adds the bills of a row that belong to the part.
+func (s *partSum) addRow(from source, bills []bill.Bill) error {
 	row := uint32(len(s.rows))
 	s.rows = append(s.rows, from)
 	for i := range bills {
@@ -74,7 +75,7 @@
 		if !s.part.has(hash) {
 			continue
 		}
-		if s.bills++; s.bills <= s.most {
+		if s.billCount++; s.billCount <= s.limit {
 			s.sum.add(bills[i : i+1])
 			s.keys.add(hash, row)
 		}
@@ -85,63 +86,63 @@
 	return nil
 }
 
-// reread hands the bills of some rows over once more.
-type reread func(rows map[source]struct{}, take func([]bill.Bill)) error
+// rereadFunc reads some rows again and passes their bills to a function.
+type rereadFunc func(rows map[source]struct{}, take func([]bill.Bill)) error
 
-// correct puts right what keys with several bills add up to, some of them at a
-// time: after an outage it may be all.
-func (s *settling) correct(read reread) error {
-	if s.bills > s.most {
-		return &partFullError{s.bills}
+// removeDuplicates corrects the totals of keys with several bills. It processes a limited
+// number of keys at a time, since after an outage all keys may be repeated.
+func (s *partSum) removeDuplicates(read rereadFunc) error {
+	if s.billCount > s.limit {
+		return &partFullError{s.billCount}
 	}
-	again := &repeats{of: s, keys: map[repeatedKey]struct{}{}, rows: map[source]struct{}{}}
+	repeated := &repeats{partSum: s, keys: map[repeatedKey]struct{}{}, rows: map[source]struct{}{}}
 	for cell := range s.keys.cells {
-		s.keys.repeated(cell, again.add)
-		if float64(len(again.keys)) > float64(s.most)*repeatedShare {
-			if err := again.settle(read); err != nil {
+		s.keys.repeated(cell, repeated.add)
+		if float64(len(repeated.keys)) > float64(s.limit)*repeatedShare {
+			if err := repeated.resolve(read); err != nil {
 				return err
 			}
 		}
 	}
-	return again.settle(read)
+	return repeated.resolve(read)
 }
 
-// repeats are some keys with several bills, and the rows that these are in.
+// repeats is a set of keys with several bills, and the rows with these bills.
 type repeats struct {
-	of   *settling
-	keys map[repeatedKey]struct{}
-	rows map[source]struct{}
+	partSum *partSum
+	keys    map[repeatedKey]struct{}
+	rows    map[source]struct{}
 }
 
 func (r *repeats) add(key repeatedKey, row uint32) {
 	r.keys[key] = struct{}{}
-	r.rows[r.of.rows[row]] = struct{}{}
+	r.rows[r.partSum.rows[row]] = struct{}{}
 }
 
-func (r *repeats) settle(read reread) error {
+func (r *repeats) resolve(read rereadFunc) error {
 	var all []bill.Bill
 	err := read(r.rows, func(bills []bill.Bill) {
 		for i := range bills {
 			hash := hashOf(&bills[i])
-			if _, ok := r.keys[repeatedKeyOf(hash)]; ok && r.of.part.has(hash) {
+			if _, ok := r.keys[repeatedKeyOf(hash)]; ok && r.partSum.part.has(hash) {
 				all = append(all, bills[i])
 			}
 		}
 	})
-	r.of.sum.takeOff(all)
-	r.of.sum.add(bill.Merge(all, 0)) // keys of timed buckets need no window
+	r.partSum.sum.subtract(all)
+	r.partSum.sum.add(bill.Merge(all, 0)) // keys of timed buckets need no window
 	clear(r.keys)
 	clear(r.rows)
 	return err
 }
 
-// maxSettleTries bounds the tries at a part whose rows are moved meanwhile.
-const maxSettleTries = 3
+// maxPartTries bounds the tries for a part if rows are moved while it is read.
+const maxPartTries = 3
 
-// settlePart adds up one part of a bucket of timed keys.
-func (l *Ledger) settlePart(ctx context.Context, b key.Bucket, p part, most int) (sum []Total, err error) {
-	for range maxSettleTries {
-		sum, err = l.addPart(ctx, b, p, most)
+// summarisePart computes the totals of one part of a bucket of timed keys.
+func (l *Ledger) summarisePart(ctx context.Context, b key.Bucket, p part, maxBills int) (sum []Total, err error) {
+	for range maxPartTries {
+		sum, err = l.sumPart(ctx, b, p, maxBills)
 		if !eris.Is(err, errRowMoved) {
 			break
 		}
@@ -149,52 +150,54 @@
 	return sum, err
 }
 
-func (l *Ledger) addPart(ctx context.Context, b key.Bucket, p part, most int) ([]Total, error) {
-	s := newSettling(p, most)
-	if err := l.reader.each(ctx, b, s.take); err != nil {
+func (l *Ledger) sumPart(ctx context.Context, b key.Bucket, p part, maxBills int) ([]Total, error) {
+	s := newPartSum(p, maxBills)
+	if err := l.reader.forEach(ctx, b, s.addRow); err != nil {
 		return nil, err
 	}
-	err := s.correct(func(rows map[source]struct{}, take func([]bill.Bill)) error { return l.reader.rows(ctx, b, rows, take) })
+	err := s.removeDuplicates(func(rows map[source]struct{}, add func([]bill.Bill)) error { return l.reader.reread(ctx, b, rows, add) })
 	return s.sum.list(), err
 }
 
-// settleFirst adds up the first part of a bucket, cut as finely as its number of
-// bills asks for. All who read the same bills cut alike.
-func (l *Ledger) settleFirst(ctx context.Context, b key.Bucket) (part, []Total, error) {
+// summariseFirst computes the totals of the first part of a bucket. The number of parts
+// depends only on the number of bills, so all nodes that read the same bills use the same
+// parts.
+func (l *Ledger) summariseFirst(ctx context.Context, b key.Bucket) (part, []Total, error) {
 	var p part
-	sum, err := l.settlePart(ctx, b, p, l.settings.MaxSettleKeys)
+	sum, err := l.summarisePart(ctx, b, p, l.settings.MaxSettleKeys)
 	var full *partFullError
 	if !errors.As(err, &full) {
 		return p, sum, err
 	}
 	p.bits = min(maxPartBits, bits.Len(uint((full.bills-1)/l.settings.MaxSettleKeys)))
-	sum, err = l.settleNext(ctx, b, p)
+	sum, err = l.summariseNext(ctx, b, p)
 	return p, sum, err
 }
 
-// settleWhole adds up a bucket, part by part.
-func (l *Ledger) settleWhole(ctx context.Context, b key.Bucket) ([]Total, error) {
+// summariseAll computes the totals of a bucket, part by part.
+func (l *Ledger) summariseAll(ctx context.Context, b key.Bucket) ([]Total, error) {
 	if b.Kind == key.Opaque {
-		return l.settleOpaque(ctx, b)
+		return l.summariseOpaque(ctx, b)
 	}
-	p, sum, err := l.settleFirst(ctx, b)
+	p, sum, err := l.summariseFirst(ctx, b)
 	for p.number++; err == nil && p.number < p.count(); p.number++ {
 		var more []Total
-		more, err = l.settleNext(ctx, b, p)
+		more, err = l.summariseNext(ctx, b, p)
 		sum = addTotals(sum, more)
 	}
 	return sum, err
 }
 
-// settleNext adds up one of several parts, of which some are somewhat larger.
-func (l *Ledger) settleNext(ctx context.Context, b key.Bucket, p part) ([]Total, error) {
-	return l.settlePart(ctx, b, p, 2*l.settings.MaxSettleKeys)
+// summariseNext computes the totals of one of several parts. Its limit is higher, as parts
+// differ in size.
+func (l *Ledger) summariseNext(ctx context.Context, b key.Bucket, p part) ([]Total, error) {
+	return l.summarisePart(ctx, b, p, 2*l.settings.MaxSettleKeys)
 }
 
 func addTotals(all ...[]Total) []Total {
 	sum := newTotals()
 	for _, t := range slices.Concat(all...) {
-		sum.plus(t)
+		sum.addTotal(t)
 	}
 	return sum.list()
 }
--- a/internal/ledger/settling_test.go
+++ b/internal/ledger/settling_test.go
@@ -14,9 +14,9 @@
 	"github.com/hickorybank/hickorybank/internal/ledger/key"
 )
 
-// fill leaves a bucket with bills in rows of the table and in objects, some of
-// them in several rows with other amounts.
-func fill(is *is.I, c *cluster, n int) key.Bucket {
+// fillBucket fills a bucket with bills in rows of the table and in objects. Some of them are in
+// several rows with different amounts.
+func fillBucket(is *is.I, c *cluster, n int) key.Bucket {
 	l := c.ledgers["e0"]
 	var bucket key.Bucket
 	var before []Bill
@@ -43,13 +43,12 @@
 	return bucket
 }
 
-// A closed bucket had 24 million bills at full size, and the node that settled
-// it held them all, 6.3 GB. Cut into parts that hold few keys each, done by
-// whichever nodes have their turn, some of which are lost halfway, it must add
-// up to the same.
-func TestLargeBucketIsSettledInParts(t *testing.T) {
+// A closed bucket may have 24 million bills. A node that summarises it as a whole would
+// need 6.3 GB. Divided into parts with few keys each, which different nodes process and
+// some nodes abandon, it must have the same totals.
+func TestLargeBucketIsSummarisedInParts(t *testing.T) {
 	inBubble(t, 4, func(is *is.I, c *cluster) {
-		bucket := fill(is, c, 2000)
+		bucket := fillBucket(is, c, 2000)
 		for _, l := range c.ledgers {
 			l.settings.MaxSettleKeys = 300
 		}
@@ -66,7 +65,7 @@
 		for done := false; !done; steps++ {
 			id := fmt.Sprintf("e%d", 1+steps%3)
 			nodes[id] = true
-			done, err = c.ledgers[id].settleStep(context.Background(), bucket)
+			done, err = c.ledgers[id].summariseStep(context.Background(), bucket)
 			is.NoErr(err)
 			if steps == 3 {
 				c.lose("e1")
@@ -76,40 +75,39 @@
 		is.True(steps >= 2000/300)
 		is.Equal(len(nodes), 3)
 		is.Equal(len(c.platform.Dump(bucket.PartPrefix()).Rows), 0)
-		s, err := l.SettleBucket(context.Background(), bucket)
+		s, err := l.SummariseBucket(context.Background(), bucket)
 		is.NoErr(err)
 		is.Equal(s, Summary{Revision: 1, Totals: want.list()})
 		_, err = billIn(l, time.Second, Bill{Org: "org0", Key: keyAt(to.Add(-time.Second)), Cost: 5, At: time.Now()})
 		is.NoErr(err)
-		s, err = l.SettleBucket(context.Background(), bucket)
+		s, err = l.SummariseBucket(context.Background(), bucket)
 		is.NoErr(err)
 		is.Equal(s.Revision, uint64(2))
 		is.Equal(s.Totals[0].Bills, want.list()[0].Bills+1)
 	})
 }
 
-// Two nodes do the same step at one time, and one of them ends the bucket
-// between the steps of the other. It is settled once.
-func TestPartsSettledTwiceCountOnce(t *testing.T) {
+// Two nodes do the same step at a time, and one of them finishes the summary before the
+// other writes its part. The part must not be written then.
+func TestPartIsNotWrittenAfterTheSummary(t *testing.T) {
 	inBubble(t, 2, func(is *is.I, c *cluster) {
-		bucket := fill(is, c, 1000)
+		bucket := fillBucket(is, c, 1000)
 		a, b := c.ledgers["e0"], c.ledgers["e1"]
 		a.settings.MaxSettleKeys, b.settings.MaxSettleKeys = 300, 300
-		p, sum, err := a.settleFirst(context.Background(), bucket)
+		p, sum, err := a.summariseFirst(context.Background(), bucket)
 		is.NoErr(err)
 		for done := false; !done; {
-			done, err = b.settleStep(context.Background(), bucket)
+			done, err = b.summariseStep(context.Background(), bucket)
 			is.NoErr(err)
 		}
-		is.NoErr(a.writePart(context.Background(), bucket, p, sum)) // the summary bars it
+		is.NoErr(a.writePart(context.Background(), bucket, p, sum)) // the summary exists, so the part is not written
 		is.Equal(len(c.platform.Dump(bucket.PartPrefix()).Rows), 0)
 		is.Equal(len(c.platform.Dump(bucket.Summary()).Rows), 1)
 	})
 }
 
-// However bills are spread over rows, and however many parts they are cut into,
-// they add up to what a reader of all of them finds, and no part holds more keys
-// than it may.
+// The totals of the parts must add up to those of a reader of all bills, for any
+// distribution of bills over rows and any number of parts.
 func TestPartsAddUpToTheWhole(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.NewRelaxed(t)
@@ -128,11 +126,11 @@
 		bits := rapid.IntRange(0, 3).Draw(t, "bits")
 		var sum []Total
 		for p := (part{bits: bits}); p.number < p.count(); p.number++ {
-			s := newSettling(p, len(all)) // few repeated keys are held at a time
+			s := newPartSum(p, len(all)) // few repeated keys are in memory at a time
 			for i, bills := range rows {
-				is.NoErr(s.take(source{name: fmt.Sprint(i)}, bills))
+				is.NoErr(s.addRow(source{name: fmt.Sprint(i)}, bills))
 			}
-			is.NoErr(s.correct(func(some map[source]struct{}, take func([]Bill)) error {
+			is.NoErr(s.removeDuplicates(func(some map[source]struct{}, take func([]Bill)) error {
 				for from := range some {
 					var i int
 					_, err := fmt.Sscan(from.name, &i)
@@ -149,19 +147,19 @@
 	})
 }
 
-// BenchmarkSettling is what a key costs while a bucket is settled, in memory and
-// processor time.
+// BenchmarkSettling measures the memory and processor time per key while a bucket is
+// summarised.
 func BenchmarkSettling(b *testing.B) {
 	for _, n := range []int{39_000, 390_000, 4_000_000, 16_000_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			row := make([]Bill, 1000)
 			for b.Loop() {
 				before := heap()
-				s := newSettling(part{}, n)
+				s := newPartSum(part{}, n)
 				for i := range n {
 					row[i%len(row)] = Bill{Org: "org", Key: fmt.Sprint("018bcfe5-687b-7000-8000-", i), Cost: 1}
 					if i%len(row) == len(row)-1 {
-						_ = s.take(source{name: "bills/t/000000000000/entry-17~f47ac10b/0000000001"}, row)
+						_ = s.addRow(source{name: "bills/t/000000000000/entry-17~f47ac10b/0000000001"}, row)
 					}
 				}
 				b.ReportMetric(float64(heap()-before)/float64(n), "B/key")
--- a/internal/ledger/stats.go
+++ b/internal/ledger/stats.go
@@ -1,6 +1,6 @@
 package ledger
 
-// Stats are counts since the start, and present sizes.
+// Stats holds counts since the start, and current sizes.
 type Stats struct {
 	Claims      uint64
 	Granted     uint64
@@ -8,14 +8,14 @@
 	TableWrites uint64
 	TableReads  uint64
 	ObjectPuts  uint64
-	// ObjectReads counts objects that were read, and lists of them.
+	// ObjectReads counts reads of objects, and lists of objects.
 	ObjectReads uint64
-	// Conflicts counts claim batches that lost a race.
+	// Conflicts counts claim batches that failed because another writer was faster.
 	Conflicts uint64
-	// LostAcks counts writes whose answer was lost.
+	// LostAcks counts table writes that got no answer.
 	LostAcks uint64
-	// Held counts the bills that this node holds for others.
+	// Held is the number of bills that this node holds for other nodes.
 	Held int
-	// Waiting counts the bills that the platform has not taken yet.
+	// Waiting is the number of bills that no store of the platform has taken yet.
 	Waiting int
 }
--- a/internal/ledger/store.go
+++ b/internal/ledger/store.go
@@ -19,12 +19,12 @@
 const (
 	readTimeout  = 3 * time.Second
 	writeTimeout = 3 * time.Second
-	// scanRows times the largest row stays below what a platform's answer
-	// may hold.
+	// scanRows is the number of rows per scan. With rows of the largest size, the answer
+	// stays below the platform's limit for an answer.
 	scanRows = 200
 )
 
-// store speaks to the platform in the ledger's terms.
+// store reads and writes the ledger's rows and objects, and counts the calls.
 type store struct {
 	table   platform.Table
 	objects platform.Objects
@@ -32,13 +32,13 @@
 	writes atomic.Uint64
 	reads  atomic.Uint64
 	puts   atomic.Uint64
-	// objectReads counts objects and lists of them.
+	// objectReads counts reads of objects, and lists of objects.
 	objectReads atomic.Uint64
 	conflicts   atomic.Uint64
 	lostAcks    atomic.Uint64
 }
 
-// createClaims writes a row of a claim log, if its conditions hold.
+// createClaims writes a row of a claim log on the conditions of the Create.
 func (s *store) createClaims(ctx context.Context, name key.Log, c *claim.Create) (fate.Fate, error) {
 	value, err := c.Row.Encode()
 	if err != nil {
@@ -55,7 +55,7 @@
 	return f, err
 }
 
-// createBills writes a row of bills, if it is not there.
+// createBills writes a row of bills to the table if it is absent.
 func (s *store) createBills(ctx context.Context, row bill.Row) (fate.Fate, error) {
 	value, err := row.Encode()
 	if err != nil {
@@ -82,8 +82,8 @@
 	return fate.Applied, nil
 }
 
-// putFold writes a fold.
-func (s *store) putFold(ctx context.Context, name string, f *bill.Fold) error {
+// putCompacted writes a compacted object.
+func (s *store) putCompacted(ctx context.Context, name string, f *bill.Fold) error {
 	value, err := f.Encode()
 	if err != nil {
 		return err
@@ -133,7 +133,7 @@
 	return s.table.Scan(ctx, prefix, after, limit)
 }
 
-// floor reads what a shard says of its deleted rows.
+// floor reads the floor of a log's shard.
 func (s *store) floor(ctx context.Context, name key.Log) (*claim.Floor, error) {
 	row, err := s.get(ctx, name.Floor())
 	if err != nil || row.Version == 0 {
@@ -142,8 +142,8 @@
 	return claim.DecodeFloor(row.Version, row.Value)
 }
 
-// claims reads rows of a log, from a number on. More says that there may be
-// others behind.
+// claims reads rows of a log from a sequence number on; more means that there may be
+// further rows.
 func (s *store) claims(ctx context.Context, name key.Log, from uint64) (rows []claim.StoredRow, more bool, err error) {
 	after := ""
 	if from > 0 {
@@ -172,7 +172,7 @@
 	return claim.StoredRow{Seq: seq, Row: decoded}, err
 }
 
-// sequence is the number at the end of a row's key.
+// sequence returns the sequence number at the end of a row's key.
 func sequence(rowKey string) (uint64, error) {
 	seq, err := strconv.ParseUint(rowKey[strings.LastIndexByte(rowKey, '/')+1:], 10, 64)
 	return seq, eris.Wrap(err, "number of row "+rowKey)
