--- a/internal/ledger/storm_test.go
+++ b/internal/ledger/storm_test.go
@@ -16,11 +16,10 @@
 
 var storms = flag.Int("storms", 1, "how many random storms of each kind to run")
 
-// VMs are lost one after the other, far more often than on any real day, and
-// each is replaced a second later, while the platform's stores go down and
-// come back. Whatever was answered as safe must be billed once in the end, if
-// no more than two VMs are lost within the time that it takes to make copies
-// anew. At random times three may be: such losses are printed.
+// VMs are lost in quick succession and replaced a second later, while the platform's stores
+// go down and come back. Each bill reported as safe must be there once in the end, provided
+// that at most two VMs are lost within the time that it takes to replace lost copies. With
+// random times, three may be lost; the bills lost then are only printed.
 func TestBillsSurviveAStormOfLostVMs(t *testing.T) {
 	for _, kind := range []stormKind{
 		{"one at a time", 7 * time.Second, 4 * time.Second, 1, 0, true},
@@ -42,18 +41,19 @@
 	}
 }
 
-// stormKind is how VMs are lost.
+// stormKind determines how VMs are lost.
 type stormKind struct {
-	name     string
-	apart    time.Duration // between losses, at least
-	more     time.Duration // up to this much more
-	together int
-	planned  int  // that many more are stopped as planned at the same time
-	strict   bool // no bill may be lost
+	name         string
+	interval     time.Duration // minimum time between losses
+	jitter       time.Duration // random additional time, up to this
+	victims      int           // VMs lost at a time
+	plannedStops int           // further VMs that stop as planned at the same time
+	strict       bool          // no bill may be lost
 }
 
 const stormTime = 2 * time.Minute
 
+// storm is a run with bills, losses of VMs and faults of the stores.
 type storm struct {
 	rng    *rand.Rand
 	kind   stormKind
@@ -82,18 +82,19 @@
 	wg.Wait()
 	c.storeDown(false)
 	time.Sleep(2 * time.Minute)
-	there := map[string]int{}
+	counts := map[string]int{}
 	for _, b := range c.allBills("e0") {
-		there[b.Key]++
+		counts[b.Key]++
 	}
 	for k := range s.safe {
-		if there[k] != 1 {
+		if counts[k] != 1 {
 			s.lost++
 		}
 	}
 }
 
-// bill counts only what its node answered while it was there.
+// bill sends a bill to a node. The bill counts as safe only if the node was not lost in
+// the meantime.
 func (s *storm) bill(c *cluster, id string) {
 	s.mu.Lock()
 	l, dead := c.ledgers[id], s.dead[id]
@@ -112,16 +113,16 @@
 
 func (s *storm) kill(c *cluster, end time.Time, rng *rand.Rand) {
 	for time.Now().Before(end) {
-		time.Sleep(s.kind.apart + time.Duration(rng.Int64N(int64(s.kind.more))))
+		time.Sleep(s.kind.interval + time.Duration(rng.Int64N(int64(s.kind.jitter))))
 		order := rng.Perm(len(c.members))
-		victims, stopped := order[:s.kind.together], order[s.kind.together:][:s.kind.planned]
+		victims, stopped := order[:s.kind.victims], order[s.kind.victims:][:s.kind.plannedStops]
 		var stops sync.WaitGroup
 		for _, n := range stopped {
 			l := c.ledgers[c.members[n].ID]
 			stops.Go(func() { stopPlanned(l) })
 		}
 		for _, n := range victims {
-			s.mark(c.members[n].ID, true)
+			s.setDead(c.members[n].ID, true)
 			c.lose(c.members[n].ID)
 		}
 		time.Sleep(time.Second)
@@ -129,7 +130,7 @@
 			s.mu.Lock()
 			c.start(c.members[n])
 			s.mu.Unlock()
-			s.mark(c.members[n].ID, false)
+			s.setDead(c.members[n].ID, false)
 		}
 		stops.Wait()
 		for _, n := range stopped {
@@ -140,17 +141,17 @@
 	}
 }
 
-// stopLimit is less than the stores may be down.
+// stopLimit is shorter than the longest outage of the stores.
 const stopLimit = 15 * time.Second
 
-// stopPlanned ends a node that may still answer; what it answers counts.
+// stopPlanned closes a node. Bills that it reports as safe until it is closed count.
 func stopPlanned(l *Ledger) {
 	ctx, cancel := context.WithTimeout(context.Background(), stopLimit)
 	defer cancel()
-	_ = l.Close(ctx) // it says what it leaves to others
+	_ = l.Close(ctx) // the error reports the bills that it leaves to others
 }
 
-func (s *storm) mark(id string, dead bool) {
+func (s *storm) setDead(id string, dead bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.dead[id] = dead
@@ -163,7 +164,7 @@
 	for time.Now().Before(end) {
 		faults := []fault.Fault{{}, {Down: true}, {OneWay: true}, {DelayMS: 1000}, {LoseAckFraction: 0.5}, {RefuseFraction: 0.5}, {Down: true}}
 		table, objects := faults[rng.IntN(len(faults))], faults[rng.IntN(len(faults))]
-		c.fail(fault.Change{Table: &table, Objects: &objects})
+		c.setFaults(fault.Change{Table: &table, Objects: &objects})
 		time.Sleep(time.Duration(rng.Int64N(int64(20 * time.Second))))
 	}
 }
--- a/internal/ledger/summary.go
+++ b/internal/ledger/summary.go
@@ -15,30 +15,31 @@
 	"github.com/hickorybank/hickorybank/internal/platform"
 )
 
-// Summary is what a closed bucket of bills adds up to.
+// Summary holds the totals of a closed bucket of bills.
 type Summary struct {
-	// Revision counts the times that bills came too late and the bucket was
-	// settled anew; the first is 1.
+	// Revision starts at 1 and increases each time the bucket is summarised again
+	// because of late bills.
 	Revision uint64  `json:"revision"`
 	Totals   []Total `json:"totals"`
 }
 
-// ErrOpenBucket says that bills may still come into the bucket.
+// ErrOpenBucket means that bills may still be added to the bucket.
 var ErrOpenBucket = eris.New("bucket is not closed yet")
 
-// SettleBucket folds the bills of a closed bucket into one row. Any number of
-// nodes may do it at one time: the row is written under the condition of its
-// version, and all who read the same bills find the same totals. A bucket with
-// bills that came late is settled anew, under the next revision.
-func (l *Ledger) SettleBucket(ctx context.Context, b key.Bucket) (Summary, error) {
-	if time.Now().Before(l.closes(b)) {
+// SummariseBucket writes the totals of a closed bucket to one row and returns them.
+// Several nodes may do it at a time: the write is conditional on the row's version, and
+// nodes that read the same bills compute the same totals. If late bills have changed the
+// totals, the summary gets the next revision. The error is [ErrOpenBucket] if the bucket
+// is not closed.
+func (l *Ledger) SummariseBucket(ctx context.Context, b key.Bucket) (Summary, error) {
+	if time.Now().Before(l.closesAt(b)) {
 		return Summary{}, ErrOpenBucket
 	}
-	row, err := l.store.get(ctx, b.Summary()) // before the bills: so an older reading loses the race
+	row, err := l.store.get(ctx, b.Summary()) // before the bills, so that a write from older bills fails
 	if err != nil {
 		return Summary{}, eris.Wrap(err, "read summary")
 	}
-	sum, err := l.settleWhole(ctx, b)
+	sum, err := l.summariseAll(ctx, b)
 	if err != nil {
 		return Summary{}, err
 	}
@@ -56,17 +57,17 @@
 	return next, l.writeSummary(ctx, b, row.Version, next, nil)
 }
 
-// closes is when no bill can come into the bucket any more, but for one that
-// was held for longer than the window.
-func (l *Ledger) closes(b key.Bucket) time.Time { return l.settings.closes(b) }
+// closesAt returns the time after which no bill can be added to the bucket, except one
+// that was held for longer than the retention window.
+func (l *Ledger) closesAt(b key.Bucket) time.Time { return l.settings.closesAt(b) }
 
-func (s Settings) closes(b key.Bucket) time.Time {
+func (s Settings) closesAt(b key.Bucket) time.Time {
 	_, to := s.Layout.Span(b)
 	return to.Add(s.Window + s.RunLimit + s.Skew)
 }
 
-// writeSummary writes a summary over the version that it follows. Parts that it
-// is made of must be there still, and go with it.
+// writeSummary writes a summary on condition of the version of its row, and deletes the
+// parts from which it was computed, on condition that they are unchanged.
 func (l *Ledger) writeSummary(ctx context.Context, b key.Bucket, version uint64, s Summary, parts []platform.Row) error {
 	value, err := json.Marshal(s)
 	if err != nil {
@@ -88,7 +89,7 @@
 	return nil
 }
 
-// summaries returns the keys of the summaries from a bucket on.
+// summaries returns the set of keys of existing summaries, from a bucket on.
 func (s *store) summaries(ctx context.Context, from key.Bucket) (map[string]bool, error) {
 	all := map[string]bool{}
 	after := from.Previous().Summary()
--- a/internal/ledger/totals.go
+++ b/internal/ledger/totals.go
@@ -6,22 +6,22 @@
 	"slices"
 )
 
-// totals adds up bills by organisation.
+// totals sums bills by organisation.
 type totals struct{ byOrg map[string]Total }
 
 func newTotals() *totals { return &totals{byOrg: map[string]Total{}} }
 
 func (t *totals) add(bills []Bill) {
 	for i := range bills {
-		t.plus(totalOf(&bills[i]))
+		t.addTotal(totalOf(&bills[i]))
 	}
 }
 
-// takeOff takes bills off that were added.
-func (t *totals) takeOff(bills []Bill) {
+// subtract subtracts bills that were added before.
+func (t *totals) subtract(bills []Bill) {
 	for i := range bills {
 		one := totalOf(&bills[i])
-		t.plus(Total{Org: one.Org, Bills: -one.Bills, Cost: -one.Cost, InputTokens: -one.InputTokens, OutputTokens: -one.OutputTokens})
+		t.addTotal(Total{Org: one.Org, Bills: -one.Bills, Cost: -one.Cost, InputTokens: -one.InputTokens, OutputTokens: -one.OutputTokens})
 	}
 }
 
@@ -29,7 +29,7 @@
 	return Total{Org: b.Org, Bills: 1, Cost: b.Cost, InputTokens: b.InputTokens, OutputTokens: b.OutputTokens}
 }
 
-func (t *totals) plus(one Total) {
+func (t *totals) addTotal(one Total) {
 	sum := t.byOrg[one.Org]
 	sum.Org = one.Org
 	sum.Bills += one.Bills
--- a/internal/ledger/types.go
+++ b/internal/ledger/types.go
@@ -5,18 +5,18 @@
 	"github.com/hickorybank/hickorybank/internal/ledger/claim"
 )
 
-// The messages of the ledger.
+// Types of the packages claim and bill that callers of the ledger use.
 type (
-	// ClaimRequest asks for the right to run a piece of work once.
+	// ClaimRequest requests the right to run a piece of work once.
 	ClaimRequest = claim.Request
-	// ClaimResult answers it.
+	// ClaimResult is the result of a ClaimRequest.
 	ClaimResult = claim.Result
-	// Settlement ends a claim for good.
+	// Settlement records the final outcome of a claimed attempt.
 	Settlement = claim.Settlement
-	// ReleaseRequest gives a key back that was not run.
+	// ReleaseRequest gives up a key whose work was not run.
 	ReleaseRequest = claim.Release
-	// Bill is what one completed request costs.
+	// Bill is the charge for one completed request.
 	Bill = bill.Bill
-	// Safety says where a bill is kept.
+	// Safety is where a bill is stored.
 	Safety = bill.Safety
 )
--- a/internal/ledger/view.go
+++ b/internal/ledger/view.go
@@ -6,20 +6,21 @@
 	"github.com/hickorybank/hickorybank/internal/platform"
 )
 
-// viewAge is how long a view of the members is used.
-const viewAge = 500 * time.Millisecond
+// maxViewAge is how long a view of the members is used before it is computed again.
+const maxViewAge = 500 * time.Millisecond
 
-// view is the members that duties may fall on, sorted out. It is immutable.
+// view is the list of members that can take duties, grouped by failure domain. It is
+// immutable.
 type view struct {
-	at        time.Time
-	all       []platform.VM // this node among them
-	here      []platform.VM // those of its failure domain, it among them
-	elsewhere []platform.VM
-	domains   int
+	createdAt    time.Time
+	all          []platform.VM // including this node
+	sameDomain   []platform.VM // in this node's failure domain, including this node
+	otherDomains []platform.VM // in other failure domains
+	domainCount  int
 }
 
 func newView(now time.Time, self platform.VM, members []platform.VM) *view {
-	v := &view{at: now, all: []platform.VM{self}, here: []platform.VM{self}}
+	v := &view{createdAt: now, all: []platform.VM{self}, sameDomain: []platform.VM{self}}
 	seen := map[string]struct{}{self.FailureDomain: {}}
 	for _, vm := range members {
 		seen[vm.FailureDomain] = struct{}{}
@@ -28,11 +29,11 @@
 		}
 		v.all = append(v.all, vm)
 		if vm.FailureDomain == self.FailureDomain {
-			v.here = append(v.here, vm)
+			v.sameDomain = append(v.sameDomain, vm)
 		} else {
-			v.elsewhere = append(v.elsewhere, vm)
+			v.otherDomains = append(v.otherDomains, vm)
 		}
 	}
-	v.domains = len(seen)
+	v.domainCount = len(seen)
 	return v
 }
--- a/internal/ledger/wire_bench_test.go
+++ b/internal/ledger/wire_bench_test.go
@@ -24,7 +24,7 @@
 	"github.com/hickorybank/hickorybank/internal/standin/platform/memory"
 )
 
-// counter counts what net/rpc's codec would write.
+// counter counts the bytes that net/rpc's codec would write.
 type counter struct{ bytes int }
 
 func (c *counter) Write(p []byte) (int, error) {
@@ -32,8 +32,8 @@
 	return len(p), nil
 }
 
-// marginal returns the bytes of a call and its answer on a connection that
-// has carried such ones before.
+// marginal returns the bytes of a call and its answer on a connection that has already
+// carried such calls, so that gob's type descriptions are not counted.
 func marginal(method string, args, reply any) float64 {
 	const calls = 10
 	var sent, got counter
@@ -51,8 +51,8 @@
 	return float64(sent.bytes+got.bytes-first) / calls
 }
 
-// BenchmarkWireBytes is what a claim, a settlement and a bill take on the wire
-// between two nodes, without TCP's headers.
+// BenchmarkWireBytes measures the bytes of a claim, a settlement and a bill on the wire
+// between two nodes, without TCP headers.
 func BenchmarkWireBytes(b *testing.B) {
 	e := claim.Entry{Kind: claim.KindClaim, ID: key.NewID("org", "k"), Attempt: key.AttemptID(uuid.NewString()), Node: "entry-17~" + uuid.NewString()}
 	e.Print = request.Fingerprint(e.ID)
@@ -87,7 +87,7 @@
 	}
 }
 
-// pair is two ledgers of one failure domain that reach each other by TCP.
+// pair returns two ledgers of one failure domain that call each other over TCP.
 func pair(b *testing.B) (ledgers []*Ledger, stop func()) {
 	store := memory.New()
 	pool := peer.NewPool()
@@ -122,16 +122,16 @@
 	}
 }
 
-// cpu is the processor time that this process has used.
+// cpu returns the processor time that this process has used.
 func cpu() time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkProcessorTime is what a claim with its settlement, and a bill, cost
-// over TCP in all: the node that asks, the batcher or collector, and the
-// stand-in table together. Workers stand for the requests in flight.
+// BenchmarkProcessorTime measures the processor time of a claim with its settlement, and
+// of a bill, over TCP: of the calling node, the batcher or collector, and the stand-in
+// table together. The workers simulate requests in flight.
 func BenchmarkProcessorTime(b *testing.B) {
 	work := map[string]func(l *Ledger){
 		"bill": func(l *Ledger) {
