--- a/internal/ledger/bill/fold.go
+++ b/internal/ledger/bill/fold.go
@@ -20,7 +20,7 @@
 func (f *Fold) Encode() ([]byte, error) {
 	var buf bytes.Buffer
 	if err := gob.NewEncoder(&buf).Encode(f); err != nil {
-		return nil, eris.Wrap(err, "encode fold")
+		return nil, eris.Wrap(err, "encode compacted object")
 	}
 	return buf.Bytes(), nil
 }
--- a/internal/ledger/billing.go
+++ b/internal/ledger/billing.go
@@ -108,7 +108,7 @@
 		return nil, err
 	}
 	if len(reply.Safety) != len(bills) {
-		return nil, eris.New("collector answered other bills")
+		return nil, eris.Errorf("collector returned %d results for %d bills", len(reply.Safety), len(bills))
 	}
 	return reply.Safety, nil
 }
--- a/internal/ledger/folding.go
+++ b/internal/ledger/folding.go
@@ -91,7 +91,7 @@
 	object := bill.Fold{Covers: keys[:n], Bills: bill.Pack(bills)}
 	name := b.Fold(l.process, l.lastCompacted.Add(1))
 	if err := l.store.putCompacted(ctx, name, &object); err != nil {
-		return 0, eris.Wrap(err, "write fold "+name)
+		return 0, eris.Wrap(err, "write compacted object "+name)
 	}
 	event.LedgerFolded.Log(l.deps.Log, slog.String("bucket", b.String()), slog.Int("objects", n), slog.Int("bills", len(bills)))
 	return n, nil
--- a/internal/ledger/key/bucket.go
+++ b/internal/ledger/key/bucket.go
@@ -27,7 +27,7 @@
 func BucketOfRow(rowKey string) (Bucket, error) {
 	var b Bucket
 	if _, err := fmt.Sscanf(rowKey, "bills/%c/%d/", &b.Kind, &b.Number); err != nil || !strings.HasPrefix(rowKey, b.Prefix()) {
-		return Bucket{}, eris.Errorf("no row of bills: %q", rowKey)
+		return Bucket{}, eris.Errorf("not the key of a row of bills: %q", rowKey)
 	}
 	return b, nil
 }
--- a/internal/ledger/pruning.go
+++ b/internal/ledger/pruning.go
@@ -83,10 +83,10 @@
 	object.Bills = bill.Pack(bill.Distinct(bills))
 	name := b.Fold(l.process, l.lastCompacted.Add(1))
 	if err := l.store.putCompacted(ctx, name, &object); err != nil {
-		return eris.Wrap(err, "write fold "+name)
+		return eris.Wrap(err, "write compacted object "+name)
 	}
 	if f, _ := l.store.commit(ctx, txn); f != fate.Applied {
-		return eris.New("folded rows were not deleted: " + f.String())
+		return eris.New("compacted rows were not deleted: " + f.String())
 	}
 	event.LedgerPruned.Log(l.deps.Log, slog.String("bucket", b.String()), slog.Int("rows", len(object.Covers)))
 	return nil
--- a/internal/ledger/reading_test.go
+++ b/internal/ledger/reading_test.go
@@ -17,8 +17,8 @@
 	"github.com/hickorybank/hickorybank/internal/standin/platform/memory"
 )
 
-// fillWithObjects fills a bucket with n bills, each in an object of its own, as after an fillWithObjects of
-// the table.
+// fillWithObjects fills a bucket with n bills, each in an object of its own, as after an outage
+// of the table.
 func fillWithObjects(is *is.I, c *cluster, n int) key.Bucket {
 	var bucket key.Bucket
 	for i := range n {
--- a/internal/ledger/settling.go
+++ b/internal/ledger/settling.go
@@ -38,7 +38,7 @@
 type partFullError struct{ bills int }
 
 func (e *partFullError) Error() string {
-	return fmt.Sprintf("the part has too many bills, %d", e.bills)
+	return fmt.Sprintf("part of the bucket has too many bills: %d", e.bills)
 }
 
 // partSum computes the totals of a part of a bucket, row by row. It keeps a few bytes
@@ -60,7 +60,7 @@
 func hashOf(b *bill.Bill) uint64 {
 	var h xxhash.Digest
 	h.Reset()
-	_, _ = h.WriteString(b.Org) // a hash takes all
+	_, _ = h.WriteString(b.Org) // a hash accepts all input
 	_, _ = h.Write([]byte{0})
 	_, _ = h.WriteString(b.Key)
 	return h.Sum64()
@@ -81,7 +81,7 @@
 		}
 	}
 	if len(s.rows) >= maxRows {
-		return eris.New("the bucket has too many rows")
+		return eris.Errorf("bucket has too many rows: %d, must be below %d", len(s.rows), maxRows)
 	}
 	return nil
 }
--- a/internal/ledger/settling_test.go
+++ b/internal/ledger/settling_test.go
@@ -14,8 +14,8 @@
 	"github.com/hickorybank/hickorybank/internal/ledger/key"
 )
 
-// fillBucket fills a bucket with bills in rows of the table and in objects. Some of them are in
-// several rows with different amounts.
+// fillBucket fills a bucket with bills in rows of the table and in objects. Some of them
+// are in several rows with different amounts.
 func fillBucket(is *is.I, c *cluster, n int) key.Bucket {
 	l := c.ledgers["e0"]
 	var bucket key.Bucket
