--- a/internal/ledger/bill/collector_decide.go
+++ b/internal/ledger/bill/collector_decide.go
@@ -11,7 +11,7 @@
 	c.table.checkInFlight(now)
 	c.objects.checkInFlight(now)
 	for c.writePace.Free(now) && c.send(now, &r) {
-		c.writePace.Took(now)
+		c.writePace.Sent(now)
 	}
 	c.formForPeers(now)
 	c.askPeers(now, &r)
@@ -59,7 +59,7 @@
 func (c *Collector) formForPeers(now time.Time) {
 	if c.noHealthyStore() && len(c.unbatched) > 0 && c.holdPace.Free(now) && len(c.active) < c.settings.MaxFlights {
 		c.formBatch(now, c.unbatched[0].bucket)
-		c.holdPace.Took(now)
+		c.holdPace.Sent(now)
 	}
 }
 
--- a/internal/ledger/claim/decide.go
+++ b/internal/ledger/claim/decide.go
@@ -46,7 +46,7 @@
 	}
 	l.callInFlight = true
 	l.opsAtCall = l.opsAdded
-	l.writes.Took(now)
+	l.writes.Sent(now)
 	r.Create = &Create{Seq: l.inFlight.seq, Row: l.inFlight.row, Floor: l.floor.Version}
 }
 
@@ -57,7 +57,7 @@
 	}
 	l.callInFlight = true
 	l.opsAtCall = l.opsAdded
-	l.reads.Took(now)
+	l.reads.Sent(now)
 	r.Read = &Read{From: l.next, Floor: l.floor == nil}
 }
 
--- a/internal/ledger/pace/pace.go
+++ b/internal/ledger/pace/pace.go
@@ -70,9 +70,9 @@
 // Free reports whether a write is allowed now.
 func (p *Pace) Free(now time.Time) bool { return !now.Before(p.Next()) }
 
-// Took records that a write was sent. A new writer starts without a burst: otherwise
+// Sent records that a write was sent. A new writer starts without a burst: otherwise
 // a duty that moves from node to node would use a burst with each move.
-func (p *Pace) Took(now time.Time) {
+func (p *Pace) Sent(now time.Time) {
 	if !p.started {
 		p.started = true
 		p.due = now.Add(p.burstAllowance())
--- a/internal/ledger/pace/pace_test.go
+++ b/internal/ledger/pace/pace_test.go
@@ -13,7 +13,7 @@
 	now := time.Unix(100, 0)
 	p := New(50*time.Millisecond, time.Second)
 	is.True(p.Free(now))
-	p.Took(now)
+	p.Sent(now)
 	is.True(!p.Free(now.Add(49 * time.Millisecond)))
 	is.True(p.Free(now.Add(50 * time.Millisecond)))
 }
@@ -25,12 +25,12 @@
 	now := time.Unix(100, 0)
 	p := New(50*time.Millisecond, time.Second)
 	p.SetBurst(2)
-	p.Took(now)
+	p.Sent(now)
 	is.Equal(p.Next(), now.Add(50*time.Millisecond)) // a new writer has no burst yet
 	now = now.Add(5 * time.Second)
 	for range 3 {
 		is.True(p.Free(now))
-		p.Took(now)
+		p.Sent(now)
 	}
 	is.Equal(p.Next(), now.Add(50*time.Millisecond))
 	p.Failed(now)
@@ -51,7 +51,7 @@
 		for _, wait := range rapid.SliceOf(rapid.IntRange(0, 30)).Draw(t, "waits") {
 			now = now.Add(time.Duration(wait) * time.Millisecond)
 			if p.Free(now) {
-				p.Took(now)
+				p.Sent(now)
 				sent = append(sent, now)
 			}
 		}
--- a/internal/ledger/reading.go
+++ b/internal/ledger/reading.go
@@ -61,7 +61,7 @@
 	if at.Before(now) {
 		at = now
 	}
-	r.pace.Took(at)
+	r.pace.Sent(at)
 	r.mu.Unlock()
 	timer := time.NewTimer(at.Sub(now))
 	defer timer.Stop()
