--- a/internal/ledger/claim/decide.go
+++ b/internal/ledger/claim/decide.go
@@ -37,7 +37,7 @@
 	if l.inFlight == nil && len(l.pending) == 0 {
 		return
 	}
-	if !l.writes.Free(now) {
+	if !l.writes.Allowed(now) {
 		r.Wake = l.writes.Next()
 		return
 	}
@@ -51,7 +51,7 @@
 }
 
 func (l *Log) startRead(now time.Time, r *Ready) {
-	if !l.reads.Free(now) {
+	if !l.reads.Allowed(now) {
 		r.Wake = l.reads.Next()
 		return
 	}
--- a/internal/ledger/pace/pace.go
+++ b/internal/ledger/pace/pace.go
@@ -67,8 +67,8 @@
 	return p.due.Add(-p.burstAllowance())
 }
 
-// Free reports whether a write is allowed now.
-func (p *Pace) Free(now time.Time) bool { return !now.Before(p.Next()) }
+// Allowed reports whether a write is allowed now.
+func (p *Pace) Allowed(now time.Time) bool { return !now.Before(p.Next()) }
 
 // Sent records that a write was sent. A new writer starts without a burst: otherwise
 // a duty that moves from node to node would use a burst with each move.
--- a/internal/ledger/pace/pace_test.go
+++ b/internal/ledger/pace/pace_test.go
@@ -12,10 +12,10 @@
 	is := is.New(t)
 	now := time.Unix(100, 0)
 	p := New(50*time.Millisecond, time.Second)
-	is.True(p.Free(now))
+	is.True(p.Allowed(now))
 	p.Sent(now)
-	is.True(!p.Free(now.Add(49 * time.Millisecond)))
-	is.True(p.Free(now.Add(50 * time.Millisecond)))
+	is.True(!p.Allowed(now.Add(49 * time.Millisecond)))
+	is.True(p.Allowed(now.Add(50 * time.Millisecond)))
 }
 
 // A settlement follows its claim within milliseconds in the same log. Without a burst
@@ -29,7 +29,7 @@
 	is.Equal(p.Next(), now.Add(50*time.Millisecond)) // a new writer has no burst yet
 	now = now.Add(5 * time.Second)
 	for range 3 {
-		is.True(p.Free(now))
+		is.True(p.Allowed(now))
 		p.Sent(now)
 	}
 	is.Equal(p.Next(), now.Add(50*time.Millisecond))
@@ -50,7 +50,7 @@
 		var sent []time.Time
 		for _, wait := range rapid.SliceOf(rapid.IntRange(0, 30)).Draw(t, "waits") {
 			now = now.Add(time.Duration(wait) * time.Millisecond)
-			if p.Free(now) {
+			if p.Allowed(now) {
 				p.Sent(now)
 				sent = append(sent, now)
 			}
