--- a/internal/ledger/bill/collector.go
+++ b/internal/ledger/bill/collector.go
@@ -100,9 +100,9 @@
 // SetGap changes the minimum time between two writes and the burst of writes that is
 // allowed after idle time.
 func (c *Collector) SetGap(gap time.Duration, burst int) {
-	c.writePace.SetFloor(gap)
+	c.writePace.SetMinGap(gap)
 	c.writePace.SetBurst(burst)
-	c.holdPace.SetFloor(gap)
+	c.holdPace.SetMinGap(gap)
 }
 
 // TableDone processes the result of a write to the table.
--- a/internal/ledger/claim/log.go
+++ b/internal/ledger/claim/log.go
@@ -89,7 +89,7 @@
 // SetGap changes the minimum time between two writes and the burst of writes that is
 // allowed after idle time.
 func (l *Log) SetGap(gap time.Duration, burst int) {
-	l.writes.SetFloor(gap)
+	l.writes.SetMinGap(gap)
 	l.writes.SetBurst(burst)
 }
 
--- a/internal/ledger/pace/pace.go
+++ b/internal/ledger/pace/pace.go
@@ -45,8 +45,8 @@
 	return p
 }
 
-// SetFloor changes the minimum gap, when the number of writers changes.
-func (p *Pace) SetFloor(minGap time.Duration) {
+// SetMinGap changes the minimum gap, when the number of writers changes.
+func (p *Pace) SetMinGap(minGap time.Duration) {
 	p.minGap = minGap
 	p.maxGap = max(p.maxGap, minGap)
 	p.gap = max(p.gap, minGap)
