--- a/internal/ledger/hold/holder.go
+++ b/internal/ledger/hold/holder.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// Gone makes rows orphans at once, because their owner stops for good.
-func (h *Holder) Gone(writer string, seqs []uint64) {
+// OwnerStopped makes rows orphans at once, because their owner stops for good.
+func (h *Holder) OwnerStopped(writer string, seqs []uint64) {
 	for _, seq := range seqs {
 		if held := h.owners[writer][seq]; held != nil {
 			held.refreshedAt = time.Time{}
--- a/internal/ledger/hold/holder_test.go
+++ b/internal/ledger/hold/holder_test.go
@@ -28,7 +28,7 @@
 	is.Equal(len(h.Orphans(now.Add(5*time.Second))), 0)
 	is.Equal(h.Orphans(now.Add(6*time.Second)), []bill.Row{row("a", 1)})
 	is.Equal(h.Bills(), 1)
-	h.Gone("b", []uint64{7, 9})
+	h.OwnerStopped("b", []uint64{7, 9})
 	is.Equal(h.Orphans(now.Add(6*time.Second)), []bill.Row{row("b", 7)})
 	is.True(h.Empty())
 }
--- a/internal/ledger/service.go
+++ b/internal/ledger/service.go
@@ -86,7 +86,7 @@
 func (s *service) Drop(args *wire.PiecesArgs, _ *wire.PiecesReply) error {
 	return s.ledger.collecting.withHolder(func(_ time.Time, c *collecting) {
 		if args.Gone {
-			c.holder.Gone(args.Writer, args.Seqs())
+			c.holder.OwnerStopped(args.Writer, args.Seqs())
 			return
 		}
 		c.holder.Drop(args.Writer, args.Seqs())
