--- a/internal/ledger/collecting.go
+++ b/internal/ledger/collecting.go
@@ -135,7 +135,7 @@
 func (c *collecting) stopHolding() {
 	_ = c.withHolder(func(now time.Time, c *collecting) { // there are none if the task has ended
 		c.stopping = true
-		for _, row := range c.holder.All(now) {
+		for _, row := range c.holder.TakeAll(now) {
 			c.core.Adopt(now, row)
 		}
 		c.updateSizes()
--- a/internal/ledger/hold/holder.go
+++ b/internal/ledger/hold/holder.go
@@ -121,8 +121,8 @@
 	return rows
 }
 
-// All removes and returns all rows, for a node that stops.
-func (h *Holder) All(now time.Time) []bill.Row {
+// TakeAll removes and returns all rows, for a node that stops.
+func (h *Holder) TakeAll(now time.Time) []bill.Row {
 	for _, owned := range h.owners {
 		for _, held := range owned {
 			held.refreshedAt = time.Time{}
--- a/internal/ledger/hold/holder_test.go
+++ b/internal/ledger/hold/holder_test.go
@@ -57,7 +57,7 @@
 	h := New(Settings{MaxBills: 10, Silence: 5 * time.Second})
 	is.True(h.Hold(now, row("b", 1)))
 	is.True(h.Hold(now, row("a", 2)))
-	is.Equal(h.All(now), []bill.Row{row("a", 2), row("b", 1)})
+	is.Equal(h.TakeAll(now), []bill.Row{row("a", 2), row("b", 1)})
 	is.True(h.Empty())
 }
 
