--- a/internal/ledger/bill/sim_step_test.go
+++ b/internal/ledger/bill/sim_step_test.go
@@ -170,7 +170,7 @@
 	if n.paused {
 		return
 	}
-	for _, row := range n.h.Orphans(s.now) {
+	for _, row := range n.h.TakeOrphans(s.now) {
 		if !s.variant.noAdoption {
 			n.c.Adopt(s.now, row)
 		}
--- a/internal/ledger/collecting.go
+++ b/internal/ledger/collecting.go
@@ -121,7 +121,7 @@
 	}
 	c.lastMaintained = now
 	c.core.SetGap(c.settings.billPacing(c.router.domainCount()))
-	for _, row := range c.holder.Orphans(now) {
+	for _, row := range c.holder.TakeOrphans(now) {
 		event.LedgerAdopted.Log(c.log, slog.String("writer", row.Writer), slog.Int("bills", row.Bills.Len()))
 		c.core.Adopt(now, row)
 	}
--- a/internal/ledger/hold/holder.go
+++ b/internal/ledger/hold/holder.go
@@ -102,10 +102,10 @@
 	}
 }
 
-// Orphans removes and returns the rows that were not refreshed within
+// TakeOrphans removes and returns the rows that were not refreshed within
 // Settings.Silence, sorted by writer and sequence number. The caller must keep them
 // until they are stored.
-func (h *Holder) Orphans(now time.Time) []bill.Row {
+func (h *Holder) TakeOrphans(now time.Time) []bill.Row {
 	var rows []bill.Row
 	for writer, owned := range h.owners {
 		for seq, held := range owned {
@@ -128,7 +128,7 @@
 			held.refreshedAt = time.Time{}
 		}
 	}
-	return h.Orphans(now)
+	return h.TakeOrphans(now)
 }
 
 // Bills returns the number of bills held.
--- a/internal/ledger/hold/holder_test.go
+++ b/internal/ledger/hold/holder_test.go
@@ -25,11 +25,11 @@
 	is.True(h.Hold(now, row("b", 7)))
 	is.Equal(h.Bills(), 2)
 	is.Equal(h.Refresh(now.Add(4*time.Second), "b", []uint64{7, 8}), []uint64{8})
-	is.Equal(len(h.Orphans(now.Add(5*time.Second))), 0)
-	is.Equal(h.Orphans(now.Add(6*time.Second)), []bill.Row{row("a", 1)})
+	is.Equal(len(h.TakeOrphans(now.Add(5*time.Second))), 0)
+	is.Equal(h.TakeOrphans(now.Add(6*time.Second)), []bill.Row{row("a", 1)})
 	is.Equal(h.Bills(), 1)
 	h.OwnerStopped("b", []uint64{7, 9})
-	is.Equal(h.Orphans(now.Add(6*time.Second)), []bill.Row{row("b", 7)})
+	is.Equal(h.TakeOrphans(now.Add(6*time.Second)), []bill.Row{row("b", 7)})
 	is.True(h.Empty())
 }
 
@@ -45,7 +45,7 @@
 	now = now.Add(4 * time.Second)
 	is.Equal(len(h.Refresh(now, "a", []uint64{1})), 0)
 	now = now.Add(2 * time.Second)
-	is.Equal(h.Orphans(now), []bill.Row{row("a", 2)})
+	is.Equal(h.TakeOrphans(now), []bill.Row{row("a", 2)})
 	is.Equal(h.Bills(), 1)
 }
 
