--- a/internal/ledger/bill/batch.go
+++ b/internal/ledger/bill/batch.go
@@ -9,7 +9,7 @@
 	createdAt time.Time
 	waiting   []uint64 // numbers of the bills that wait for a reply
 	// heldRows are the rows that peers hold copies of and whose bills are in this row.
-	heldRows []Piece
+	heldRows []HeldRow
 	// held means that heldRows cover all bills of the row.
 	held bool
 	// adopted means that the row was taken over from another owner.
--- a/internal/ledger/bill/collector.go
+++ b/internal/ledger/bill/collector.go
@@ -29,7 +29,7 @@
 
 	nextRefresh time.Time
 	replies     []Reply
-	drops       []Piece
+	drops       []HeldRow
 }
 
 // retryGap is the minimum time before a row is written again.
--- a/internal/ledger/bill/collector_hold.go
+++ b/internal/ledger/bill/collector_hold.go
@@ -8,7 +8,7 @@
 // HoldDone processes the result of a request to hold a batch's row: the ids of the VMs
 // that hold a copy. Each must be in a different failure domain, and none in this one.
 func (c *Collector) HoldDone(now time.Time, w Write, holders []string) {
-	heldRow := Piece{Writer: w.Row.Writer, Seq: w.Row.Seq, Holders: holders}
+	heldRow := HeldRow{Writer: w.Row.Writer, Seq: w.Row.Seq, Holders: holders}
 	b := c.batches[w.Batch]
 	if b == nil {
 		c.drops = append(c.drops, heldRow)
@@ -23,7 +23,7 @@
 	for _, old := range b.heldRows {
 		c.drop(old, heldRow)
 	}
-	b.heldRows = []Piece{heldRow}
+	b.heldRows = []HeldRow{heldRow}
 	b.held = true
 	c.reply(b, InPeers)
 	c.moveToBacklog(b)
@@ -31,7 +31,7 @@
 
 // drop releases the copies of a row, except those that another held row still needs:
 // a row that is held again may have some of the same holders.
-func (c *Collector) drop(old, needed Piece) {
+func (c *Collector) drop(old, needed HeldRow) {
 	var holders []string
 	for _, h := range old.Holders {
 		if !old.same(needed) || !slices.Contains(needed.Holders, h) {
@@ -39,16 +39,16 @@
 		}
 	}
 	if len(holders) > 0 {
-		c.drops = append(c.drops, Piece{Writer: old.Writer, Seq: old.Seq, Holders: holders})
+		c.drops = append(c.drops, HeldRow{Writer: old.Writer, Seq: old.Seq, Holders: holders})
 	}
 }
 
 // same reports whether both are the same row.
-func (p Piece) same(other Piece) bool { return p.Writer == other.Writer && p.Seq == other.Seq }
+func (p HeldRow) same(other HeldRow) bool { return p.Writer == other.Writer && p.Seq == other.Seq }
 
 // PieceLost records that a holder no longer has a copy or cannot be reached. The row,
 // or the merged row that contains its bills, is then held again as a whole.
-func (c *Collector) PieceLost(lost Piece) {
+func (c *Collector) PieceLost(lost HeldRow) {
 	for _, b := range c.backlog {
 		for _, p := range b.heldRows {
 			if p.same(lost) {
@@ -69,7 +69,7 @@
 }
 
 // refresh returns the rows whose copies are due for a refresh.
-func (c *Collector) refresh(now time.Time) []Piece {
+func (c *Collector) refresh(now time.Time) []HeldRow {
 	if now.Before(c.nextRefresh) {
 		return nil
 	}
@@ -78,8 +78,8 @@
 }
 
 // Pieces returns all rows that peers hold copies of.
-func (c *Collector) Pieces() []Piece {
-	var heldRows []Piece
+func (c *Collector) Pieces() []HeldRow {
+	var heldRows []HeldRow
 	for _, b := range c.active {
 		heldRows = append(heldRows, b.heldRows...)
 	}
--- a/internal/ledger/bill/collector_ready.go
+++ b/internal/ledger/bill/collector_ready.go
@@ -10,8 +10,8 @@
 	sent  time.Time
 }
 
-// Piece identifies a row that peers hold copies of.
-type Piece struct {
+// HeldRow identifies a row that peers hold copies of.
+type HeldRow struct {
 	Writer  string
 	Seq     uint64
 	Holders []string // ids of VMs
@@ -34,9 +34,9 @@
 	Hold []Write
 	// Refresh are rows to refresh at their holders, which reply with those they do not
 	// have.
-	Refresh []Piece
+	Refresh []HeldRow
 	// Drop are rows whose copies are no longer needed.
-	Drop    []Piece
+	Drop    []HeldRow
 	Replies []Reply
 	// Wake is when to call Ready again if there is no event before; zero means never.
 	Wake time.Time
--- a/internal/ledger/bill/form.go
+++ b/internal/ledger/bill/form.go
@@ -86,7 +86,7 @@
 // mergedBatches is the content of several batches.
 type mergedBatches struct {
 	bills    []Bill
-	heldRows []Piece
+	heldRows []HeldRow
 	held     bool
 }
 
--- a/internal/ledger/collecting.go
+++ b/internal/ledger/collecting.go
@@ -201,7 +201,7 @@
 	c.loop.post(func(now time.Time) { c.core.HoldDone(now, w, holderIDs) })
 }
 
-func (c *collecting) refresh(heldRows []bill.Piece) {
+func (c *collecting) refresh(heldRows []bill.HeldRow) {
 	missing := c.holders.refresh(c.baseCtx, heldRows)
 	c.loop.post(func(time.Time) {
 		for _, heldRow := range missing {
--- a/internal/ledger/holders.go
+++ b/internal/ledger/holders.go
@@ -81,9 +81,9 @@
 
 // refresh refreshes rows at their holders, and returns the rows of which a copy is
 // missing.
-func (h *holders) refresh(ctx context.Context, heldRows []bill.Piece) []bill.Piece {
+func (h *holders) refresh(ctx context.Context, heldRows []bill.HeldRow) []bill.HeldRow {
 	var mu sync.Mutex
-	var missing []bill.Piece
+	var missing []bill.HeldRow
 	var wg sync.WaitGroup
 	for to, seqs := range byHolder(heldRows) {
 		wg.Go(func() {
@@ -91,7 +91,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			for _, seq := range lost {
-				missing = append(missing, bill.Piece{Writer: to.writer, Seq: seq})
+				missing = append(missing, bill.HeldRow{Writer: to.writer, Seq: seq})
 			}
 		})
 	}
@@ -116,17 +116,17 @@
 
 // drop tells holders that rows are no longer needed. A holder that does not get the call
 // takes the rows over later and writes them, which does no harm.
-func (h *holders) drop(ctx context.Context, heldRows []bill.Piece) {
+func (h *holders) drop(ctx context.Context, heldRows []bill.HeldRow) {
 	h.callDrop(ctx, heldRows, false)
 }
 
 // ownerStopped tells the holders that the owner stops, so that they take the rows over
 // at once.
-func (h *holders) ownerStopped(ctx context.Context, heldRows []bill.Piece) {
+func (h *holders) ownerStopped(ctx context.Context, heldRows []bill.HeldRow) {
 	h.callDrop(ctx, heldRows, true)
 }
 
-func (h *holders) callDrop(ctx context.Context, heldRows []bill.Piece, gone bool) {
+func (h *holders) callDrop(ctx context.Context, heldRows []bill.HeldRow, gone bool) {
 	var wg sync.WaitGroup
 	for to, seqs := range byHolder(heldRows) {
 		if vm, ok := h.router.find(to.holder); ok {
@@ -152,7 +152,7 @@
 // target is a holder, and the writer of the rows that it holds.
 type target struct{ holder, writer string }
 
-func byHolder(heldRows []bill.Piece) map[target][]uint64 {
+func byHolder(heldRows []bill.HeldRow) map[target][]uint64 {
 	seqs := map[target][]uint64{}
 	for _, p := range heldRows {
 		for _, id := range p.Holders {
