--- a/internal/ledger/bill/collector_hold.go
+++ b/internal/ledger/bill/collector_hold.go
@@ -74,11 +74,11 @@
 		return nil
 	}
 	c.nextRefresh = now.Add(c.settings.Refresh)
-	return c.Pieces()
+	return c.HeldRows()
 }
 
-// Pieces returns all rows that peers hold copies of.
-func (c *Collector) Pieces() []HeldRow {
+// HeldRows returns all rows that peers hold copies of.
+func (c *Collector) HeldRows() []HeldRow {
 	var heldRows []HeldRow
 	for _, b := range c.active {
 		heldRows = append(heldRows, b.heldRows...)
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -152,7 +152,7 @@
 // handOver has the peers that hold this node's unstored bills take them over.
 func (l *Ledger) handOver() {
 	var heldRows []bill.HeldRow
-	_ = l.collecting.withHolder(func(_ time.Time, c *collecting) { heldRows = c.core.Pieces() }) // none if the task has ended
+	_ = l.collecting.withHolder(func(_ time.Time, c *collecting) { heldRows = c.core.HeldRows() }) // none if the task has ended
 	l.holders.ownerStopped(context.Background(), heldRows)
 }
 
