--- a/internal/ledger/bill/collector_hold.go
+++ b/internal/ledger/bill/collector_hold.go
@@ -46,9 +46,9 @@
 // same reports whether both are the same row.
 func (p HeldRow) same(other HeldRow) bool { return p.Writer == other.Writer && p.Seq == other.Seq }
 
-// PieceLost records that a holder no longer has a copy or cannot be reached. The row,
+// CopyLost records that a holder no longer has a copy or cannot be reached. The row,
 // or the merged row that contains its bills, is then held again as a whole.
-func (c *Collector) PieceLost(lost HeldRow) {
+func (c *Collector) CopyLost(lost HeldRow) {
 	for _, b := range c.backlog {
 		for _, p := range b.heldRows {
 			if p.same(lost) {
--- a/internal/ledger/bill/script_test.go
+++ b/internal/ledger/bill/script_test.go
@@ -83,7 +83,7 @@
 		s.c.HoldDone(s.now, s.batch(t, d, "hold"), by)
 	case "lost":
 		row := s.batch(t, d, "hold").Row
-		s.c.PieceLost(HeldRow{Writer: row.Writer, Seq: row.Seq})
+		s.c.CopyLost(HeldRow{Writer: row.Writer, Seq: row.Seq})
 	case "waiting":
 		fmt.Fprintf(&s.text, "%d bills in memory\n", s.c.Waiting())
 	default:
--- a/internal/ledger/bill/sim_step_test.go
+++ b/internal/ledger/bill/sim_step_test.go
@@ -205,7 +205,7 @@
 			peer := s.node(holder)
 			missing := peer.paused || len(peer.h.Refresh(s.now, row.Writer, []uint64{row.Seq})) > 0
 			if missing && !s.variant.ignoreLost {
-				n.c.PieceLost(row)
+				n.c.CopyLost(row)
 			}
 		}
 	}
--- a/internal/ledger/collecting.go
+++ b/internal/ledger/collecting.go
@@ -205,7 +205,7 @@
 	missing := c.holders.refresh(c.baseCtx, heldRows)
 	c.loop.post(func(time.Time) {
 		for _, heldRow := range missing {
-			c.core.PieceLost(heldRow)
+			c.core.CopyLost(heldRow)
 		}
 	})
 }
