--- a/internal/ledger/holders.go
+++ b/internal/ledger/holders.go
@@ -106,7 +106,7 @@
 	if !ok {
 		return seqs
 	}
-	args := wire.PiecesArgs{Writer: to.writer, Rows: wire.Pack(seqs)}
+	args := wire.HeldRowsArgs{Writer: to.writer, Rows: wire.Pack(seqs)}
 	var reply wire.PiecesReply
 	if err := h.call(ctx, vm, methodRefresh, &args, &reply); err != nil {
 		return seqs
@@ -131,7 +131,7 @@
 	for to, seqs := range byHolder(heldRows) {
 		if vm, ok := h.router.find(to.holder); ok {
 			wg.Go(func() {
-				args := wire.PiecesArgs{Writer: to.writer, Rows: wire.Pack(seqs), Gone: gone}
+				args := wire.HeldRowsArgs{Writer: to.writer, Rows: wire.Pack(seqs), Gone: gone}
 				_ = h.call(ctx, vm, methodDrop, &args, &wire.PiecesReply{})
 			})
 		}
--- a/internal/ledger/wire/hold.go
+++ b/internal/ledger/wire/hold.go
@@ -29,8 +29,8 @@
 	Held bool // false if the node has no room
 }
 
-// PiecesArgs refreshes or drops the copies that a node holds of a writer's rows.
-type PiecesArgs struct {
+// HeldRowsArgs refreshes or drops the copies that a node holds of a writer's rows.
+type HeldRowsArgs struct {
 	Writer string
 	Rows   Ranges
 	// Gone means that the writer stops for good and the holders take the rows over.
@@ -38,7 +38,7 @@
 }
 
 // Seqs returns the sequence numbers of the rows.
-func (a *PiecesArgs) Seqs() []uint64 { return a.Rows.Unpack() }
+func (a *HeldRowsArgs) Seqs() []uint64 { return a.Rows.Unpack() }
 
 // PiecesReply returns the rows that the node does not hold.
 type PiecesReply struct {
