--- a/internal/ledger/fabric_test.go
+++ b/internal/ledger/fabric_test.go
@@ -83,8 +83,8 @@
 		return new(wire.CollectReply)
 	case *wire.HoldReply:
 		return new(wire.HoldReply)
-	case *wire.PiecesReply:
-		return new(wire.PiecesReply)
+	case *wire.HeldRowsReply:
+		return new(wire.HeldRowsReply)
 	default:
 		return new(wire.AliveReply)
 	}
--- a/internal/ledger/holders.go
+++ b/internal/ledger/holders.go
@@ -107,7 +107,7 @@
 		return seqs
 	}
 	args := wire.HeldRowsArgs{Writer: to.writer, Rows: wire.Pack(seqs)}
-	var reply wire.PiecesReply
+	var reply wire.HeldRowsReply
 	if err := h.call(ctx, vm, methodRefresh, &args, &reply); err != nil {
 		return seqs
 	}
@@ -132,7 +132,7 @@
 		if vm, ok := h.router.find(to.holder); ok {
 			wg.Go(func() {
 				args := wire.HeldRowsArgs{Writer: to.writer, Rows: wire.Pack(seqs), Gone: gone}
-				_ = h.call(ctx, vm, methodDrop, &args, &wire.PiecesReply{})
+				_ = h.call(ctx, vm, methodDrop, &args, &wire.HeldRowsReply{})
 			})
 		}
 	}
--- a/internal/ledger/service.go
+++ b/internal/ledger/service.go
@@ -76,14 +76,14 @@
 }
 
 // Refresh refreshes copies and returns the rows that this node does not hold.
-func (s *service) Refresh(args *wire.HeldRowsArgs, reply *wire.PiecesReply) error {
+func (s *service) Refresh(args *wire.HeldRowsArgs, reply *wire.HeldRowsReply) error {
 	return s.ledger.collecting.withHolder(func(now time.Time, c *collecting) {
 		reply.Missing = wire.Pack(c.holder.Refresh(now, args.Writer, args.Seqs()))
 	})
 }
 
 // Drop deletes copies or, if their owner stops for good, takes the rows over.
-func (s *service) Drop(args *wire.HeldRowsArgs, _ *wire.PiecesReply) error {
+func (s *service) Drop(args *wire.HeldRowsArgs, _ *wire.HeldRowsReply) error {
 	return s.ledger.collecting.withHolder(func(_ time.Time, c *collecting) {
 		if args.Gone {
 			c.holder.OwnerStopped(args.Writer, args.Seqs())
--- a/internal/ledger/wire/hold.go
+++ b/internal/ledger/wire/hold.go
@@ -40,7 +40,7 @@
 // Seqs returns the sequence numbers of the rows.
 func (a *HeldRowsArgs) Seqs() []uint64 { return a.Rows.Unpack() }
 
-// PiecesReply returns the rows that the node does not hold.
-type PiecesReply struct {
+// HeldRowsReply returns the rows that the node does not hold.
+type HeldRowsReply struct {
 	Missing Ranges
 }
