--- a/internal/ledger/bill_stream.go
+++ b/internal/ledger/bill_stream.go
@@ -110,10 +110,10 @@
 	return covered, nil
 }
 
-func (r *billReader) getCompacted(ctx context.Context, k string) (bill.Fold, error) {
+func (r *billReader) getCompacted(ctx context.Context, k string) (bill.CompactedObject, error) {
 	value, err := r.get(ctx, k)
 	if err != nil {
-		return bill.Fold{}, err
+		return bill.CompactedObject{}, err
 	}
 	f, err := bill.DecodeFold(value)
 	return f, eris.Wrap(err, "fold "+k)
--- a/internal/ledger/pruning.go
+++ b/internal/ledger/pruning.go
@@ -65,7 +65,7 @@
 // pruneRows compacts and deletes those of the first rows that belong to a bucket.
 func (l *Ledger) pruneRows(ctx context.Context, b key.Bucket, summary uint64, rows []platform.Row) error {
 	txn := platform.Txn{Conditions: []platform.Condition{{Key: b.Summary(), Version: summary}}}
-	var object bill.Fold
+	var object bill.CompactedObject
 	var bills []bill.Bill
 	for _, row := range rows {
 		if of, err := key.BucketOfRow(row.Key); err != nil || of != b || len(bills) >= maxCompactBills {
--- a/internal/ledger/store.go
+++ b/internal/ledger/store.go
@@ -83,7 +83,7 @@
 }
 
 // putCompacted writes a compacted object.
-func (s *store) putCompacted(ctx context.Context, name string, f *bill.Fold) error {
+func (s *store) putCompacted(ctx context.Context, name string, f *bill.CompactedObject) error {
 	value, err := f.Encode()
 	if err != nil {
 		return err
