--- a/internal/ledger/bill/fold.go
+++ b/internal/ledger/bill/fold.go
@@ -25,9 +25,9 @@
 	return buf.Bytes(), nil
 }
 
-// DecodeFold decodes a compacted object. It returns an error if the bytes are not the
+// DecodeCompactedObject decodes a compacted object. It returns an error if the bytes are not the
 // encoding of one; Bills.Unpack checks the bills.
-func DecodeFold(data []byte) (CompactedObject, error) {
+func DecodeCompactedObject(data []byte) (CompactedObject, error) {
 	var f CompactedObject
 	err := gob.NewDecoder(bytes.NewReader(data)).Decode(&f)
 	return f, eris.Wrap(err, "decode fold")
--- a/internal/ledger/bill_stream.go
+++ b/internal/ledger/bill_stream.go
@@ -115,7 +115,7 @@
 	if err != nil {
 		return bill.CompactedObject{}, err
 	}
-	f, err := bill.DecodeFold(value)
+	f, err := bill.DecodeCompactedObject(value)
 	return f, eris.Wrap(err, "fold "+k)
 }
 
--- a/internal/ledger/read_objects.go
+++ b/internal/ledger/read_objects.go
@@ -94,7 +94,7 @@
 
 // addCompacted adds a compacted object.
 func (o *bucketProgress) addCompacted(k string, value []byte) error {
-	f, err := bill.DecodeFold(value)
+	f, err := bill.DecodeCompactedObject(value)
 	if err != nil {
 		return eris.Wrap(err, "fold "+k)
 	}
