--- a/internal/ledger/bill_reader.go
+++ b/internal/ledger/bill_reader.go
@@ -141,7 +141,7 @@
 	if err != nil || !r.mayBeCompacted(b, len(keys)) {
 		return keys, err
 	}
-	compacted, err := r.list(ctx, b.FoldPrefix())
+	compacted, err := r.list(ctx, b.CompactedPrefix())
 	if err != nil {
 		return nil, err
 	}
--- a/internal/ledger/bill_stream.go
+++ b/internal/ledger/bill_stream.go
@@ -87,7 +87,7 @@
 		return nil, nil
 	}
 	covered := map[string]bool{}
-	folds, err := r.list(ctx, b.FoldPrefix())
+	folds, err := r.list(ctx, b.CompactedPrefix())
 	if err != nil {
 		return nil, err
 	}
--- a/internal/ledger/key/bucket.go
+++ b/internal/ledger/key/bucket.go
@@ -37,14 +37,14 @@
 	return fmt.Sprintf("%s%s/%010d", b.Prefix(), writer, seq)
 }
 
-// FoldPrefix returns the key prefix of the bucket's compacted objects, each of which
+// CompactedPrefix returns the key prefix of the bucket's compacted objects, each of which
 // holds the bills of many small objects.
-func (b Bucket) FoldPrefix() string { return fmt.Sprintf("folded/%c/%012d/", b.Kind, b.Number) }
+func (b Bucket) CompactedPrefix() string { return fmt.Sprintf("folded/%c/%012d/", b.Kind, b.Number) }
 
 // Fold returns the key of a compacted object by the process that writes it and that
 // process's number for it.
 func (b Bucket) Fold(process string, number uint64) string {
-	return fmt.Sprintf("%s%s/%010d", b.FoldPrefix(), process, number)
+	return fmt.Sprintf("%s%s/%010d", b.CompactedPrefix(), process, number)
 }
 
 // Summary returns the key of the row that holds the bucket's totals.
--- a/internal/ledger/reading_test.go
+++ b/internal/ledger/reading_test.go
@@ -94,7 +94,7 @@
 			return l.Stats().ObjectReads - before
 		}
 		is.True(read() < 10)
-		folds, err := c.platform.Objects().List(context.Background(), bucket.FoldPrefix())
+		folds, err := c.platform.Objects().List(context.Background(), bucket.CompactedPrefix())
 		is.NoErr(err)
 		is.True(len(folds) >= 2)
 		for i := range 3 { // some bills are put again, in rows of another writer
@@ -112,10 +112,10 @@
 			is.NoErr(err)
 		}
 		time.Sleep(2 * time.Hour)
-		after, err := c.platform.Objects().List(context.Background(), bucket.FoldPrefix())
+		after, err := c.platform.Objects().List(context.Background(), bucket.CompactedPrefix())
 		is.NoErr(err)
 		is.Equal(after, folds) // a few objects are not compacted again
-		opaque, err := c.platform.Objects().List(context.Background(), open.FoldPrefix())
+		opaque, err := c.platform.Objects().List(context.Background(), open.CompactedPrefix())
 		is.NoErr(err)
 		is.Equal(len(opaque), 1) // a bucket of a day is compacted before it closes
 	})
