--- a/internal/ledger/folding.go
+++ b/internal/ledger/folding.go
@@ -89,7 +89,7 @@
 	}
 	bills = bill.Distinct(bills)
 	object := bill.CompactedObject{Covers: keys[:n], Bills: bill.Pack(bills)}
-	name := b.Fold(l.process, l.lastCompacted.Add(1))
+	name := b.Compacted(l.process, l.lastCompacted.Add(1))
 	if err := l.store.putCompacted(ctx, name, &object); err != nil {
 		return 0, eris.Wrap(err, "write compacted object "+name)
 	}
--- a/internal/ledger/key/bucket.go
+++ b/internal/ledger/key/bucket.go
@@ -41,9 +41,9 @@
 // holds the bills of many small objects.
 func (b Bucket) CompactedPrefix() string { return fmt.Sprintf("folded/%c/%012d/", b.Kind, b.Number) }
 
-// Fold returns the key of a compacted object by the process that writes it and that
+// Compacted returns the key of a compacted object by the process that writes it and that
 // process's number for it.
-func (b Bucket) Fold(process string, number uint64) string {
+func (b Bucket) Compacted(process string, number uint64) string {
 	return fmt.Sprintf("%s%s/%010d", b.CompactedPrefix(), process, number)
 }
 
--- a/internal/ledger/pruning.go
+++ b/internal/ledger/pruning.go
@@ -81,7 +81,7 @@
 		txn.Writes = append(txn.Writes, platform.Write{Key: row.Key, Delete: true})
 	}
 	object.Bills = bill.Pack(bill.Distinct(bills))
-	name := b.Fold(l.process, l.lastCompacted.Add(1))
+	name := b.Compacted(l.process, l.lastCompacted.Add(1))
 	if err := l.store.putCompacted(ctx, name, &object); err != nil {
 		return eris.Wrap(err, "write compacted object "+name)
 	}
