--- a/internal/capacity/role_ledger.go
+++ b/internal/capacity/role_ledger.go
@@ -174,7 +174,7 @@
 	tables := float64(c.Tables)
 	rows := float64(c.Size.FailureDomains) / f.gap * billBucket()
 	keys := c.Size.Requests * c.Assume.DayMean * billBucket()
-	parts := math.Exp2(math.Max(0, math.Ceil(math.Log2(keys/tables/float64(s.MaxSettleKeys)))))
+	parts := math.Exp2(math.Max(0, math.Ceil(math.Log2(keys/tables/float64(s.MaxSummaryKeys)))))
 	bucketBytes := keys * c.per("bill.bytes") * base64Growth
 	shards := float64((s.Layout.Shards + s.Layout.OpaqueShards) * c.Tables)
 	// A part reads the bucket whole and keeps its own keys.
@@ -187,11 +187,11 @@
 	peak := perPart.Times(1 / s.Janitor.Seconds() / tables)
 	held := keys / tables / parts
 	peak.Memory = c.memory(held * settleKeyBytes)
-	bounded := float64(s.MaxSettleKeys) / (c.Size.Requests / tables * c.Assume.DayMean)
+	bounded := float64(s.MaxSummaryKeys) / (c.Size.Requests / tables * c.Assume.DayMean)
 	return Role{
 		Name: "settling of bills", Plane: Control, PerRequest: true,
 		State:     fmt.Sprintf("while it settles, hashes of the keys of a part of a bucket of %v: %.1f million; the bucket has %s", s.Layout.BillBucket, held/1e6, amount(bucketBytes)),
-		Mechanism: fmt.Sprintf("one node in rendezvous order a minute deletes old claims and adds closed buckets up, row by row; a bucket of more than %.0f million keys in parts, here %.0f, each a step of any node, and moves rows to the object store after %v; package ledger", float64(s.MaxSettleKeys)/1e6, parts, s.PruneAfter),
+		Mechanism: fmt.Sprintf("one node in rendezvous order a minute deletes old claims and adds closed buckets up, row by row; a bucket of more than %.0f million keys in parts, here %.0f, each a step of any node, and moves rows to the object store after %v; package ledger", float64(s.MaxSummaryKeys)/1e6, parts, s.PruneAfter),
 		Each:      perBucket.Times(1 / billBucket() / float64(c.Size.Nodes)),
 		Busiest:   peak, Who: "the janitor while it settles a part",
 		Reads:  (parts+2)*pages/billBucket() + 2*shards/s.Janitor.Seconds(),
--- a/internal/ledger/settings.go
+++ b/internal/ledger/settings.go
@@ -41,9 +41,9 @@
 	MaxHeld    int
 	// MaxKeys bounds the number of keys of claim logs in memory.
 	MaxKeys int
-	// MaxSettleKeys bounds the number of keys in memory while a bucket is summarised. A
+	// MaxSummaryKeys bounds the number of keys in memory while a bucket is summarised. A
 	// bucket with more keys is divided into parts. A key takes 8 to 14 bytes.
-	MaxSettleKeys int
+	MaxSummaryKeys int
 	// PruneAfter is how long the rows of a closed bucket stay in the table before they
 	// are moved to the object store. It must be longer than Skew.
 	PruneAfter time.Duration
@@ -69,7 +69,7 @@
 		MaxWaiting:           100_000,
 		MaxHeld:              200_000,
 		MaxKeys:              100_000,
-		MaxSettleKeys:        16_000_000,
+		MaxSummaryKeys:       16_000_000,
 		PruneAfter:           48 * time.Hour,
 		Janitor:              time.Minute,
 	}
--- a/internal/ledger/settling.go
+++ b/internal/ledger/settling.go
@@ -164,12 +164,12 @@
 // parts.
 func (l *Ledger) summariseFirst(ctx context.Context, b key.Bucket) (part, []Total, error) {
 	var p part
-	sum, err := l.summarisePart(ctx, b, p, l.settings.MaxSettleKeys)
+	sum, err := l.summarisePart(ctx, b, p, l.settings.MaxSummaryKeys)
 	var full *partFullError
 	if !errors.As(err, &full) {
 		return p, sum, err
 	}
-	p.bits = min(maxPartBits, bits.Len(uint((full.bills-1)/l.settings.MaxSettleKeys)))
+	p.bits = min(maxPartBits, bits.Len(uint((full.bills-1)/l.settings.MaxSummaryKeys)))
 	sum, err = l.summariseNext(ctx, b, p)
 	return p, sum, err
 }
@@ -191,7 +191,7 @@
 // summariseNext computes the totals of one of several parts. Its limit is higher, as parts
 // differ in size.
 func (l *Ledger) summariseNext(ctx context.Context, b key.Bucket, p part) ([]Total, error) {
-	return l.summarisePart(ctx, b, p, 2*l.settings.MaxSettleKeys)
+	return l.summarisePart(ctx, b, p, 2*l.settings.MaxSummaryKeys)
 }
 
 func addTotals(all ...[]Total) []Total {
--- a/internal/ledger/settling_test.go
+++ b/internal/ledger/settling_test.go
@@ -50,7 +50,7 @@
 	inBubble(t, 4, func(is *is.I, c *cluster) {
 		bucket := fillBucket(is, c, 2000)
 		for _, l := range c.ledgers {
-			l.settings.MaxSettleKeys = 300
+			l.settings.MaxSummaryKeys = 300
 		}
 		l := c.ledgers["e0"]
 		bills, err := l.reader.bills(context.Background(), bucket, time.Time{})
@@ -69,7 +69,7 @@
 			is.NoErr(err)
 			if steps == 3 {
 				c.lose("e1")
-				c.start(c.members[1]).settings.MaxSettleKeys = 300
+				c.start(c.members[1]).settings.MaxSummaryKeys = 300
 			}
 		}
 		is.True(steps >= 2000/300)
@@ -93,7 +93,7 @@
 	inBubble(t, 2, func(is *is.I, c *cluster) {
 		bucket := fillBucket(is, c, 1000)
 		a, b := c.ledgers["e0"], c.ledgers["e1"]
-		a.settings.MaxSettleKeys, b.settings.MaxSettleKeys = 300, 300
+		a.settings.MaxSummaryKeys, b.settings.MaxSummaryKeys = 300, 300
 		p, sum, err := a.summariseFirst(context.Background(), bucket)
 		is.NoErr(err)
 		for done := false; !done; {
