--- a/internal/ledger/batcher.go
+++ b/internal/ledger/batcher.go
@@ -169,7 +169,7 @@
 	b.lastSweep = now
 	keys := 0
 	for name, open := range b.logs {
-		if open.core.Idle() && now.Sub(open.core.Used()) > maxIdle {
+		if open.core.Idle() && now.Sub(open.core.LastUsed()) > maxIdle {
 			delete(b.logs, name)
 			continue
 		}
@@ -188,7 +188,7 @@
 func (b *batcher) oldestIdle() *openLog {
 	var oldest *openLog
 	for _, open := range b.logs {
-		if open.core.Idle() && (oldest == nil || open.core.Used().Before(oldest.core.Used())) {
+		if open.core.Idle() && (oldest == nil || open.core.LastUsed().Before(oldest.core.LastUsed())) {
 			oldest = open
 		}
 	}
--- a/internal/ledger/claim/log.go
+++ b/internal/ledger/claim/log.go
@@ -80,8 +80,8 @@
 	return !l.callInFlight && l.inFlight == nil && len(l.pending) == 0 && len(l.replies) == 0
 }
 
-// Used returns the time of the last Add.
-func (l *Log) Used() time.Time { return l.lastUsed }
+// LastUsed returns the time of the last Add.
+func (l *Log) LastUsed() time.Time { return l.lastUsed }
 
 // Keys returns the number of keys that the log holds in memory.
 func (l *Log) Keys() int { return len(l.index.records) }
