--- a/internal/ledger/claim/result.go
+++ b/internal/ledger/claim/result.go
@@ -32,9 +32,9 @@
 	State State
 	// Record is the key's record for Running, Settled, Unknown and KeyReused.
 	Record Record
-	// Doubted means that another attempt holds the key, but a copy of this claim may
+	// CopyInFlight means that another attempt holds the key, but a copy of this claim may
 	// still be written later. If the other attempt is released, the copy may then take
 	// the key for a short time. The ledger releases this attempt too, without a call by
 	// the claimant.
-	Doubted bool
+	CopyInFlight bool
 }
--- a/internal/ledger/claims.go
+++ b/internal/ledger/claims.go
@@ -40,7 +40,7 @@
 		l.releaseLater(name, e.ID, e.Attempt)
 	}
 	result, err := l.claimResult(ctx, out)
-	result.Doubted = inDoubt
+	result.CopyInFlight = inDoubt
 	return result, err
 }
 
--- a/internal/ledger/history_test.go
+++ b/internal/ledger/history_test.go
@@ -308,5 +308,5 @@
 	if err != nil {
 		return output{refused: errors.Is(err, ErrNotClaimed), unknown: errors.Is(err, ErrClaimUnknown)}
 	}
-	return output{state: r.State, answer: string(r.Record.Answer), doubted: r.Doubted}
+	return output{state: r.State, answer: string(r.Record.Answer), doubted: r.CopyInFlight}
 }
