--- a/internal/ledger/bill/sim_test.go
+++ b/internal/ledger/bill/sim_test.go
@@ -124,7 +124,7 @@
 		name = n.id
 	}
 	n.c = bill.NewCollector(collectorSettings(name, s.variant))
-	n.h = hold.New(hold.Settings{MaxBills: 1000, Silence: silence})
+	n.h = hold.New(hold.Settings{MaxBills: 1000, OwnerTimeout: silence})
 	n.calls, n.paused = nil, false
 }
 
--- a/internal/ledger/hold/holder.go
+++ b/internal/ledger/hold/holder.go
@@ -13,9 +13,9 @@
 type Settings struct {
 	// MaxBills is the maximum number of bills held.
 	MaxBills int
-	// Silence is how long a row may go without a refresh before its holders take it
+	// OwnerTimeout is how long a row may go without a refresh before its holders take it
 	// over.
-	Silence time.Duration
+	OwnerTimeout time.Duration
 }
 
 // Holder keeps copies of rows for their owners. An owner that sends no refreshes may
@@ -109,7 +109,7 @@
 	var rows []bill.Row
 	for writer, owned := range h.owners {
 		for seq, held := range owned {
-			if now.Sub(held.refreshedAt) > h.settings.Silence {
+			if now.Sub(held.refreshedAt) > h.settings.OwnerTimeout {
 				rows = append(rows, held.row)
 				h.remove(writer, seq)
 			}
--- a/internal/ledger/hold/holder_test.go
+++ b/internal/ledger/hold/holder_test.go
@@ -19,7 +19,7 @@
 func TestRowsWithoutRefreshAreTakenOver(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
-	h := New(Settings{MaxBills: 10, Silence: 5 * time.Second})
+	h := New(Settings{MaxBills: 10, OwnerTimeout: 5 * time.Second})
 	is.True(h.Hold(now, row("a", 1)))
 	is.True(h.Hold(now, row("a", 1)))
 	is.True(h.Hold(now, row("b", 7)))
@@ -39,7 +39,7 @@
 func TestRefreshOfOneRowDoesNotKeepAnother(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
-	h := New(Settings{MaxBills: 10, Silence: 5 * time.Second})
+	h := New(Settings{MaxBills: 10, OwnerTimeout: 5 * time.Second})
 	is.True(h.Hold(now, row("a", 1)))
 	is.True(h.Hold(now, row("a", 2)))
 	now = now.Add(4 * time.Second)
@@ -54,7 +54,7 @@
 func TestStoppingHolderReturnsAllRows(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
-	h := New(Settings{MaxBills: 10, Silence: 5 * time.Second})
+	h := New(Settings{MaxBills: 10, OwnerTimeout: 5 * time.Second})
 	is.True(h.Hold(now, row("b", 1)))
 	is.True(h.Hold(now, row("a", 2)))
 	is.Equal(h.TakeAll(now), []bill.Row{row("a", 2), row("b", 1)})
@@ -65,7 +65,7 @@
 // or the next loss of a VM could lose the last copy.
 func TestRestartedHolderReportsAllRowsMissing(t *testing.T) {
 	is := is.New(t)
-	h := New(Settings{MaxBills: 1, Silence: time.Second})
+	h := New(Settings{MaxBills: 1, OwnerTimeout: time.Second})
 	is.Equal(h.Refresh(time.Unix(1, 0), "a", []uint64{1, 2}), []uint64{1, 2})
 	is.True(h.Hold(time.Unix(1, 0), row("a", 1)))
 	is.True(!h.Hold(time.Unix(1, 0), row("a", 2))) // no room
--- a/internal/ledger/settings.go
+++ b/internal/ledger/settings.go
@@ -144,5 +144,5 @@
 }
 
 func (s Settings) holder() hold.Settings {
-	return hold.Settings{MaxBills: s.MaxHeld, Silence: ownerTimeout}
+	return hold.Settings{MaxBills: s.MaxHeld, OwnerTimeout: ownerTimeout}
 }
