--- a/internal/ledger/bill/collector.go
+++ b/internal/ledger/bill/collector.go
@@ -48,8 +48,8 @@
 		settings:  s,
 		writePace: pace.New(s.MinGap, s.MaxGap),
 		holdPace:  pace.New(s.MinGap, s.MinGap),
-		table:     storeHealth{grace: s.TableGrace, probe: s.Probe, maxInFlight: s.MaxFlights},
-		objects:   storeHealth{grace: s.TableGrace, probe: s.Probe, maxInFlight: s.MaxFlights},
+		table:     storeHealth{grace: s.TableGrace, probe: s.Probe, maxInFlight: s.MaxInFlight},
+		objects:   storeHealth{grace: s.TableGrace, probe: s.Probe, maxInFlight: s.MaxInFlight},
 		batches:   map[uint64]*batch{},
 	}
 	c.writePace.SetBurst(s.Burst)
--- a/internal/ledger/bill/collector_decide.go
+++ b/internal/ledger/bill/collector_decide.go
@@ -57,7 +57,7 @@
 // formForPeers makes a batch for peers while no store is healthy. It does not wait for
 // the gap between writes to stores, which failures have widened by then.
 func (c *Collector) formForPeers(now time.Time) {
-	if c.noHealthyStore() && len(c.unbatched) > 0 && c.holdPace.Allowed(now) && len(c.active) < c.settings.MaxFlights {
+	if c.noHealthyStore() && len(c.unbatched) > 0 && c.holdPace.Allowed(now) && len(c.active) < c.settings.MaxInFlight {
 		c.formBatch(now, c.unbatched[0].bucket)
 		c.holdPace.Sent(now)
 	}
--- a/internal/ledger/bill/collector_settings.go
+++ b/internal/ledger/bill/collector_settings.go
@@ -19,9 +19,9 @@
 	Burst int
 	// MaxBatch is the maximum number of bills in a row.
 	MaxBatch int
-	// MaxFlights is the maximum number of writes in flight to one store, and of active
+	// MaxInFlight is the maximum number of writes in flight to one store, and of active
 	// batches for peers.
-	MaxFlights int
+	MaxInFlight int
 	// MaxWaiting is the maximum number of bills in memory; further ones are unsafe.
 	MaxWaiting int
 	// TableGrace is how long a batch waits for the table alone. After that, the object
--- a/internal/ledger/bill/script_test.go
+++ b/internal/ledger/bill/script_test.go
@@ -14,13 +14,13 @@
 
 func testSettings(writer string) CollectorSettings {
 	return CollectorSettings{
-		Writer:     writer,
-		Layout:     key.Layout{Shards: 4, OpaqueShards: 64, ClaimBucket: time.Minute, BillBucket: time.Hour},
-		MinGap:     20 * time.Millisecond,
-		MaxGap:     time.Second,
-		MaxBatch:   100,
-		MaxFlights: 4,
-		MaxWaiting: 1000,
+		Writer:      writer,
+		Layout:      key.Layout{Shards: 4, OpaqueShards: 64, ClaimBucket: time.Minute, BillBucket: time.Hour},
+		MinGap:      20 * time.Millisecond,
+		MaxGap:      time.Second,
+		MaxBatch:    100,
+		MaxInFlight: 4,
+		MaxWaiting:  1000,
 
 		TableGrace:  300 * time.Millisecond,
 		ObjectGrace: 600 * time.Millisecond,
--- a/internal/ledger/bill/sim_test.go
+++ b/internal/ledger/bill/sim_test.go
@@ -93,7 +93,7 @@
 func collectorSettings(writer string, v variant) bill.CollectorSettings {
 	s := bill.CollectorSettings{
 		Writer: writer, Layout: key.Layout{Shards: 1, OpaqueShards: 1, ClaimBucket: time.Minute, BillBucket: time.Hour},
-		MinGap: 20 * time.Millisecond, MaxGap: time.Second, MaxBatch: 20, MaxFlights: 4, MaxWaiting: 1000,
+		MinGap: 20 * time.Millisecond, MaxGap: time.Second, MaxBatch: 20, MaxInFlight: 4, MaxWaiting: 1000,
 		TableGrace: 200 * time.Millisecond, ObjectGrace: 400 * time.Millisecond, GiveUp: 2 * time.Second,
 		Probe: 500 * time.Millisecond, Refresh: refresh, Copies: 2,
 	}
--- a/internal/ledger/settings.go
+++ b/internal/ledger/settings.go
@@ -137,7 +137,7 @@
 	minGap, burst := s.billPacing(1)
 	return bill.CollectorSettings{
 		Writer: writer, Layout: s.Layout, MinGap: minGap, MaxGap: maxGap, Burst: burst,
-		MaxBatch: maxRowBills, MaxFlights: maxInFlight, MaxWaiting: s.MaxWaiting,
+		MaxBatch: maxRowBills, MaxInFlight: maxInFlight, MaxWaiting: s.MaxWaiting,
 		TableGrace: tableGrace, ObjectGrace: objectGrace, GiveUp: giveUp,
 		Probe: probeInterval, Refresh: refreshInterval, Copies: holdCopies,
 	}
