--- a/internal/ledger/bill/fold.go
+++ b/internal/ledger/bill/fold.go
@@ -7,9 +7,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// CompactedObject is a compacted object: it has the bills of many small objects, or of rows, of a
-// bucket. The small objects remain, since the object store deletes nothing, but readers
-// skip them.
+// CompactedObject has the bills of many small objects, or of rows, of a bucket. The small
+// objects remain, since the object store deletes nothing, but readers skip them.
 type CompactedObject struct {
 	// Covers are the keys of the objects and rows whose bills are included.
 	Covers []string
@@ -25,8 +24,8 @@
 	return buf.Bytes(), nil
 }
 
-// DecodeCompactedObject decodes a compacted object. It returns an error if the bytes are not the
-// encoding of one; Bills.Unpack checks the bills.
+// DecodeCompactedObject decodes a compacted object. It returns an error if the bytes are
+// not the encoding of one; Bills.Unpack checks the bills.
 func DecodeCompactedObject(data []byte) (CompactedObject, error) {
 	var f CompactedObject
 	err := gob.NewDecoder(bytes.NewReader(data)).Decode(&f)
--- a/internal/ledger/bill_reader.go
+++ b/internal/ledger/bill_reader.go
@@ -100,8 +100,8 @@
 	}
 }
 
-// objectBills reads the bills in a bucket's objectBills: the compacted objectBills, and the
-// objectBills that these do not cover.
+// objectBills reads the bills in a bucket's objects: the compacted objects, and the
+// objects that these do not cover.
 func (r *billReader) objectBills(ctx context.Context, b key.Bucket, until time.Time) ([]bill.Bill, error) {
 	progress, err := r.progress.acquire(ctx, b)
 	if err != nil {
--- a/internal/ledger/bill_stream.go
+++ b/internal/ledger/bill_stream.go
@@ -29,15 +29,15 @@
 // table, the compacted objects, and the objects that these do not cover. At most one scan
 // of rows is in memory. The table comes first, so that rows which are compacted and
 // deleted in the meantime are found in compacted objects.
-func (r *billReader) forEach(ctx context.Context, b key.Bucket, take func(source, []bill.Bill) error) error {
-	if err := r.forEachRow(ctx, b, take); err != nil {
+func (r *billReader) forEach(ctx context.Context, b key.Bucket, visit func(source, []bill.Bill) error) error {
+	if err := r.forEachRow(ctx, b, visit); err != nil {
 		return err
 	}
 	keys, err := r.list(ctx, b.Prefix())
 	if err != nil {
 		return err
 	}
-	covered, err := r.forEachCompacted(ctx, b, len(keys), take)
+	covered, err := r.forEachCompacted(ctx, b, len(keys), visit)
 	if err != nil {
 		return err
 	}
@@ -45,14 +45,14 @@
 		if covered[k] {
 			continue
 		}
-		if err := r.readOne(ctx, source{k, smallObject}, take); err != nil {
+		if err := r.readOne(ctx, source{k, smallObject}, visit); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (r *billReader) forEachRow(ctx context.Context, b key.Bucket, take func(source, []bill.Bill) error) error {
+func (r *billReader) forEachRow(ctx context.Context, b key.Bucket, visit func(source, []bill.Bill) error) error {
 	after := ""
 	for {
 		rows, err := r.scan(ctx, b.Prefix(), after)
@@ -64,7 +64,7 @@
 			if err != nil {
 				return err
 			}
-			if err := take(source{row.Key, tableRow}, bills); err != nil {
+			if err := visit(source{row.Key, tableRow}, bills); err != nil {
 				return err
 			}
 		}
@@ -82,16 +82,16 @@
 
 // forEachCompacted passes the bills of each compacted object of a bucket to a function,
 // and returns the keys of the objects and rows that they cover.
-func (r *billReader) forEachCompacted(ctx context.Context, b key.Bucket, objects int, take func(source, []bill.Bill) error) (map[string]bool, error) {
+func (r *billReader) forEachCompacted(ctx context.Context, b key.Bucket, objects int, visit func(source, []bill.Bill) error) (map[string]bool, error) {
 	if !r.mayBeCompacted(b, objects) {
 		return nil, nil
 	}
 	covered := map[string]bool{}
-	folds, err := r.list(ctx, b.CompactedPrefix())
+	compactedKeys, err := r.list(ctx, b.CompactedPrefix())
 	if err != nil {
 		return nil, err
 	}
-	for _, k := range folds {
+	for _, k := range compactedKeys {
 		f, err := r.getCompacted(ctx, k)
 		if err != nil {
 			return nil, err
@@ -103,7 +103,7 @@
 		if err != nil {
 			return nil, eris.Wrap(err, "fold "+k)
 		}
-		if err := take(source{k, compactedObject}, bills); err != nil {
+		if err := visit(source{k, compactedObject}, bills); err != nil {
 			return nil, err
 		}
 	}
@@ -119,12 +119,12 @@
 	return f, eris.Wrap(err, "fold "+k)
 }
 
-func (r *billReader) readOne(ctx context.Context, from source, take func(source, []bill.Bill) error) error {
+func (r *billReader) readOne(ctx context.Context, from source, visit func(source, []bill.Bill) error) error {
 	bills, err := r.readSource(ctx, from)
 	if err != nil {
 		return err
 	}
-	return take(from, bills)
+	return visit(from, bills)
 }
 
 // read reads the bills of one source.
@@ -158,12 +158,12 @@
 
 // reread reads some rows of a bucket again. The error is errRowMoved if one of them no
 // longer exists.
-func (r *billReader) reread(ctx context.Context, b key.Bucket, wanted map[source]struct{}, take func([]bill.Bill)) error {
+func (r *billReader) reread(ctx context.Context, b key.Bucket, wanted map[source]struct{}, visit func([]bill.Bill)) error {
 	left := len(wanted)
 	one := func(from source, bills []bill.Bill) error {
 		if _, ok := wanted[from]; ok {
 			left--
-			take(bills)
+			visit(bills)
 		}
 		return nil
 	}
--- a/internal/ledger/hold/holder.go
+++ b/internal/ledger/hold/holder.go
@@ -103,7 +103,7 @@
 }
 
 // TakeOrphans removes and returns the rows that were not refreshed within
-// Settings.Silence, sorted by writer and sequence number. The caller must keep them
+// Settings.OwnerTimeout, sorted by writer and sequence number. The caller must keep them
 // until they are stored.
 func (h *Holder) TakeOrphans(now time.Time) []bill.Row {
 	var rows []bill.Row
--- a/internal/ledger/holders.go
+++ b/internal/ledger/holders.go
@@ -70,13 +70,13 @@
 		})
 	}
 	wg.Wait()
-	var by []platform.VM
+	var accepted []platform.VM
 	for i, vm := range vms {
 		if held[i] {
-			by = append(by, vm)
+			accepted = append(accepted, vm)
 		}
 	}
-	return by
+	return accepted
 }
 
 // refresh refreshes rows at their holders, and returns the rows of which a copy is
--- a/internal/ledger/reading_test.go
+++ b/internal/ledger/reading_test.go
@@ -17,8 +17,8 @@
 	"github.com/hickorybank/hickorybank/internal/standin/platform/memory"
 )
 
-// fillWithObjects fills a bucket with n bills, each in an object of its own, as after an outage
-// of the table.
+// fillWithObjects fills a bucket with n bills, each in an object of its own, as after an
+// outage of the table.
 func fillWithObjects(is *is.I, c *cluster, n int) key.Bucket {
 	var bucket key.Bucket
 	for i := range n {
@@ -94,9 +94,9 @@
 			return l.Stats().ObjectReads - before
 		}
 		is.True(read() < 10)
-		folds, err := c.platform.Objects().List(context.Background(), bucket.CompactedPrefix())
+		compacted, err := c.platform.Objects().List(context.Background(), bucket.CompactedPrefix())
 		is.NoErr(err)
-		is.True(len(folds) >= 2)
+		is.True(len(compacted) >= 2)
 		for i := range 3 { // some bills are put again, in rows of another writer
 			one, err := l.reader.bills(context.Background(), bucket, time.Time{})
 			is.NoErr(err)
@@ -114,7 +114,7 @@
 		time.Sleep(2 * time.Hour)
 		after, err := c.platform.Objects().List(context.Background(), bucket.CompactedPrefix())
 		is.NoErr(err)
-		is.Equal(after, folds) // a few objects are not compacted again
+		is.Equal(after, compacted) // a few objects are not compacted again
 		opaque, err := c.platform.Objects().List(context.Background(), open.CompactedPrefix())
 		is.NoErr(err)
 		is.Equal(len(opaque), 1) // a bucket of a day is compacted before it closes
--- a/internal/ledger/settling.go
+++ b/internal/ledger/settling.go
@@ -87,7 +87,7 @@
 }
 
 // rereadFunc reads some rows again and passes their bills to a function.
-type rereadFunc func(rows map[source]struct{}, take func([]bill.Bill)) error
+type rereadFunc func(rows map[source]struct{}, visit func([]bill.Bill)) error
 
 // removeDuplicates corrects the totals of keys with several bills. It processes a limited
 // number of keys at a time, since after an outage all keys may be repeated.
