--- a/internal/config/class.go
+++ b/internal/config/class.go
@@ -1,27 +1,28 @@
 package config
 
-// Kind says how urgent the requests of a class are.
+// Kind is the urgency of a class's requests.
 type Kind string
 
-// The kinds of work, most urgent first.
+// The kinds of classes, most urgent first.
 const (
-	// Immediate work must simply answer: look-ups, licence checks.
+	// Immediate requests are short and need an answer at once: look-ups, licence checks.
 	Immediate Kind = "immediate"
-	// Heavy work is long and must not be lost: drafts.
+	// Heavy requests run long and must not be lost: drafts.
 	Heavy Kind = "heavy"
-	// Deferrable work can wait: explanations, tags, summaries.
+	// Deferrable requests can wait: explanations, tags, summaries.
 	Deferrable Kind = "deferrable"
 )
 
-// Class is a kind of request that callers may name as the model.
+// Class groups requests with the same urgency and deadline. Callers may name a class in place of
+// a model.
 type Class struct {
 	Name string `json:"name"`
 	Kind Kind   `json:"kind"`
-	// DeadlineMillis is how long a request may take from its arrival.
+	// DeadlineMillis is the time limit of a request, in milliseconds from its arrival.
 	DeadlineMillis int64 `json:"deadline_ms"`
-	// Model is the model that serves the class when a caller names only
-	// the class. Empty means any model that the organisation may use.
+	// Model serves the class when a caller names only the class. If empty, any model that the
+	// organisation may use serves it.
 	Model string `json:"model,omitempty"`
-	// Cascade says that the class can wait for a rated first try.
+	// Cascade allows a cheaper version to answer first, with its answer rated before it is returned.
 	Cascade bool `json:"cascade"`
 }
--- a/internal/config/clone.go
+++ b/internal/config/clone.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// Clone returns a deep copy, so that a change can be tried on it.
+// Clone returns a deep copy. Changes are applied to a copy, so that the original stays as it is
+// if a change is invalid.
 func (d *Document) Clone() *Document {
 	c := *d
 	c.Presets = slices.Clone(d.Presets)
--- a/internal/config/diff.go
+++ b/internal/config/diff.go
@@ -7,17 +7,16 @@
 	"slices"
 )
 
-// Difference is one field that two documents do not agree on. Entries of lists
-// are named by what identifies them, for example
-// "organisations[tunis].targets[summary].quality".
+// Difference is one field whose value differs between two documents. Field names list entries by
+// their identity, for example "organisations[tunis].targets[summary].quality".
 type Difference struct {
 	Field string `json:"field"`
-	// Before and After are in JSON; empty where the field is absent.
+	// Before and After are JSON texts; empty where the field is absent.
 	Before string `json:"before,omitempty"`
 	After  string `json:"after,omitempty"`
 }
 
-// String is one line for people.
+// String returns the difference as one readable line: "+" for added, "-" for removed, "~" for changed.
 func (d Difference) String() string {
 	switch {
 	case d.Before == "":
@@ -29,27 +28,27 @@
 	}
 }
 
-// Diff returns what changes from one document to another, sorted by field. A
-// nil document is an empty one. The order within lists is no difference.
+// Diff returns the differences between two documents, sorted by field. A nil document counts as
+// empty. The order of list entries is ignored.
 func Diff(before, after *Document) []Difference {
 	d := &differ{}
-	d.value("", generic(before), generic(after))
-	slices.SortFunc(d.found, func(a, b Difference) int {
+	d.value("", genericJSON(before), genericJSON(after))
+	slices.SortFunc(d.differences, func(a, b Difference) int {
 		if a.Field < b.Field {
 			return -1
 		}
 		return 1
 	})
-	return d.found
+	return d.differences
 }
 
 type differ struct {
-	found []Difference
+	differences []Difference
 }
 
-// generic returns the document as maps and lists; what has no JSON form (NaN)
-// is in no valid document and counts as empty.
-func generic(doc *Document) any {
+// genericJSON returns the document as maps and lists. It returns nil for a document without a JSON
+// form (a NaN in it), which is never valid.
+func genericJSON(doc *Document) any {
 	if doc == nil {
 		doc = &Document{}
 	}
@@ -58,7 +57,7 @@
 		return nil
 	}
 	var v any
-	_ = json.Unmarshal(data, &v) // it was just written
+	_ = json.Unmarshal(data, &v) // cannot fail: data comes from json.Marshal
 	return v
 }
 
@@ -79,31 +78,31 @@
 }
 
 func (d *differ) scalar(field string, before, after any) {
-	b, a := text(before), text(after)
+	b, a := jsonText(before), jsonText(after)
 	if b != a {
-		d.found = append(d.found, Difference{Field: field, Before: b, After: a})
+		d.differences = append(d.differences, Difference{Field: field, Before: b, After: a})
 	}
 }
 
 func (d *differ) members(field string, before, after map[string]any) {
-	for _, name := range union(before, after) {
+	for _, name := range unionOfKeys(before, after) {
 		d.value(join(field, name), before[name], after[name])
 	}
 }
 
 func (d *differ) entries(field string, before, after map[string]any) {
-	for _, id := range union(before, after) {
+	for _, id := range unionOfKeys(before, after) {
 		d.value(fmt.Sprintf("%s[%s]", field, id), before[id], after[id])
 	}
 }
 
-func union(a, b map[string]any) []string {
+func unionOfKeys(a, b map[string]any) []string {
 	keys := slices.AppendSeq(slices.Collect(maps.Keys(a)), maps.Keys(b))
 	slices.Sort(keys)
 	return slices.Compact(keys)
 }
 
-// byIdentity names the entries of a list.
+// byIdentity maps the entries of a list by their identity.
 func byIdentity(list []any) map[string]any {
 	out := map[string]any{}
 	for _, entry := range list {
@@ -112,8 +111,8 @@
 	return out
 }
 
-// identity is the name of an entity, the class of a target, the method and
-// path of a call, or the entry itself.
+// identity returns the name of an entity, the method and path of a call, the class of a target, or
+// the entry itself.
 func identity(entry any) string {
 	object, ok := entry.(map[string]any)
 	if !ok {
@@ -128,7 +127,7 @@
 	return fmt.Sprint(object["class"])
 }
 
-func text(v any) string {
+func jsonText(v any) string {
 	if v == nil {
 		return ""
 	}
--- a/internal/config/doc.go
+++ b/internal/config/doc.go
@@ -1,12 +1,10 @@
-// Package config holds the changing configuration of the router: the
-// organisations, models, versions, services, classes, presets and roll-outs
-// that operators edit through the administration API.
+// Package config defines the router's dynamic configuration: the organisations, models, versions,
+// services, classes, presets and roll-outs that operators edit through the administration API.
 //
-// A [Document] is what operators write. [Parse] reads one strictly and
-// [Document.Validate] names every fault by its field path. [Compile] turns a
-// valid document into a [Snapshot], which is immutable and shared by all
-// goroutines; a change swaps the whole snapshot.
+// Operators write a [Document]. [Parse] reads one strictly, and [Document.Validate] reports every
+// fault with its field path. [Compile] turns a valid document into a [Snapshot], which is immutable
+// and shared by all goroutines. A change replaces the whole snapshot.
 //
-// Static settings of a process (addresses, keys, limits) are not here: they
-// come from flags and environment variables.
+// Static settings of a process (addresses, keys, limits) come from flags and environment variables
+// instead.
 package config
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -1,7 +1,7 @@
 package config
 
-// Document is one complete configuration. Exactly one of its presets is in
-// force, the one that Preset names.
+// Document is one complete configuration. Exactly one of its presets is in force: the one that
+// Preset names.
 type Document struct {
 	Preset        string         `json:"preset"`
 	Presets       []Preset       `json:"presets"`
--- a/internal/config/fault.go
+++ b/internal/config/fault.go
@@ -2,17 +2,17 @@
 
 import "strings"
 
-// Fault is one thing wrong in a document, at a field path such as
-// "models[0].versions[2].prior_quality".
+// Fault is one error in a document. Field is a path such as "models[0].versions[2].prior_quality".
 type Fault struct {
 	Field  string `json:"field"`
 	Reason string `json:"reason"`
 }
 
-// Faults is every fault of a document. It is an error when not empty.
+// Faults are the faults found in a document, at most maxFaults and a note that there are more.
+// A non-empty list serves as an error.
 type Faults []Fault
 
-// Error lists all faults, one a line.
+// Error lists the faults, one on each line.
 func (f Faults) Error() string {
 	lines := make([]string, 0, len(f))
 	for _, fault := range f {
@@ -21,8 +21,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// add notes a fault. Beyond a bound it says only that there are more, so that
-// a file of nothing but faults is not answered by one of its own size.
+// add appends a fault. After maxFaults it appends one note that there are more and drops the rest,
+// so that the answer to a document full of errors does not grow with the document.
 func (f *Faults) add(field, reason string) {
 	switch {
 	case len(*f) < maxFaults:
@@ -32,7 +32,7 @@
 	}
 }
 
-// err is nil when there are no faults.
+// err returns the faults as an error, or nil if there are none.
 func (f Faults) err() error {
 	if len(f) == 0 {
 		return nil
--- a/internal/config/fuzz_test.go
+++ b/internal/config/fuzz_test.go
@@ -6,11 +6,10 @@
 	"testing"
 )
 
-// FuzzDocument reads any text as a configuration. Whatever is accepted must
-// come into force whole and survive being stored and read again unchanged;
-// whatever is not must leave nothing behind.
+// FuzzDocument parses arbitrary text as a configuration. A valid document must compile and stay
+// the same when it is stored and read again. A rejected text must give no document.
 func FuzzDocument(f *testing.F) {
-	text, err := json.Marshal(sound())
+	text, err := json.Marshal(validDocument())
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -34,23 +33,23 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		storedAndReadAgain(t, snapshot.Doc)
+		checkStoredRoundTrip(t, snapshot.Doc)
 	})
 }
 
-func storedAndReadAgain(t *testing.T, doc *Document) {
+func checkStoredRoundTrip(t *testing.T, doc *Document) {
 	stored, err := json.Marshal(doc)
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := Parse(stored)
+	reread, err := Parse(stored)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if changes := Diff(doc, again); len(changes) > 0 {
+	if changes := Diff(doc, reread); len(changes) > 0 {
 		t.Fatal(changes)
 	}
-	if _, err := Compile(8, again); err != nil {
+	if _, err := Compile(8, reread); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/config/organisation.go
+++ b/internal/config/organisation.go
@@ -1,18 +1,18 @@
 package config
 
-// Organisation is one customer firm with its own keys, versions and targets.
+// Organisation is one customer with its own keys, permitted versions and quality targets.
 type Organisation struct {
 	Name string `json:"name"`
-	// KeyHashes are SHA-256 sums, in hexadecimal, of the bearer keys.
+	// KeyHashes are the hexadecimal SHA-256 sums of the bearer keys, as returned by [HashKey].
 	KeyHashes []string `json:"key_hashes"`
-	// Weight is the organisation's fair share relative to the others.
+	// Weight is the organisation's fair share relative to the other organisations.
 	Weight float64 `json:"weight"`
-	// RatePerSecond bounds its requests a second over all nodes; 0 is unbounded.
+	// RatePerSecond limits the requests a second over all nodes; 0 means no limit.
 	RatePerSecond float64 `json:"rate_per_second,omitempty"`
-	// Versions lists the versions it may use.
+	// Versions names the versions that the organisation may use.
 	Versions []string `json:"versions"`
-	// Services lists the plain services it may call.
+	// Services names the plain services that the organisation may call.
 	Services []string `json:"services,omitempty"`
-	// Targets are quality targets in [0,1].
+	// Targets holds at most one quality target for each class.
 	Targets []Target `json:"targets"`
 }
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -7,13 +7,13 @@
 	"github.com/rotisserie/eris"
 )
 
-// Parse reads a document strictly. Unknown and repeated fields and values of
-// the wrong type are a [Faults] error that names each by its path; a text that
-// is not one JSON value is any other error. The document is not yet validated.
+// Parse reads a document strictly. Unknown fields, repeated fields and values of the wrong type
+// give a [Faults] error with the path of each. Text that is not exactly one JSON value gives an
+// error of another type. Parse does not validate the document.
 func Parse(data []byte) (*Document, error) { return Decode[Document](data) }
 
-// Decode reads one entity of a document, such as an [Organisation], as
-// strictly as [Parse]. Paths are relative to the entity.
+// Decode reads one entity of a document, such as an [Organisation], as strictly as [Parse] does.
+// Paths of faults are relative to the entity.
 func Decode[T any](data []byte) (*T, error) {
 	faults, err := checkShape(data, reflect.TypeFor[T]())
 	if err != nil {
--- a/internal/config/parse_test.go
+++ b/internal/config/parse_test.go
@@ -8,11 +8,9 @@
 	"github.com/matryer/is"
 )
 
-// An operator misspells "share", and the staged version gets no share, or
-// repeats "preset" after a copy and paste, and only the last counts. In order:
-// the file is read, a plain decoder drops what it does not know, and the
-// configuration in force is not the one that was written. Every such place
-// must be refused by its path.
+// Guards against a configuration in force that differs from the file. A plain JSON decoder drops a
+// misspelt field, such as "share", and keeps only the last of two fields with one name. Every such
+// field must be rejected with its path.
 func TestParseNamesEveryFaultByPath(t *testing.T) {
 	cases := []struct {
 		name, text string
@@ -40,7 +38,7 @@
 			is := is.New(t)
 			_, err := Parse([]byte(c.text))
 			var faults Faults
-			is.True(errors.As(err, &faults)) // all are faults with a path
+			is.True(errors.As(err, &faults)) // each fault has a path
 			is.Equal(len(faults), len(c.want))
 			for i, f := range faults {
 				is.True(strings.HasPrefix(f.Field+": "+f.Reason, c.want[i])) // the path and the reason
@@ -49,13 +47,13 @@
 	}
 }
 
-func TestParseRefusesWhatIsNotOneValue(t *testing.T) {
+func TestParseRefusesTextThatIsNotOneJSONValue(t *testing.T) {
 	for _, text := range []string{"", "{", `{"preset":"p"`, `{"models":[`, `{"models":[{`, "nope", `{"preset":"p"} {}`, `{"preset":}`} {
 		is := is.New(t)
 		_, err := Parse([]byte(text))
 		is.True(err != nil)
 		var faults Faults
-		is.True(!errors.As(err, &faults)) // a fault of the text, not of a field
+		is.True(!errors.As(err, &faults)) // a syntax error, not a fault of a field
 	}
 }
 
@@ -69,9 +67,8 @@
 	is.Equal(err.Error(), "wieght: is not a known field")
 }
 
-// A program sends a file of nothing but mistakes. The answer must not grow
-// with it.
-func TestParseBoundsTheFaultsItTells(t *testing.T) {
+// A document full of errors must not give an answer that grows with the document.
+func TestParseBoundsTheNumberOfFaults(t *testing.T) {
 	is := is.New(t)
 	text := `{"models":[` + strings.Repeat(`1,`, 5000) + `1]}`
 	_, err := Parse([]byte(text))
--- a/internal/config/preset.go
+++ b/internal/config/preset.go
@@ -1,13 +1,13 @@
 package config
 
-// Preset is a named operating policy: ordinary days, peaks, maintenance.
+// Preset is a named operating policy, for example for ordinary days, peaks or maintenance.
 type Preset struct {
 	Name string `json:"name"`
-	// DeferDeferrable refuses deferrable work at once, with Retry-After,
-	// while immediate or heavy work is queued.
+	// DeferDeferrable refuses deferrable requests at once, with Retry-After, while immediate or
+	// heavy requests are queued.
 	DeferDeferrable bool `json:"defer_deferrable"`
-	// Cascades allows a cheap version to be tried before a dear one.
+	// Cascades allows a cheaper version to be tried before a more expensive one.
 	Cascades bool `json:"cascades"`
-	// RolloutsMove lets roll-outs advance to their next stage.
+	// RolloutsMove allows roll-outs to advance to their next stage.
 	RolloutsMove bool `json:"rollouts_move"`
 }
--- a/internal/config/scalar.go
+++ b/internal/config/scalar.go
@@ -6,8 +6,7 @@
 	"strconv"
 )
 
-// scalarFits says what a field of the type accepts, and whether the token is
-// that.
+// scalarFits returns what a field of type t accepts, in words, and whether the token fits.
 func scalarFits(t reflect.Type, token json.Token) (wanted string, fits bool) {
 	switch t.Kind() {
 	case reflect.String:
@@ -34,7 +33,7 @@
 	return err == nil
 }
 
-// realNumber refuses numbers too large for a float, such as 1e999.
+// realNumber rejects numbers that overflow a float64, such as 1e999.
 func realNumber(token json.Token) bool {
 	number, ok := token.(json.Number)
 	if !ok {
@@ -54,9 +53,9 @@
 		}
 		return "a list"
 	case string:
-		return strconv.Quote(shorten(v))
+		return strconv.Quote(truncate(v))
 	case json.Number:
-		return shorten(v.String())
+		return truncate(v.String())
 	case bool:
 		return strconv.FormatBool(v)
 	default:
@@ -64,12 +63,12 @@
 	}
 }
 
-// shorten keeps a fault's text short, whatever stands in the document.
-func shorten(s string) string {
-	const most = 40
+// truncate limits how much of a document's text a fault repeats.
+func truncate(s string) string {
+	const maxRunes = 40
 	runes := []rune(s)
-	if len(runes) <= most {
+	if len(runes) <= maxRunes {
 		return s
 	}
-	return string(runes[:most]) + "..."
+	return string(runes[:maxRunes]) + "..."
 }
--- a/internal/config/shape.go
+++ b/internal/config/shape.go
@@ -10,21 +10,21 @@
 	"strings"
 )
 
-// shape compares a JSON text with the Go type that it is to be read into.
+// shapeChecker compares a JSON text with the Go type that it is to be decoded into.
 //
-// It guards against two silent losses of encoding/json: a misspelt field is
-// dropped (or, in strict mode, refused without its place), and of a field that
-// stands twice, or in two spellings of case, only the last counts. Either
-// would put a configuration in force that its writer did not write.
-type shape struct {
+// It guards against two ways in which encoding/json loses fields silently. A misspelt field is
+// dropped (or, in strict mode, rejected without its path). Of a field that occurs twice, or in two
+// spellings of case, only the last counts. Either would put a configuration in force that the
+// operator did not intend.
+type shapeChecker struct {
 	decoder *json.Decoder
 	faults  Faults
 }
 
-// checkShape returns all faults; the error is of a text that is not one JSON
-// value.
+// checkShape returns all faults of the text. It returns an error if the text is not exactly one
+// JSON value.
 func checkShape(data []byte, t reflect.Type) (Faults, error) {
-	s := &shape{decoder: json.NewDecoder(bytes.NewReader(data))}
+	s := &shapeChecker{decoder: json.NewDecoder(bytes.NewReader(data))}
 	s.decoder.UseNumber()
 	if err := s.value(t, ""); err != nil {
 		return nil, err
@@ -35,10 +35,10 @@
 	return s.faults, nil
 }
 
-func (s *shape) value(t reflect.Type, path string) error {
+func (s *shapeChecker) value(t reflect.Type, path string) error {
 	token, err := s.decoder.Token()
 	if err != nil {
-		return noEOF(err)
+		return unexpectedEOF(err)
 	}
 	switch t.Kind() {
 	case reflect.Struct:
@@ -50,7 +50,7 @@
 	}
 }
 
-func (s *shape) object(t reflect.Type, path string, open json.Token) error {
+func (s *shapeChecker) object(t reflect.Type, path string, open json.Token) error {
 	if open != json.Delim('{') {
 		return s.mismatch(path, "an object", open)
 	}
@@ -58,9 +58,9 @@
 	for s.decoder.More() {
 		token, err := s.decoder.Token()
 		if err != nil {
-			return noEOF(err)
+			return unexpectedEOF(err)
 		}
-		name, _ := token.(string) // a key is always text
+		name, _ := token.(string) // an object's key is always a string
 		if err := s.member(t, join(path, name), name, seen); err != nil {
 			return err
 		}
@@ -68,7 +68,7 @@
 	return s.end()
 }
 
-func (s *shape) member(t reflect.Type, path, name string, seen map[string]bool) error {
+func (s *shapeChecker) member(t reflect.Type, path, name string, seen map[string]bool) error {
 	field, known := fieldOf(t, name)
 	if !known {
 		s.faults.add(path, "is not a known field")
@@ -81,9 +81,9 @@
 	return s.value(field, path)
 }
 
-func (s *shape) list(t reflect.Type, path string, open json.Token) error {
+func (s *shapeChecker) list(t reflect.Type, path string, open json.Token) error {
 	if open == nil {
-		return nil // an absent list, as Go writes it
+		return nil // encoding/json writes a nil slice as null
 	}
 	if open != json.Delim('[') {
 		return s.mismatch(path, "a list", open)
@@ -96,7 +96,7 @@
 	return s.end()
 }
 
-func (s *shape) scalar(t reflect.Type, path string, token json.Token) error {
+func (s *shapeChecker) scalar(t reflect.Type, path string, token json.Token) error {
 	wanted, fits := scalarFits(t, token)
 	if fits {
 		return nil
@@ -104,36 +104,36 @@
 	return s.mismatch(path, wanted, token)
 }
 
-// mismatch notes a value of the wrong type and reads past it.
-func (s *shape) mismatch(path, wanted string, token json.Token) error {
+// mismatch adds a fault for a value of the wrong type and skips the value.
+func (s *shapeChecker) mismatch(path, wanted string, token json.Token) error {
 	if path == "" {
 		path = "document"
 	}
 	s.faults.add(path, "must be "+wanted+", not "+describe(token))
-	if _, opens := token.(json.Delim); opens {
+	if _, isDelim := token.(json.Delim); isDelim {
 		return s.skipOpen()
 	}
 	return nil
 }
 
-// end reads the closing mark of an object or a list.
-func (s *shape) end() error {
+// end reads the closing delimiter of an object or a list.
+func (s *shapeChecker) end() error {
 	_, err := s.decoder.Token()
-	return noEOF(err)
+	return unexpectedEOF(err)
 }
 
-// skip reads past one value.
-func (s *shape) skip() error {
+// skip skips one value.
+func (s *shapeChecker) skip() error {
 	var raw json.RawMessage
-	return noEOF(s.decoder.Decode(&raw))
+	return unexpectedEOF(s.decoder.Decode(&raw))
 }
 
-// skipOpen reads past the rest of an object or list that is already open.
-func (s *shape) skipOpen() error {
+// skipOpen skips the rest of an object or list whose opening delimiter has been read.
+func (s *shapeChecker) skipOpen() error {
 	for depth := 1; depth > 0; {
 		token, err := s.decoder.Token()
 		if err != nil {
-			return noEOF(err)
+			return unexpectedEOF(err)
 		}
 		switch token {
 		case json.Delim('{'), json.Delim('['):
@@ -145,7 +145,8 @@
 	return nil
 }
 
-func noEOF(err error) error {
+// unexpectedEOF turns the end of the text within a value into [io.ErrUnexpectedEOF].
+func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
@@ -159,7 +160,7 @@
 	return path + "." + name
 }
 
-// fieldOf finds a field by its exact JSON name.
+// fieldOf returns the type of the field with exactly that JSON name.
 func fieldOf(t reflect.Type, name string) (reflect.Type, bool) {
 	for i := range t.NumField() {
 		tag, _, _ := strings.Cut(t.Field(i).Tag.Get("json"), ",")
--- a/internal/config/snapshot.go
+++ b/internal/config/snapshot.go
@@ -2,11 +2,12 @@
 
 import "strings"
 
-// Snapshot is a valid document with its indexes. It is immutable.
+// Snapshot is a valid document with indexes over it. It is immutable and safe for concurrent use.
 type Snapshot struct {
-	// Revision counts accepted changes; a higher one is always newer.
+	// Revision increases by one with each accepted change; a higher one is always newer.
 	Revision uint64
-	Doc      *Document
+	// Doc is the document; it must not be modified.
+	Doc *Document
 
 	preset   *Preset
 	orgs     map[string]*Organisation // by key hash
@@ -18,8 +19,8 @@
 	services map[string]*Service
 }
 
-// Compile validates the document and builds its snapshot. The error is a
-// [Faults]. The document must not be changed afterwards.
+// Compile validates the document and builds its snapshot. The error is a [Faults]. The snapshot
+// keeps the document, which must not be modified afterwards.
 func Compile(revision uint64, doc *Document) (*Snapshot, error) {
 	if faults := doc.Validate(); len(faults) > 0 {
 		return nil, faults
@@ -74,10 +75,10 @@
 	}
 }
 
-// Preset is the one preset in force.
+// Preset returns the preset in force.
 func (s *Snapshot) Preset() *Preset { return s.preset }
 
-// OrganisationByKey returns the organisation that a bearer key opens, or nil.
+// OrganisationByKey returns the organisation that a bearer key belongs to, or nil.
 func (s *Snapshot) OrganisationByKey(key string) *Organisation { return s.orgs[HashKey(key)] }
 
 // Organisation returns the organisation of that name, or nil.
@@ -98,8 +99,8 @@
 // Service returns the plain service of that name, or nil.
 func (s *Snapshot) Service(name string) *Service { return s.services[name] }
 
-// Allowed says whether new work of the organisation may run on the version:
-// the organisation lists it and it is not withdrawn.
+// Allowed reports whether new requests of the organisation may run on the version: the organisation
+// lists it and it is not withdrawn.
 func (s *Snapshot) Allowed(o *Organisation, version string) bool {
 	v := s.versions[version]
 	if v == nil || v.State == Withdrawn {
@@ -113,7 +114,7 @@
 	return false
 }
 
-// Target is the organisation's quality target for a class, or 0.
+// Target returns the organisation's quality target for a class, or 0 if it has none.
 func (o *Organisation) Target(class string) float64 {
 	for _, t := range o.Targets {
 		if t.Class == class {
@@ -123,7 +124,8 @@
 	return 0
 }
 
-// Call returns the longest declared call that covers the method and path, or nil.
+// Call returns the declared call that matches the method and has the longest matching path prefix,
+// or nil.
 func (s *Service) Call(method, path string) *Call {
 	var best *Call
 	for i := range s.Calls {
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -6,7 +6,7 @@
 	"strconv"
 )
 
-// Validate returns every fault of the document, or nil.
+// Validate returns the faults of the document, or nil if it is valid.
 func (d *Document) Validate() Faults {
 	v := newValidator(d)
 	v.presets()
@@ -19,13 +19,13 @@
 	return v.faults
 }
 
-// validator gathers the faults and the names that references may use.
+// validator collects the faults and the names that references are checked against.
 type validator struct {
 	doc    *Document
 	faults Faults
-	// names are those a caller may ask for: of classes, models and versions,
-	// each with the field that has it.
-	names        map[string]string
+	// callerNames are the names that callers may request (classes, models and versions), with the
+	// path of the field that declares each.
+	callerNames  map[string]string
 	versionNames map[string]bool
 	classes      map[string]bool
 	serviceNames map[string]bool
@@ -34,26 +34,26 @@
 func newValidator(d *Document) *validator {
 	return &validator{
 		doc:          d,
-		names:        map[string]string{},
+		callerNames:  map[string]string{},
 		versionNames: map[string]bool{},
 		classes:      map[string]bool{},
 		serviceNames: map[string]bool{},
 	}
 }
 
-// claim takes a name that callers may ask for.
-func (v *validator) claim(field, name string) {
+// callerName checks a name that callers may request and registers it. Classes, models and versions
+// share one namespace.
+func (v *validator) callerName(field, name string) {
 	v.name(field, name)
-	if other, taken := v.names[name]; taken && name != "" {
+	if other, taken := v.callerNames[name]; taken && name != "" {
 		v.faults.add(field, fmt.Sprintf("%q is already used by %s", name, other))
 		return
 	}
-	v.names[name] = field
+	v.callerNames[name] = field
 }
 
-// name checks the form. Names stand in keys of the platform's table, in paths
-// and in metric labels, so a slash, a space or a quote would cross into a
-// neighbour's place there.
+// name checks the form of a name. Names become parts of table keys, URL paths and metric labels,
+// where a slash, a space or a quote would act as a separator.
 func (v *validator) name(field, name string) {
 	switch {
 	case name == "":
@@ -65,20 +65,21 @@
 	}
 }
 
-// IsName says whether a text has the form of a name.
+// IsName reports whether a text is a valid name: 1 to [MaxName] bytes of ASCII letters, digits and
+// the characters . _ - @ + :
 func IsName(name string) bool {
 	if name == "" || len(name) > MaxName {
 		return false
 	}
 	for i := range len(name) {
-		if !plainByte(name[i]) {
+		if !isNameByte(name[i]) {
 			return false
 		}
 	}
 	return true
 }
 
-func plainByte(c byte) bool {
+func isNameByte(c byte) bool {
 	switch {
 	case c >= 'a' && c <= 'z', c >= 'A' && c <= 'Z', c >= '0' && c <= '9':
 		return true
@@ -89,41 +90,41 @@
 	}
 }
 
-// once says that a name stands a second time within its list.
-func (v *validator) once(field, name string, seen map[string]bool) {
+// unique adds a fault if the name has occurred in its list before.
+func (v *validator) unique(field, name string, seen map[string]bool) {
 	if seen[name] && name != "" {
 		v.faults.add(field, fmt.Sprintf("%q stands twice", name))
 	}
 	seen[name] = true
 }
 
-// known says that a reference leads nowhere.
-func (v *validator) known(field, what, name string, names map[string]bool) {
+// exists adds a fault if a reference names an entity that is not declared.
+func (v *validator) exists(field, entity, name string, names map[string]bool) {
 	if !names[name] {
-		v.faults.add(field, fmt.Sprintf("there is no %s %q", what, shorten(name)))
+		v.faults.add(field, fmt.Sprintf("there is no %s %q", entity, truncate(name)))
 	}
 }
 
-func (v *validator) atMost(field string, n, most int) {
-	if n > most {
-		v.faults.add(field, fmt.Sprintf("has %d entries; accepted are at most %d", n, most))
+func (v *validator) atMost(field string, n, limit int) {
+	if n > limit {
+		v.faults.add(field, fmt.Sprintf("has %d entries; accepted are at most %d", n, limit))
 	}
 }
 
-// unit refuses NaN too.
-func (v *validator) unit(field string, x float64) {
+// unitInterval checks that x is in [0,1]. It rejects NaN too.
+func (v *validator) unitInterval(field string, x float64) {
 	if !(x >= 0 && x <= 1) {
 		v.faults.add(field, fmt.Sprintf("%v is not between 0 and 1", x))
 	}
 }
 
-func (v *validator) between(field string, x, least, most int64) {
-	if x < least || x > most {
-		v.faults.add(field, fmt.Sprintf("%d is not between %d and %d", x, least, most))
+func (v *validator) between(field string, x, lower, upper int64) {
+	if x < lower || x > upper {
+		v.faults.add(field, fmt.Sprintf("%d is not between %d and %d", x, lower, upper))
 	}
 }
 
-// size checks the stored form; numbers that have none are faults already.
+// size checks the length of the stored form. A document without one (a NaN in it) has a fault already.
 func (v *validator) size() {
 	data, err := json.Marshal(v.doc)
 	if err == nil && len(data) > MaxDocumentBytes {
--- a/internal/config/validate_models.go
+++ b/internal/config/validate_models.go
@@ -8,10 +8,10 @@
 	for i, p := range v.doc.Presets {
 		field := fmt.Sprintf("presets[%d].name", i)
 		v.name(field, p.Name)
-		v.once(field, p.Name, seen)
+		v.unique(field, p.Name, seen)
 	}
 	if !seen[v.doc.Preset] {
-		v.faults.add("preset", fmt.Sprintf("%q is not one of the presets", shorten(v.doc.Preset)))
+		v.faults.add("preset", fmt.Sprintf("%q is not one of the presets", truncate(v.doc.Preset)))
 	}
 }
 
@@ -19,12 +19,12 @@
 	v.atMost("classes", len(v.doc.Classes), MaxClasses)
 	for i, c := range v.doc.Classes {
 		field := fmt.Sprintf("classes[%d]", i)
-		v.claim(field+".name", c.Name)
+		v.callerName(field+".name", c.Name)
 		v.classes[c.Name] = true
 		switch c.Kind {
 		case Immediate, Heavy, Deferrable:
 		default:
-			v.faults.add(field+".kind", fmt.Sprintf("%q is not immediate, heavy or deferrable", shorten(string(c.Kind))))
+			v.faults.add(field+".kind", fmt.Sprintf("%q is not immediate, heavy or deferrable", truncate(string(c.Kind))))
 		}
 		v.between(field+".deadline_ms", c.DeadlineMillis, 1, MaxDeadlineMillis)
 	}
@@ -37,7 +37,7 @@
 	}
 	for i, c := range v.doc.Classes {
 		if c.Model != "" {
-			v.known(fmt.Sprintf("classes[%d].model", i), "model", c.Model, models)
+			v.exists(fmt.Sprintf("classes[%d].model", i), "model", c.Model, models)
 		}
 	}
 }
@@ -47,7 +47,7 @@
 	versions := 0
 	for i, m := range v.doc.Models {
 		field := fmt.Sprintf("models[%d]", i)
-		v.claim(field+".name", m.Name)
+		v.callerName(field+".name", m.Name)
 		if len(m.Versions) == 0 {
 			v.faults.add(field+".versions", "must not be empty")
 		}
@@ -60,7 +60,7 @@
 	v.atMost("models[*].versions", versions, MaxVersions)
 }
 
-// shares checks that the staged versions leave no more than the whole.
+// shares checks that the shares of a model's staged versions add up to at most 1.
 func (v *validator) shares(field string, m Model) {
 	var sum float64
 	for _, version := range m.Versions {
@@ -74,18 +74,18 @@
 }
 
 func (v *validator) version(field string, version Version) {
-	v.claim(field+".name", version.Name)
+	v.callerName(field+".name", version.Name)
 	v.versionNames[version.Name] = true
 	switch version.State {
 	case Serving, Staged, Withdrawn:
 	default:
-		v.faults.add(field+".state", fmt.Sprintf("%q is not serving, staged or withdrawn", shorten(string(version.State))))
+		v.faults.add(field+".state", fmt.Sprintf("%q is not serving, staged or withdrawn", truncate(string(version.State))))
 	}
 	v.between(field+".input_cost", version.InputCost, 0, MaxCost)
 	v.between(field+".output_cost", version.OutputCost, 0, MaxCost)
 	v.between(field+".exposure_cap", int64(version.ExposureCap), 0, MaxExposureCap)
-	v.unit(field+".prior_quality", version.PriorQuality)
-	v.unit(field+".share", version.Share)
+	v.unitInterval(field+".prior_quality", version.PriorQuality)
+	v.unitInterval(field+".share", version.Share)
 	if version.State == Staged {
 		return
 	}
--- a/internal/config/validate_organisations.go
+++ b/internal/config/validate_organisations.go
@@ -13,16 +13,16 @@
 	for i, o := range v.doc.Organisations {
 		field := fmt.Sprintf("organisations[%d]", i)
 		v.name(field+".name", o.Name)
-		v.once(field+".name", o.Name, names)
+		v.unique(field+".name", o.Name, names)
 		v.organisation(field, o, keys)
 	}
 }
 
 func (v *validator) organisation(field string, o Organisation, keys map[string]bool) {
-	if !finite(o.Weight) || o.Weight <= 0 || o.Weight > MaxWeight {
+	if !isFinite(o.Weight) || o.Weight <= 0 || o.Weight > MaxWeight {
 		v.faults.add(field+".weight", fmt.Sprintf("%v is not above 0 and at most %v", o.Weight, MaxWeight))
 	}
-	if !finite(o.RatePerSecond) || o.RatePerSecond < 0 || o.RatePerSecond > MaxRatePerSecond {
+	if !isFinite(o.RatePerSecond) || o.RatePerSecond < 0 || o.RatePerSecond > MaxRatePerSecond {
 		v.faults.add(field+".rate_per_second", fmt.Sprintf("%v is not between 0 and %v", o.RatePerSecond, MaxRatePerSecond))
 	}
 	v.atMost(field+".key_hashes", len(o.KeyHashes), MaxKeyHashes)
@@ -34,12 +34,12 @@
 	v.targets(field+".targets", o.Targets)
 }
 
-func (v *validator) references(field, what string, names []string, known map[string]bool) {
+func (v *validator) references(field, entity string, names []string, known map[string]bool) {
 	seen := map[string]bool{}
 	for i, name := range names {
 		at := fmt.Sprintf("%s[%d]", field, i)
-		v.known(at, what, name, known)
-		v.once(at, name, seen)
+		v.exists(at, entity, name, known)
+		v.unique(at, name, seen)
 	}
 }
 
@@ -47,18 +47,18 @@
 	seen := map[string]bool{}
 	for i, t := range targets {
 		at := fmt.Sprintf("%s[%d]", field, i)
-		v.known(at+".class", "class", t.Class, v.classes)
-		v.once(at+".class", t.Class, seen)
-		v.unit(at+".quality", t.Quality)
+		v.exists(at+".class", "class", t.Class, v.classes)
+		v.unique(at+".class", t.Class, seen)
+		v.unitInterval(at+".quality", t.Quality)
 	}
 }
 
-// emptyKeyHash would let a caller in who sends "Bearer " and nothing else.
+// emptyKeyHash is rejected: it would authenticate a caller who sends "Bearer " and no key.
 var emptyKeyHash = HashKey("")
 
-// keyHash refuses a key that two organisations would share: the second would
-// be billed for, and see, the work of the first. Case does not tell hashes
-// apart.
+// keyHash checks one key hash and rejects a key that occurs twice. Of two organisations with one
+// key, the second would be billed for the requests of the first and see its sessions. Hashes are
+// compared without regard to case.
 func (v *validator) keyHash(field, key string, keys map[string]bool) {
 	raw, err := hex.DecodeString(key)
 	if err != nil || len(raw) != KeyHashBytes {
--- a/internal/config/validate_services.go
+++ b/internal/config/validate_services.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Methods are those that a call of a service may have.
+// Methods returns the HTTP methods that a [Call] may have.
 func Methods() []string {
 	return []string{http.MethodGet, http.MethodPost, http.MethodPut, http.MethodPatch, http.MethodDelete}
 }
@@ -17,7 +17,7 @@
 	for i, s := range v.doc.Services {
 		field := fmt.Sprintf("services[%d]", i)
 		v.name(field+".name", s.Name)
-		v.once(field+".name", s.Name, v.serviceNames)
+		v.unique(field+".name", s.Name, v.serviceNames)
 		v.calls(field+".calls", s.Calls)
 	}
 }
@@ -27,13 +27,13 @@
 	seen := map[string]bool{}
 	for i, c := range calls {
 		v.call(fmt.Sprintf("%s[%d]", field, i), c)
-		v.once(fmt.Sprintf("%s[%d]", field, i), c.Method+" "+c.Path, seen)
+		v.unique(fmt.Sprintf("%s[%d]", field, i), c.Method+" "+c.Path, seen)
 	}
 }
 
 func (v *validator) call(field string, c Call) {
 	if !slices.Contains(Methods(), c.Method) {
-		v.faults.add(field+".method", fmt.Sprintf("%q is not one of %s", shorten(c.Method), strings.Join(Methods(), ", ")))
+		v.faults.add(field+".method", fmt.Sprintf("%q is not one of %s", truncate(c.Method), strings.Join(Methods(), ", ")))
 	}
 	if !strings.HasPrefix(c.Path, "/") {
 		v.faults.add(field+".path", "must begin with /")
@@ -41,6 +41,6 @@
 	if len(c.Path) > MaxPath {
 		v.faults.add(field+".path", fmt.Sprintf("must not be longer than %d bytes", MaxPath))
 	}
-	v.known(field+".class", "class", c.Class, v.classes)
+	v.exists(field+".class", "class", c.Class, v.classes)
 	v.between(field+".cost", c.Cost, 0, MaxCost)
 }
--- a/internal/config/validate_test.go
+++ b/internal/config/validate_test.go
@@ -10,8 +10,8 @@
 	"github.com/matryer/is"
 )
 
-// sound returns a small valid document.
-func sound() *Document {
+// validDocument returns a small valid document without warnings.
+func validDocument() *Document {
 	return &Document{
 		Preset:  "ordinary",
 		Presets: []Preset{{Name: "ordinary"}, {Name: "peak"}},
@@ -31,22 +31,21 @@
 	}
 }
 
-func TestSoundDocumentHasNoFault(t *testing.T) {
+func TestValidDocumentHasNoFaults(t *testing.T) {
 	is := is.New(t)
-	is.Equal(len(sound().Validate()), 0)
-	is.Equal(len(sound().Warnings()), 0)
-	_, err := Compile(1, sound())
+	is.Equal(len(validDocument().Validate()), 0)
+	is.Equal(len(validDocument().Warnings()), 0)
+	_, err := Compile(1, validDocument())
 	is.NoErr(err)
 }
 
-// Each case spoils one thing of the sound document and names the field at
-// which the fault must be told.
+// Each case makes the valid document invalid in one place and names the field of the expected fault.
 func TestValidateNamesTheField(t *testing.T) {
 	version := func(d *Document) *Version { return &d.Models[0].Versions[0] }
 	org := func(d *Document) *Organisation { return &d.Organisations[0] }
 	cases := []struct {
-		field string
-		spoil func(d *Document)
+		field  string
+		mutate func(d *Document)
 	}{
 		{"preset", func(d *Document) { d.Preset = "nights" }},
 		{"presets[1].name", func(d *Document) { d.Presets[1].Name = "ordinary" }},
@@ -62,7 +61,7 @@
 		{"classes[0].deadline_ms", func(d *Document) { d.Classes[0].DeadlineMillis = MaxDeadlineMillis + 1 }},
 		{"classes[0].model", func(d *Document) { d.Classes[0].Model = "gone" }},
 		{"models[0].name", func(d *Document) { d.Models[0].Name = "draft"; d.Classes[0].Model = "" }},
-		{"models[0].versions", func(d *Document) { d.Models = append(d.Models[:0], Model{Name: "dues"}); *org(d) = bare() }},
+		{"models[0].versions", func(d *Document) { d.Models = append(d.Models[:0], Model{Name: "dues"}); *org(d) = minimalOrg() }},
 		{"models[0].versions", func(d *Document) { version(d).State = Staged; version(d).Share = 0.95 }},
 		{"models[0].versions[2].name", func(d *Document) {
 			d.Models[0].Versions = append(d.Models[0].Versions, Version{Name: "dues@1", State: Serving})
@@ -102,13 +101,13 @@
 	for i, c := range cases {
 		t.Run(fmt.Sprintf("%d %s", i, c.field), func(t *testing.T) {
 			is := is.New(t)
-			doc := sound()
-			c.spoil(doc)
+			doc := validDocument()
+			c.mutate(doc)
 			faults := doc.Validate()
-			is.Equal(len(faults), 1) // just the spoilt thing
+			is.Equal(len(faults), 1) // no other field is reported
 			is.Equal(faults[0].Field, c.field)
 			_, err := Compile(1, doc)
-			is.True(err != nil) // and nothing of it comes into force
+			is.True(err != nil) // an invalid document has no snapshot
 		})
 	}
 }
@@ -117,7 +116,7 @@
 	d.Classes = append(d.Classes, Class{Name: name, Kind: Heavy, DeadlineMillis: 1})
 }
 
-func bare() Organisation { return Organisation{Name: "tolu", Weight: 1} }
+func minimalOrg() Organisation { return Organisation{Name: "tolu", Weight: 1} }
 
 func numberedPresets(n int) []Preset {
 	out := make([]Preset, 0, n)
@@ -127,20 +126,21 @@
 	return out
 }
 
-// Two organisations are given one key, in two spellings of its hash. The
-// second would be billed for the first's requests and see its sessions. The
-// cause is that hexadecimal digits have two cases and the look-up has one.
-func TestOneKeyIsOfOneOrganisation(t *testing.T) {
+// Two organisations have one key, with its hash once in lower and once in upper case. Without a
+// check that ignores case, the second would be billed for the first's requests and see its sessions.
+func TestKeySharedByTwoOrganisationsIsRefused(t *testing.T) {
 	is := is.New(t)
-	doc := sound()
+	doc := validDocument()
 	twin := Organisation{Name: "turbo", Weight: 1, KeyHashes: []string{strings.ToUpper(HashKey("k"))}}
 	doc.Organisations = append(doc.Organisations, twin)
 	is.Equal(doc.Validate(), Faults{{Field: "organisations[1].key_hashes[0]", Reason: "stands twice"}})
 }
 
-func TestDocumentFitsOneRow(t *testing.T) {
+// A document larger than one row of the platform's table cannot be stored, even if it keeps every
+// other bound.
+func TestDocumentLargerThanOneTableRowIsRefused(t *testing.T) {
 	is := is.New(t)
-	doc := sound()
+	doc := validDocument()
 	for i := range 3000 {
 		o := Organisation{Name: fmt.Sprintf("o%d", i), Weight: 1, Versions: []string{"dues@1", "dues@2"}}
 		for j := range 4 {
@@ -153,10 +153,10 @@
 	is.Equal(faults[0].Field, "document")
 }
 
-func TestWarningsTellWhatIsLikelyNotMeant(t *testing.T) {
+func TestWarningsNameLikelyMistakes(t *testing.T) {
 	cases := []struct {
-		field string
-		spoil func(d *Document)
+		field  string
+		mutate func(d *Document)
 	}{
 		{"models[0].versions", func(d *Document) { d.Models[0].Versions[0].State = Withdrawn }},
 		{"models[0].versions[1].share", func(d *Document) { d.Models[0].Versions[1].Share = 0 }},
@@ -165,8 +165,8 @@
 	}
 	for _, c := range cases {
 		is := is.New(t)
-		doc := sound()
-		c.spoil(doc)
+		doc := validDocument()
+		c.mutate(doc)
 		is.Equal(len(doc.Validate()), 0) // accepted
 		warnings := doc.Warnings()
 		is.Equal(len(warnings), 1)
@@ -176,9 +176,9 @@
 
 func TestDiffNamesEntriesByIdentity(t *testing.T) {
 	is := is.New(t)
-	before, after := sound(), sound()
+	before, after := validDocument(), validDocument()
 	is.Equal(len(Diff(before, after)), 0)
-	slices.Reverse(after.Classes) // order is no difference
+	slices.Reverse(after.Classes) // the order of entries is ignored
 	after.Preset = "peak"
 	after.Models[0].Versions[0].State = Withdrawn
 	after.Organisations[0].Targets[0].Quality = 0.7
@@ -198,9 +198,9 @@
 	is.True(len(Diff(nil, before)) > 0)
 }
 
-func TestCloneSharesNothing(t *testing.T) {
+func TestCloneSharesNoState(t *testing.T) {
 	is := is.New(t)
-	doc := sound()
+	doc := validDocument()
 	c := doc.Clone()
 	is.Equal(c, doc)
 	c.Models[0].Versions[0].State = Withdrawn
@@ -210,5 +210,5 @@
 	c.Organisations[0].Versions[0] = ""
 	c.Presets[0].Cascades = true
 	c.Classes[0].Cascade = true
-	is.Equal(doc, sound())
+	is.Equal(doc, validDocument())
 }
--- a/internal/config/warnings.go
+++ b/internal/config/warnings.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// Warnings returns what is accepted in a valid document but is likely not
-// meant, in the order of the document.
+// Warnings returns likely mistakes in a valid document, in the order of the document. They do not
+// prevent the document from being accepted.
 func (d *Document) Warnings() []Fault {
 	var found Faults
 	d.warnModels(&found)
@@ -41,8 +41,7 @@
 	}
 }
 
-// warnTarget warns of a target that no allowed version of the class's model is
-// believed to meet.
+// warnTarget warns of a target above the prior quality of every permitted version of the class's model.
 func (d *Document) warnTarget(found *Faults, field string, o Organisation, t Target, usable map[string]usableVersion) {
 	model := d.modelOfClass(t.Class)
 	best := 0.0
