--- a/internal/admin/apply.go
+++ b/internal/admin/apply.go
@@ -13,52 +13,50 @@
 
 const (
 	applyAttempts = 5
-	applyPause    = 50 * time.Millisecond
+	applyBackoff  = 50 * time.Millisecond
 )
 
-// Apply makes the change, at most once however often it is sent.
+// Apply makes the change at most once, however often it is sent.
 //
-// It guards against a lost acknowledgement: the transaction took effect, or
-// will do so late, and the writer hears nothing. Sending the same transaction
-// again is harmless, since both copies demand the same head and that the id is
-// new; so it is sent again until the table says what became of it. If that
-// does not come, the error wraps [platform.ErrUnknown], and the change's id
-// answers later (see [Store.Find]). An error that wraps [platform.ErrRefused]
-// says that this call changed nothing; a config.Faults, that the document is
-// not valid; any other error is Edit's own or of a stored row that cannot be
-// read.
+// It handles lost acknowledgements, where the transaction has taken effect, or will do so late, and
+// no answer arrives. Sending the same transaction again is safe, since both copies require the same
+// head and an unused id. So Apply retries until the table gives the outcome.
+//
+// If no outcome is known after all attempts, the error wraps [platform.ErrUnknown], and [Store.Find]
+// finds the outcome later by the change's id. An error that wraps [platform.ErrRefused] means that
+// this call changed nothing. A [config.Faults] means that the document is invalid. Any other error
+// comes from Edit or from a stored row that cannot be read.
 func (s *Store) Apply(ctx context.Context, c Change) (Result, error) {
-	unsure := false
+	outcomeUnknown := false
 	var err error
 	for attempt := range applyAttempts {
 		var result Result
-		result, err = s.try(ctx, c)
+		result, err = s.applyOnce(ctx, c)
 		if err == nil && result.Verdict == Replayed && attempt > 0 {
-			result.Verdict = Accepted // by one of the attempts before
+			result.Verdict = Accepted // an earlier attempt of this call was accepted
 		}
 		if err == nil {
 			return result, nil
 		}
-		unsure = unsure || errors.Is(err, platform.ErrUnknown)
-		if !unsure || !s.pause(ctx, applyPause<<attempt) {
+		outcomeUnknown = outcomeUnknown || errors.Is(err, platform.ErrUnknown)
+		if !outcomeUnknown || !s.sleep(ctx, applyBackoff<<attempt) {
 			break
 		}
 	}
-	if unsure && !errors.Is(err, platform.ErrUnknown) {
+	if outcomeUnknown && !errors.Is(err, platform.ErrUnknown) {
 		return Result{}, eris.Wrap(platform.ErrUnknown, err.Error())
 	}
 	return Result{}, err
 }
 
-// errRaced says that the transaction's condition failed: the next look at the
-// rows tells why.
-var errRaced = eris.Wrap(platform.ErrUnknown, "the head or the change moved meanwhile")
+// errConditionFailed means that a condition of the transaction failed. The next attempt reads the
+// rows and finds out which one. It wraps [platform.ErrUnknown] so that there is a next attempt.
+var errConditionFailed = eris.Wrap(platform.ErrUnknown, "the head or the change moved meanwhile")
 
-// try looks at the rows and commits if the change can still apply. The head is
-// read before the change's row: once the head is past the base, no copy of the
-// transaction can take effect any more, so a change without a row then never
-// will have one.
-func (s *Store) try(ctx context.Context, c Change) (Result, error) {
+// applyOnce reads the rows and commits if the change can still be applied. It reads the head before
+// the change's row: once the head is past the base, no copy of the transaction can take effect any
+// more. A change that has no row after that never will have one.
+func (s *Store) applyOnce(ctx context.Context, c Change) (Result, error) {
 	head, version, err := s.Head(ctx)
 	if err != nil {
 		return Result{}, err
@@ -79,7 +77,7 @@
 }
 
 func (s *Store) commit(ctx context.Context, c Change, version uint64) (Result, error) {
-	before, doc, err := s.edited(ctx, c)
+	before, doc, err := s.editedDocuments(ctx, c)
 	if err != nil {
 		return Result{}, err
 	}
@@ -91,20 +89,20 @@
 	if err != nil {
 		return Result{}, err
 	}
-	txn.Writes = append(txn.Writes, s.outdated(ctx, record.Revision)...)
+	txn.Writes = append(txn.Writes, s.expiredRows(ctx, record.Revision)...)
 	result, err := s.table.Commit(ctx, txn)
 	if err != nil {
 		return Result{}, eris.Wrap(err, "commit configuration")
 	}
 	if !result.Applied {
-		return Result{}, errRaced
+		return Result{}, errConditionFailed
 	}
 	return Result{Verdict: Accepted, Head: headOf(record), Record: record, Before: before, Doc: doc}, nil
 }
 
-// edited returns the documents before and after the change, the latter valid.
-func (s *Store) edited(ctx context.Context, c Change) (before, after *config.Document, err error) {
-	before, err = s.base(ctx, c)
+// editedDocuments returns the documents before and after the change. The latter is validated.
+func (s *Store) editedDocuments(ctx context.Context, c Change) (before, after *config.Document, err error) {
+	before, err = s.baseDocument(ctx, c)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -118,13 +116,13 @@
 	return before, after, nil
 }
 
-func (s *Store) base(ctx context.Context, c Change) (*config.Document, error) {
+func (s *Store) baseDocument(ctx context.Context, c Change) (*config.Document, error) {
 	if c.Base == 0 {
 		return &config.Document{}, nil
 	}
 	doc, err := s.Document(ctx, c.Base)
 	switch {
-	case err != nil && (!c.Replaces || isPlatform(err)):
+	case err != nil && (!c.Replaces || isTableError(err)):
 		return nil, err
 	case err != nil || (doc == nil && c.Replaces):
 		return &config.Document{}, nil
@@ -134,11 +132,11 @@
 	return doc, nil
 }
 
-func isPlatform(err error) bool {
+func isTableError(err error) bool {
 	return errors.Is(err, platform.ErrRefused) || errors.Is(err, platform.ErrUnknown)
 }
 
-func pause(ctx context.Context, d time.Duration) bool {
+func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/admin/apply_test.go
+++ b/internal/admin/apply_test.go
@@ -16,78 +16,79 @@
 	"github.com/hickorybank/hickorybank/internal/standin/platform/memory"
 )
 
-// moody is a table whose commits fail in every way that the platform's may.
-type moody struct {
+// faultyTable is a table whose commits fail at random in every way that the platform's can. Reads
+// are refused at random.
+type faultyTable struct {
 	platform.Table
-	t    *rapid.T
-	late []platform.Txn
+	t           *rapid.T
+	delayedTxns []platform.Txn
 }
 
-// mood is how one commit goes.
-type mood int
+// commitFault is the fault of one commit.
+type commitFault int
 
 const (
-	well mood = iota
+	noFault commitFault = iota
 	refused
-	dropped // no effect, no answer
-	ackLost // effect, no answer
-	late    // effect at some later call, no answer
+	requestLost // no effect, no answer
+	answerLost  // effect, no answer
+	delayed     // effect at some later call, no answer
 )
 
-func (m *moody) Commit(ctx context.Context, txn platform.Txn) (platform.CommitResult, error) {
-	m.settle(ctx)
-	switch mood(rapid.IntRange(int(well), int(late)).Draw(m.t, "mood")) {
+func (m *faultyTable) Commit(ctx context.Context, txn platform.Txn) (platform.CommitResult, error) {
+	m.commitDelayed(ctx)
+	switch commitFault(rapid.IntRange(int(noFault), int(delayed)).Draw(m.t, "fault")) {
 	case refused:
 		return platform.CommitResult{}, platform.ErrRefused
-	case dropped:
+	case requestLost:
 		return platform.CommitResult{}, platform.ErrUnknown
-	case ackLost:
+	case answerLost:
 		_, _ = m.Table.Commit(ctx, txn)
 		return platform.CommitResult{}, platform.ErrUnknown
-	case late:
-		m.late = append(m.late, txn)
+	case delayed:
+		m.delayedTxns = append(m.delayedTxns, txn)
 		return platform.CommitResult{}, platform.ErrUnknown
 	}
 	return m.Table.Commit(ctx, txn)
 }
 
-func (m *moody) Get(ctx context.Context, key string) (platform.Row, error) {
-	m.settle(ctx)
+func (m *faultyTable) Get(ctx context.Context, key string) (platform.Row, error) {
+	m.commitDelayed(ctx)
 	if rapid.IntRange(0, 9).Draw(m.t, "read") == 0 {
 		return platform.Row{}, platform.ErrRefused
 	}
 	return m.Table.Get(ctx, key)
 }
 
-// settle lets a late commit take effect, or not yet.
-func (m *moody) settle(ctx context.Context) {
-	if len(m.late) > 0 && rapid.Bool().Draw(m.t, "settles") {
-		_, _ = m.Table.Commit(ctx, m.late[0])
-		m.late = m.late[1:]
+// commitDelayed commits the oldest delayed transaction, or leaves it for a later call.
+func (m *faultyTable) commitDelayed(ctx context.Context) {
+	if len(m.delayedTxns) > 0 && rapid.Bool().Draw(m.t, "commitDelayed") {
+		_, _ = m.Table.Commit(ctx, m.delayedTxns[0])
+		m.delayedTxns = m.delayedTxns[1:]
 	}
 }
 
-// told is what the operator heard of one change.
-type told struct {
+// outcome is what Apply returned for one change.
+type outcome struct {
 	result Result
 	err    error
 }
 
-// Operators send changes, some of them twice, while the platform refuses,
-// drops, loses answers and lets writes take effect late. Whatever an operator
-// was told must be true in the end: "accepted" is in the log once, at its
-// revision; "another came first" never is; and no change is there twice.
-func TestWhatOperatorsAreToldIsTrue(t *testing.T) {
-	rapid.Check(t, checkTold)
+// Changes are sent, some of them twice, while the platform refuses commits, loses requests and
+// answers, and lets commits take effect late. Every reported outcome must agree with the final log:
+// an accepted change is there once, at the reported revision, a change with a conflict is not, and
+// no change is there twice.
+func TestReportedOutcomesMatchTheLog(t *testing.T) {
+	rapid.Check(t, checkReportedOutcomes)
 }
 
-func checkTold(rt *rapid.T) {
+func checkReportedOutcomes(rt *rapid.T) {
 	ctx := context.Background()
 	inner := memory.New()
-	table := &moody{Table: inner, t: rt}
+	table := &faultyTable{Table: inner, t: rt}
 	store := NewStore(table)
-	store.pause = func(context.Context, time.Duration) bool { return true }
-	heard := map[string][]told{}
+	store.sleep = func(context.Context, time.Duration) bool { return true }
+	outcomes := map[string][]outcome{}
 	bases := map[string]uint64{}
 	for range rapid.IntRange(1, 12).Draw(rt, "sends") {
 		id := fmt.Sprintf("c%d", rapid.IntRange(0, 5).Draw(rt, "id"))
@@ -98,23 +99,23 @@
 			}
 			bases[id] = head.Revision
 		}
-		result, err := store.Apply(ctx, smallChange(id, bases[id]))
-		heard[id] = append(heard[id], told{result, err})
+		result, err := store.Apply(ctx, minimalChange(id, bases[id]))
+		outcomes[id] = append(outcomes[id], outcome{result, err})
 	}
-	for len(table.late) > 0 {
-		_, _ = inner.Commit(ctx, table.late[0])
-		table.late = table.late[1:]
+	for len(table.delayedTxns) > 0 {
+		_, _ = inner.Commit(ctx, table.delayedTxns[0])
+		table.delayedTxns = table.delayedTxns[1:]
 	}
-	checkLog(rt, inner, heard)
+	checkLog(rt, inner, outcomes)
 }
 
-func smallChange(id string, base uint64) Change {
+func minimalChange(id string, base uint64) Change {
 	return Change{ID: id, Base: base, Digest: id, Edit: func(*config.Document) (*config.Document, error) {
 		return &config.Document{Preset: id, Presets: []config.Preset{{Name: id}}}, nil
 	}}
 }
 
-func checkLog(rt *rapid.T, table platform.Table, heard map[string][]told) {
+func checkLog(rt *rapid.T, table platform.Table, outcomes map[string][]outcome) {
 	store := NewStore(table)
 	records, err := store.Recent(context.Background(), maxRecords)
 	if err != nil {
@@ -130,70 +131,69 @@
 		}
 		applied[r.Change] = r.Revision
 	}
-	for id, all := range heard {
-		for _, one := range all {
-			checkOne(rt, id, one, applied)
+	for id, reported := range outcomes {
+		for _, o := range reported {
+			checkOutcome(rt, id, o, applied)
 		}
-		if len(all) == 1 && refusedOnly(all[0].err) && applied[id] != 0 {
-			rt.Fatalf("%s was told that it changed nothing; the log has it", id)
+		if len(reported) == 1 && isRefusal(reported[0].err) && applied[id] != 0 {
+			rt.Fatalf("%s was reported as refused, but the log has it", id)
 		}
 	}
 }
 
-func refusedOnly(err error) bool {
+func isRefusal(err error) bool {
 	return errors.Is(err, platform.ErrRefused) && !errors.Is(err, platform.ErrUnknown)
 }
 
-func checkOne(rt *rapid.T, id string, one told, applied map[string]uint64) {
+func checkOutcome(rt *rapid.T, id string, o outcome, applied map[string]uint64) {
 	revision, isApplied := applied[id]
 	switch {
-	case one.err != nil:
-		if !errors.Is(one.err, platform.ErrUnknown) && !errors.Is(one.err, platform.ErrRefused) {
-			rt.Fatalf("%s: %v", id, one.err)
+	case o.err != nil:
+		if !errors.Is(o.err, platform.ErrUnknown) && !errors.Is(o.err, platform.ErrRefused) {
+			rt.Fatalf("%s: %v", id, o.err)
 		}
-	case one.result.Verdict == Accepted, one.result.Verdict == Replayed:
-		if !isApplied || revision != one.result.Record.Revision {
-			rt.Fatalf("%s was told revision %d; the log has %d", id, one.result.Record.Revision, revision)
+	case o.result.Verdict == Accepted, o.result.Verdict == Replayed:
+		if !isApplied || revision != o.result.Record.Revision {
+			rt.Fatalf("%s was reported as revision %d, but the log has revision %d", id, o.result.Record.Revision, revision)
 		}
 	case isApplied:
-		rt.Fatalf("%s was told that another came first; the log has it as %d", id, revision)
+		rt.Fatalf("%s was reported as a conflict, but the log has it as revision %d", id, revision)
 	}
 }
 
-// A call that was refused before anything left says so, and nothing of it
-// appears later.
-func TestRefusedChangeChangesNothing(t *testing.T) {
+// A commit that the platform refuses is reported as refused, and its change does not appear later.
+func TestRefusedCommitChangesNothing(t *testing.T) {
 	is := is.New(t)
-	table := &refusing{Table: memory.New()}
-	_, err := NewStore(table).Apply(context.Background(), smallChange("c", 0))
-	is.True(refusedOnly(err))
+	table := &refusingTable{Table: memory.New()}
+	_, err := NewStore(table).Apply(context.Background(), minimalChange("c", 0))
+	is.True(isRefusal(err))
 	records, err := NewStore(table.Table).Recent(context.Background(), 9)
 	is.NoErr(err)
 	is.Equal(len(records), 0)
 }
 
-type refusing struct{ platform.Table }
+type refusingTable struct{ platform.Table }
 
-func (r *refusing) Commit(context.Context, platform.Txn) (platform.CommitResult, error) {
+func (r *refusingTable) Commit(context.Context, platform.Txn) (platform.CommitResult, error) {
 	return platform.CommitResult{}, platform.ErrRefused
 }
 
-// A configuration is in force with another document than the stored one. The
-// stored document of a revision is unreadable, an operator replaces it, and nodes
-// that still hold the real one apply a delta made from nothing. Such a change
-// must come without a delta, so that nodes read the whole document.
+// Guards against nodes with another configuration than the stored one. If an operator replaces an
+// unreadable document, a delta would be computed from an empty document. Nodes that still hold the
+// original would apply it to that. So such a change must have no delta, and nodes read the whole
+// document.
 func TestReplacingAnUnreadableDocumentStoresNoDelta(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	inner := memory.New()
 	store := NewStore(inner)
 	for i := range uint64(2) {
-		_, err := store.Apply(ctx, smallChange(fmt.Sprintf("c%d", i+1), i))
+		_, err := store.Apply(ctx, minimalChange(fmt.Sprintf("c%d", i+1), i))
 		is.NoErr(err)
 	}
 	row, err := inner.Get(ctx, confsync.DeltaKey(2))
 	is.NoErr(err)
-	is.True(row.Version > 0) // an ordinary change has one
+	is.True(row.Version > 0) // an ordinary change has a delta
 	row, err = inner.Get(ctx, DocKey(2))
 	is.NoErr(err)
 	_, err = inner.Commit(ctx, platform.Txn{
@@ -201,7 +201,7 @@
 		Writes:     []platform.Write{{Key: DocKey(2), Value: []byte("{")}},
 	})
 	is.NoErr(err)
-	change := smallChange("c3", 2)
+	change := minimalChange("c3", 2)
 	change.Replaces = true
 	result, err := store.Apply(ctx, change)
 	is.NoErr(err)
@@ -211,7 +211,7 @@
 	is.Equal(row.Version, uint64(0))
 }
 
-func TestPastIsKeptAndDropped(t *testing.T) {
+func TestExpiredDocumentsAndRecordsAreDeleted(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	inner := memory.New()
@@ -219,7 +219,7 @@
 	store.keep = retention{documents: 3, records: 5}
 	const last = 20
 	for i := range uint64(last) {
-		result, err := store.Apply(ctx, smallChange(fmt.Sprintf("c%d", i+1), i))
+		result, err := store.Apply(ctx, minimalChange(fmt.Sprintf("c%d", i+1), i))
 		is.NoErr(err)
 		is.Equal(result.Verdict, Accepted)
 	}
@@ -229,23 +229,23 @@
 	doc, err := store.Document(ctx, last-2)
 	is.NoErr(err)
 	is.Equal(doc.Preset, "c18")
-	gone, err := store.Document(ctx, last-3)
+	expired, err := store.Document(ctx, last-3)
 	is.NoErr(err)
-	is.True(gone == nil)
+	is.True(expired == nil)
 	records, err := store.Recent(ctx, 2)
 	is.NoErr(err)
 	is.Equal(records[0].Revision, uint64(last))
 	is.Equal(len(records), 2)
 }
 
-// The stored document cannot be read, say after a mistake of another program.
-// An operator must still be able to put a good one in its place.
+// If the stored document is unreadable, for example because another program overwrote it, an
+// operator must still be able to replace it.
 func TestUnreadableDocumentCanBeReplaced(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	inner := memory.New()
 	store := NewStore(inner)
-	_, err := store.Apply(ctx, smallChange("a", 0))
+	_, err := store.Apply(ctx, minimalChange("a", 0))
 	is.NoErr(err)
 	row, err := inner.Get(ctx, DocKey(1))
 	is.NoErr(err)
@@ -254,11 +254,11 @@
 		Writes:     []platform.Write{{Key: DocKey(1), Value: []byte("{")}},
 	})
 	is.NoErr(err)
-	_, err = store.Apply(ctx, smallChange("b", 1))
-	is.True(err != nil) // it looks at the old one
-	whole := smallChange("c", 1)
-	whole.Replaces = true
-	result, err := store.Apply(ctx, whole)
+	_, err = store.Apply(ctx, minimalChange("b", 1))
+	is.True(err != nil) // this change edits the unreadable document
+	replacement := minimalChange("c", 1)
+	replacement.Replaces = true
+	result, err := store.Apply(ctx, replacement)
 	is.NoErr(err)
 	is.Equal(result.Verdict, Accepted)
 }
--- a/internal/admin/bench_test.go
+++ b/internal/admin/bench_test.go
@@ -11,24 +11,24 @@
 	"github.com/hickorybank/hickorybank/internal/standin/platform/memory"
 )
 
-// counting counts what a change asks of the table.
-type counting struct {
+// countingTable counts the reads, commits and written bytes of a table.
+type countingTable struct {
 	platform.Table
 	reads, writes int
 	bytes         int
 }
 
-func (c *counting) Get(ctx context.Context, key string) (platform.Row, error) {
+func (c *countingTable) Get(ctx context.Context, key string) (platform.Row, error) {
 	c.reads++
 	return c.Table.Get(ctx, key)
 }
 
-func (c *counting) Scan(ctx context.Context, prefix, after string, limit int) ([]platform.Row, error) {
+func (c *countingTable) Scan(ctx context.Context, prefix, after string, limit int) ([]platform.Row, error) {
 	c.reads++
 	return c.Table.Scan(ctx, prefix, after, limit)
 }
 
-func (c *counting) Commit(ctx context.Context, txn platform.Txn) (platform.CommitResult, error) {
+func (c *countingTable) Commit(ctx context.Context, txn platform.Txn) (platform.CommitResult, error) {
 	c.writes++
 	for _, w := range txn.Writes {
 		c.bytes += len(w.Value)
@@ -36,14 +36,14 @@
 	return c.Table.Commit(ctx, txn)
 }
 
-// BenchmarkChange makes changes of one weight in documents of several sizes.
+// BenchmarkChange measures changes of one organisation's weight in documents of several sizes.
 func BenchmarkChange(b *testing.B) {
 	for _, organisations := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprintf("organisations=%d", organisations), func(b *testing.B) {
-			table := &counting{Table: memory.New()}
+			table := &countingTable{Table: memory.New()}
 			store := NewStore(table)
 			ctx := context.Background()
-			if _, _, err := store.Put(ctx, 0, grown(b, organisations), "first"); err != nil {
+			if _, _, err := store.Put(ctx, 0, tarifasWithOrganisations(b, organisations), "first"); err != nil {
 				b.Fatal(err)
 			}
 			table.reads, table.writes, table.bytes = 0, 0, 0
@@ -66,15 +66,15 @@
 	}
 }
 
-// grown is the tarifas example with more organisations.
-func grown(b *testing.B, organisations int) *config.Document {
+// tarifasWithOrganisations returns the tarifas example with organisations added up to that number.
+func tarifasWithOrganisations(b *testing.B, organisations int) *config.Document {
 	doc, err := example.Load("tarifas")
 	if err != nil {
 		b.Fatal(err)
 	}
-	like := doc.Organisations[0]
+	template := doc.Organisations[0]
 	for i := len(doc.Organisations); i < organisations; i++ {
-		o := like
+		o := template
 		o.Name = fmt.Sprintf("org-%d", i)
 		o.KeyHashes = []string{config.HashKey(o.Name)}
 		doc.Organisations = append(doc.Organisations, o)
--- a/internal/admin/bills.go
+++ b/internal/admin/bills.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	// defaultBillSpan is how far back bills are read when no time is given.
+	// defaultBillSpan is the span of a query without a start.
 	defaultBillSpan = 24 * time.Hour
-	// maxBillSpan bounds one reading. Bills lie by the hour, and each hour
-	// costs the platform some reads, also one without any bill: a reading of
-	// months would take the reads that requests need.
+	// maxBillSpan is the longest span of a query. Bills are stored by the hour, and each hour costs
+	// some reads of the platform's table even without bills. A query over months would use up the
+	// read capacity that requests need.
 	maxBillSpan = 7 * 24 * time.Hour
 )
 
 const dateOnly = "2006-01-02"
 
-func (s *Server) getBills(in *incoming) (any, *Failure) {
+func (s *Server) getBills(in *request) (any, *Failure) {
 	if s.deps.Bills == nil {
 		return nil, notOffered("bills")
 	}
@@ -24,7 +24,7 @@
 	if failure != nil {
 		return nil, failure
 	}
-	ctx, cancel := timeLimit(in)
+	ctx, cancel := withRequestTimeout(in)
 	defer cancel()
 	page, err := s.deps.Bills.Bills(ctx, query)
 	if err != nil {
@@ -55,10 +55,10 @@
 	return q, nil
 }
 
-// timeQuery reads a time in RFC 3339 or a date in UTC.
-func timeQuery(name, text string, absent time.Time) (time.Time, *Failure) {
+// timeQuery parses a time in RFC 3339 or a date in UTC. An empty text gives the fallback.
+func timeQuery(name, text string, fallback time.Time) (time.Time, *Failure) {
 	if text == "" {
-		return absent, nil
+		return fallback, nil
 	}
 	if t, err := time.Parse(time.RFC3339, text); err == nil {
 		return t, nil
@@ -66,5 +66,5 @@
 	if t, err := time.Parse(dateOnly, text); err == nil {
 		return t, nil
 	}
-	return absent, badRequest("%s: %q is neither a date nor a time such as 2026-03-01T06:00:00Z", name, text)
+	return fallback, badRequest("%s: %q is neither a date nor a time such as 2026-03-01T06:00:00Z", name, text)
 }
--- a/internal/admin/change.go
+++ b/internal/admin/change.go
@@ -6,49 +6,47 @@
 	"github.com/hickorybank/hickorybank/internal/config"
 )
 
-// Change is one change of the configuration.
+// Change is a change of the configuration for [Store.Apply].
 type Change struct {
-	// ID is unique to the change. A change that is sent again has the same.
+	// ID is unique to the change. Retries have the same id.
 	ID string
-	// Base is the revision that the change was made from; 0 means that no
-	// configuration is stored.
+	// Base is the revision that the change is made from; 0 means that no configuration is stored.
 	Base     uint64
 	Operator string
 	At       time.Time
-	// Digest is of everything that the operator sent.
+	// Digest identifies the content of the operator's request.
 	Digest string
-	// Edit returns the new document, given a copy of that of the base (empty
-	// when there is none). Its error ends the change.
+	// Edit returns the new document, given a copy of the base document (empty if none is stored).
+	// If it returns an error, the change is not made.
 	Edit func(doc *config.Document) (*config.Document, error)
-	// Replaces says that Edit does not look at the old document, so that a
-	// stored one that cannot be read can still be replaced.
+	// Replaces states that Edit ignores the old document. The change can then replace a stored
+	// document that cannot be read.
 	Replaces bool
 }
 
-// Verdict is what became of a change.
+// Verdict is the outcome of a change whose outcome is known.
 type Verdict int
 
 // The verdicts.
 const (
-	// Accepted: the change is the revision in the record.
+	// Accepted means that the change made the revision in the record.
 	Accepted Verdict = iota
-	// Replayed: the change had been accepted before, as in the record.
+	// Replayed means that the change had been accepted before, as in the record.
 	Replayed
-	// Conflicted: another change came first; this one can never apply.
+	// Conflicted means that another change was accepted first; this one can never be applied.
 	Conflicted
-	// Reused: the id belongs to another change.
+	// Reused means that the id belongs to another change.
 	Reused
 )
 
-// Result is a verdict with what it rests on.
+// Result is the verdict on a change with the stored rows that it follows from.
 type Result struct {
 	Verdict Verdict
-	// Head is the present head.
+	// Head is the current head.
 	Head Head
-	// Record is of the accepted change, or of the one that has the id.
+	// Record is the record of the accepted change, or of the change that has the id.
 	Record Record
-	// Before and Doc are the documents before and after an accepted change;
-	// nil when replayed.
+	// Before and Doc are the documents before and after an accepted change; nil if it is a replay.
 	Before *config.Document
 	Doc    *config.Document
 }
--- a/internal/admin/changes.go
+++ b/internal/admin/changes.go
@@ -12,20 +12,20 @@
 	"github.com/hickorybank/hickorybank/internal/event"
 )
 
-// Acceptance is the answer to a change.
+// Acceptance is the answer to an accepted change.
 type Acceptance struct {
-	// Change is the id under which the change can be asked for.
+	// Change is the change's id, with which its state can be queried.
 	Change   string `json:"change"`
 	Revision uint64 `json:"revision"`
-	// Replayed says that the change had been accepted before.
+	// Replayed reports that the change had been accepted before.
 	Replayed bool `json:"replayed,omitempty"`
-	// InForce is absent when other nodes could not be asked in time.
+	// InForce is absent if the other nodes' confirmations could not be read in time.
 	InForce     *Confirmation       `json:"in_force,omitempty"`
 	Warnings    []config.Fault      `json:"warnings,omitempty"`
 	Differences []config.Difference `json:"differences,omitempty"`
 }
 
-// Trial is the answer to a change with dry_run: nothing was changed.
+// Trial is the answer to a change with dry_run, which is checked but not made.
 type Trial struct {
 	DryRun      bool                `json:"dry_run"`
 	Base        uint64              `json:"base"`
@@ -35,9 +35,9 @@
 
 type edit func(doc *config.Document) (*config.Document, error)
 
-// change applies an edit to the revision that If-Match names.
-func (s *Server) change(in *incoming, body []byte, replaces bool, e edit) (any, *Failure) {
-	base, failure := baseOf(in.r)
+// change applies an edit to the revision in If-Match. With dry_run it only checks the change.
+func (s *Server) change(in *request, body []byte, replaces bool, e edit) (any, *Failure) {
+	base, failure := baseRevision(in.r)
 	if failure != nil {
 		return nil, failure
 	}
@@ -49,19 +49,20 @@
 		ID: id, Base: base, Operator: in.operator, At: s.deps.Now().UTC(),
 		Digest: digest(in.r, body), Edit: e, Replaces: replaces,
 	}
-	ctx, cancel := timeLimit(in)
+	ctx, cancel := withRequestTimeout(in)
 	defer cancel()
 	if in.r.URL.Query().Get("dry_run") == "true" {
-		return s.tryOut(ctx, in, c)
+		return s.dryRun(ctx, in, c)
 	}
 	result, err := s.deps.Store.Apply(ctx, c)
 	if err != nil {
 		return nil, storeFailure(err, id)
 	}
-	return s.judged(ctx, in, c, result)
+	return s.respond(ctx, in, c, result)
 }
 
-// digest is of everything that makes one request another.
+// digest returns a hash of the method, path and body. Two requests with one change id are the same
+// change only if their digests are equal.
 func digest(r *http.Request, body []byte) string {
 	h := sha256.New()
 	h.Write([]byte(r.Method + " " + r.URL.Path + "\n"))
@@ -69,17 +70,17 @@
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-func (s *Server) judged(ctx context.Context, in *incoming, c Change, r Result) (any, *Failure) {
+func (s *Server) respond(ctx context.Context, in *request, c Change, r Result) (any, *Failure) {
 	switch r.Verdict {
 	case Conflicted:
 		return nil, conflict(c.Base, r.Head.Revision)
 	case Reused:
-		return nil, keyReused(c.ID)
+		return nil, changeIDReused(c.ID)
 	}
 	if r.Verdict == Accepted {
-		s.accepted(r.Record)
+		s.reportAccepted(r.Record)
 	}
-	setRevision(in.w, r.Record.Revision)
+	setETag(in.w, r.Record.Revision)
 	answer := Acceptance{Change: c.ID, Revision: r.Record.Revision, InForce: s.confirm(ctx, r.Record.Revision)}
 	if r.Verdict == Replayed {
 		in.w.Header().Set(HeaderReplayed, "true")
@@ -92,7 +93,7 @@
 	return answer, nil
 }
 
-func (s *Server) accepted(r Record) {
+func (s *Server) reportAccepted(r Record) {
 	event.ConfigurationAccepted.Log(s.deps.Log,
 		slog.Uint64("revision", r.Revision), slog.String("change", r.Change),
 		slog.String("operator", r.Operator), slog.String("preset", r.Preset))
@@ -101,7 +102,7 @@
 	}
 }
 
-// confirm asks how far the revision is in force; nil when that is not known.
+// confirm returns how many nodes have the revision in force, or nil if that is not known in time.
 func (s *Server) confirm(ctx context.Context, revision uint64) *Confirmation {
 	if s.deps.Confirmer == nil {
 		return nil
@@ -115,7 +116,7 @@
 	return &c
 }
 
-func (s *Server) tryOut(ctx context.Context, in *incoming, c Change) (any, *Failure) {
+func (s *Server) dryRun(ctx context.Context, in *request, c Change) (any, *Failure) {
 	head, _, err := s.deps.Store.Head(ctx)
 	if err != nil {
 		return nil, storeFailure(err, "")
@@ -123,47 +124,49 @@
 	if head.Revision != c.Base {
 		return nil, conflict(c.Base, head.Revision)
 	}
-	before, after, err := s.deps.Store.edited(ctx, c)
+	before, after, err := s.deps.Store.editedDocuments(ctx, c)
 	if err != nil {
 		return nil, storeFailure(err, "")
 	}
-	setRevision(in.w, c.Base)
+	setETag(in.w, c.Base)
 	return Trial{DryRun: true, Base: c.Base, Warnings: after.Warnings(), Differences: config.Diff(before, after)}, nil
 }
 
-// ChangeState is what became of a change, as far as the store can tell.
+// ChangeState is the state of a change as far as the store determines it.
 type ChangeState string
 
 // The states of a change.
 const (
+	// ChangeApplied means that the change is in the log.
 	ChangeApplied ChangeState = "applied"
-	// ChangeNotApplied: it was not and never will be.
+	// ChangeNotApplied means that the change has not been applied and never will be.
 	ChangeNotApplied ChangeState = "not_applied"
-	// ChangeUndecided: it was not applied so far; as long as the head is at
-	// its base it still may be.
+	// ChangeUndecided means that the change has not been applied yet. It still may be as long as
+	// the head is at its base.
 	ChangeUndecided ChangeState = "undecided"
 )
 
-// ChangeStatus answers for one change.
+// ChangeStatus is the answer to a query for one change. Record is set if the change was applied.
 type ChangeStatus struct {
 	Change string      `json:"change"`
 	State  ChangeState `json:"state"`
-	// Present is the present revision.
+	// Present is the current revision.
 	Present uint64  `json:"present"`
 	Record  *Record `json:"record,omitempty"`
 }
 
-// getChange tells what became of a change. The head is read first: see Store.try.
-func (s *Server) getChange(in *incoming) (any, *Failure) {
+// getChange returns the state of a change. It reads the head before the change's row, for the
+// reason given at [Store.applyOnce].
+func (s *Server) getChange(in *request) (any, *Failure) {
 	id := in.params.ByName("id")
-	if !plainID(id) {
+	if !validChangeID(id) {
 		return nil, badRequest("%q is no change id", id)
 	}
 	base, failure := uintQuery(in.r, "base")
 	if failure != nil {
 		return nil, failure
 	}
-	ctx, cancel := timeLimit(in)
+	ctx, cancel := withRequestTimeout(in)
 	defer cancel()
 	head, _, err := s.deps.Store.Head(ctx)
 	if err != nil {
@@ -184,14 +187,15 @@
 	return status, nil
 }
 
-// ChangeList is the end of the log, newest first.
+// ChangeList holds the latest records of the log, newest first.
 type ChangeList struct {
 	Changes []Record `json:"changes"`
 }
 
+// defaultChanges is how many changes are listed if the request gives no limit.
 const defaultChanges = 20
 
-func (s *Server) getChanges(in *incoming) (any, *Failure) {
+func (s *Server) getChanges(in *request) (any, *Failure) {
 	limit, failure := uintQuery(in.r, "limit")
 	if failure != nil {
 		return nil, failure
@@ -202,7 +206,7 @@
 	if limit > maxRecords {
 		return nil, badRequest("limit: %s is above %d", strconv.FormatUint(limit, 10), maxRecords)
 	}
-	ctx, cancel := timeLimit(in)
+	ctx, cancel := withRequestTimeout(in)
 	defer cancel()
 	records, err := s.deps.Store.Recent(ctx, int(limit))
 	if err != nil {
--- a/internal/admin/client/change.go
+++ b/internal/admin/client/change.go
@@ -6,26 +6,26 @@
 	"github.com/hickorybank/hickorybank/internal/admin"
 )
 
-// Change is one change to send.
+// Change is a request that changes the configuration.
 type Change struct {
 	Method string
-	// Path is below /admin/v1/; see [Path].
+	// Path is relative to /admin/v1/; see [Path].
 	Path string
 	Body []byte
-	// Base is the revision that the change was made from.
+	// Base is the revision that the change is made from.
 	Base uint64
-	// ID is the change's own; a change that is sent again has the same.
+	// ID is unique to the change. Retries have the same id.
 	ID string
 }
 
-func (c Change) message() message {
-	return message{
+func (c Change) request() request {
+	return request{
 		method: c.Method, path: c.Path, body: c.Body,
 		headers: map[string]string{admin.HeaderRevision: admin.Tag(c.Base), admin.HeaderChange: c.ID},
 	}
 }
 
-// Path joins the parts of a path and escapes each.
+// Path joins the parts of a path with slashes and escapes each part.
 func Path(parts ...string) string {
 	path := ""
 	for i, part := range parts {
--- a/internal/admin/client/client.go
+++ b/internal/admin/client/client.go
@@ -18,24 +18,24 @@
 )
 
 const (
-	// timeout is above what the API itself waits for the platform's store.
-	timeout   = 20 * time.Second
-	maxAnswer = 64 << 20
+	// timeout is above the API's own time limit for the platform's store (15 s).
+	timeout        = 20 * time.Second
+	maxAnswerBytes = 64 << 20
 )
 
-// Client calls one node's administration API. A refusal is found with
-// errors.As as an *admin.Failure.
+// Client calls the administration API of one node. Its errors are an [*admin.Failure] if the API
+// refused the request and a [*NoAnswer] if no complete answer arrived.
 type Client struct {
 	base string
 	key  string
 	http *http.Client
 }
 
-// New returns a client of the API at a base URL, with an operator's key.
+// New returns a client of the API at a base URL that authenticates with an operator's key.
 func New(baseURL, key string) *Client { return NewSecure(baseURL, key, nil) }
 
-// NewSecure returns a client that trusts the authorities of a TLS
-// configuration, or the machine's when it is nil.
+// NewSecure returns a client with a TLS configuration. If that is nil, the client trusts the
+// system's certificate authorities.
 func NewSecure(baseURL, key string, secure *tls.Config) *Client {
 	return &Client{
 		base: strings.TrimSuffix(baseURL, "/"),
@@ -47,46 +47,46 @@
 // Close closes the idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Get reads one path below /admin/v1/ and returns the revision that the answer
-// belongs to, 0 when it names none.
-func (c *Client) Get(ctx context.Context, path string, query url.Values, into any) (revision uint64, err error) {
+// Get reads a path relative to /admin/v1/ into result. It returns the revision in the answer's ETag,
+// or 0 if there is none.
+func (c *Client) Get(ctx context.Context, path string, query url.Values, result any) (revision uint64, err error) {
 	if len(query) > 0 {
 		path += "?" + query.Encode()
 	}
-	return c.do(ctx, message{method: http.MethodGet, path: path}, into)
+	return c.do(ctx, request{method: http.MethodGet, path: path}, result)
 }
 
-// Change sends one change. It is made from the revision base; id is its own.
+// Change sends a change.
 func (c *Client) Change(ctx context.Context, m Change) (admin.Acceptance, error) {
 	var a admin.Acceptance
-	_, err := c.do(ctx, m.message(), &a)
+	_, err := c.do(ctx, m.request(), &a)
 	return a, err
 }
 
-// Try sends a change that is only to be checked.
+// Try sends a change as a dry run: the API checks it and does not make it.
 func (c *Client) Try(ctx context.Context, m Change) (admin.Trial, error) {
-	what := m.message()
-	what.path += "?dry_run=true"
+	req := m.request()
+	req.path += "?dry_run=true"
 	var t admin.Trial
-	_, err := c.do(ctx, what, &t)
+	_, err := c.do(ctx, req, &t)
 	return t, err
 }
 
-// Post sends what is no change of the configuration.
-func (c *Client) Post(ctx context.Context, path string, body []byte, into any) error {
-	_, err := c.do(ctx, message{method: http.MethodPost, path: path, body: body}, into)
+// Post sends a request that does not change the configuration, such as lifting a hold.
+func (c *Client) Post(ctx context.Context, path string, body []byte, result any) error {
+	_, err := c.do(ctx, request{method: http.MethodPost, path: path, body: body}, result)
 	return err
 }
 
-// message is one request.
-type message struct {
+// request is one HTTP request to the API.
+type request struct {
 	method  string
 	path    string
 	body    []byte
 	headers map[string]string
 }
 
-func (c *Client) do(ctx context.Context, m message, into any) (uint64, error) {
+func (c *Client) do(ctx context.Context, m request, result any) (uint64, error) {
 	req, err := http.NewRequestWithContext(ctx, m.method, c.base+"/admin/v1/"+m.path, bytes.NewReader(m.body))
 	if err != nil {
 		return 0, eris.Wrap(err, "administration interface")
@@ -100,17 +100,17 @@
 		return 0, &NoAnswer{Err: err}
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	if err != nil {
 		return 0, &NoAnswer{Err: err}
 	}
 	if resp.StatusCode != http.StatusOK {
-		return 0, failureOf(resp, data)
+		return 0, responseError(resp, data)
 	}
-	return revisionOf(resp), eris.Wrap(json.Unmarshal(data, into), "administration interface")
+	return revisionOf(resp), eris.Wrap(json.Unmarshal(data, result), "administration interface")
 }
 
-func failureOf(resp *http.Response, data []byte) error {
+func responseError(resp *http.Response, data []byte) error {
 	var body admin.FailureBody
 	if json.Unmarshal(data, &body) != nil || body.Error.Code == "" {
 		return eris.Errorf("administration interface: %s", resp.Status)
--- a/internal/admin/client/client_test.go
+++ b/internal/admin/client/client_test.go
@@ -18,8 +18,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// start serves the API over a platform in memory that holds the sahel example.
-func start(t *testing.T) *Client {
+// newTestClient returns a client of an API over an in-memory platform with the sahel example.
+func newTestClient(t *testing.T) *Client {
 	t.Helper()
 	is := is.New(t)
 	store := admin.NewStore(memory.New())
@@ -39,7 +39,7 @@
 func TestClientReadsAndChanges(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	c := start(t)
+	c := newTestClient(t)
 	var doc config.Document
 	revision, err := c.Get(ctx, "configuration", nil, &doc)
 	is.NoErr(err)
@@ -63,15 +63,15 @@
 	is.Equal(*failure.Revision, uint64(2))
 }
 
-func TestClientTellsNoAnswerFromARefusal(t *testing.T) {
+func TestClientDistinguishesNoAnswerFromRefusal(t *testing.T) {
 	is := is.New(t)
-	c := start(t)
+	c := newTestClient(t)
 	c.key = "other"
 	var failure *admin.Failure
 	is.True(errors.As(c.Post(context.Background(), "holds/v/lift", nil, nil), &failure))
 	is.Equal(failure.Code, admin.CodeUnauthorised)
-	gone := New("http://127.0.0.1:1", "key")
-	var silent *NoAnswer
-	_, err := gone.Get(context.Background(), Path("versions", "a/b"), nil, nil)
-	is.True(errors.As(err, &silent))
+	unreachable := New("http://127.0.0.1:1", "key")
+	var noAnswer *NoAnswer
+	_, err := unreachable.Get(context.Background(), Path("versions", "a/b"), nil, nil)
+	is.True(errors.As(err, &noAnswer))
 }
--- a/internal/admin/client/doc.go
+++ b/internal/admin/client/doc.go
@@ -1,4 +1,3 @@
-// Package client calls the administration API. Every change has an id, so that
-// a change whose answer was lost is sent again, or asked for, without being
-// applied twice.
+// Package client calls the administration API. Every change has an id. A change whose answer was
+// lost can therefore be sent again without being applied twice, and its state can be queried.
 package client
--- a/internal/admin/client/error.go
+++ b/internal/admin/client/error.go
@@ -2,12 +2,13 @@
 
 import "fmt"
 
-// NoAnswer says that no whole answer came: a change may have been applied.
+// NoAnswer is the error of a request without a complete answer. A change may have been applied.
 type NoAnswer struct {
+	// Err is the cause.
 	Err error
 }
 
-// Error says that there was no answer, and why.
+// Error returns a message with the cause.
 func (e *NoAnswer) Error() string {
 	return fmt.Sprintf("administration interface gave no answer: %v", e.Err)
 }
--- a/internal/admin/collection.go
+++ b/internal/admin/collection.go
@@ -7,10 +7,10 @@
 	"github.com/hickorybank/hickorybank/internal/config"
 )
 
-// collection is one list of a document that operators edit entry by entry.
+// collection is a list of a document whose entries are served and edited one by one.
 type collection[T any] struct {
-	// one is the word for an entry.
-	one  string
+	// noun is the word for an entry in messages.
+	noun string
 	list func(doc *config.Document) *[]T
 	name func(entry *T) *string
 }
@@ -55,18 +55,18 @@
 
 func serveCollection[T any](s *Server, plural string, c collection[T]) {
 	path := "/admin/v1/" + plural
-	s.handle(http.MethodGet, path, func(in *incoming) (any, *Failure) { return c.getAll(s, in) })
-	s.handle(http.MethodGet, path+"/:name", func(in *incoming) (any, *Failure) { return c.get(s, in) })
-	s.handle(http.MethodPut, path+"/:name", func(in *incoming) (any, *Failure) { return c.put(s, in) })
-	s.handle(http.MethodDelete, path+"/:name", func(in *incoming) (any, *Failure) { return c.remove(s, in) })
+	s.handle(http.MethodGet, path, func(in *request) (any, *Failure) { return c.getAll(s, in) })
+	s.handle(http.MethodGet, path+"/:name", func(in *request) (any, *Failure) { return c.get(s, in) })
+	s.handle(http.MethodPut, path+"/:name", func(in *request) (any, *Failure) { return c.put(s, in) })
+	s.handle(http.MethodDelete, path+"/:name", func(in *request) (any, *Failure) { return c.remove(s, in) })
 }
 
 func (c collection[T]) index(doc *config.Document, name string) int {
 	return slices.IndexFunc(*c.list(doc), func(entry T) bool { return *c.name(&entry) == name })
 }
 
-func (c collection[T]) getAll(s *Server, in *incoming) (any, *Failure) {
-	ctx, cancel := timeLimit(in)
+func (c collection[T]) getAll(s *Server, in *request) (any, *Failure) {
+	ctx, cancel := withRequestTimeout(in)
 	defer cancel()
 	_, doc, failure := s.current(ctx, in)
 	if failure != nil {
@@ -79,8 +79,8 @@
 	return entries, nil
 }
 
-func (c collection[T]) get(s *Server, in *incoming) (any, *Failure) {
-	ctx, cancel := timeLimit(in)
+func (c collection[T]) get(s *Server, in *request) (any, *Failure) {
+	ctx, cancel := withRequestTimeout(in)
 	defer cancel()
 	_, doc, failure := s.current(ctx, in)
 	if failure != nil {
@@ -88,20 +88,19 @@
 	}
 	i := c.index(doc, in.params.ByName("name"))
 	if i < 0 {
-		return nil, notFound("there is no %s %q", c.one, in.params.ByName("name"))
+		return nil, notFound("there is no %s %q", c.noun, in.params.ByName("name"))
 	}
 	return (*c.list(doc))[i], nil
 }
 
-// put creates or replaces an entry. Its body may leave the name out, since the
-// path has it.
-func (c collection[T]) put(s *Server, in *incoming) (any, *Failure) {
+// put creates or replaces an entry. The body may omit the name, which the path gives.
+func (c collection[T]) put(s *Server, in *request) (any, *Failure) {
 	entry, body, failure := decodeBody[T](in)
 	if failure != nil {
 		return nil, failure
 	}
 	name := in.params.ByName("name")
-	if failure := sameName(c.name(entry), name); failure != nil {
+	if failure := checkName(c.name(entry), name); failure != nil {
 		return nil, failure
 	}
 	return s.change(in, body, false, func(doc *config.Document) (*config.Document, error) {
@@ -115,7 +114,7 @@
 	})
 }
 
-func sameName(field *string, name string) *Failure {
+func checkName(field *string, name string) *Failure {
 	if *field == "" {
 		*field = name
 	}
@@ -125,14 +124,14 @@
 	return nil
 }
 
-// remove takes an entry out. One that others refer to stays: validation names
-// each reference.
-func (c collection[T]) remove(s *Server, in *incoming) (any, *Failure) {
+// remove deletes an entry. Validation rejects the change if other entries refer to it, with a fault
+// for each reference.
+func (c collection[T]) remove(s *Server, in *request) (any, *Failure) {
 	name := in.params.ByName("name")
 	return s.change(in, nil, false, func(doc *config.Document) (*config.Document, error) {
 		i := c.index(doc, name)
 		if i < 0 {
-			return nil, missing(c.one, name)
+			return nil, missing(c.noun, name)
 		}
 		list := c.list(doc)
 		*list = slices.Delete(*list, i, i+1)
@@ -141,12 +140,12 @@
 }
 
 // changeEntry edits the entry that the path names.
-func changeEntry[T any](s *Server, in *incoming, body []byte, c collection[T], e func(*T) *Failure) (any, *Failure) {
+func changeEntry[T any](s *Server, in *request, body []byte, c collection[T], e func(*T) *Failure) (any, *Failure) {
 	name := in.params.ByName("name")
 	return s.change(in, body, false, func(doc *config.Document) (*config.Document, error) {
 		i := c.index(doc, name)
 		if i < 0 {
-			return nil, missing(c.one, name)
+			return nil, missing(c.noun, name)
 		}
 		if f := e(&(*c.list(doc))[i]); f != nil {
 			return nil, f
@@ -155,8 +154,8 @@
 	})
 }
 
-func missing(what, name string) *Failure {
-	f := notFound("there is no %s %q", what, name)
+func missing(noun, name string) *Failure {
+	f := notFound("there is no %s %q", noun, name)
 	f.Outcome = NotApplied
 	return f
 }
--- a/internal/admin/configuration.go
+++ b/internal/admin/configuration.go
@@ -16,22 +16,22 @@
 	s.handle(http.MethodGet, "/admin/v1/changes/:id", s.getChange)
 }
 
-// getConfiguration returns the whole document, of a past revision if asked.
-func (s *Server) getConfiguration(in *incoming) (any, *Failure) {
-	asked, failure := uintQuery(in.r, "revision")
+// getConfiguration returns the whole document: the current one, or that of the requested revision.
+func (s *Server) getConfiguration(in *request) (any, *Failure) {
+	revision, failure := uintQuery(in.r, "revision")
 	if failure != nil {
 		return nil, failure
 	}
-	ctx, cancel := timeLimit(in)
+	ctx, cancel := withRequestTimeout(in)
 	defer cancel()
-	if asked != 0 {
-		return s.pastConfiguration(ctx, in, asked)
+	if revision != 0 {
+		return s.configurationAt(ctx, in, revision)
 	}
 	_, doc, failure := s.current(ctx, in)
 	return doc, failure
 }
 
-func (s *Server) pastConfiguration(ctx context.Context, in *incoming, revision uint64) (any, *Failure) {
+func (s *Server) configurationAt(ctx context.Context, in *request, revision uint64) (any, *Failure) {
 	doc, err := s.deps.Store.Document(ctx, revision)
 	if err != nil {
 		return nil, storeFailure(err, "")
@@ -39,17 +39,17 @@
 	if doc == nil {
 		return nil, notFound("revision %d is not, or no longer, stored", revision)
 	}
-	setRevision(in.w, revision)
+	setETag(in.w, revision)
 	return doc, nil
 }
 
 // current reads the head and its document and sets the ETag.
-func (s *Server) current(ctx context.Context, in *incoming) (Head, *config.Document, *Failure) {
+func (s *Server) current(ctx context.Context, in *request) (Head, *config.Document, *Failure) {
 	head, doc, err := s.deps.Store.Current(ctx)
 	if err != nil {
 		return head, nil, storeFailure(err, "")
 	}
-	setRevision(in.w, head.Revision)
+	setETag(in.w, head.Revision)
 	if doc == nil {
 		f := notFound("no configuration is stored; the first one is made from revision 0")
 		f.Revision = &head.Revision
@@ -58,7 +58,7 @@
 	return head, doc, nil
 }
 
-func (s *Server) putConfiguration(in *incoming) (any, *Failure) {
+func (s *Server) putConfiguration(in *request) (any, *Failure) {
 	body, failure := readBody(in)
 	if failure != nil {
 		return nil, failure
@@ -82,6 +82,6 @@
 	return n, nil
 }
 
-func timeLimit(in *incoming) (context.Context, context.CancelFunc) {
+func withRequestTimeout(in *request) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(in.r.Context(), requestTimeout)
 }
--- a/internal/admin/decode.go
+++ b/internal/admin/decode.go
@@ -7,8 +7,8 @@
 	"github.com/hickorybank/hickorybank/internal/config"
 )
 
-// decode reads a strict body: a text that is not JSON is a bad request, fields
-// that do not fit are faults.
+// decode decodes a body strictly. Text that is not JSON gives [CodeBadRequest]; fields that are
+// unknown or of the wrong type give [CodeInvalid] with their faults.
 func decode[T any](body []byte) (*T, *Failure) {
 	v, err := config.Decode[T](body)
 	var faults config.Faults
@@ -23,8 +23,8 @@
 	return v, nil
 }
 
-// decodeBody reads and decodes the body.
-func decodeBody[T any](in *incoming) (*T, []byte, *Failure) {
+// decodeBody reads and decodes the body. It returns the raw body too, for the change's digest.
+func decodeBody[T any](in *request) (*T, []byte, *Failure) {
 	body, failure := readBody(in)
 	if failure != nil {
 		return nil, nil, failure
@@ -33,8 +33,8 @@
 	return v, body, failure
 }
 
-func keyReused(id string) *Failure {
-	f := fail(http.StatusUnprocessableEntity, CodeKeyReused, "%s: %s belongs to another change", HeaderChange, id)
+func changeIDReused(id string) *Failure {
+	f := newFailure(http.StatusUnprocessableEntity, CodeKeyReused, "%s: %s belongs to another change", HeaderChange, id)
 	f.Outcome = NotApplied
 	return f
 }
--- a/internal/admin/doc.go
+++ b/internal/admin/doc.go
@@ -1,11 +1,10 @@
-// Package admin is the operators' side: the stored configuration and its
-// versioned administration API with compare-and-set revisions.
+// Package admin stores the configuration in the platform's table and serves the administration API
+// over it. Changes are compare-and-set operations on revisions.
 //
-// [Store] keeps the configuration in the platform's table. One row, the head,
-// decides the order: each change is one transaction on condition that the head
-// is still the revision that the change was made from, and that no change of
-// the same id was applied. So of two operators who race one wins, and a change
+// [Store] orders changes by one row, the head. Each change is one transaction with two conditions:
+// the head is still the revision that the change was made from, and no change with the same id has
+// been applied. Of two concurrent changes one is accepted and the other gets a conflict. A change
 // that is sent again after its answer was lost is applied once.
 //
-// [Server] is the HTTP interface over it. It opens to operators' keys only.
+// [Server] is the HTTP interface. It accepts operators' keys only.
 package admin
--- a/internal/admin/fuzz_test.go
+++ b/internal/admin/fuzz_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// FuzzChange sends any change. Whatever it is, the answer is a success or says
-// what is wrong with the request, and what is stored stays valid.
+// FuzzChange sends arbitrary requests. Each must succeed or be refused with a client error (or as
+// not offered), and the stored configuration must stay valid.
 func FuzzChange(f *testing.F) {
 	f.Add("PUT", "/admin/v1/configuration", `"1"`, "id", `{"preset":"p","presets":[{"name":"p"}]}`)
 	f.Add("PUT", "/admin/v1/organisations/tolu", "1", "", `{"weight":1}`)
@@ -18,7 +18,7 @@
 		if _, err := http.NewRequest(method, path, nil); err != nil || path == "" || path[0] != '/' {
 			return
 		}
-		d := newDesk(t)
+		d := newFixture(t)
 		got := d.call(method, path, body, header{HeaderRevision, revision}, header{HeaderChange, id})
 		if got.status >= 500 && got.status != http.StatusNotImplemented {
 			t.Fatal(got.status, got.body)
--- a/internal/admin/harness_test.go
+++ b/internal/admin/harness_test.go
@@ -21,18 +21,18 @@
 	callerKey   = "demo-cartagena"
 )
 
-// desk is an administration API over a platform in memory.
-type desk struct {
+// fixture is an administration API over an in-memory platform.
+type fixture struct {
 	t        *testing.T
 	platform *memory.Platform
 	store    *Store
 	server   *Server
 }
 
-// newDesk starts with the tarifas example as revision 1.
-func newDesk(t *testing.T, change ...func(*Deps)) *desk {
+// newFixture returns a fixture with the tarifas example as revision 1.
+func newFixture(t *testing.T, change ...func(*Deps)) *fixture {
 	t.Helper()
-	d := emptyDesk(t, change...)
+	d := newEmptyFixture(t, change...)
 	_, applied, err := d.store.Put(context.Background(), 0, tarifas(t), "first")
 	if err != nil || !applied {
 		t.Fatal(applied, err)
@@ -40,7 +40,7 @@
 	return d
 }
 
-func emptyDesk(t *testing.T, change ...func(*Deps)) *desk {
+func newEmptyFixture(t *testing.T, change ...func(*Deps)) *fixture {
 	t.Helper()
 	p := memory.New()
 	keys, err := ParseKeys([]string{"ana=" + config.HashKey(operatorKey)})
@@ -51,7 +51,7 @@
 	for _, c := range change {
 		c(&deps)
 	}
-	return &desk{t: t, platform: p, store: deps.Store, server: NewServer(deps)}
+	return &fixture{t: t, platform: p, store: deps.Store, server: NewServer(deps)}
 }
 
 func tarifas(t *testing.T) *config.Document {
@@ -63,41 +63,41 @@
 	return doc
 }
 
-// reply is an answer of the API.
-type reply struct {
+// response is one answer of the API.
+type response struct {
 	t      *testing.T
 	status int
 	header http.Header
 	body   string
 }
 
-func (r reply) into(v any) {
+func (r response) decode(v any) {
 	r.t.Helper()
 	if err := json.Unmarshal([]byte(r.body), v); err != nil {
 		r.t.Fatalf("%v in %s", err, r.body)
 	}
 }
 
-func (r reply) failure() Failure {
+func (r response) failure() Failure {
 	var body FailureBody
-	r.into(&body)
+	r.decode(&body)
 	return body.Error
 }
 
-func (r reply) acceptance() Acceptance {
+func (r response) acceptance() Acceptance {
 	var a Acceptance
-	r.into(&a)
+	r.decode(&a)
 	return a
 }
 
-// header is one header of a request.
+// header is one header field of a request.
 type header struct{ name, value string }
 
 func ifMatch(revision uint64) header { return header{HeaderRevision, Tag(revision)} }
 
-func changeIs(id string) header { return header{HeaderChange, id} }
+func changeIDHeader(id string) header { return header{HeaderChange, id} }
 
-func (d *desk) call(method, path, body string, headers ...header) reply {
+func (d *fixture) call(method, path, body string, headers ...header) response {
 	r := httptest.NewRequest(method, path, strings.NewReader(body))
 	r.Header.Set("Authorization", "Bearer "+operatorKey)
 	for _, h := range headers {
@@ -105,17 +105,17 @@
 	}
 	w := httptest.NewRecorder()
 	d.server.ServeHTTP(w, r)
-	return reply{t: d.t, status: w.Code, header: w.Header(), body: w.Body.String()}
+	return response{t: d.t, status: w.Code, header: w.Header(), body: w.Body.String()}
 }
 
-func (d *desk) revision() uint64 {
+func (d *fixture) revision() uint64 {
 	d.t.Helper()
 	head, _, err := d.store.Head(context.Background())
 	is.New(d.t).NoErr(err)
 	return head.Revision
 }
 
-func (d *desk) document() *config.Document {
+func (d *fixture) document() *config.Document {
 	d.t.Helper()
 	_, doc, err := d.store.Current(context.Background())
 	is.New(d.t).NoErr(err)
--- a/internal/admin/headers.go
+++ b/internal/admin/headers.go
@@ -11,28 +11,29 @@
 
 // Headers of changes.
 const (
-	// HeaderRevision carries the revision that a change was made from, as the
-	// ETag of an answer gave it.
+	// HeaderRevision carries the revision that a change is made from, in the form of an answer's
+	// ETag.
 	HeaderRevision = "If-Match"
-	// HeaderChange carries the change's id; a retry has the same.
+	// HeaderChange carries the change's id; retries carry the same id.
 	HeaderChange = "Idempotency-Key"
-	// HeaderReplayed is set to true when the change had been accepted before.
+	// HeaderReplayed is "true" in the answer to a change that had been accepted before.
 	HeaderReplayed = "Idempotency-Replayed"
 )
 
+// maxChangeID is the longest id of a change, in bytes.
 const maxChangeID = 128
 
-// Tag is the ETag of a revision.
+// Tag returns the ETag of a revision.
 func Tag(revision uint64) string { return strconv.Quote(strconv.FormatUint(revision, 10)) }
 
-func setRevision(w http.ResponseWriter, revision uint64) { w.Header().Set("ETag", Tag(revision)) }
+func setETag(w http.ResponseWriter, revision uint64) { w.Header().Set("ETag", Tag(revision)) }
 
-// baseOf reads If-Match. It must be one revision: "*" would let a change
-// overwrite what its writer has not seen.
-func baseOf(r *http.Request) (uint64, *Failure) {
+// baseRevision reads If-Match. It accepts exactly one revision: with "*" a change could overwrite a
+// revision that its author has not seen.
+func baseRevision(r *http.Request) (uint64, *Failure) {
 	text := strings.TrimSpace(r.Header.Get(HeaderRevision))
 	if text == "" {
-		return 0, fail(http.StatusPreconditionRequired, CodeNoRevision, "%s: the revision that the change was made from is needed, for example %s", HeaderRevision, Tag(7))
+		return 0, newFailure(http.StatusPreconditionRequired, CodeNoRevision, "%s: the revision that the change was made from is needed, for example %s", HeaderRevision, Tag(7))
 	}
 	if len(text) >= 2 && text[0] == '"' && text[len(text)-1] == '"' {
 		text = text[1 : len(text)-1]
@@ -44,19 +45,19 @@
 	return revision, nil
 }
 
-// changeID reads Idempotency-Key, or makes an id up.
+// changeID reads Idempotency-Key, or generates an id if there is none.
 func changeID(r *http.Request) (string, *Failure) {
 	id := r.Header.Get(HeaderChange)
 	if id == "" {
 		return uuid.NewString(), nil
 	}
-	if !plainID(id) {
+	if !validChangeID(id) {
 		return "", badRequest("%s: accepted are 1 to %d printable ASCII characters without space and slash", HeaderChange, maxChangeID)
 	}
 	return id, nil
 }
 
-func plainID(id string) bool {
+func validChangeID(id string) bool {
 	if id == "" || len(id) > maxChangeID {
 		return false
 	}
@@ -71,7 +72,7 @@
 func bodyFailure(err error) *Failure {
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return fail(http.StatusRequestEntityTooLarge, CodeTooLarge, "the body is larger than %d bytes", tooLarge.Limit)
+		return newFailure(http.StatusRequestEntityTooLarge, CodeTooLarge, "the body is larger than %d bytes", tooLarge.Limit)
 	}
 	return badRequest("the body could not be read: %v", err)
 }
--- a/internal/admin/keys.go
+++ b/internal/admin/keys.go
@@ -13,7 +13,7 @@
 
 const defaultOperator = "operator"
 
-// Keys are the operators' bearer keys, known by their hashes only.
+// Keys are the operators' bearer keys. Only the SHA-256 sums of the keys are held.
 type Keys struct {
 	entries []keyEntry
 }
@@ -24,7 +24,8 @@
 }
 
 // ParseKeys reads entries of the form HASH or NAME=HASH, where HASH is the
-// SHA-256 sum of a key in hexadecimal and NAME stands for the operator in logs.
+// SHA-256 sum of a key in hexadecimal and NAME is the operator's name in logs. The error gives the
+// number of the invalid entry.
 func ParseKeys(entries []string) (Keys, error) {
 	var k Keys
 	for i, entry := range entries {
@@ -48,7 +49,7 @@
 	}
 	raw, err := hex.DecodeString(hash)
 	if err != nil || len(raw) != sha256.Size {
-		// The text may be the key itself, given by mistake: it is not repeated.
+		// The text may be the key itself, given by mistake, so the error does not repeat it.
 		return e, fmt.Errorf("is not [NAME=]HASH with a SHA-256 sum of %d hexadecimal digits", 2*sha256.Size)
 	}
 	e.operator = name
@@ -56,8 +57,8 @@
 	return e, nil
 }
 
-// Operator returns whose key it is. It compares with every entry in constant
-// time, so that the answer's time tells nothing of the hashes.
+// Operator returns the name of the operator that the key belongs to; ok is false for an unknown
+// key. It compares all entries in constant time, so that timing reveals nothing about the hashes.
 func (k Keys) Operator(key string) (operator string, ok bool) {
 	sum := sha256.Sum256([]byte(key))
 	for _, e := range k.entries {
--- a/internal/admin/log.go
+++ b/internal/admin/log.go
@@ -8,17 +8,17 @@
 	"github.com/rotisserie/eris"
 )
 
-// maxRecords bounds one reading of the log.
+// maxRecords is the most records of one read of the log.
 const maxRecords = 1000
 
-// Find returns the record of an accepted change. A change that is not found
-// may still take effect for as long as the head is at its base.
+// Find returns the record of an accepted change. A change that is not found may still take effect
+// as long as the head is at its base.
 func (s *Store) Find(ctx context.Context, id string) (record Record, found bool, err error) {
 	row, err := s.table.Get(ctx, changeKey(id))
 	if err != nil || row.Version == 0 {
 		return record, false, eris.Wrap(err, "read change")
 	}
-	var p pointer
+	var p changeRow
 	if err := json.Unmarshal(row.Value, &p); err != nil {
 		return record, false, eris.Wrap(err, "decode change")
 	}
@@ -30,7 +30,8 @@
 	return record, err == nil, eris.Wrap(err, "decode record")
 }
 
-// Recent returns the last accepted changes, newest first.
+// Recent returns the records of the latest accepted changes, newest first. It returns at most limit
+// records and never more than maxRecords.
 func (s *Store) Recent(ctx context.Context, limit int) ([]Record, error) {
 	limit = min(limit, maxRecords)
 	head, _, err := s.Head(ctx)
--- a/internal/admin/page_test.go
+++ b/internal/admin/page_test.go
@@ -9,24 +9,24 @@
 	"github.com/matryer/is"
 )
 
-// A program is written by the page. It must name each path that is offered, and
-// none that is not.
-func TestPageNamesEveryPath(t *testing.T) {
+// Programs are written from the API's page. It must list every endpoint and every code, and no
+// endpoint that does not exist.
+func TestAPIPageListsEveryEndpoint(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile("../../docs/ADMIN-API.md")
 	is.NoErr(err)
-	var named []string
+	var documented []string
 	for _, m := range regexp.MustCompile("(?m)^\\| `([A-Z]+ /admin/[^`]+)` \\|").FindAllSubmatch(page, -1) {
-		named = append(named, string(m[1]))
+		documented = append(documented, string(m[1]))
 	}
-	offered := slices.Clone(newDesk(t).server.offered)
-	slices.Sort(named)
-	slices.Sort(offered)
-	is.Equal(named, offered)
+	endpoints := slices.Clone(newFixture(t).server.endpoints)
+	slices.Sort(documented)
+	slices.Sort(endpoints)
+	is.Equal(documented, endpoints)
 	for _, code := range []Code{
 		CodeBadRequest, CodeUnauthorised, CodeNotFound, CodeTooLarge, CodeConflict, CodeNoRevision, CodeInvalid,
 		CodeKeyReused, CodeStoreUnavailable, CodeUnknown, CodeNotOffered, CodeInternal,
 	} {
-		is.True(regexp.MustCompile("\\| `" + string(code) + "` \\|").Match(page)) // each code
+		is.True(regexp.MustCompile("\\| `" + string(code) + "` \\|").Match(page)) // the page lists the code
 	}
 }
--- a/internal/admin/preset.go
+++ b/internal/admin/preset.go
@@ -4,13 +4,13 @@
 	"github.com/hickorybank/hickorybank/internal/config"
 )
 
-// PresetChoice names the preset in force.
+// PresetChoice names the preset that is, or is to be, in force.
 type PresetChoice struct {
 	Name string `json:"name"`
 }
 
-func (s *Server) getPreset(in *incoming) (any, *Failure) {
-	ctx, cancel := timeLimit(in)
+func (s *Server) getPreset(in *request) (any, *Failure) {
+	ctx, cancel := withRequestTimeout(in)
 	defer cancel()
 	_, doc, failure := s.current(ctx, in)
 	if failure != nil {
@@ -19,8 +19,8 @@
 	return PresetChoice{Name: doc.Preset}, nil
 }
 
-// postPreset puts a preset in force in place of the one that is.
-func (s *Server) postPreset(in *incoming) (any, *Failure) {
+// postPreset puts another preset in force.
+func (s *Server) postPreset(in *request) (any, *Failure) {
 	choice, body, failure := decodeBody[PresetChoice](in)
 	if failure != nil {
 		return nil, failure
--- a/internal/admin/race_test.go
+++ b/internal/admin/race_test.go
@@ -18,13 +18,12 @@
 	"github.com/hickorybank/hickorybank/internal/standin/platform/fault"
 )
 
-// Two operators read revision 1 and both change it: one puts the peak preset
-// in force, the other withdraws a version. The slower one's form holds the old
-// document, so storing it would undo the faster one's change in silence. The
-// loser must hear so, with the revision to start again from.
-func TestLoserOfARaceIsToldThePresentRevision(t *testing.T) {
+// Two operators change revision 1 concurrently: one puts the peak preset in force, the other
+// withdraws a version. The second change starts from the old document, so storing it would silently
+// undo the first. It must get a conflict with the current revision.
+func TestConflictReturnsTheCurrentRevision(t *testing.T) {
 	is := is.New(t)
-	d := newDesk(t)
+	d := newFixture(t)
 	is.Equal(d.call("POST", "/admin/v1/preset", `{"name":"peak"}`, ifMatch(1)).status, http.StatusOK)
 	got := d.call("POST", "/admin/v1/versions/dues@1/withdraw", "", ifMatch(1))
 	is.Equal(got.status, http.StatusPreconditionFailed)
@@ -34,37 +33,36 @@
 	is.Equal(string(findVersion(d.document(), "dues@1").State), "serving")
 }
 
-// Many operators add a version's cost one by one, each reading, changing and
-// trying again when told that another came first. Every accepted change must
-// be in the result: a lost one would show as a smaller cost.
-func TestNoAcceptedChangeIsLostAmongMany(t *testing.T) {
+// Many operators increment a version's cost concurrently. Each reads, changes and retries after a
+// conflict. Every accepted change must be in the result; a lost one shows as a smaller cost.
+func TestConcurrentAcceptedChangesAreAllApplied(t *testing.T) {
 	is := is.New(t)
-	d := newDesk(t)
+	d := newFixture(t)
 	const operators, changes = 8, 10
-	var refused atomic.Int64
-	var all conc.WaitGroup
+	var conflicts atomic.Int64
+	var wg conc.WaitGroup
 	for range operators {
-		all.Go(func() {
+		wg.Go(func() {
 			for done := 0; done < changes; {
 				if d.raiseCost() {
 					done++
 				} else {
-					refused.Add(1)
+					conflicts.Add(1)
 				}
 			}
 		})
 	}
-	all.Wait()
+	wg.Wait()
 	is.Equal(findVersion(d.document(), "dues@1").InputCost, int64(400+operators*changes))
 	is.Equal(d.revision(), uint64(1+operators*changes))
-	t.Log("refused and tried again:", refused.Load())
+	t.Log("retries after a conflict:", conflicts.Load())
 }
 
-// raiseCost is false when another change came first.
-func (d *desk) raiseCost() bool {
+// raiseCost increments a version's cost. It returns false after a conflict.
+func (d *fixture) raiseCost() bool {
 	got := d.call("GET", "/admin/v1/versions/dues@1", "")
 	var v VersionEntry
-	got.into(&v)
+	got.decode(&v)
 	body := fmt.Sprintf(`{"state":"serving","input_cost":%d,"output_cost":%d,"prior_quality":%g}`, v.InputCost+1, v.OutputCost, v.PriorQuality)
 	put := d.call("PUT", "/admin/v1/models/dues/versions/dues@1", body, header{HeaderRevision, got.header.Get("ETag")})
 	if put.status != http.StatusOK && put.status != http.StatusPreconditionFailed {
@@ -73,15 +71,14 @@
 	return put.status == http.StatusOK
 }
 
-// The platform loses the answer to a change that took effect. The operator
-// must hear "accepted", with the one revision that came of it; a second
-// revision would be the change applied twice.
-func TestLostAcknowledgementIsAcceptedOnce(t *testing.T) {
+// The platform loses the answer to a commit that took effect. The change must be reported as
+// accepted with its one revision; a second revision means that it was applied twice.
+func TestChangeWithLostAcknowledgementIsAppliedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		d := newDesk(t)
-		d.tableFails(fault.Fault{LoseAcks: 1})
-		got := d.call("POST", "/admin/v1/preset", `{"name":"peak"}`, ifMatch(1), changeIs("c1"))
+		d := newFixture(t)
+		d.setTableFault(fault.Fault{LoseAcks: 1})
+		got := d.call("POST", "/admin/v1/preset", `{"name":"peak"}`, ifMatch(1), changeIDHeader("c1"))
 		is.Equal(got.status, http.StatusOK)
 		is.Equal(got.acceptance().Revision, uint64(2))
 		is.Equal(got.acceptance().Replayed, false)
@@ -89,33 +86,32 @@
 	})
 }
 
-func (d *desk) tableFails(f fault.Fault) {
+func (d *fixture) setTableFault(f fault.Fault) {
 	if err := d.platform.SetFaults(fault.Change{Table: &f}); err != nil {
 		d.t.Fatal(err)
 	}
 }
 
-// The answer is lost and the store then stays down. The operator is told that
-// the outcome is unknown, and an id to ask with. In the morning the store is
-// back, the id says "applied", and sending the change again does not apply it
-// a second time, although other changes have come since.
-func TestUnknownOutcomeCanBeAskedForLater(t *testing.T) {
+// The answer to a commit is lost and the store then stays down. The operator gets an unknown outcome
+// with the change's id. When the store is back, the query by id returns "applied". Sending the change
+// again does not apply it a second time, although there are later changes.
+func TestUnknownOutcomeCanBeQueriedByChangeID(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		d := newDesk(t)
-		d.tableFails(fault.Fault{OneWay: true})
+		d := newFixture(t)
+		d.setTableFault(fault.Fault{OneWay: true})
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 		defer cancel()
 		_, err := d.store.Apply(ctx, presetChange("c1", 1, "peak"))
-		is.True(err != nil) // no read comes back either
-		d.tableFails(fault.Fault{DelayMS: fault.MaxDelay.Milliseconds()})
-		got := d.call("POST", "/admin/v1/preset", `{"name":"peak"}`, ifMatch(1), changeIs("c2"))
+		is.True(err != nil) // reads get no answer either
+		d.setTableFault(fault.Fault{DelayMS: fault.MaxDelay.Milliseconds()})
+		got := d.call("POST", "/admin/v1/preset", `{"name":"peak"}`, ifMatch(1), changeIDHeader("c2"))
 		is.Equal(got.status, http.StatusServiceUnavailable)
-		d.tableFails(fault.Fault{})
+		d.setTableFault(fault.Fault{})
 
-		lost := &losing{Table: d.platform}
-		d.store.table = lost
-		got = d.call("POST", "/admin/v1/preset", `{"name":"peak"}`, ifMatch(1), changeIs("c3"))
+		table := &answerLosingTable{Table: d.platform}
+		d.store.table = table
+		got = d.call("POST", "/admin/v1/preset", `{"name":"peak"}`, ifMatch(1), changeIDHeader("c3"))
 		is.Equal(got.status, http.StatusGatewayTimeout)
 		is.Equal(got.failure().Outcome, Unknown)
 		is.Equal(got.failure().Change, "c3")
@@ -123,34 +119,34 @@
 		d.store.table = d.platform
 
 		var status ChangeStatus
-		d.call("GET", "/admin/v1/changes/c3", "").into(&status)
+		d.call("GET", "/admin/v1/changes/c3", "").decode(&status)
 		is.Equal(status.State, ChangeApplied)
 		is.Equal(status.Record.Revision, uint64(2))
 		is.Equal(status.Record.Operator, "ana")
 		is.Equal(d.call("POST", "/admin/v1/preset", `{"name":"ordinary"}`, ifMatch(2)).status, http.StatusOK)
-		again := d.call("POST", "/admin/v1/preset", `{"name":"peak"}`, ifMatch(1), changeIs("c3"))
-		is.Equal(again.status, http.StatusOK)
-		is.Equal(again.header.Get(HeaderReplayed), "true")
-		is.Equal(again.acceptance().Revision, uint64(2))
+		replay := d.call("POST", "/admin/v1/preset", `{"name":"peak"}`, ifMatch(1), changeIDHeader("c3"))
+		is.Equal(replay.status, http.StatusOK)
+		is.Equal(replay.header.Get(HeaderReplayed), "true")
+		is.Equal(replay.acceptance().Revision, uint64(2))
 		is.Equal(d.document().Preset, "ordinary") // the later change stands
 	})
 }
 
-// losing lets the first commit take effect, loses its answer and is down from
-// then on.
-type losing struct {
+// answerLosingTable loses the answer to its first commit, which takes effect, and refuses all later
+// calls.
+type answerLosingTable struct {
 	platform.Table
 	down bool
 }
 
-func (l *losing) Get(ctx context.Context, key string) (platform.Row, error) {
+func (l *answerLosingTable) Get(ctx context.Context, key string) (platform.Row, error) {
 	if l.down {
 		return platform.Row{}, platform.ErrRefused
 	}
 	return l.Table.Get(ctx, key)
 }
 
-func (l *losing) Commit(ctx context.Context, txn platform.Txn) (platform.CommitResult, error) {
+func (l *answerLosingTable) Commit(ctx context.Context, txn platform.Txn) (platform.CommitResult, error) {
 	if l.down {
 		return platform.CommitResult{}, platform.ErrRefused
 	}
@@ -166,15 +162,15 @@
 	}}
 }
 
-// An operator asks what became of a change that never arrived. As long as the
-// head is at the change's base a late copy may still take effect, so the
-// answer is "undecided"; once the head has moved it is a firm no.
-func TestChangeThatNeverArrivedIsDecidedByTheHead(t *testing.T) {
+// An operator queries a change that never arrived. As long as the head is at the change's base, a
+// late copy may still take effect, so the state is "undecided". Once the head has moved, the state
+// is "not applied".
+func TestStateOfLostChangeDependsOnTheHead(t *testing.T) {
 	is := is.New(t)
-	d := newDesk(t)
+	d := newFixture(t)
 	state := func() ChangeState {
 		var status ChangeStatus
-		d.call("GET", "/admin/v1/changes/lost?base=1", "").into(&status)
+		d.call("GET", "/admin/v1/changes/lost?base=1", "").decode(&status)
 		return status.State
 	}
 	is.Equal(state(), ChangeUndecided)
@@ -182,17 +178,16 @@
 	is.Equal(state(), ChangeNotApplied)
 }
 
-// A program uses one change id for two different changes. Answering the second
-// with the first one's acceptance would tell the operator that a withdrawal
-// is in force which nobody made.
-func TestOneIDIsOfOneChange(t *testing.T) {
+// A program uses one change id for two different changes. If the second got the acceptance of the
+// first, the operator would take a withdrawal for accepted that was never made.
+func TestChangeIDOfAnotherChangeIsRefused(t *testing.T) {
 	is := is.New(t)
-	d := newDesk(t)
-	is.Equal(d.call("POST", "/admin/v1/preset", `{"name":"peak"}`, ifMatch(1), changeIs("c")).status, http.StatusOK)
-	for _, other := range []reply{
-		d.call("POST", "/admin/v1/preset", `{"name":"maintenance"}`, ifMatch(1), changeIs("c")),
-		d.call("POST", "/admin/v1/preset", `{"name":"peak"}`, ifMatch(2), changeIs("c")),
-		d.call("POST", "/admin/v1/versions/dues@1/withdraw", "", ifMatch(1), changeIs("c")),
+	d := newFixture(t)
+	is.Equal(d.call("POST", "/admin/v1/preset", `{"name":"peak"}`, ifMatch(1), changeIDHeader("c")).status, http.StatusOK)
+	for _, other := range []response{
+		d.call("POST", "/admin/v1/preset", `{"name":"maintenance"}`, ifMatch(1), changeIDHeader("c")),
+		d.call("POST", "/admin/v1/preset", `{"name":"peak"}`, ifMatch(2), changeIDHeader("c")),
+		d.call("POST", "/admin/v1/versions/dues@1/withdraw", "", ifMatch(1), changeIDHeader("c")),
 	} {
 		is.Equal(other.status, http.StatusUnprocessableEntity)
 		is.Equal(other.failure().Code, CodeKeyReused)
--- a/internal/admin/rows.go
+++ b/internal/admin/rows.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// HeadKey is the row that decides the order of configurations.
+// HeadKey is the key of the head row, which orders the revisions.
 const HeadKey = "config/head"
 
 const (
@@ -14,7 +14,7 @@
 	changePrefix = "config/change/"
 )
 
-// Head is the value of the head row.
+// Head is the value of the head row. Revision 0 means that no configuration is stored.
 type Head struct {
 	Revision uint64 `json:"revision"`
 	Preset   string `json:"preset"`
@@ -22,7 +22,7 @@
 	Writer string `json:"writer"`
 }
 
-// Record is the log's entry of one accepted change.
+// Record is the log entry of one accepted change.
 type Record struct {
 	Revision uint64 `json:"revision"`
 	Base     uint64 `json:"base"`
@@ -31,19 +31,19 @@
 	Operator string    `json:"operator"`
 	Preset   string    `json:"preset"`
 	At       time.Time `json:"at"`
-	// Digest tells a change from another one that was sent under its id.
+	// Digest distinguishes the change from another change that is sent with the same id.
 	Digest string `json:"digest"`
 }
 
-// pointer is the value of a change's row: where its record is.
-type pointer struct {
+// changeRow is the value of a change's row. It refers to the change's record in the log.
+type changeRow struct {
 	Revision uint64 `json:"revision"`
 }
 
-// DocKey is the row of a revision's document.
+// DocKey returns the key of the row that holds a revision's document.
 func DocKey(revision uint64) string { return "config/doc/" + strconv.FormatUint(revision, 10) }
 
-// logKey sorts by revision.
+// logKey returns the key of a revision's record. Keys sort in the order of revisions.
 func logKey(revision uint64) string { return fmt.Sprintf("%s%020d", logPrefix, revision) }
 
 func changeKey(id string) string { return changePrefix + id }
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -13,21 +13,21 @@
 	"github.com/hickorybank/hickorybank/internal/event"
 )
 
-// Bounds of a request.
+// Limits of a request.
 const (
-	// maxBody leaves room for white space in a document.
+	// maxBody is the largest body, in bytes. It leaves room for white space in a document.
 	maxBody = 4 << 20
-	// requestTimeout bounds what a request waits for the platform's store.
+	// requestTimeout is how long a request waits for the platform's store.
 	requestTimeout = 15 * time.Second
-	// bodyTimeout bounds how long a body may take to arrive.
+	// bodyTimeout is how long a body may take to arrive.
 	bodyTimeout = 30 * time.Second
-	// confirmTimeout bounds what an accepted change waits to hear of other
-	// nodes before it is answered.
+	// confirmTimeout is how long an accepted change waits for other nodes' confirmations before it
+	// is answered without them.
 	confirmTimeout = time.Second
 )
 
-// Deps are what the server answers from. Store, Keys and Log are needed; a
-// reader that is nil is answered as not offered.
+// Deps are the dependencies of a [Server]. Store, Keys and Log are required. Requests that need a
+// reader that is nil get [CodeNotOffered].
 type Deps struct {
 	Store     *Store
 	Keys      Keys
@@ -37,24 +37,24 @@
 	Upstreams UpstreamReader
 	Rollouts  RolloutReader
 	Holds     HoldKeeper
-	// Accepted is told of each revision accepted here; may be nil.
+	// Accepted is called with each revision that this server has accepted; may be nil.
 	Accepted func(revision uint64)
 	Log      *slog.Logger
 	// Now is the clock; nil means time.Now.
 	Now func() time.Time
 }
 
-// Server is the administration API.
+// Server serves the administration API over HTTP.
 type Server struct {
 	deps Deps
 	mux  *httprouter.Router
-	// bodyTimeout is the constant, but for tests.
+	// bodyTimeout is the constant of that name; tests shorten it.
 	bodyTimeout time.Duration
-	// offered are the method and path of each route, for the page about them.
-	offered []string
+	// endpoints are the method and path of each route. A test compares them with the API's page.
+	endpoints []string
 }
 
-// NewServer returns the administration API. The listener is the caller's.
+// NewServer returns the administration API as a handler; the caller listens.
 func NewServer(d Deps) *Server {
 	if d.Now == nil {
 		d.Now = time.Now
@@ -72,7 +72,7 @@
 	s.entityRoutes()
 	s.versionRoutes()
 	s.statusRoutes()
-	s.mux.NotFound = s.operator(func(in *incoming) (any, *Failure) {
+	s.mux.NotFound = s.handlerFunc(func(in *request) (any, *Failure) {
 		return nil, notFound("there is no %s %s", in.r.Method, in.r.URL.Path)
 	})
 	s.mux.MethodNotAllowed = s.mux.NotFound
@@ -81,42 +81,42 @@
 	s.mux.RedirectFixedPath = false
 }
 
-// incoming is one request of a known operator.
-type incoming struct {
+// request is one authenticated request of an operator.
+type request struct {
 	r        *http.Request
 	w        http.ResponseWriter
 	params   httprouter.Params
 	operator string
 }
 
-// handler returns the body of the answer, or a failure.
-type handler func(in *incoming) (any, *Failure)
+// handler returns the value that is sent as JSON, or a failure.
+type handler func(in *request) (any, *Failure)
 
 func (s *Server) handle(method, path string, h handler) {
-	s.offered = append(s.offered, method+" "+path)
+	s.endpoints = append(s.endpoints, method+" "+path)
 	s.mux.Handle(method, path, func(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 		s.serve(w, r, p, h)
 	})
 }
 
-func (s *Server) operator(h handler) http.HandlerFunc {
+func (s *Server) handlerFunc(h handler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) { s.serve(w, r, nil, h) }
 }
 
-// serve admits only bearers of an operator's key. An organisation's key opens
-// nothing here: the two sets are never looked up in one place.
+// serve authenticates the operator and calls the handler. An organisation's key is never accepted:
+// the keys of operators and of organisations are kept and looked up separately.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request, p httprouter.Params, h handler) {
 	operator, ok := s.deps.Keys.bearer(r)
 	if !ok {
 		event.AdminUnauthorised.Log(s.deps.Log, slog.String("remote", r.RemoteAddr), slog.String("path", r.URL.Path))
-		writeFailure(w, fail(http.StatusUnauthorized, CodeUnauthorised, "Authorization: an operator's bearer key is needed"))
+		writeFailure(w, newFailure(http.StatusUnauthorized, CodeUnauthorised, "Authorization: an operator's bearer key is needed"))
 		return
 	}
 	r.Body = http.MaxBytesReader(w, r.Body, maxBody)
-	// A body that never ends would hold its connection for good. A writer that
-	// has no deadlines (in tests) has no connection either.
+	// A body that never ends would occupy its connection for ever. The error is ignored: only
+	// writers without a connection (in tests) have no deadlines.
 	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(s.bodyTimeout))
-	body, failure := h(&incoming{r: r, w: w, params: p, operator: operator})
+	body, failure := h(&request{r: r, w: w, params: p, operator: operator})
 	if failure != nil {
 		s.logFailure(operator, r, failure)
 		writeFailure(w, failure)
@@ -140,7 +140,7 @@
 		w.Header().Set("Retry-After", strconv.FormatInt(int64((f.RetryAfter+time.Second-1)/time.Second), 10))
 	}
 	if f.Revision != nil {
-		setRevision(w, *f.Revision)
+		setETag(w, *f.Revision)
 	}
 	writeJSON(w, f.Status, FailureBody{Error: *f})
 }
@@ -150,10 +150,10 @@
 	w.WriteHeader(status)
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", "  ")
-	_ = encoder.Encode(body) // the operator may have gone; nothing is left to do
+	_ = encoder.Encode(body) // fails if the client has disconnected; there is nothing to do then
 }
 
-func readBody(in *incoming) ([]byte, *Failure) {
+func readBody(in *request) ([]byte, *Failure) {
 	body, err := io.ReadAll(in.r.Body)
 	if err != nil {
 		return nil, bodyFailure(err)
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -13,9 +13,9 @@
 	"github.com/matryer/is"
 )
 
-// Whatever is wrong with a change at the door, it is told by status and code,
-// and the store stays as it was.
-func TestFaultyChangesChangeNothing(t *testing.T) {
+// A request that is refused gets the status and code of the reason, and the stored configuration
+// stays unchanged.
+func TestRejectedRequestChangesNothing(t *testing.T) {
 	cases := []struct {
 		name, method, path, body string
 		headers                  []header
@@ -34,8 +34,8 @@
 		{"weak revision", "PUT", "/admin/v1/configuration", "{}", []header{{HeaderRevision, `W/"1"`}}, 400, CodeBadRequest},
 		{"old revision", "POST", "/admin/v1/preset", `{"name":"peak"}`, []header{ifMatch(0)}, 412, CodeConflict},
 		{"future revision", "POST", "/admin/v1/preset", `{"name":"peak"}`, []header{ifMatch(9)}, 412, CodeConflict},
-		{"bad change id", "POST", "/admin/v1/preset", `{"name":"peak"}`, []header{ifMatch(1), changeIs("a/b")}, 400, CodeBadRequest},
-		{"long change id", "POST", "/admin/v1/preset", `{"name":"peak"}`, []header{ifMatch(1), changeIs(strings.Repeat("x", 129))}, 400, CodeBadRequest},
+		{"bad change id", "POST", "/admin/v1/preset", `{"name":"peak"}`, []header{ifMatch(1), changeIDHeader("a/b")}, 400, CodeBadRequest},
+		{"long change id", "POST", "/admin/v1/preset", `{"name":"peak"}`, []header{ifMatch(1), changeIDHeader(strings.Repeat("x", 129))}, 400, CodeBadRequest},
 		{"not JSON", "PUT", "/admin/v1/configuration", "{", []header{ifMatch(1)}, 400, CodeBadRequest},
 		{"too large", "PUT", "/admin/v1/configuration", strings.Repeat(" ", maxBody+1), []header{ifMatch(1)}, 413, CodeTooLarge},
 		{"unknown field", "PUT", "/admin/v1/organisations/tolu", `{"wieght":1}`, []header{ifMatch(1)}, 422, CodeInvalid},
@@ -56,11 +56,11 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			d := newDesk(t)
+			d := newFixture(t)
 			got := d.call(c.method, c.path, c.body, c.headers...)
 			is.Equal(got.status, c.status)
 			is.Equal(got.failure().Code, c.code)
-			is.Equal(d.revision(), uint64(1)) // nothing was changed
+			is.Equal(d.revision(), uint64(1)) // no change was made
 			is.Equal(d.document(), tarifas(t))
 		})
 	}
@@ -68,7 +68,7 @@
 
 func TestEntitiesAreChangedOneByOne(t *testing.T) {
 	is := is.New(t)
-	d := newDesk(t)
+	d := newFixture(t)
 	steps := []struct{ method, path, body string }{
 		{"POST", "/admin/v1/preset", `{"name":"peak"}`},
 		{"PUT", "/admin/v1/presets/quiet", `{"cascades":true}`},
@@ -89,7 +89,7 @@
 		is.Equal(got.status, http.StatusOK)
 		is.Equal(got.header.Get("ETag"), Tag(uint64(i+2)))
 		is.Equal(got.acceptance().Revision, uint64(i+2))
-		is.True(len(got.acceptance().Differences) > 0) // says what it changed
+		is.True(len(got.acceptance().Differences) > 0) // the answer lists the differences
 	}
 	doc := d.document()
 	is.Equal(doc.Preset, "peak")
@@ -99,11 +99,11 @@
 	last := doc.Organisations[len(doc.Organisations)-1]
 	is.Equal(last.Name, "new")
 	is.Equal(fmt.Sprint(last.Targets), "[{draft 0.6}]")
-	is.Equal(len(doc.Organisations), 10) // one came, one went
+	is.Equal(len(doc.Organisations), 10) // one was added, one deleted
 }
 
 func TestEntitiesAreRead(t *testing.T) {
-	d := newDesk(t)
+	d := newFixture(t)
 	cases := []struct{ path, part string }{
 		{"/admin/v1/configuration", `"preset": "ordinary"`},
 		{"/admin/v1/configuration?revision=1", `"preset": "ordinary"`},
@@ -124,7 +124,7 @@
 			is.Equal(got.status, http.StatusOK)
 			is.True(strings.Contains(got.body, c.part))
 			if !strings.HasSuffix(c.path, "changes") {
-				is.Equal(got.header.Get("ETag"), Tag(1)) // what a change starts from
+				is.Equal(got.header.Get("ETag"), Tag(1)) // the base revision of a change
 			}
 		})
 	}
@@ -133,9 +133,9 @@
 	}
 }
 
-func TestFirstConfigurationIsMadeFromNothing(t *testing.T) {
+func TestFirstConfigurationHasBaseRevisionZero(t *testing.T) {
 	is := is.New(t)
-	d := emptyDesk(t)
+	d := newEmptyFixture(t)
 	got := d.call("GET", "/admin/v1/configuration", "")
 	is.Equal(got.status, http.StatusNotFound)
 	is.Equal(got.header.Get("ETag"), Tag(0))
@@ -145,27 +145,26 @@
 	is.Equal(d.revision(), uint64(1))
 }
 
-func TestDryRunShowsAndChangesNothing(t *testing.T) {
+func TestDryRunReportsDifferencesAndChangesNothing(t *testing.T) {
 	is := is.New(t)
-	d := newDesk(t)
+	d := newFixture(t)
 	got := d.call("POST", "/admin/v1/versions/lines@2/withdraw?dry_run=true", "", ifMatch(1))
 	is.Equal(got.status, http.StatusOK)
 	var trial Trial
-	got.into(&trial)
+	got.decode(&trial)
 	is.Equal(len(trial.Differences), 1)
 	is.Equal(trial.Differences[0].Field, "models[lines].versions[lines@2].state")
-	is.True(len(trial.Warnings) > 0) // targets that nothing meets any more
+	is.True(len(trial.Warnings) > 0) // no version meets some targets any more
 	is.Equal(d.revision(), uint64(1))
 	is.Equal(d.call("POST", "/admin/v1/preset?dry_run=true", `{"name":"nights"}`, ifMatch(1)).status, 422)
 	is.Equal(d.call("POST", "/admin/v1/preset?dry_run=true", `{"name":"peak"}`, ifMatch(0)).status, 412)
 }
 
-// A program sends the beginning of a change and then nothing. The request must
-// end by itself, and change nothing; else each such one holds a connection of a
-// small VM for good.
-func TestBodyThatNeverEndsIsCutOff(t *testing.T) {
+// A client sends the beginning of a change and then nothing. The request must time out and change
+// nothing. Otherwise each such request occupies a connection of a small VM for ever.
+func TestIncompleteBodyTimesOut(t *testing.T) {
 	is := is.New(t)
-	d := newDesk(t)
+	d := newFixture(t)
 	d.server.bodyTimeout = 10 * time.Millisecond
 	server := httptest.NewServer(d.server)
 	defer server.Close()
@@ -174,7 +173,7 @@
 	defer conn.Close()
 	_, err = fmt.Fprintf(conn, "POST /admin/v1/preset HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nIf-Match: 1\r\nContent-Length: 100\r\n\r\n{", operatorKey)
 	is.NoErr(err)
-	answer, err := io.ReadAll(conn) // ends when the server closes
+	answer, err := io.ReadAll(conn) // returns when the server closes the connection
 	is.NoErr(err)
 	is.True(strings.HasPrefix(string(answer), "HTTP/1.1 400"))
 	is.Equal(d.revision(), uint64(1))
--- a/internal/admin/status.go
+++ b/internal/admin/status.go
@@ -17,9 +17,8 @@
 	s.handle(http.MethodPost, "/admin/v1/holds/:version/lift", s.liftHold)
 }
 
-// getStatus tells how far a revision is in force; the present one if none is
-// named.
-func (s *Server) getStatus(in *incoming) (any, *Failure) {
+// getStatus returns how many nodes have a revision in force. The default is the current revision.
+func (s *Server) getStatus(in *request) (any, *Failure) {
 	revision, failure := uintQuery(in.r, "revision")
 	if failure != nil {
 		return nil, failure
@@ -27,7 +26,7 @@
 	if s.deps.Confirmer == nil {
 		return nil, notOffered("confirmations")
 	}
-	ctx, cancel := timeLimit(in)
+	ctx, cancel := withRequestTimeout(in)
 	defer cancel()
 	if revision == 0 {
 		head, _, err := s.deps.Store.Head(ctx)
@@ -40,80 +39,80 @@
 	if err != nil {
 		return nil, readFailure("confirmations", err)
 	}
-	setRevision(in.w, revision)
+	setETag(in.w, revision)
 	return c, nil
 }
 
-func notOffered(what string) *Failure {
-	return fail(http.StatusNotImplemented, CodeNotOffered, "%s: this node does not offer them", what)
+func notOffered(resource string) *Failure {
+	return newFailure(http.StatusNotImplemented, CodeNotOffered, "%s: this node does not offer them", resource)
 }
 
-// readFailure is of a reader that gave no answer.
-func readFailure(what string, err error) *Failure {
-	f := fail(http.StatusServiceUnavailable, CodeStoreUnavailable, "%s: %v", what, err)
-	f.RetryAfter = retrySoon
+// readFailure returns the answer to a failed read of a resource.
+func readFailure(resource string, err error) *Failure {
+	f := newFailure(http.StatusServiceUnavailable, CodeStoreUnavailable, "%s: %v", resource, err)
+	f.RetryAfter = storeRetryAfter
 	return f
 }
 
-// NodeList is the entry nodes.
+// NodeList is the answer with the entry nodes.
 type NodeList struct {
 	Nodes []Node `json:"nodes"`
 }
 
-func (s *Server) getNodes(in *incoming) (any, *Failure) {
+func (s *Server) getNodes(in *request) (any, *Failure) {
 	if s.deps.Nodes == nil {
 		return nil, notOffered("nodes")
 	}
-	list, failure := read(in, "nodes", s.deps.Nodes.Nodes)
+	list, failure := readList(in, "nodes", s.deps.Nodes.Nodes)
 	return NodeList{Nodes: list}, failure
 }
 
-// UpstreamList is the upstreams that a node knows.
+// UpstreamList is the answer with the upstreams that the node has discovered.
 type UpstreamList struct {
 	Upstreams []Upstream `json:"upstreams"`
 }
 
-func (s *Server) getUpstreams(in *incoming) (any, *Failure) {
+func (s *Server) getUpstreams(in *request) (any, *Failure) {
 	if s.deps.Upstreams == nil {
 		return nil, notOffered("upstreams")
 	}
-	list, failure := read(in, "upstreams", s.deps.Upstreams.Upstreams)
+	list, failure := readList(in, "upstreams", s.deps.Upstreams.Upstreams)
 	return UpstreamList{Upstreams: list}, failure
 }
 
-// RolloutList is the roll-outs.
+// RolloutList is the answer with the roll-outs.
 type RolloutList struct {
 	Rollouts []Rollout `json:"rollouts"`
 }
 
-func (s *Server) getRollouts(in *incoming) (any, *Failure) {
+func (s *Server) getRollouts(in *request) (any, *Failure) {
 	if s.deps.Rollouts == nil {
 		return nil, notOffered("roll-outs")
 	}
-	list, failure := read(in, "roll-outs", s.deps.Rollouts.Rollouts)
+	list, failure := readList(in, "roll-outs", s.deps.Rollouts.Rollouts)
 	return RolloutList{Rollouts: list}, failure
 }
 
-// HoldList is the holds.
+// HoldList is the answer with the holds of versions.
 type HoldList struct {
 	Holds []Hold `json:"holds"`
 }
 
-func (s *Server) getHolds(in *incoming) (any, *Failure) {
+func (s *Server) getHolds(in *request) (any, *Failure) {
 	if s.deps.Holds == nil {
 		return nil, notOffered("holds")
 	}
-	list, failure := read(in, "holds", s.deps.Holds.Holds)
+	list, failure := readList(in, "holds", s.deps.Holds.Holds)
 	return HoldList{Holds: list}, failure
 }
 
-// read calls a reader of a list; the list is never nil.
-func read[T any](in *incoming, what string, reader func(context.Context) ([]T, error)) ([]T, *Failure) {
-	ctx, cancel := timeLimit(in)
+// readList calls a reader of a list. The list that it returns is never nil, so that JSON has [].
+func readList[T any](in *request, resource string, reader func(context.Context) ([]T, error)) ([]T, *Failure) {
+	ctx, cancel := withRequestTimeout(in)
 	defer cancel()
 	list, err := reader(ctx)
 	if err != nil {
-		return nil, readFailure(what, err)
+		return nil, readFailure(resource, err)
 	}
 	if list == nil {
 		list = []T{}
@@ -121,13 +120,12 @@
 	return list, nil
 }
 
-// HoldTerm names one term of a hold, so that lifting it says nothing of a
-// later one that the operator has not seen.
+// HoldTerm names the term of a hold to lift. A later hold, which the operator has not seen, stays.
 type HoldTerm struct {
 	Term int64 `json:"term"`
 }
 
-func (s *Server) liftHold(in *incoming) (any, *Failure) {
+func (s *Server) liftHold(in *request) (any, *Failure) {
 	if s.deps.Holds == nil {
 		return nil, notOffered("holds")
 	}
@@ -136,7 +134,7 @@
 		return nil, failure
 	}
 	version := in.params.ByName("version")
-	ctx, cancel := timeLimit(in)
+	ctx, cancel := withRequestTimeout(in)
 	defer cancel()
 	lifted, err := s.deps.Holds.Lift(ctx, version, uint64(max(term.Term, 0)))
 	if err != nil {
--- a/internal/admin/status_test.go
+++ b/internal/admin/status_test.go
@@ -13,35 +13,35 @@
 	"github.com/hickorybank/hickorybank/internal/config"
 )
 
-// fleet is what a node knows of the others.
-type fleet struct {
+// fakeReaders implements all readers with fixed answers, or with an error.
+type fakeReaders struct {
 	err    error
 	query  BillQuery
 	lifted string
 }
 
-func (f *fleet) Confirmations(_ context.Context, revision uint64) (Confirmation, error) {
+func (f *fakeReaders) Confirmations(_ context.Context, revision uint64) (Confirmation, error) {
 	return Confirmation{Revision: revision, Members: 3, Have: 2, Needed: 3, Lagging: []string{"e3"}}, f.err
 }
 
-func (f *fleet) Bills(_ context.Context, q BillQuery) (BillPage, error) {
+func (f *fakeReaders) Bills(_ context.Context, q BillQuery) (BillPage, error) {
 	f.query = q
 	return BillPage{Bills: []Bill{{Organisation: "tolu", Key: "k", Cost: 7}}, Next: "more"}, f.err
 }
 
-func (f *fleet) Nodes(context.Context) ([]Node, error) { return []Node{{ID: "e1"}}, f.err }
+func (f *fakeReaders) Nodes(context.Context) ([]Node, error) { return []Node{{ID: "e1"}}, f.err }
 
-func (f *fleet) Upstreams(context.Context) ([]Upstream, error) { return nil, f.err }
+func (f *fakeReaders) Upstreams(context.Context) ([]Upstream, error) { return nil, f.err }
 
-func (f *fleet) Rollouts(context.Context) ([]Rollout, error) {
+func (f *fakeReaders) Rollouts(context.Context) ([]Rollout, error) {
 	return []Rollout{{Version: "dues@3"}}, f.err
 }
 
-func (f *fleet) Holds(context.Context) ([]Hold, error) {
+func (f *fakeReaders) Holds(context.Context) ([]Hold, error) {
 	return []Hold{{Version: "dues@3", Term: 2}}, f.err
 }
 
-func (f *fleet) Lift(_ context.Context, version string, term uint64) (bool, error) {
+func (f *fakeReaders) Lift(_ context.Context, version string, term uint64) (bool, error) {
 	if term != 2 {
 		return false, f.err
 	}
@@ -49,14 +49,14 @@
 	return true, f.err
 }
 
-func (f *fleet) wire(d *Deps) {
+func (f *fakeReaders) attach(d *Deps) {
 	d.Confirmer, d.Bills, d.Nodes, d.Upstreams, d.Rollouts, d.Holds = f, f, f, f, f, f
 	d.Now = func() time.Time { return time.Date(2026, 3, 2, 6, 0, 0, 0, time.UTC) }
 }
 
 func TestStatusIsRead(t *testing.T) {
-	f := new(fleet)
-	d := newDesk(t, f.wire)
+	f := new(fakeReaders)
+	d := newFixture(t, f.attach)
 	cases := []struct{ path, part string }{
 		{"/admin/v1/configuration/status", `"revision": 1`},
 		{"/admin/v1/configuration/status?revision=5", `"revision": 5`},
@@ -71,39 +71,39 @@
 		is := is.New(t)
 		got := d.call("GET", c.path, "")
 		is.Equal(got.status, http.StatusOK)
-		is.True(strings.Contains(got.body, c.part)) // the part
+		is.True(strings.Contains(got.body, c.part)) // the answer has the part
 	}
 }
 
-func TestStatusThatCannotBeReadIsNotEmpty(t *testing.T) {
-	d := newDesk(t, (&fleet{err: errors.New("no peer answers")}).wire)
-	bare := newDesk(t)
+func TestUnreadableStatusIsAnError(t *testing.T) {
+	d := newFixture(t, (&fakeReaders{err: errors.New("no peer answers")}).attach)
+	noReaders := newFixture(t)
 	for _, path := range []string{"configuration/status", "bills", "nodes", "upstreams", "rollouts", "holds"} {
 		is := is.New(t)
 		is.True(d.call("GET", "/admin/v1/"+path, "").status >= 500)
-		is.Equal(bare.call("GET", "/admin/v1/"+path, "").status, http.StatusNotImplemented)
+		is.Equal(noReaders.call("GET", "/admin/v1/"+path, "").status, http.StatusNotImplemented)
 	}
 }
 
-func TestAcceptedChangeTellsWhereItIsNotYetInForce(t *testing.T) {
+func TestAcceptedChangeListsLaggingNodes(t *testing.T) {
 	is := is.New(t)
-	var told uint64
-	d := newDesk(t, new(fleet).wire, func(d *Deps) { d.Accepted = func(r uint64) { told = r } })
+	var notified uint64
+	d := newFixture(t, new(fakeReaders).attach, func(d *Deps) { d.Accepted = func(r uint64) { notified = r } })
 	got := d.call("POST", "/admin/v1/preset", `{"name":"peak"}`, ifMatch(1)).acceptance()
 	is.Equal(got.InForce.Revision, uint64(2))
 	is.Equal(got.InForce.InForce, false)
 	is.Equal(got.InForce.Lagging, []string{"e3"})
-	is.Equal(told, uint64(2)) // this node need not wait for its next look
-	silent := newDesk(t, (&fleet{err: errors.New("no peer answers")}).wire)
-	got = silent.call("POST", "/admin/v1/preset", `{"name":"peak"}`, ifMatch(1)).acceptance()
-	is.Equal(got.Revision, uint64(2)) // accepted, although nobody says more
+	is.Equal(notified, uint64(2)) // this node need not wait for its next read of the store
+	failing := newFixture(t, (&fakeReaders{err: errors.New("no peer answers")}).attach)
+	got = failing.call("POST", "/admin/v1/preset", `{"name":"peak"}`, ifMatch(1)).acceptance()
+	is.Equal(got.Revision, uint64(2)) // accepted, although there is no confirmation
 	is.True(got.InForce == nil)
 }
 
-func TestBillsAreAskedByTime(t *testing.T) {
+func TestBillsAreQueriedByTime(t *testing.T) {
 	is := is.New(t)
-	f := new(fleet)
-	d := newDesk(t, f.wire)
+	f := new(fakeReaders)
+	d := newFixture(t, f.attach)
 	day := func(n int) time.Time { return time.Date(2026, 3, n, 0, 0, 0, 0, time.UTC) }
 	is.Equal(d.call("GET", "/admin/v1/bills?organisation=tolu&from=2026-03-01&to=2026-03-02T00:00:00Z&cursor=c", "").status, 200)
 	is.Equal(f.query, BillQuery{Organisation: "tolu", From: day(1), To: day(2), Cursor: "c"})
@@ -111,16 +111,15 @@
 	is.Equal(f.query.To.Sub(f.query.From), defaultBillSpan)
 	is.Equal(d.call("GET", "/admin/v1/bills?from=2026-03-02&to=2026-03-01", "").status, 400)
 	is.Equal(d.call("GET", "/admin/v1/bills?from=noon", "").status, 400)
-	is.Equal(d.call("GET", "/admin/v1/bills?from=2026-01-01&to=2026-03-01", "").status, 400) // too much at once
+	is.Equal(d.call("GET", "/admin/v1/bills?from=2026-01-01&to=2026-03-01", "").status, 400) // longer than maxBillSpan
 }
 
-// An operator lifts a hold that was there at breakfast. Meanwhile the version
-// turned bad again and is held a second time, for a reason nobody has looked
-// at. Lifting names the term, so the second hold stays.
-func TestLiftingNamesTheTerm(t *testing.T) {
+// An operator lifts a hold that is out of date: the version turned bad again and is held a second
+// time for another reason. The request names the term of the first hold, so the second hold stays.
+func TestLiftAppliesToTheNamedTermOnly(t *testing.T) {
 	is := is.New(t)
-	f := new(fleet)
-	d := newDesk(t, f.wire)
+	f := new(fakeReaders)
+	d := newFixture(t, f.attach)
 	is.Equal(d.call("POST", "/admin/v1/holds/dues@3/lift", `{"term":1}`).status, http.StatusNotFound)
 	is.Equal(f.lifted, "")
 	is.Equal(d.call("POST", "/admin/v1/holds/dues@3/lift", `{"term":2}`).status, http.StatusOK)
--- a/internal/admin/store.go
+++ b/internal/admin/store.go
@@ -15,20 +15,20 @@
 type Store struct {
 	table platform.Table
 	keep  retention
-	// pause waits between two attempts; false when the context ended first.
-	pause func(ctx context.Context, d time.Duration) bool
+	// sleep waits between two attempts. It returns false if the context ended first.
+	sleep func(ctx context.Context, d time.Duration) bool
 }
 
-// NewStore returns a store over a table.
+// NewStore returns a store that keeps the configuration in the table.
 func NewStore(table platform.Table) *Store {
 	return &Store{
 		table: table,
-		keep:  retention{documents: keepDocuments, records: keepRecords},
-		pause: pause,
+		keep:  retention{documents: retainedDocuments, records: retainedRecords},
+		sleep: sleep,
 	}
 }
 
-// Load returns the stored configuration's snapshot, or nil when there is none.
+// Load returns the snapshot of the stored configuration, or nil if none is stored.
 func (s *Store) Load(ctx context.Context) (*config.Snapshot, error) {
 	head, doc, err := s.Current(ctx)
 	if err != nil || doc == nil {
@@ -37,7 +37,7 @@
 	return config.Compile(head.Revision, doc)
 }
 
-// Current returns the head and its document, nil when none is stored.
+// Current returns the head and its document. The document is nil if none is stored.
 func (s *Store) Current(ctx context.Context) (Head, *config.Document, error) {
 	head, _, err := s.Head(ctx)
 	if err != nil || head.Revision == 0 {
@@ -47,7 +47,7 @@
 	return head, doc, err
 }
 
-// Head returns the head and its row version; revision 0 means none is stored.
+// Head returns the head and the version of its row. Both are zero if no configuration is stored.
 func (s *Store) Head(ctx context.Context) (Head, uint64, error) {
 	var head Head
 	row, err := s.table.Get(ctx, HeadKey)
@@ -60,8 +60,7 @@
 	return head, row.Version, eris.Wrap(json.Unmarshal(row.Value, &head), "decode head")
 }
 
-// Document returns a revision's document, nil when it is not or no longer
-// stored.
+// Document returns a revision's document, or nil if it is not, or no longer, stored.
 func (s *Store) Document(ctx context.Context, revision uint64) (*config.Document, error) {
 	row, err := s.table.Get(ctx, DocKey(revision))
 	if err != nil {
@@ -73,8 +72,8 @@
 	return config.Parse(row.Value)
 }
 
-// Put stores the document as the revision after base. Applied is false when
-// another change came first; head is then the present one.
+// Put stores the document as the revision after base, with writer as the change's id. Applied is
+// false if another change was accepted first; head is then the current one.
 func (s *Store) Put(ctx context.Context, base uint64, doc *config.Document, writer string) (head Head, applied bool, err error) {
 	result, err := s.Apply(ctx, Change{
 		ID: writer, Base: base, Replaces: true,
--- a/internal/admin/targets.go
+++ b/internal/admin/targets.go
@@ -7,7 +7,7 @@
 )
 
 // putTarget sets an organisation's quality target for a class.
-func (s *Server) putTarget(in *incoming) (any, *Failure) {
+func (s *Server) putTarget(in *request) (any, *Failure) {
 	target, body, failure := decodeBody[QualityTarget](in)
 	if failure != nil {
 		return nil, failure
@@ -24,7 +24,7 @@
 	})
 }
 
-func (s *Server) deleteTarget(in *incoming) (any, *Failure) {
+func (s *Server) deleteTarget(in *request) (any, *Failure) {
 	class := in.params.ByName("class")
 	return changeEntry(s, in, nil, organisations, func(o *config.Organisation) *Failure {
 		i := targetIndex(o, class)
--- a/internal/admin/txn.go
+++ b/internal/admin/txn.go
@@ -10,17 +10,19 @@
 	"github.com/hickorybank/hickorybank/internal/platform"
 )
 
-// How much of the past is kept. A reader needs the document of a head that it
-// has just read; the log answers for changes for two days at some 9,000 a day.
+// Retention of past revisions.
 const (
-	keepDocuments = 256
-	keepRecords   = 16384
-	// pruneStep is how many records a change may drop; more than the one that
-	// it adds, so that the log shrinks again after a prune that failed.
-	pruneStep = 2
+	// retainedDocuments must be enough for a reader to get the document of the head that it has
+	// just read.
+	retainedDocuments = 256
+	// retainedRecords covers nearly two days of changes at 9,000 a day.
+	retainedRecords = 16384
+	// maxPrunedRecords is how many records a change may delete. It is above the one record that a
+	// change adds, so that the log shrinks again after a failed deletion.
+	maxPrunedRecords = 2
 )
 
-// retention is how many revisions' documents and records are kept.
+// retention is the number of revisions whose documents and records are kept.
 type retention struct {
 	documents uint64
 	records   uint64
@@ -30,9 +32,9 @@
 	return Head{Revision: r.Revision, Preset: r.Preset, Writer: r.Change}
 }
 
-// changeTxn is the transaction of a change whose head row has the version.
-// Before has no preset when there was no document, or none that could be read:
-// nodes may hold another one then, to which a delta would not fit.
+// changeTxn returns the transaction of a change, given the version of the head row. Before is empty
+// if there was no document or it was unreadable. The transaction then has no delta, because nodes
+// may hold a document that the delta does not apply to.
 func changeTxn(r Record, version uint64, before, doc *config.Document) (platform.Txn, error) {
 	txn := platform.Txn{Conditions: []platform.Condition{
 		{Key: HeadKey, Version: version},
@@ -45,7 +47,7 @@
 		{HeadKey, headOf(r)},
 		{DocKey(r.Revision), doc},
 		{logKey(r.Revision), r},
-		{changeKey(r.Change), pointer{Revision: r.Revision}},
+		{changeKey(r.Change), changeRow{Revision: r.Revision}},
 	}
 	for _, row := range rows {
 		value, err := json.Marshal(row.value)
@@ -65,18 +67,18 @@
 	return txn, nil
 }
 
-// deltaWrite stores what the change changed, so that nodes that have the
-// revision before need not read the whole document.
+// deltaWrite returns the write of the delta between two documents. Nodes that hold the previous
+// revision read the delta instead of the whole document.
 func deltaWrite(r Record, before, doc *config.Document) (platform.Write, error) {
-	old, err := json.Marshal(before)
+	oldJSON, err := json.Marshal(before)
 	if err != nil {
 		return platform.Write{}, err
 	}
-	young, err := json.Marshal(doc)
+	newJSON, err := json.Marshal(doc)
 	if err != nil {
 		return platform.Write{}, err
 	}
-	delta, err := archive.MakeDelta(r.Base, r.Revision, old, young)
+	delta, err := archive.MakeDelta(r.Base, r.Revision, oldJSON, newJSON)
 	if err != nil {
 		return platform.Write{}, err
 	}
@@ -84,30 +86,30 @@
 	return platform.Write{Key: confsync.DeltaKey(r.Revision), Value: value}, err
 }
 
-// outdated returns the deletions that a revision brings with it. Without an
-// answer from the table it leaves the log as it is; a later change catches up.
-func (s *Store) outdated(ctx context.Context, revision uint64) []platform.Write {
-	var drop []platform.Write
+// expiredRows returns the deletions of rows that fall out of retention with a revision. If the log
+// cannot be read, its records are left for a later change to delete.
+func (s *Store) expiredRows(ctx context.Context, revision uint64) []platform.Write {
+	var deletions []platform.Write
 	if revision > s.keep.documents {
-		past := revision - s.keep.documents
-		drop = append(drop,
-			platform.Write{Key: DocKey(past), Delete: true},
-			platform.Write{Key: confsync.DeltaKey(past), Delete: true},
+		expired := revision - s.keep.documents
+		deletions = append(deletions,
+			platform.Write{Key: DocKey(expired), Delete: true},
+			platform.Write{Key: confsync.DeltaKey(expired), Delete: true},
 		)
 	}
 	if revision <= s.keep.records {
-		return drop
+		return deletions
 	}
-	rows, err := s.table.Scan(ctx, logPrefix, "", pruneStep)
+	rows, err := s.table.Scan(ctx, logPrefix, "", maxPrunedRecords)
 	if err != nil {
-		return drop
+		return deletions
 	}
 	for _, row := range rows {
 		var r Record
 		if json.Unmarshal(row.Value, &r) != nil || r.Revision+s.keep.records > revision {
 			continue
 		}
-		drop = append(drop, platform.Write{Key: row.Key, Delete: true}, platform.Write{Key: changeKey(r.Change), Delete: true})
+		deletions = append(deletions, platform.Write{Key: row.Key, Delete: true}, platform.Write{Key: changeKey(r.Change), Delete: true})
 	}
-	return drop
+	return deletions
 }
--- a/internal/admin/versions.go
+++ b/internal/admin/versions.go
@@ -7,21 +7,21 @@
 	"github.com/hickorybank/hickorybank/internal/config"
 )
 
-// VersionEntry is a version with the model that it belongs to.
+// VersionEntry is a version with the name of its model.
 type VersionEntry struct {
 	Model string `json:"model"`
 	config.Version
 }
 
-// RolloutStep is how far a version is rolled out.
+// RolloutStep sets the state, share and exposure cap of a version, as in [config.Version].
 type RolloutStep struct {
 	State config.VersionState `json:"state"`
-	// Share and ExposureCap go with the state staged only.
+	// Share and ExposureCap must be 0 unless the state is staged.
 	Share       float64 `json:"share"`
 	ExposureCap int     `json:"exposure_cap"`
 }
 
-// QualityTarget is an organisation's target for a class.
+// QualityTarget is an organisation's quality target for a class, in [0,1].
 type QualityTarget struct {
 	Quality float64 `json:"quality"`
 }
@@ -47,8 +47,8 @@
 	return entries
 }
 
-func (s *Server) getVersions(in *incoming) (any, *Failure) {
-	ctx, cancel := timeLimit(in)
+func (s *Server) getVersions(in *request) (any, *Failure) {
+	ctx, cancel := withRequestTimeout(in)
 	defer cancel()
 	_, doc, failure := s.current(ctx, in)
 	if failure != nil {
@@ -57,8 +57,8 @@
 	return versionsOf(doc), nil
 }
 
-func (s *Server) getVersion(in *incoming) (any, *Failure) {
-	ctx, cancel := timeLimit(in)
+func (s *Server) getVersion(in *request) (any, *Failure) {
+	ctx, cancel := withRequestTimeout(in)
 	defer cancel()
 	_, doc, failure := s.current(ctx, in)
 	if failure != nil {
@@ -85,20 +85,20 @@
 	return nil
 }
 
-// withdraw ends new work on a version everywhere.
-func (s *Server) withdraw(in *incoming) (any, *Failure) {
-	return s.rollOut(in, nil, RolloutStep{State: config.Withdrawn})
+// withdraw stops new requests to a version on all nodes.
+func (s *Server) withdraw(in *request) (any, *Failure) {
+	return s.setRollout(in, nil, RolloutStep{State: config.Withdrawn})
 }
 
-func (s *Server) putRollout(in *incoming) (any, *Failure) {
+func (s *Server) putRollout(in *request) (any, *Failure) {
 	step, body, failure := decodeBody[RolloutStep](in)
 	if failure != nil {
 		return nil, failure
 	}
-	return s.rollOut(in, body, *step)
+	return s.setRollout(in, body, *step)
 }
 
-func (s *Server) rollOut(in *incoming, body []byte, step RolloutStep) (any, *Failure) {
+func (s *Server) setRollout(in *request, body []byte, step RolloutStep) (any, *Failure) {
 	name := in.params.ByName("version")
 	return s.change(in, body, false, func(doc *config.Document) (*config.Document, error) {
 		v := findVersion(doc, name)
@@ -113,13 +113,13 @@
 }
 
 // putVersion creates or replaces a version of a model.
-func (s *Server) putVersion(in *incoming) (any, *Failure) {
+func (s *Server) putVersion(in *request) (any, *Failure) {
 	version, body, failure := decodeBody[config.Version](in)
 	if failure != nil {
 		return nil, failure
 	}
 	name := in.params.ByName("version")
-	if failure := sameName(&version.Name, name); failure != nil {
+	if failure := checkName(&version.Name, name); failure != nil {
 		return nil, failure
 	}
 	return s.changeModel(in, body, func(m *config.Model) *Failure {
@@ -133,7 +133,7 @@
 	})
 }
 
-func (s *Server) deleteVersion(in *incoming) (any, *Failure) {
+func (s *Server) deleteVersion(in *request) (any, *Failure) {
 	name := in.params.ByName("version")
 	return s.changeModel(in, nil, func(m *config.Model) *Failure {
 		i := versionIndex(m, name)
@@ -149,6 +149,6 @@
 	return slices.IndexFunc(m.Versions, func(v config.Version) bool { return v.Name == name })
 }
 
-func (s *Server) changeModel(in *incoming, body []byte, e func(*config.Model) *Failure) (any, *Failure) {
+func (s *Server) changeModel(in *request, body []byte, e func(*config.Model) *Failure) (any, *Failure) {
 	return changeEntry(s, in, body, models, e)
 }
