--- a/internal/cli/admin.go
+++ b/internal/cli/admin.go
@@ -86,7 +86,7 @@
 func adminCommands(e *env) []command {
 	options := adminOptions{env: e}
 	change := changeOptions{adminOptions: options}
-	return append(adminReaders(options), []command{
+	return append(adminReadCommands(options), []command{
 		{name: "apply", short: "replace the whole configuration", long: applyHelp, data: &adminApplyCommand{changeOptions: change}},
 		{name: "bootstrap", short: "store the very first configuration", long: bootstrapHelp, data: &adminBootstrapCommand{env: e}},
 		{name: "put", short: "create or replace an entry", long: putHelp, data: &adminPutCommand{changeOptions: change}},
@@ -99,27 +99,27 @@
 	}...)
 }
 
-func adminReaders(o adminOptions) []command {
+func adminReadCommands(o adminOptions) []command {
 	return []command{
 		{name: "get", short: "print the configuration", long: getHelp, data: &adminGetCommand{adminOptions: o}},
-		list("organisations", "list organisations", &adminOrganisationsCommand{adminOptions: o}),
-		list("models", "list models with their versions", &adminModelsCommand{adminOptions: o}),
-		list("versions", "list versions with their costs, quality and share", &adminVersionsCommand{adminOptions: o}),
-		list("services", "list the calls of plain services", &adminServicesCommand{adminOptions: o}),
-		list("classes", "list classes of requests", &adminClassesCommand{adminOptions: o}),
-		list("presets", "list presets", &adminPresetsCommand{adminOptions: o}),
-		list("changes", "list recent changes, newest first", &adminChangesCommand{adminOptions: o}),
+		listCommand("organisations", "list organisations", &adminOrganisationsCommand{adminOptions: o}),
+		listCommand("models", "list models with their versions", &adminModelsCommand{adminOptions: o}),
+		listCommand("versions", "list versions with their costs, quality and share", &adminVersionsCommand{adminOptions: o}),
+		listCommand("services", "list the calls of plain services", &adminServicesCommand{adminOptions: o}),
+		listCommand("classes", "list classes of requests", &adminClassesCommand{adminOptions: o}),
+		listCommand("presets", "list presets", &adminPresetsCommand{adminOptions: o}),
+		listCommand("changes", "list recent changes, newest first", &adminChangesCommand{adminOptions: o}),
 		{name: "change", short: "tell what became of a change", long: changeHelp, data: &adminChangeCommand{adminOptions: o}},
 		{name: "status", short: "tell how far a revision is in force", long: statusHelp, data: &adminStatusCommand{adminOptions: o}},
 		{name: "bills", short: "list bills", long: billsHelp, data: &adminBillsCommand{adminOptions: o}},
-		list("nodes", "list entry nodes as the asked one sees them", &adminNodesCommand{adminOptions: o}),
-		list("upstreams", "list upstreams that the asked node knows", &adminUpstreamsCommand{adminOptions: o}),
-		list("holds", "list versions that are or were held because they turned bad", &adminHoldsCommand{adminOptions: o}),
+		listCommand("nodes", "list entry nodes as the asked one sees them", &adminNodesCommand{adminOptions: o}),
+		listCommand("upstreams", "list upstreams that the asked node knows", &adminUpstreamsCommand{adminOptions: o}),
+		listCommand("holds", "list versions that are or were held because they turned bad", &adminHoldsCommand{adminOptions: o}),
 	}
 }
 
-// list is a command that prints one table.
-func list(name, short string, data any) command {
+// listCommand returns the definition of a command that prints one table.
+func listCommand(name, short string, data any) command {
 	long := strings.ToUpper(short[:1]) + short[1:] + `.
 
 Examples:
--- a/internal/cli/admin_bills.go
+++ b/internal/cli/admin_bills.go
@@ -17,15 +17,15 @@
 	Limit        setting.Count `long:"limit" env:"HICKORYBANK_LIMIT" accept:"1..1000000" default:"10000" description:"how many at most"`
 }
 
-// billReport is the bills with their sums.
+// billReport is the JSON output of admin bills.
 type billReport struct {
 	Bills []admin.Bill `json:"bills"`
 	Sums  []billSum    `json:"sums"`
-	// More is set when the limit left bills out.
+	// More is set if there are more bills than the limit.
 	More bool `json:"more,omitempty"`
 }
 
-// billSum is one organisation's total.
+// billSum is the number and total cost of one organisation's bills.
 type billSum struct {
 	Organisation string `json:"organisation"`
 	Bills        int    `json:"bills"`
@@ -33,22 +33,22 @@
 	Cost int64 `json:"cost"`
 }
 
-// Execute lists bills.
+// Execute lists bills in the order of time, with the sums of each organisation.
 func (c *adminBillsCommand) Execute([]string) error {
-	report, err := c.read()
+	report, err := c.readPages()
 	if err != nil {
 		return err
 	}
 	sort.SliceStable(report.Bills, func(i, j int) bool { return report.Bills[i].At.Before(report.Bills[j].At) })
-	report.Sums = sums(report.Bills)
+	report.Sums = sumByOrganisation(report.Bills)
 	if c.JSON {
 		return writeJSON(c.env.out, report)
 	}
 	return c.print(report)
 }
 
-// read gathers page after page.
-func (c *adminBillsCommand) read() (billReport, error) {
+// readPages reads pages of bills until the last one or the limit.
+func (c *adminBillsCommand) readPages() (billReport, error) {
 	report := billReport{Bills: []admin.Bill{}}
 	s, err := c.open()
 	if err != nil {
@@ -67,8 +67,8 @@
 			return report, err
 		}
 		report.Bills = append(report.Bills, page.Bills...)
-		if most := c.Limit.Get(); len(report.Bills) > most || (len(report.Bills) == most && page.Next != "") {
-			report.Bills = report.Bills[:most]
+		if limit := c.Limit.Get(); len(report.Bills) > limit || (len(report.Bills) == limit && page.Next != "") {
+			report.Bills = report.Bills[:limit]
 			report.More = true
 			return report, nil
 		}
@@ -79,7 +79,7 @@
 	}
 }
 
-func sums(bills []admin.Bill) []billSum {
+func sumByOrganisation(bills []admin.Bill) []billSum {
 	byName := map[string]*billSum{}
 	for _, b := range bills {
 		s, ok := byName[b.Organisation]
--- a/internal/cli/admin_change.go
+++ b/internal/cli/admin_change.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	changeAttempts = 5
-	changePause    = time.Second
+	changeAttempts   = 5
+	changeRetryPause = time.Second
 )
 
 // changeOptions are the flags of every command that changes the configuration.
@@ -30,7 +30,7 @@
 	Wait     setting.Duration `long:"wait" env:"HICKORYBANK_WAIT" accept:"0s..1h" default:"0s" description:"how long to wait until it is in force everywhere"`
 }
 
-// send sends a change and prints what became of it.
+// send sends a change and prints its outcome.
 func (o *changeOptions) send(method, path string, body any) error {
 	s, err := o.open()
 	if err != nil {
@@ -52,21 +52,21 @@
 		return err
 	}
 	if o.DryRun {
-		return o.tryOut(s, c)
+		return o.dryRun(s, c)
 	}
 	return o.change(s, c)
 }
 
-// base is the revision given, or the present one.
+// base returns the revision given with --base, or the current one.
 func (o *changeOptions) base(s *session) (uint64, error) {
 	if o.Base.Given() {
 		return o.Base.Uint64(), nil
 	}
-	var present admin.PresetChoice
-	return s.client.Get(s.ctx, "preset", nil, &present)
+	var preset admin.PresetChoice
+	return s.client.Get(s.ctx, "preset", nil, &preset)
 }
 
-func (o *changeOptions) tryOut(s *session, c client.Change) error {
+func (o *changeOptions) dryRun(s *session, c client.Change) error {
 	trial, err := s.client.Try(s.ctx, c)
 	if err != nil {
 		return err
@@ -80,59 +80,59 @@
 }
 
 func (o *changeOptions) change(s *session, c client.Change) error {
-	accepted, err := sendUntilTold(s, c)
+	accepted, err := sendUntilDecided(s, c)
 	if err != nil {
 		return explain(err, c)
 	}
 	return o.report(s, accepted)
 }
 
-// sendUntilTold sends a change again while it is not known what became of it.
-// It has one id, so it is applied once at most.
-func sendUntilTold(s *session, c client.Change) (admin.Acceptance, error) {
-	unsure := false
+// sendUntilDecided sends a change and retries while its outcome is unknown. All attempts have one
+// id, so the change is applied at most once.
+func sendUntilDecided(s *session, c client.Change) (admin.Acceptance, error) {
+	mayHaveApplied := false
 	for attempt := 1; ; attempt++ {
 		accepted, err := s.client.Change(s.ctx, c)
-		if err == nil || !again(err, &unsure) {
+		if err == nil || !shouldRetry(err, &mayHaveApplied) {
 			return accepted, err
 		}
-		if attempt == changeAttempts || !sleep(s.ctx, changePause) {
-			if unsure {
-				err = &unknownChange{cause: err}
+		if attempt == changeAttempts || !sleep(s.ctx, changeRetryPause) {
+			if mayHaveApplied {
+				err = &unknownOutcomeError{cause: err}
 			}
 			return accepted, err
 		}
 	}
 }
 
-// again says whether another try may help, and notes that a try may have
-// reached the store.
-func again(err error, unsure *bool) bool {
-	var silent *client.NoAnswer
+// shouldRetry reports whether another attempt may succeed. It sets mayHaveApplied if the failed
+// attempt may have reached the store.
+func shouldRetry(err error, mayHaveApplied *bool) bool {
+	var noAnswer *client.NoAnswer
 	var failure *admin.Failure
 	switch {
-	case errors.As(err, &silent):
-		*unsure = true
+	case errors.As(err, &noAnswer):
+		*mayHaveApplied = true
 		return true
 	case errors.As(err, &failure):
-		*unsure = *unsure || failure.Outcome == admin.Unknown
+		*mayHaveApplied = *mayHaveApplied || failure.Outcome == admin.Unknown
 		return failure.Code == admin.CodeUnknown || failure.Code == admin.CodeStoreUnavailable
 	default:
 		return false
 	}
 }
 
-// unknownChange says that nobody told what became of a change.
-type unknownChange struct {
+// unknownOutcomeError is the error of a change that may have been applied.
+type unknownOutcomeError struct {
 	cause error
 }
 
-// Error returns the cause.
-func (e *unknownChange) Error() string { return e.cause.Error() }
+// Error returns the message of the cause.
+func (e *unknownOutcomeError) Error() string { return e.cause.Error() }
 
-// explain tells an operator what to do next.
+// explain adds to an error what the operator can do next.
 func explain(err error, c client.Change) error {
-	var unknown *unknownChange
+	var unknown *unknownOutcomeError
 	var failure *admin.Failure
 	switch {
 	case errors.As(err, &unknown):
@@ -155,7 +155,7 @@
 	}
 }
 
-// put, post and remove are the ways to change.
+// put, post and remove send a change with the method PUT, POST or DELETE.
 func (o *changeOptions) put(body any, path ...string) error {
 	return o.send(http.MethodPut, client.Path(path...), body)
 }
--- a/internal/cli/admin_entities.go
+++ b/internal/cli/admin_entities.go
@@ -13,7 +13,8 @@
 	"github.com/hickorybank/hickorybank/internal/config"
 )
 
-// kindArgs name an entry; the kinds are paths of the administration interface.
+// kindArgs are the positional arguments that name an entry. Kinds are paths of the administration
+// interface.
 type kindArgs struct {
 	Kind string `positional-arg-name:"KIND" required:"true"`
 	Name string `positional-arg-name:"NAME" required:"true"`
@@ -28,7 +29,7 @@
 	} `positional-args:"true"`
 }
 
-// Execute creates or replaces an entry.
+// Execute creates or replaces an entry with the content of a JSON file.
 func (c *adminPutCommand) Execute([]string) error {
 	data, err := os.ReadFile(c.Args.File)
 	if err != nil {
@@ -45,13 +46,12 @@
 	Args kindArgs `positional-args:"true"`
 }
 
-// Execute removes an entry.
+// Execute removes an entry, unless another entry refers to it.
 func (c *adminDeleteCommand) Execute([]string) error {
 	return c.remove(entryPath(c.Args.Kind, c.Args.Name)...)
 }
 
-// entryPath is the parts of an entry's path; a kind such as
-// "models/dues/versions" has several.
+// entryPath returns the parts of an entry's path. A kind such as "models/dues/versions" has several.
 func entryPath(kind, name string) []string { return append(strings.Split(kind, "/"), name) }
 
 type adminWithdrawCommand struct {
@@ -61,7 +61,7 @@
 	} `positional-args:"true"`
 }
 
-// Execute withdraws a version.
+// Execute withdraws a version, so that it receives no new requests.
 func (c *adminWithdrawCommand) Execute([]string) error {
 	return c.post(nil, "versions", c.Args.Version, "withdraw")
 }
@@ -93,7 +93,7 @@
 	} `positional-args:"true"`
 }
 
-// Execute shows the roll-outs or sets one version's.
+// Execute shows the roll-outs, or sets the state and share of one version.
 func (c *adminRolloutCommand) Execute([]string) error {
 	if c.Args.Version == "" {
 		return c.list()
@@ -123,7 +123,7 @@
 	} `positional-args:"true"`
 }
 
-// Execute sets a quality target.
+// Execute sets an organisation's quality target for a class.
 func (c *adminTargetCommand) Execute([]string) error {
 	target := admin.QualityTarget{Quality: c.Args.Quality}
 	return c.put(target, "organisations", c.Args.Organisation, "targets", c.Args.Class)
@@ -137,7 +137,7 @@
 	} `positional-args:"true"`
 }
 
-// Execute lifts a hold.
+// Execute lifts one hold of a version, identified by its term.
 func (c *adminLiftCommand) Execute([]string) error {
 	body, err := json.Marshal(admin.HoldTerm{Term: int64(c.Term.Get())})
 	if err != nil {
--- a/internal/cli/admin_lists.go
+++ b/internal/cli/admin_lists.go
@@ -16,18 +16,18 @@
 
 type adminOrganisationsCommand struct{ adminOptions }
 
-// Execute lists the organisations.
+// Execute lists the organisations with their versions, services and targets.
 func (c *adminOrganisationsCommand) Execute([]string) error {
 	return show(&c.adminOptions, "organisations", nil, func(list *[]config.Organisation) error {
 		t := newTable("ORGANISATION", "WEIGHT", "RATE/S", "KEYS", "VERSIONS", "SERVICES", "TARGETS")
 		for _, o := range *list {
-			t.add(o.Name, o.Weight, o.RatePerSecond, len(o.KeyHashes), o.Versions, o.Services, targets(o))
+			t.add(o.Name, o.Weight, o.RatePerSecond, len(o.KeyHashes), o.Versions, o.Services, targetTexts(o))
 		}
 		return t.write(c.env.out)
 	})
 }
 
-func targets(o config.Organisation) []string {
+func targetTexts(o config.Organisation) []string {
 	var out []string
 	for _, t := range o.Targets {
 		out = append(out, fmt.Sprintf("%s=%v", t.Class, t.Quality))
@@ -37,7 +37,7 @@
 
 type adminModelsCommand struct{ adminOptions }
 
-// Execute lists the models.
+// Execute lists the models with the states of their versions.
 func (c *adminModelsCommand) Execute([]string) error {
 	return show(&c.adminOptions, "models", nil, func(list *[]config.Model) error {
 		t := newTable("MODEL", "VERSIONS")
@@ -58,7 +58,7 @@
 
 type adminVersionsCommand struct{ adminOptions }
 
-// Execute lists the versions.
+// Execute lists the versions with their costs, quality and share.
 func (c *adminVersionsCommand) Execute([]string) error {
 	return show(&c.adminOptions, "versions", nil, func(list *[]admin.VersionEntry) error {
 		t := newTable("VERSION", "MODEL", "STATE", "SHARE", "EXPOSURE CAP", "INPUT COST", "OUTPUT COST", "PRIOR QUALITY")
@@ -71,7 +71,7 @@
 
 type adminServicesCommand struct{ adminOptions }
 
-// Execute lists the services' calls.
+// Execute lists the calls of the plain services.
 func (c *adminServicesCommand) Execute([]string) error {
 	return show(&c.adminOptions, "services", nil, func(list *[]config.Service) error {
 		t := newTable("SERVICE", "METHOD", "PATH", "IDEMPOTENT", "CLASS", "COST")
@@ -86,7 +86,7 @@
 
 type adminClassesCommand struct{ adminOptions }
 
-// Execute lists the classes.
+// Execute lists the classes with their kinds and deadlines.
 func (c *adminClassesCommand) Execute([]string) error {
 	return show(&c.adminOptions, "classes", nil, func(list *[]config.Class) error {
 		t := newTable("CLASS", "KIND", "DEADLINE MS", "MODEL", "CASCADE")
@@ -99,7 +99,7 @@
 
 type adminPresetsCommand struct{ adminOptions }
 
-// Execute lists the presets.
+// Execute lists the presets with their policies.
 func (c *adminPresetsCommand) Execute([]string) error {
 	return show(&c.adminOptions, "presets", nil, func(list *[]config.Preset) error {
 		t := newTable("PRESET", "DEFER DEFERRABLE", "CASCADES", "ROLL-OUTS MOVE")
@@ -112,19 +112,19 @@
 
 type adminNodesCommand struct{ adminOptions }
 
-// Execute lists the entry nodes.
+// Execute lists the entry nodes in the view of the queried node.
 func (c *adminNodesCommand) Execute([]string) error {
 	return show(&c.adminOptions, "nodes", nil, func(l *admin.NodeList) error {
 		t := newTable("NODE", "ADDRESS", "PEER", "FAILURE DOMAIN", "STATE", "REVISION", "DETAIL")
 		for _, n := range l.Nodes {
-			t.add(n.ID, n.Address, n.Peer, n.FailureDomain, n.State, known(n.Revision), n.Detail)
+			t.add(n.ID, n.Address, n.Peer, n.FailureDomain, n.State, revisionText(n.Revision), n.Detail)
 		}
 		return t.write(c.env.out)
 	})
 }
 
-// known is a revision, or nothing when the asked node does not know it.
-func known(revision uint64) string {
+// revisionText returns a revision as text, or "" if the queried node does not know it.
+func revisionText(revision uint64) string {
 	if revision == 0 {
 		return ""
 	}
@@ -133,7 +133,7 @@
 
 type adminUpstreamsCommand struct{ adminOptions }
 
-// Execute lists the upstreams.
+// Execute lists the upstreams that the queried node has discovered.
 func (c *adminUpstreamsCommand) Execute([]string) error {
 	return show(&c.adminOptions, "upstreams", nil, func(l *admin.UpstreamList) error {
 		t := newTable("UPSTREAM", "KIND", "ADDRESS", "FAILURE DOMAIN", "STATE", "RUNNING", "QUEUED", "LIMIT", "AGE MS", "VERSIONS", "DETAIL")
@@ -147,7 +147,7 @@
 
 type adminHoldsCommand struct{ adminOptions }
 
-// Execute lists the holds.
+// Execute lists the holds of versions, lifted ones included.
 func (c *adminHoldsCommand) Execute([]string) error {
 	return show(&c.adminOptions, "holds", nil, func(l *admin.HoldList) error {
 		t := newTable("VERSION", "TERM", "LIFTED", "REASON", "CLASS", "NODE", "AT")
--- a/internal/cli/admin_options.go
+++ b/internal/cli/admin_options.go
@@ -13,8 +13,7 @@
 	"github.com/hickorybank/hickorybank/internal/cli/setting"
 )
 
-// adminOptions are the flags of every command that asks a node's
-// administration interface.
+// adminOptions are the flags of every command that calls a node's administration interface.
 type adminOptions struct {
 	env     *env
 	URL     string           `long:"admin" env:"HICKORYBANK_ADMIN" accept:"url" needed:"yes" description:"base URL of a node's administration interface"`
@@ -24,7 +23,7 @@
 	Timeout setting.Duration `long:"timeout" env:"HICKORYBANK_TIMEOUT" accept:"1s..1h" default:"1m" description:"how long to try"`
 }
 
-// session is one command's connection.
+// session is the API client of one command, with the context that limits its time.
 type session struct {
 	client *client.Client
 	ctx    context.Context
@@ -32,7 +31,7 @@
 }
 
 func (o *adminOptions) open() (*session, error) {
-	secure, err := trust(o.Trust)
+	secure, err := trustFile(o.Trust)
 	if err != nil {
 		return nil, err
 	}
@@ -40,8 +39,9 @@
 	return &session{client: client.NewSecure(o.URL, o.Key, secure), ctx: ctx, cancel: cancel}, nil
 }
 
-// trust reads the authorities of a PEM file; nil means the machine's.
-func trust(file string) (*tls.Config, error) {
+// trustFile returns a TLS configuration with the certificate authorities of a PEM file, or nil (the
+// system's authorities) without a file.
+func trustFile(file string) (*tls.Config, error) {
 	if file == "" {
 		return nil, nil
 	}
@@ -61,8 +61,8 @@
 	s.client.Close()
 }
 
-// show reads a path and prints it, as JSON or by the function for people.
-func show[T any](o *adminOptions, path string, query url.Values, people func(*T) error) error {
+// show reads a path of the API and prints the result, as JSON or with printText.
+func show[T any](o *adminOptions, path string, query url.Values, printText func(*T) error) error {
 	s, err := o.open()
 	if err != nil {
 		return err
@@ -75,5 +75,5 @@
 	if o.JSON {
 		return writeJSON(o.env.out, v)
 	}
-	return people(v)
+	return printText(v)
 }
--- a/internal/cli/admin_report.go
+++ b/internal/cli/admin_report.go
@@ -13,29 +13,29 @@
 	"github.com/hickorybank/hickorybank/internal/config"
 )
 
-const waitPause = 200 * time.Millisecond
+const statusPollInterval = 200 * time.Millisecond
 
-// report prints an accepted change, after waiting for it to be in force if that
-// was asked for.
+// report prints an accepted change. With --wait it first waits until the change is in force on all
+// nodes, and returns an error if it is not in time.
 func (o *changeOptions) report(s *session, a admin.Acceptance) error {
-	var late error
+	var notInForce error
 	if o.Wait.Get() > 0 {
-		late = o.await(s, &a)
+		notInForce = o.awaitInForce(s, &a)
 	}
 	if o.JSON {
 		if err := writeJSON(o.env.out, a); err != nil {
 			return err
 		}
-		return late
+		return notInForce
 	}
-	again := ""
+	replayed := ""
 	if a.Replayed {
-		again = "; it had been accepted before"
+		replayed = "; it had been accepted before"
 	}
-	fmt.Fprintf(o.env.out, "accepted revision %d (change %s)%s\n", a.Revision, a.Change, again)
+	fmt.Fprintf(o.env.out, "accepted revision %d (change %s)%s\n", a.Revision, a.Change, replayed)
 	o.printChange(a.Differences, a.Warnings)
-	fmt.Fprintln(o.env.out, inForce(a.InForce))
-	return late
+	fmt.Fprintln(o.env.out, confirmationText(a.InForce))
+	return notInForce
 }
 
 func (o *changeOptions) printChange(differences []config.Difference, warnings []config.Fault) {
@@ -47,8 +47,8 @@
 	}
 }
 
-// await asks until the revision is in force; the last answer stands in a.
-func (o *changeOptions) await(s *session, a *admin.Acceptance) error {
+// awaitInForce polls the status until the revision is in force. It stores the last answer in a.
+func (o *changeOptions) awaitInForce(s *session, a *admin.Acceptance) error {
 	end := time.Now().Add(o.Wait.Get())
 	query := url.Values{"revision": {strconv.FormatUint(a.Revision, 10)}}
 	for {
@@ -59,13 +59,13 @@
 		if c.InForce {
 			return nil
 		}
-		if time.Now().After(end) || !sleep(s.ctx, waitPause) {
+		if time.Now().After(end) || !sleep(s.ctx, statusPollInterval) {
 			return eris.Errorf("revision %d is accepted, and not known to be in force everywhere after %s", a.Revision, o.Wait.Get())
 		}
 	}
 }
 
-func inForce(c *admin.Confirmation) string {
+func confirmationText(c *admin.Confirmation) string {
 	switch {
 	case c == nil:
 		return "how far it is in force is not known yet; ask with: hickorybank admin status"
--- a/internal/cli/admin_status.go
+++ b/internal/cli/admin_status.go
@@ -14,14 +14,14 @@
 	Revision setting.Count `long:"revision" env:"HICKORYBANK_REVISION" accept:"1..9223372036854775807" description:"the revision to ask for (the present one, if not given)"`
 }
 
-// Execute tells how far a revision is in force.
+// Execute prints on how many nodes a revision is in force.
 func (c *adminStatusCommand) Execute([]string) error {
 	query := url.Values{}
 	if c.Revision.Given() {
 		query.Set("revision", fmt.Sprint(c.Revision.Get()))
 	}
 	return show(&c.adminOptions, "configuration/status", query, func(v *admin.Confirmation) error {
-		return printLine(c.env, inForce(v))
+		return printLine(c.env, confirmationText(v))
 	})
 }
 
@@ -30,7 +30,7 @@
 	Limit setting.Count `long:"limit" env:"HICKORYBANK_LIMIT" accept:"1..1000" default:"20" description:"how many"`
 }
 
-// Execute lists recent changes.
+// Execute lists recent changes, newest first.
 func (c *adminChangesCommand) Execute([]string) error {
 	query := url.Values{"limit": {fmt.Sprint(c.Limit.Get())}}
 	return show(&c.adminOptions, "changes", query, func(l *admin.ChangeList) error {
@@ -50,18 +50,18 @@
 	} `positional-args:"true"`
 }
 
-// Execute tells what became of a change.
+// Execute prints the state of a change: applied, not applied or undecided.
 func (c *adminChangeCommand) Execute([]string) error {
 	query := url.Values{}
 	if c.Base.Given() {
 		query.Set("base", fmt.Sprint(c.Base.Get()))
 	}
 	return show(&c.adminOptions, client.Path("changes", c.Args.ID), query, func(v *admin.ChangeStatus) error {
-		return printLine(c.env, changeState(v))
+		return printLine(c.env, changeStateText(v))
 	})
 }
 
-func changeState(v *admin.ChangeStatus) string {
+func changeStateText(v *admin.ChangeStatus) string {
 	switch v.State {
 	case admin.ChangeApplied:
 		return fmt.Sprintf("applied as revision %d by %s; the present revision is %d", v.Record.Revision, v.Record.Operator, v.Present)
--- a/internal/cli/admin_test.go
+++ b/internal/cli/admin_test.go
@@ -21,22 +21,23 @@
 	"github.com/hickorybank/hickorybank/internal/standin/platform/memory"
 )
 
-// onlooker is what a node knows; a revision is in force after some questions.
-type onlooker struct {
-	questions atomic.Int64
+// fakeReaders implements all readers with fixed answers. A revision is in force from the query with
+// the number queriesUntilInForce on.
+type fakeReaders struct {
+	queries atomic.Int64
 }
 
-const questionsUntilInForce = 3
+const queriesUntilInForce = 3
 
-func (o *onlooker) Confirmations(_ context.Context, revision uint64) (admin.Confirmation, error) {
+func (o *fakeReaders) Confirmations(_ context.Context, revision uint64) (admin.Confirmation, error) {
 	c := admin.Confirmation{Revision: revision, Members: 3, Have: 2, Needed: 3, Lagging: []string{"e3"}}
-	if o.questions.Add(1) >= questionsUntilInForce {
+	if o.queries.Add(1) >= queriesUntilInForce {
 		c = admin.Confirmation{Revision: revision, InForce: true, Members: 3, Have: 3, Needed: 3}
 	}
 	return c, nil
 }
 
-func (o *onlooker) Bills(_ context.Context, q admin.BillQuery) (admin.BillPage, error) {
+func (o *fakeReaders) Bills(_ context.Context, q admin.BillQuery) (admin.BillPage, error) {
 	at := time.Date(2026, 3, 1, 0, 0, 0, 0, time.UTC)
 	if q.Cursor == "" {
 		return admin.BillPage{Bills: []admin.Bill{{Organisation: "tolu", Key: "a", Version: "dues@1", Cost: 5, At: at}}, Next: "2"}, nil
@@ -44,28 +45,28 @@
 	return admin.BillPage{Bills: []admin.Bill{{Organisation: "tolu", Key: "b", Service: "billing", Cost: 7, At: at}, {Organisation: "turbo", Key: "c", Cost: 1, At: at}}}, nil
 }
 
-func (o *onlooker) Nodes(context.Context) ([]admin.Node, error) {
+func (o *fakeReaders) Nodes(context.Context) ([]admin.Node, error) {
 	return []admin.Node{{ID: "e1", Address: "127.0.0.1:1", FailureDomain: "manga", State: "live", Revision: 4}}, nil
 }
 
-func (o *onlooker) Upstreams(context.Context) ([]admin.Upstream, error) {
+func (o *fakeReaders) Upstreams(context.Context) ([]admin.Upstream, error) {
 	return []admin.Upstream{{ID: "eng1", Kind: "engine", Versions: []string{"dues@1", "dues@2"}}}, nil
 }
 
-func (o *onlooker) Rollouts(context.Context) ([]admin.Rollout, error) {
+func (o *fakeReaders) Rollouts(context.Context) ([]admin.Rollout, error) {
 	return []admin.Rollout{{Version: "dues@3", Stage: "canary", Share: 0.05, Holder: "e1"}}, nil
 }
 
-func (o *onlooker) Holds(context.Context) ([]admin.Hold, error) {
+func (o *fakeReaders) Holds(context.Context) ([]admin.Hold, error) {
 	return []admin.Hold{{Version: "dues@3", Term: 1, Reason: "ratings", Node: "e2"}}, nil
 }
 
-func (o *onlooker) Lift(_ context.Context, _ string, term uint64) (bool, error) {
+func (o *fakeReaders) Lift(_ context.Context, _ string, term uint64) (bool, error) {
 	return term == 1, nil
 }
 
-// startAdmin serves the API over the tarifas example and points the commands
-// at it.
+// startAdmin serves the API with the tarifas example and sets the variables that the commands use to
+// reach it.
 func startAdmin(t *testing.T, wrap func(http.Handler) http.Handler) *admin.Store {
 	t.Helper()
 	is := is.New(t)
@@ -76,7 +77,7 @@
 	is.NoErr(err)
 	keys, err := admin.ParseKeys([]string{"ana=" + config.HashKey("key")})
 	is.NoErr(err)
-	o := new(onlooker)
+	o := new(fakeReaders)
 	server := httptest.NewServer(wrap(admin.NewServer(admin.Deps{
 		Store: store, Keys: keys, Log: slog.New(slog.DiscardHandler),
 		Confirmer: o, Bills: o, Nodes: o, Upstreams: o, Rollouts: o, Holds: o,
@@ -87,10 +88,10 @@
 	return store
 }
 
-func plain(h http.Handler) http.Handler { return h }
+func unwrapped(h http.Handler) http.Handler { return h }
 
 func TestAdminTables(t *testing.T) {
-	startAdmin(t, plain)
+	startAdmin(t, unwrapped)
 	cases := []struct{ command, part string }{
 		{"organisations", "cartagena     8       0       1     dues@1,dues@2,dues@3,lines@1,lines@2  billing   draft=0.9,explain=0.8,tag=0.72"},
 		{"models", "lines  lines@1(serving),lines@2(serving)"},
@@ -115,16 +116,16 @@
 	for _, c := range cases {
 		t.Run(c.command, func(t *testing.T) {
 			is := is.New(t)
-			got := call(append([]string{"admin"}, strings.Fields(c.command)...)...)
+			got := runCommand(append([]string{"admin"}, strings.Fields(c.command)...)...)
 			if got.code != 0 || !strings.Contains(got.out, c.part) {
 				t.Log(got.out, got.err)
 			}
 			is.Equal(got.code, 0)
-			is.True(strings.Contains(got.out, c.part)) // the row
+			is.True(strings.Contains(got.out, c.part)) // the output has the row
 			if strings.HasPrefix(c.command, "lift") {
 				return
 			}
-			got = call(append([]string{"admin"}, strings.Fields(c.command+" --json")...)...)
+			got = runCommand(append([]string{"admin"}, strings.Fields(c.command+" --json")...)...)
 			is.True(json.Valid([]byte(got.out)))
 		})
 	}
@@ -132,9 +133,9 @@
 
 func TestAdminChanges(t *testing.T) {
 	is := is.New(t)
-	store := startAdmin(t, plain)
-	version := file(t, "version.json", `{"state":"serving","prior_quality":0.9}`)
-	entry := file(t, "new.json", `{"weight":2,"versions":["dues@1"]}`)
+	store := startAdmin(t, unwrapped)
+	version := tempFile(t, "version.json", `{"state":"serving","prior_quality":0.9}`)
+	entry := tempFile(t, "new.json", `{"weight":2,"versions":["dues@1"]}`)
 	steps := []struct {
 		args string
 		code int
@@ -156,12 +157,12 @@
 		{"lift dues@3 --term 2", 1, "no hold of term 2"},
 	}
 	for _, s := range steps {
-		got := call(append([]string{"admin"}, strings.Fields(s.args)...)...)
+		got := runCommand(append([]string{"admin"}, strings.Fields(s.args)...)...)
 		if !strings.Contains(got.out+got.err, s.part) {
 			t.Log(s.args, got.out, got.err)
 		}
 		is.Equal(got.code, s.code)
-		is.True(strings.Contains(got.out+got.err, s.part)) // the part
+		is.True(strings.Contains(got.out+got.err, s.part)) // the output has the part
 	}
 	head, doc, err := store.Current(context.Background())
 	is.NoErr(err)
@@ -171,31 +172,30 @@
 
 func TestAdminGetEditApply(t *testing.T) {
 	is := is.New(t)
-	startAdmin(t, plain)
-	got := call("admin", "get")
+	startAdmin(t, unwrapped)
+	got := runCommand("admin", "get")
 	is.Equal(got.code, 0)
 	is.Equal(got.err, "revision 1\n")
-	edited := file(t, "next.json", strings.Replace(got.out, `"preset": "ordinary"`, `"preset": "maintenance"`, 1))
-	is.Equal(call("admin", "apply", edited).code, 1) // no base, and something is stored
-	applied := call("admin", "apply", edited, "--base", "1", "--json")
+	edited := tempFile(t, "next.json", strings.Replace(got.out, `"preset": "ordinary"`, `"preset": "maintenance"`, 1))
+	is.Equal(runCommand("admin", "apply", edited).code, 1) // base 0, but a configuration is stored
+	applied := runCommand("admin", "apply", edited, "--base", "1", "--json")
 	is.Equal(applied.code, 0)
 	var a admin.Acceptance
 	is.NoErr(json.Unmarshal([]byte(applied.out), &a))
 	is.Equal(a.Revision, uint64(2))
-	is.Equal(call("admin", "preset").out, "maintenance\n")
-	is.Equal(call("admin", "get", "--revision", "1").out, got.out)
+	is.Equal(runCommand("admin", "preset").out, "maintenance\n")
+	is.Equal(runCommand("admin", "get", "--revision", "1").out, got.out)
 }
 
-// The connection breaks after the node has taken a change, again and again.
-// The operator must not be told that nothing happened: the command says that
-// the outcome is unknown and how to ask. When only the first answer is lost,
-// the same change is sent again and is applied once.
-func TestLostAnswersAreSentAgainOrToldUnknown(t *testing.T) {
+// Guards against a lost answer reported as a failure without effect. If only the first answer is
+// lost, the command sends the same change again and it is applied once. If all answers are lost, the
+// command reports that the outcome is unknown and prints the command that queries it.
+func TestLostAnswerIsRetriedOrReportedAsUnknown(t *testing.T) {
 	is := is.New(t)
-	var lose atomic.Int64
+	var answersToLose atomic.Int64
 	store := startAdmin(t, func(h http.Handler) http.Handler {
 		return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			if r.Method == http.MethodGet || lose.Add(-1) < 0 {
+			if r.Method == http.MethodGet || answersToLose.Add(-1) < 0 {
 				h.ServeHTTP(w, r)
 				return
 			}
@@ -204,42 +204,42 @@
 			panic(http.ErrAbortHandler)
 		})
 	})
-	lose.Store(1)
-	got := call("admin", "preset", "peak")
+	answersToLose.Store(1)
+	got := runCommand("admin", "preset", "peak")
 	is.Equal(got.code, 0)
 	is.True(strings.Contains(got.out, "accepted revision 2"))
-	lose.Store(1000)
-	got = call("admin", "preset", "ordinary", "--change", "c9", "--timeout", "1s")
+	answersToLose.Store(1000)
+	got = runCommand("admin", "preset", "ordinary", "--change", "c9", "--timeout", "1s")
 	is.Equal(got.code, 1)
 	is.True(strings.Contains(got.err, "unknown: the change may have been applied"))
 	is.True(strings.Contains(got.err, "hickorybank admin change c9 --base 2"))
-	is.True(strings.Contains(call("admin", "change", "c9", "--base", "2").out, "applied as revision 3"))
+	is.True(strings.Contains(runCommand("admin", "change", "c9", "--base", "2").out, "applied as revision 3"))
 	head, _, err := store.Head(context.Background())
 	is.NoErr(err)
 	is.Equal(head.Revision, uint64(3))
 }
 
-// The nodes speak TLS under the firm's own authority. The command must trust
-// just that: without the file it sends no key to a server it cannot know.
+// The nodes' certificates are signed by a private authority. The command must accept them only with
+// that authority's file. Without it, the command must not send the key to the server.
 func TestAdminOverTLS(t *testing.T) {
 	is := is.New(t)
 	keys, err := admin.ParseKeys([]string{config.HashKey("key")})
 	is.NoErr(err)
-	api := admin.NewServer(admin.Deps{Store: admin.NewStore(memory.New()), Keys: keys, Nodes: new(onlooker), Log: slog.New(slog.DiscardHandler)})
-	var asked atomic.Int64
+	api := admin.NewServer(admin.Deps{Store: admin.NewStore(memory.New()), Keys: keys, Nodes: new(fakeReaders), Log: slog.New(slog.DiscardHandler)})
+	var requests atomic.Int64
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		asked.Add(1)
+		requests.Add(1)
 		api.ServeHTTP(w, r)
 	}))
 	server.Config.ErrorLog = slog.NewLogLogger(slog.DiscardHandler, slog.LevelError)
 	server.StartTLS()
 	defer server.Close()
 	args := []string{"admin", "nodes", "--admin", server.URL, "--operator-key", "key"}
-	is.Equal(call(args...).code, 1)
-	is.Equal(asked.Load(), int64(0))
-	authority := file(t, "ca.pem", string(pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: server.Certificate().Raw})))
-	is.Equal(call(append(args, "--tls-authority", authority)...).code, 0)
-	got := call(append(args, "--tls-authority", file(t, "bad.pem", "none"))...)
+	is.Equal(runCommand(args...).code, 1)
+	is.Equal(requests.Load(), int64(0))
+	authority := tempFile(t, "ca.pem", string(pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: server.Certificate().Raw})))
+	is.Equal(runCommand(append(args, "--tls-authority", authority)...).code, 0)
+	got := runCommand(append(args, "--tls-authority", tempFile(t, "bad.pem", "none"))...)
 	is.Equal(got.code, 1)
 	is.True(strings.Contains(got.err, "holds no certificate"))
 }
--- a/internal/cli/admin_whole.go
+++ b/internal/cli/admin_whole.go
@@ -18,7 +18,7 @@
 	platformclient "github.com/hickorybank/hickorybank/internal/platform/client"
 )
 
-// fileArg is a file on the command line.
+// fileArg is the positional argument of commands that read a file.
 type fileArg struct {
 	File string `positional-arg-name:"FILE" required:"true"`
 }
@@ -28,7 +28,7 @@
 	Revision setting.Count `long:"revision" env:"HICKORYBANK_REVISION" accept:"1..9223372036854775807" description:"a past revision"`
 }
 
-// Execute prints the configuration as JSON.
+// Execute prints the configuration as JSON, and its revision to standard error.
 func (c *adminGetCommand) Execute([]string) error {
 	query := url.Values{}
 	if c.Revision.Given() {
@@ -53,8 +53,8 @@
 	Args fileArg `positional-args:"true"`
 }
 
-// Execute replaces the configuration. The file is checked here first, so that
-// all its faults are told even if no node answers.
+// Execute replaces the configuration. It validates the file first, so that faults are reported even
+// if no node answers.
 func (c *adminApplyCommand) Execute([]string) error {
 	doc, err := readConfiguration(c.Args.File)
 	if err != nil {
@@ -91,7 +91,7 @@
 	Args     fileArg `positional-args:"true"`
 }
 
-// Execute stores the first configuration.
+// Execute stores the first configuration in the platform's table, without a node.
 func (c *adminBootstrapCommand) Execute([]string) error {
 	doc, err := readConfiguration(c.Args.File)
 	if err != nil {
--- a/internal/cli/capacity.go
+++ b/internal/cli/capacity.go
@@ -26,7 +26,7 @@
 	Render bool   `long:"render" env:"HICKORYBANK_RENDER" description:"measure nothing: work the page of --write out again from its own slopes"`
 }
 
-// Execute measures, and prints or writes the report.
+// Execute measures the slopes, or reads them from the page, and prints or writes the report.
 func (c *capacityCommand) Execute([]string) error {
 	slopes, err := c.slopes()
 	if err != nil {
@@ -58,7 +58,8 @@
 	return capacity.Parse(string(page))
 }
 
-const pageMode = 0o644
+// pageFileMode is the file mode of the written page.
+const pageFileMode = 0o644
 
 func (c *capacityCommand) write(r capacity.Report) error {
 	page, err := os.ReadFile(c.Write)
@@ -69,7 +70,7 @@
 	if err != nil {
 		return err
 	}
-	return eris.Wrap(os.WriteFile(c.Write, []byte(next), pageMode), "write page")
+	return eris.Wrap(os.WriteFile(c.Write, []byte(next), pageFileMode), "write page")
 }
 
 func (c *capacityCommand) print(r capacity.Report) error {
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -15,31 +15,31 @@
 )
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asCommand) != "" {
+	if os.Getenv(runAsCommandVariable) != "" {
 		os.Exit(Main(os.Args[1:], os.Stdout, os.Stderr))
 	}
 	for _, pair := range os.Environ() {
 		name, _, _ := strings.Cut(pair, "=")
 		if strings.HasPrefix(name, "HICKORYBANK_") {
-			_ = os.Unsetenv(name) // the tests set what they need
+			_ = os.Unsetenv(name) // tests set the variables that they need
 		}
 	}
 	goleak.VerifyTestMain(m)
 }
 
-// outcome is what a command line came to.
-type outcome struct {
+// commandResult is the exit code and the output of a command.
+type commandResult struct {
 	code     int
 	out, err string
 }
 
-func call(args ...string) outcome {
+func runCommand(args ...string) commandResult {
 	var out, errOut bytes.Buffer
 	code := Main(args, &out, &errOut)
-	return outcome{code: code, out: out.String(), err: errOut.String()}
+	return commandResult{code: code, out: out.String(), err: errOut.String()}
 }
 
-func file(t *testing.T, name, text string) string {
+func tempFile(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
 	is.New(t).NoErr(os.WriteFile(path, []byte(text), 0o600))
@@ -47,8 +47,8 @@
 }
 
 func TestExitCodes(t *testing.T) {
-	good := file(t, "good.json", call("config", "example").out)
-	bad := file(t, "bad.json", `{"preset":"p","prestes":[]}`)
+	good := tempFile(t, "good.json", runCommand("config", "example").out)
+	bad := tempFile(t, "bad.json", `{"preset":"p","prestes":[]}`)
 	cases := []struct {
 		args []string
 		code int
@@ -76,16 +76,16 @@
 	for _, c := range cases {
 		t.Run(strings.Join(c.args, " "), func(t *testing.T) {
 			is := is.New(t)
-			got := call(c.args...)
+			got := runCommand(c.args...)
 			is.Equal(got.code, c.code)
-			is.True(strings.Contains(got.out+got.err, c.part)) // the part
+			is.True(strings.Contains(got.out+got.err, c.part)) // the output has the part
 		})
 	}
 }
 
-// Each flag must have its variable, a description and a check that knows its
-// form; a newcomer reads the rest from the help, with an example of each.
-func TestEveryFlagHasItsVariable(t *testing.T) {
+// Each flag must have the environment variable of its name, a description and a valid accept tag.
+// Each command must have a help text with an example.
+func TestEveryFlagHasVariableAndDescription(t *testing.T) {
 	is := is.New(t)
 	parser := newParser(&env{})
 	var walk func(c *flags.Command)
@@ -111,7 +111,7 @@
 	}
 }
 
-// checkTags panics when a tag is wrong.
+// checkTags panics if an accept tag of the command is invalid.
 func checkTags(c command) {
 	if c.data != nil {
 		setting.Check(c.data)
@@ -127,9 +127,9 @@
 	t.Setenv("HICKORYBANK_SESSION_KEY", "short,"+strings.Repeat("ab", 32))
 	t.Setenv("HICKORYBANK_OPERATOR_KEY_HASH", "my-own-key")
 	t.Setenv("HICKORYBANK_ADMIN_LISTEN", "127.0.0.1:0")
-	got := call("entry", "--id", "e1", "--failure-domain", "manga", "--platform", "http://127.0.0.1:1")
+	got := runCommand("entry", "--id", "e1", "--failure-domain", "manga", "--platform", "http://127.0.0.1:1")
 	is.Equal(got.code, 2)
-	is.Equal(strings.Count(got.err, "\n"), 4) // a title and three faults
+	is.Equal(strings.Count(got.err, "\n"), 4) // a heading and three faults
 	is.True(!strings.Contains(got.err, "my-own-key"))
-	is.True(!strings.Contains(call("entry", "--help").out, "short"))
+	is.True(!strings.Contains(runCommand("entry", "--help").out, "short"))
 }
--- a/internal/cli/config_check.go
+++ b/internal/cli/config_check.go
@@ -32,13 +32,13 @@
 	Args    fileArg `positional-args:"true"`
 }
 
-// checkReport is what config check found in a valid file.
+// checkReport is the JSON output of config check for a valid file.
 type checkReport struct {
 	Warnings    []config.Fault      `json:"warnings"`
 	Differences []config.Difference `json:"differences,omitempty"`
 }
 
-// Execute checks a file.
+// Execute checks a configuration file and prints its warnings and differences.
 func (c *configCheckCommand) Execute([]string) error {
 	doc, err := readConfiguration(c.Args.File)
 	if err != nil {
@@ -71,7 +71,7 @@
 	Deployment string `long:"deployment" env:"HICKORYBANK_DEPLOYMENT" accept:"one of tarifas, sahel" default:"tarifas" description:"which deployment"`
 }
 
-// Execute prints an example.
+// Execute prints the configuration of an example deployment as JSON.
 func (c *configExampleCommand) Execute([]string) error {
 	doc, err := example.Load(c.Deployment)
 	if err != nil {
--- a/internal/cli/dev.go
+++ b/internal/cli/dev.go
@@ -17,7 +17,7 @@
   hickorybank dev --deployment sahel --listen 127.0.0.1:9000 \
   --admin-listen 127.0.0.1:9001`
 
-// devReadyTimeout is how long a deployment may take until it serves.
+// devReadyTimeout is how long a deployment may take to become ready.
 const devReadyTimeout = 60 * time.Second
 
 type devCommand struct {
@@ -34,9 +34,9 @@
 	Seed        setting.Count    `long:"seed" env:"HICKORYBANK_SEED" accept:"0..9223372036854775807" default:"1" description:"seed of what is random"`
 }
 
-// Execute runs the deployment until it is told to stop.
+// Execute runs the deployment until SIGINT or SIGTERM.
 func (c *devCommand) Execute([]string) error {
-	log := c.loggerFrom(c.env, "warn")
+	log := c.loggerWithLevel(c.env, "warn")
 	d, err := dev.New(dev.Settings{
 		Deployment: c.Deployment, Listen: c.Listen, AdminListen: c.AdminListen, Entries: c.Entries.Get(),
 		FirstToken: c.FirstToken.Get(), TokenGap: c.TokenGap.Get(), Tokens: c.Tokens.Get(),
--- a/internal/cli/dev/deployment.go
+++ b/internal/cli/dev/deployment.go
@@ -19,13 +19,13 @@
 	upstreamclient "github.com/hickorybank/hickorybank/internal/upstream/client"
 )
 
-// part is something that is started and closed.
-type part interface {
+// component is a server that is started and closed.
+type component interface {
 	Start() error
 	Close(ctx context.Context) error
 }
 
-// Deployment is a whole deployment in one process.
+// Deployment is an example deployment that runs in this process.
 type Deployment struct {
 	settings Settings
 	log      *slog.Logger
@@ -38,10 +38,10 @@
 	services *upstreamclient.Services
 	entries  []*node.Node
 	// upstreams are the started upstreams.
-	upstreams []part
+	upstreams []component
 }
 
-// New returns a deployment that is not yet started.
+// New returns a deployment that is not started yet. It fails for an unknown example.
 func New(s Settings, log *slog.Logger) (*Deployment, error) {
 	topology, err := example.LoadTopology(s.Deployment)
 	if err != nil {
@@ -61,14 +61,14 @@
 	}, nil
 }
 
-// Start starts the platform, stores the configuration, and starts upstreams
-// and entry nodes. When it fails, what was started is closed.
+// Start starts the platform, stores the configuration, and starts the upstreams and entry nodes. If
+// a step fails, it closes everything that has been started.
 func (d *Deployment) Start() error {
 	for _, step := range []func() error{d.startPlatform, d.bootstrap, d.startEngines, d.startServices, d.startEntries} {
 		if err := step(); err != nil {
 			ctx, cancel := context.WithTimeout(context.Background(), stepTimeout)
 			defer cancel()
-			_ = d.Close(ctx) // the first error counts
+			_ = d.Close(ctx) // the error of the step is returned
 			return err
 		}
 	}
@@ -104,46 +104,48 @@
 	return err
 }
 
-// Close stops the entry nodes gracefully, then the rest.
+// Close stops the entry nodes gracefully, then the upstreams and the platform. It returns the first
+// error.
 func (d *Deployment) Close(ctx context.Context) error {
 	var err error
 	d.closeEntries(ctx, &err)
 	for _, u := range d.upstreams {
-		note(&err, u.Close(ctx))
+		keepFirst(&err, u.Close(ctx))
 	}
 	d.engines.Close()
 	d.services.Close()
 	if d.platform != nil {
 		d.client.Close()
-		note(&err, d.platform.Close(ctx))
+		keepFirst(&err, d.platform.Close(ctx))
 	}
 	return err
 }
 
-// closeEntries stops all at once: each waits until callers have heard of it.
+// closeEntries stops the entry nodes concurrently, since each waits until callers' lists of
+// addresses have expired.
 func (d *Deployment) closeEntries(ctx context.Context, err *error) {
 	errs := make([]error, len(d.entries))
-	var all conc.WaitGroup
+	var wg conc.WaitGroup
 	for i, n := range d.entries {
-		all.Go(func() { errs[i] = n.Close(ctx) })
+		wg.Go(func() { errs[i] = n.Close(ctx) })
 	}
-	all.Wait()
+	wg.Wait()
 	for _, e := range errs {
-		note(err, e)
+		keepFirst(err, e)
 	}
 }
 
-func note(first *error, err error) {
+func keepFirst(first *error, err error) {
 	if *first == nil {
 		*first = err
 	}
 }
 
-// portZero is the address with the port left to the machine.
-func portZero(addr string) string {
+// withFreePort returns the address with port 0, so that the system assigns a free port.
+func withFreePort(addr string) string {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
-		return addr // listening will tell
+		return addr // listening on it fails with the reason
 	}
 	return net.JoinHostPort(host, "0")
 }
--- a/internal/cli/dev/entries.go
+++ b/internal/cli/dev/entries.go
@@ -8,7 +8,7 @@
 	"github.com/hickorybank/hickorybank/internal/node"
 )
 
-// operatorName stands for the demo operator in the log of changes.
+// operatorName is the demo operator's name in the log of changes.
 const operatorName = "demo"
 
 func (d *Deployment) startEntries() error {
@@ -31,13 +31,13 @@
 func (d *Deployment) entrySettings(i int) node.Settings {
 	listen, adminListen := d.settings.Listen, d.settings.AdminListen
 	if i > 0 {
-		listen, adminListen = portZero(listen), portZero(adminListen)
+		listen, adminListen = withFreePort(listen), withFreePort(adminListen)
 	}
-	// A key of the demo is no secret: it is the same in every process.
+	// The demo's session key is not secret: it depends on the deployment's name only.
 	sessionKey := sha256.Sum256([]byte("demo " + d.settings.Deployment))
 	return node.Settings{
 		ID: d.topology.EntryID(i), FailureDomain: d.topology.Domain(i),
-		Listen: listen, PeerListen: portZero(listen), AdminListen: adminListen,
+		Listen: listen, PeerListen: withFreePort(listen), AdminListen: adminListen,
 		OperatorKeyHashes: []string{operatorName + "=" + config.HashKey(example.OperatorKey)},
 		SessionKeys:       [][]byte{sessionKey[:]},
 		AddressTTL:        d.settings.AddressTTL,
--- a/internal/cli/dev/guide.go
+++ b/internal/cli/dev/guide.go
@@ -7,27 +7,26 @@
 	"github.com/hickorybank/hickorybank/internal/example"
 )
 
-// BaseURL is where callers reach the first entry node.
+// BaseURL returns the URL of the first entry node for callers.
 func (d *Deployment) BaseURL() string { return "http://" + d.entries[0].Addr() }
 
-// AdminURL is where operators reach it.
+// AdminURL returns the URL of the first entry node's administration interface.
 func (d *Deployment) AdminURL() string { return "http://" + d.entries[0].AdminAddr() }
 
-// PlatformURL is where the stand-in platform is reached, and FaultsURL its
-// fault port.
+// PlatformURL returns the URL of the stand-in platform.
 func (d *Deployment) PlatformURL() string { return "http://" + d.platform.Addr() }
 
-// FaultsURL is the fault port of the stand-in platform.
+// FaultsURL returns the URL of the stand-in platform's fault interface.
 func (d *Deployment) FaultsURL() string { return "http://" + d.platform.FaultAddr() }
 
-// Curl is a command that works when it is pasted into a shell.
+// Curl returns a shell command that sends a chat request to the first entry node.
 func (d *Deployment) Curl() string {
 	class := d.doc.Classes[0].Name
 	key := example.DemoKey(d.doc.Organisations[0].Name)
 	return fmt.Sprintf(`curl -s %s/v1/chat/completions -H 'Authorization: Bearer %s' -d '{"model":"%s","messages":[{"role":"user","content":"Hello."}]}'`, d.BaseURL(), key, class)
 }
 
-// Guide prints the ready line and what a newcomer needs next.
+// Guide prints the ready line, the URLs and keys, and example commands.
 func (d *Deployment) Guide(w io.Writer) {
 	fmt.Fprintf(w, "ready dev %s admin %s\n\n", d.entries[0].Addr(), d.entries[0].AdminAddr())
 	fmt.Fprintf(w, "deployment    %s in %s: %d entry nodes, %d engines, %d service runners in %d failure domains\n",
--- a/internal/cli/dev/harness_test.go
+++ b/internal/cli/dev/harness_test.go
@@ -12,10 +12,10 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const ampleTime = time.Minute
+const testTimeout = time.Minute
 
-// start runs a small deployment for one test.
-func start(t *testing.T, deployment string) *Deployment {
+// startDeployment starts a small deployment that is closed when the test ends.
+func startDeployment(t *testing.T, deployment string) *Deployment {
 	t.Helper()
 	is := is.New(t)
 	d, err := New(Settings{
@@ -25,11 +25,11 @@
 	is.NoErr(err)
 	is.NoErr(d.Start())
 	t.Cleanup(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), ampleTime)
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
 		is.NoErr(d.Close(ctx))
 	})
-	ctx, cancel := context.WithTimeout(context.Background(), ampleTime)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	is.NoErr(d.AwaitReady(ctx))
 	return d
--- a/internal/cli/dev/openai_test.go
+++ b/internal/cli/dev/openai_test.go
@@ -14,8 +14,8 @@
 	"github.com/hickorybank/hickorybank/internal/example"
 )
 
-// library is the OpenAI client library as it comes, pointed at an entry node.
-func library(t *testing.T, d *Deployment, key string) *openai.Client {
+// newOpenAIClient returns a client of the unmodified OpenAI library for the first entry node.
+func newOpenAIClient(t *testing.T, d *Deployment, key string) *openai.Client {
 	t.Helper()
 	transport := new(http.Transport)
 	t.Cleanup(transport.CloseIdleConnections)
@@ -25,7 +25,7 @@
 	return openai.NewClientWithConfig(c)
 }
 
-func asking(model string) openai.ChatCompletionRequest {
+func chatRequest(model string) openai.ChatCompletionRequest {
 	return openai.ChatCompletionRequest{
 		Model: model,
 		Messages: []openai.ChatCompletionMessage{
@@ -36,15 +36,14 @@
 	}
 }
 
-// digest begins the stand-in's answer to "Hello.".
-const digest = "2d8bd7d9bb5f85ba"
+// answerDigest is the beginning of the stand-in's answer to "Hello.".
+const answerDigest = "2d8bd7d9bb5f85ba"
 
-// A team has an application that uses the OpenAI library and changes its base
-// URL and key, nothing else. Listing models, whole answers, streams and errors
-// must work as the library expects them.
+// An application that uses the OpenAI library must work if only its base URL and key are changed.
+// That covers the list of models, complete answers, streams and errors.
 func TestUnmodifiedOpenAILibrary(t *testing.T) {
-	d := start(t, "tarifas")
-	c := library(t, d, example.DemoKey("tolu"))
+	d := startDeployment(t, "tarifas")
+	c := newOpenAIClient(t, d, example.DemoKey("tolu"))
 	ctx := context.Background()
 
 	t.Run("models", func(t *testing.T) {
@@ -62,10 +61,10 @@
 	t.Run("whole", func(t *testing.T) {
 		for _, model := range []string{"draft", "dues", "dues@2"} {
 			is := is.New(t)
-			got, err := c.CreateChatCompletion(ctx, asking(model))
+			got, err := c.CreateChatCompletion(ctx, chatRequest(model))
 			is.NoErr(err)
 			is.Equal(len(got.Choices), 1)
-			is.True(strings.Contains(got.Choices[0].Message.Content, digest))
+			is.True(strings.Contains(got.Choices[0].Message.Content, answerDigest))
 			is.True(strings.HasSuffix(got.Choices[0].Message.Content, "t2 t3 t4 t5 "))
 			is.Equal(got.Choices[0].FinishReason, openai.FinishReasonStop)
 			is.Equal(got.Usage.CompletionTokens, 5)
@@ -74,8 +73,8 @@
 	})
 	t.Run("stream", func(t *testing.T) {
 		is := is.New(t)
-		text, last := readAll(t, c, asking("dues@1"))
-		is.True(strings.Contains(text, digest))
+		text, last := readAll(t, c, chatRequest("dues@1"))
+		is.True(strings.Contains(text, answerDigest))
 		is.True(strings.HasSuffix(text, "t2 t3 t4 t5 "))
 		is.Equal(last.Choices[0].FinishReason, openai.FinishReasonStop)
 		is.Equal(last.Usage.CompletionTokens, 5)
@@ -91,14 +90,14 @@
 			{example.DemoKey("tolu"), "", http.StatusBadRequest, "bad_request"},
 		} {
 			is := is.New(t)
-			_, err := library(t, d, e.key).CreateChatCompletion(ctx, asking(e.model))
-			var told *openai.APIError
-			is.True(errors.As(err, &told)) // the library understood the error
-			is.Equal(told.HTTPStatusCode, e.status)
-			is.Equal(told.Code, e.code)
-			_, err = library(t, d, e.key).CreateChatCompletionStream(ctx, asking(e.model))
-			is.True(errors.As(err, &told))
-			is.Equal(told.HTTPStatusCode, e.status)
+			_, err := newOpenAIClient(t, d, e.key).CreateChatCompletion(ctx, chatRequest(e.model))
+			var apiErr *openai.APIError
+			is.True(errors.As(err, &apiErr)) // the library decoded the error
+			is.Equal(apiErr.HTTPStatusCode, e.status)
+			is.Equal(apiErr.Code, e.code)
+			_, err = newOpenAIClient(t, d, e.key).CreateChatCompletionStream(ctx, chatRequest(e.model))
+			is.True(errors.As(err, &apiErr))
+			is.Equal(apiErr.HTTPStatusCode, e.status)
 		}
 	})
 }
--- a/internal/cli/dev/ready.go
+++ b/internal/cli/dev/ready.go
@@ -13,10 +13,10 @@
 	"github.com/hickorybank/hickorybank/internal/platform"
 )
 
-const readyPause = 50 * time.Millisecond
+const readyPollInterval = 50 * time.Millisecond
 
-// AwaitReady returns when every entry node takes new work and has heard from
-// the upstreams what they can do, or with the context's error.
+// AwaitReady waits until every entry node is ready and has load reports of the upstreams. It returns
+// the context's error if that ends first.
 func (d *Deployment) AwaitReady(ctx context.Context) error {
 	for _, n := range d.entries {
 		if err := d.awaitEntry(ctx, n.AdminAddr()); err != nil {
@@ -29,17 +29,17 @@
 func (d *Deployment) awaitEntry(ctx context.Context, addr string) error {
 	c := client.New("http://"+addr, example.OperatorKey)
 	defer c.Close()
-	for !(takesWork(ctx, addr) && d.knowsUpstreams(ctx, c)) {
+	for !(isReady(ctx, addr) && d.hasUpstreams(ctx, c)) {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(readyPause):
+		case <-time.After(readyPollInterval):
 		}
 	}
 	return nil
 }
 
-func takesWork(ctx context.Context, addr string) bool {
+func isReady(ctx context.Context, addr string) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/readyz", nil)
 	if err != nil {
 		return false
@@ -54,9 +54,8 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// knowsUpstreams says whether the node knows a service runner, and an engine
-// for each version.
-func (d *Deployment) knowsUpstreams(ctx context.Context, c *client.Client) bool {
+// hasUpstreams reports whether the node has discovered a service VM and an engine for each version.
+func (d *Deployment) hasUpstreams(ctx context.Context, c *client.Client) bool {
 	var list admin.UpstreamList
 	if _, err := c.Get(ctx, "upstreams", nil, &list); err != nil {
 		return false
--- a/internal/cli/dev/session_test.go
+++ b/internal/cli/dev/session_test.go
@@ -22,14 +22,14 @@
 	versionHeader = "Hickorybank-Version"
 )
 
-// reply is an answer with its body read.
-type reply struct {
+// response is an HTTP response with its body.
+type response struct {
 	status int
 	header http.Header
 	body   string
 }
 
-func (r reply) code() string {
+func (r response) code() string {
 	var body struct {
 		Error struct {
 			Code    string `json:"code"`
@@ -41,7 +41,7 @@
 }
 
 // chat sends one request for "draft" to an entry node.
-func chat(t *testing.T, base, organisation string, headers ...string) reply {
+func chat(t *testing.T, base, organisation string, headers ...string) response {
 	t.Helper()
 	is := is.New(t)
 	body := `{"model":"draft","messages":[{"role":"user","content":"Hello."}]}`
@@ -58,16 +58,15 @@
 	defer resp.Body.Close()
 	data, err := io.ReadAll(resp.Body)
 	is.NoErr(err)
-	return reply{resp.StatusCode, resp.Header, string(data)}
+	return response{resp.StatusCode, resp.Header, string(data)}
 }
 
-// A dossier is worked on in one session. It must stay on its version whichever
-// entry node its requests reach, and nobody may get into it, or past what an
-// organisation is allowed, with a token that is made up, changed, another
-// organisation's or too old.
+// The requests of a session must stay on its version, whichever entry node they reach. A token that
+// is made up, modified, too old or another organisation's must be rejected. Otherwise a caller could
+// use another session or a version that its organisation is not permitted.
 func TestSessionTokens(t *testing.T) {
 	is := is.New(t)
-	d := start(t, "tarifas")
+	d := startDeployment(t, "tarifas")
 	first := chat(t, d.BaseURL(), "tolu", startHeader, "1")
 	if first.status != http.StatusOK {
 		t.Fatalf("the first request was answered %d %s: %s", first.status, first.code(), first.body)
@@ -81,15 +80,15 @@
 			is.Equal(next.header.Get(versionHeader), version)
 		}
 	}
-	for name, r := range map[string]reply{
+	for name, r := range map[string]response{
 		"another organisation's": chat(t, d.BaseURL(), "turbo", sessionHeader, token),
-		"changed":                chat(t, d.BaseURL(), "tolu", sessionHeader, changed(token)),
+		"changed":                chat(t, d.BaseURL(), "tolu", sessionHeader, tampered(token)),
 		"made up":                chat(t, d.BaseURL(), "tolu", sessionHeader, "a.b"),
 		"empty parts":            chat(t, d.BaseURL(), "tolu", sessionHeader, "."),
 		"very long":              chat(t, d.BaseURL(), "tolu", sessionHeader, strings.Repeat("a", 4000)),
-		"forged":                 chat(t, d.BaseURL(), "tolu", sessionHeader, signed(t, bytes.Repeat([]byte("k"), 32), version, time.Now())),
-		"too old":                chat(t, d.BaseURL(), "tolu", sessionHeader, signed(t, d.entrySettings(0).SessionKeys[0], version, time.Now().Add(-session.MaxAge-time.Hour))),
-		"from the future":        chat(t, d.BaseURL(), "tolu", sessionHeader, signed(t, d.entrySettings(0).SessionKeys[0], version, time.Now().Add(time.Hour))),
+		"forged":                 chat(t, d.BaseURL(), "tolu", sessionHeader, signToken(t, bytes.Repeat([]byte("k"), 32), version, time.Now())),
+		"too old":                chat(t, d.BaseURL(), "tolu", sessionHeader, signToken(t, d.entrySettings(0).SessionKeys[0], version, time.Now().Add(-session.MaxAge-time.Hour))),
+		"from the future":        chat(t, d.BaseURL(), "tolu", sessionHeader, signToken(t, d.entrySettings(0).SessionKeys[0], version, time.Now().Add(time.Hour))),
 	} {
 		if r.status != http.StatusBadRequest || r.code() != "bad_request not_run" {
 			t.Error(name, r.status, r.body)
@@ -97,8 +96,8 @@
 	}
 }
 
-// changed flips one character of a token.
-func changed(token string) string {
+// tampered returns the token with one character changed.
+func tampered(token string) string {
 	flipped := "A"
 	if token[5] == 'A' {
 		flipped = "B"
@@ -106,7 +105,7 @@
 	return token[:5] + flipped + token[6:]
 }
 
-func signed(t *testing.T, key []byte, version string, began time.Time) string {
+func signToken(t *testing.T, key []byte, version string, began time.Time) string {
 	t.Helper()
 	is := is.New(t)
 	sealer, err := seal.New(key)
--- a/internal/cli/dev/slow_test.go
+++ b/internal/cli/dev/slow_test.go
@@ -11,32 +11,32 @@
 	"github.com/sourcegraph/conc"
 )
 
-// A program opens many connections and sends a header that never ends. Each
-// holds memory and a descriptor of a small VM, until honest callers find no
-// room. The node must close such a connection by itself, and go on serving.
-func TestSlowHeadersAreCutOff(t *testing.T) {
+// A client opens many connections and sends a header that never ends on each. Each connection
+// occupies memory and a file descriptor of a small VM, until other callers are locked out. The node
+// must close such connections after a time limit and continue to serve.
+func TestEndlessHeaderTimesOut(t *testing.T) {
 	is := is.New(t)
-	d := start(t, "sahel")
+	d := startDeployment(t, "sahel")
 	const connections = 20
-	var all conc.WaitGroup
+	var wg conc.WaitGroup
 	for _, addr := range []string{d.entries[0].Addr(), d.entries[0].AdminAddr()} {
 		for range connections {
-			all.Go(func() { sendSlowly(t, addr) })
+			wg.Go(func() { sendEndlessHeader(t, addr) })
 		}
 	}
-	all.Wait()
+	wg.Wait()
 	is.Equal(chat(t, d.BaseURL(), "tunis", "Hickorybank-Class", "assessment").code(), "model_not_found not_run") // it serves
 }
 
-// sendSlowly sends a header line after line until the other side closes.
-func sendSlowly(t *testing.T, addr string) {
+// sendEndlessHeader sends an unfinished header and waits until the node closes the connection.
+func sendEndlessHeader(t *testing.T, addr string) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Error(err)
 		return
 	}
 	defer conn.Close()
-	if err := conn.SetDeadline(time.Now().Add(ampleTime)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Error(err)
 		return
 	}
@@ -45,7 +45,7 @@
 		t.Error(err)
 		return
 	}
-	answer, err := io.ReadAll(conn) // ends when the node closes
+	answer, err := io.ReadAll(conn) // returns when the node closes the connection
 	if err != nil && !strings.Contains(err.Error(), "reset") {
 		t.Error("the connection was still open:", err)
 	}
--- a/internal/cli/dev/upstreams.go
+++ b/internal/cli/dev/upstreams.go
@@ -9,7 +9,7 @@
 	"github.com/hickorybank/hickorybank/internal/standin/service"
 )
 
-// stepTimeout bounds each step of a start.
+// stepTimeout is the time limit of one call to the platform and of closing after a failed start.
 const stepTimeout = 30 * time.Second
 
 func (d *Deployment) startEngines() error {
@@ -52,13 +52,13 @@
 	return nil
 }
 
-// addressed is a part with an address.
-type addressed interface {
-	part
+// upstreamServer is a component that has a listening address.
+type upstreamServer interface {
+	component
 	Addr() string
 }
 
-func (d *Deployment) startUpstream(server addressed, vm platform.VM) error {
+func (d *Deployment) startUpstream(server upstreamServer, vm platform.VM) error {
 	if err := server.Start(); err != nil {
 		return err
 	}
--- a/internal/cli/doc.go
+++ b/internal/cli/doc.go
@@ -1,3 +1,3 @@
-// Package cli is the command line: one command a file, each checks its
-// settings, builds the parts and runs until it is told to stop.
+// Package cli implements the hickorybank command line, with one file for each command or group of
+// commands. A command checks its settings before it runs; a server runs until SIGINT or SIGTERM.
 package cli
--- a/internal/cli/docs_test.go
+++ b/internal/cli/docs_test.go
@@ -10,13 +10,14 @@
 	"github.com/matryer/is"
 )
 
-// asCommand makes this test binary act as the hickorybank command.
-const asCommand = "TEST_BINARY_IS_HICKORYBANK"
+// runAsCommandVariable is the environment variable that makes this test binary run as the
+// hickorybank command.
+const runAsCommandVariable = "TEST_BINARY_IS_HICKORYBANK"
 
 const operationsPage = "../../docs/OPERATIONS.md"
 
-// blocks returns the text of a page's blocks of one language.
-func blocks(page, language string) []string {
+// codeBlocks returns the texts of a page's code blocks in one language.
+func codeBlocks(page, language string) []string {
 	var found []string
 	for _, part := range strings.Split(page, "\n```"+language+"\n")[1:] {
 		block, _, _ := strings.Cut(part, "\n```")
@@ -25,24 +26,23 @@
 	return found
 }
 
-// Somebody in the morning, in a hurry, copies a command from the page. Each
-// must work as it stands, one after the other.
-func TestOperationsPage(t *testing.T) {
+// Operators copy commands from the page. Each must work as it stands, in the order of the page.
+func TestCommandsOfOperationsPageWork(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile(operationsPage)
 	is.NoErr(err)
-	self, err := os.Executable()
+	executable, err := os.Executable()
 	is.NoErr(err)
 	bin, work := t.TempDir(), t.TempDir()
-	script := "#!/bin/sh\n" + asCommand + "=1 exec '" + self + "' \"$@\"\n"
+	script := "#!/bin/sh\n" + runAsCommandVariable + "=1 exec '" + executable + "' \"$@\"\n"
 	is.NoErr(os.WriteFile(filepath.Join(bin, "hickorybank"), []byte(script), 0o700))
 	r := startDev(t, "--deployment", "tarifas", "--entries", "2")
 	defer r.stop(t)
 	words := strings.Fields(r.line("export"))
 	environment := append(os.Environ(), "PATH="+bin+":"+os.Getenv("PATH"), words[1], words[2])
-	tried := blocks(string(page), "sh")
-	is.True(len(tried) > 5)
-	for _, block := range tried {
+	examples := codeBlocks(string(page), "sh")
+	is.True(len(examples) > 5)
+	for _, block := range examples {
 		cmd := exec.Command("sh", "-eu", "-c", block)
 		cmd.Dir = work
 		cmd.Env = environment
--- a/internal/cli/entry.go
+++ b/internal/cli/entry.go
@@ -46,7 +46,7 @@
 	Register       bool             `long:"register" env:"HICKORYBANK_REGISTER" description:"tell a stand-in platform of this VM"`
 }
 
-// faults are those that concern more than one setting.
+// faults returns the faults that concern more than one setting.
 func (c *entryCommand) faults() setting.Faults {
 	if (c.AdminListen == "") == (len(c.OperatorKeys) == 0) {
 		return nil
@@ -57,7 +57,7 @@
 	}}
 }
 
-// Execute runs an entry node until it is told to stop.
+// Execute runs an entry node until SIGINT or SIGTERM.
 func (c *entryCommand) Execute([]string) error {
 	settings, err := c.settings()
 	if err != nil {
@@ -87,7 +87,7 @@
 	return run(log, c.StopTimeout.Get(), ready, n)
 }
 
-// readyLine names the node's addresses, each after the word for it.
+// readyLine returns the line that reports the node's addresses, each after a word for its purpose.
 func readyLine(n *node.Node) string {
 	line := "ready entry " + n.Addr() + " peer " + n.VM().Peer
 	if n.AdminAddr() != "" {
@@ -104,24 +104,24 @@
 	return node.Settings{
 		ID: c.ID, FailureDomain: c.FailureDomain,
 		Listen: c.Listen, PeerListen: c.PeerListen, AdminListen: c.AdminListen,
-		OperatorKeyHashes: c.OperatorKeys, SessionKeys: secrets(c.SessionKeys),
-		Seeds: c.Seeds, AddressTTL: c.AddressTTL.Get(), Seed: seedOf(c.ID),
+		OperatorKeyHashes: c.OperatorKeys, SessionKeys: decodeSecrets(c.SessionKeys),
+		Seeds: c.Seeds, AddressTTL: c.AddressTTL.Get(), Seed: seedFromID(c.ID),
 		TLS: configs,
 	}, nil
 }
 
-// secrets decodes hexadecimal texts that were checked.
-func secrets(texts []string) [][]byte {
+// decodeSecrets decodes hexadecimal texts whose form has been checked.
+func decodeSecrets(texts []string) [][]byte {
 	keys := make([][]byte, 0, len(texts))
 	for _, text := range texts {
 		key, err := hex.DecodeString(text)
 		if err != nil {
-			panic(err) // the settings were checked
+			panic(err) // cannot happen: the settings have been checked
 		}
 		keys = append(keys, key)
 	}
 	return keys
 }
 
-// seedOf spreads what must differ between nodes, whose ids do.
-func seedOf(id string) uint64 { return xxhash.Sum64String(id) }
+// seedFromID derives a node's random seed from its id. Ids differ between nodes, so seeds do too.
+func seedFromID(id string) uint64 { return xxhash.Sum64String(id) }
--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -59,7 +59,7 @@
 	return faults
 }
 
-// Execute sends the load. A signal ends the sending; what runs is waited for.
+// Execute sends the load and reports on it. A signal stops new requests; running ones are waited for.
 func (c *loadCommand) Execute([]string) error {
 	mix, err := c.mix()
 	if err != nil {
@@ -76,7 +76,7 @@
 	if !c.Direct {
 		return c.run(ctx, settings, routed)
 	}
-	return c.sideBySide(ctx, settings, routed)
+	return c.runWithDirect(ctx, settings, routed)
 }
 
 func (c *loadCommand) mix() (*load.Mix, error) {
@@ -90,9 +90,10 @@
 	return load.ParseMix(data)
 }
 
+// listTimeout is the time limit for reading the platform's VM list.
 const listTimeout = 30 * time.Second
 
-func (c *loadCommand) sideBySide(ctx context.Context, s load.Settings, routed load.Lane) error {
+func (c *loadCommand) runWithDirect(ctx context.Context, s load.Settings, routed load.Lane) error {
 	client := platformclient.New(c.Platform)
 	defer client.Close()
 	engines := upstreamclient.NewEngines(upstreamclient.Options{})
@@ -116,11 +117,11 @@
 	if err := c.print(r); err != nil {
 		return err
 	}
-	if err := c.files(r); err != nil {
+	if err := c.writeFiles(r); err != nil {
 		return err
 	}
-	if wrong := r.Wrong(); wrong > 0 {
-		return eris.Errorf("%d answers were foreign or partial", wrong)
+	if failed := r.Wrong(); failed > 0 {
+		return eris.Errorf("%d answers were foreign or partial", failed)
 	}
 	if r.Completed() == 0 {
 		return eris.New("no request was completed")
@@ -135,25 +136,25 @@
 	return r.Text(c.env.out)
 }
 
-func (c *loadCommand) files(r *load.Report) error {
+func (c *loadCommand) writeFiles(r *load.Report) error {
 	if c.Out != "" {
-		if err := toFile(c.Out, func(f *os.File) error { return writeJSON(f, r) }); err != nil {
+		if err := writeFile(c.Out, func(f *os.File) error { return writeJSON(f, r) }); err != nil {
 			return err
 		}
 	}
 	if c.Plot != "" {
-		return toFile(c.Plot, func(f *os.File) error { return r.SVG(f) })
+		return writeFile(c.Plot, func(f *os.File) error { return r.SVG(f) })
 	}
 	return nil
 }
 
-func toFile(name string, write func(*os.File) error) error {
+func writeFile(name string, write func(*os.File) error) error {
 	f, err := os.Create(name)
 	if err != nil {
 		return eris.Wrap(err, "write file")
 	}
 	if err := write(f); err != nil {
-		_ = f.Close() // the first error counts
+		_ = f.Close() // the error of the write is returned
 		return err
 	}
 	return eris.Wrap(f.Close(), "write file")
--- a/internal/cli/log.go
+++ b/internal/cli/log.go
@@ -10,28 +10,27 @@
 	LogLevel  string `long:"log-level" env:"HICKORYBANK_LOG_LEVEL" accept:"one of debug, info, warn, error" description:"least level that is logged (info, if not given; warn for dev)"`
 }
 
-func (o *logOptions) logger(e *env) *slog.Logger { return o.loggerFrom(e, "info") }
+func (o *logOptions) logger(e *env) *slog.Logger { return o.loggerWithLevel(e, "info") }
 
-// loggerFrom returns a logger from a level on, unless another was given.
-func (o *logOptions) loggerFrom(e *env, least string) *slog.Logger {
+// loggerWithLevel returns a logger with a default level, which --log-level overrides.
+func (o *logOptions) loggerWithLevel(e *env, minLevel string) *slog.Logger {
 	if o.LogLevel != "" {
-		least = o.LogLevel
+		minLevel = o.LogLevel
 	}
 	var level slog.Level
-	if err := level.UnmarshalText([]byte(least)); err != nil {
-		panic(err) // the settings were checked
+	if err := level.UnmarshalText([]byte(minLevel)); err != nil {
+		panic(err) // cannot happen: the settings have been checked
 	}
-	options := &slog.HandlerOptions{Level: level, ReplaceAttr: plainErrors}
+	options := &slog.HandlerOptions{Level: level, ReplaceAttr: errorMessages}
 	if o.LogFormat == "json" {
 		return slog.New(slog.NewJSONHandler(e.err, options))
 	}
 	return slog.New(slog.NewTextHandler(e.err, options))
 }
 
-// plainErrors writes an error as its message. The text handler would write the
-// stack of each error from eris, which hides the message and tells paths of the
-// machine that built the program.
-func plainErrors(_ []string, a slog.Attr) slog.Attr {
+// errorMessages replaces an error attribute by its message. The text handler would write the stack
+// trace of each error from eris, which obscures the message and reveals paths of the build machine.
+func errorMessages(_ []string, a slog.Attr) slog.Attr {
 	if err, ok := a.Value.Any().(error); ok {
 		a.Value = slog.StringValue(err.Error())
 	}
--- a/internal/cli/log_test.go
+++ b/internal/cli/log_test.go
@@ -10,14 +10,14 @@
 	"github.com/rotisserie/eris"
 )
 
-// Somebody on call reads the log of a long outage. Each line must say what
-// failed in one line, not where in the program it came from.
-func TestErrorsAreLoggedAsTheirMessage(t *testing.T) {
+// The log of an outage must stay readable: an error takes one line with its message and has no stack
+// trace.
+func TestErrorsAreLoggedWithoutStackTrace(t *testing.T) {
 	for _, format := range []string{"text", "json"} {
 		is := is.New(t)
 		var out bytes.Buffer
 		options := logOptions{LogFormat: format}
-		log := options.loggerFrom(&env{err: &out}, "warn")
+		log := options.loggerWithLevel(&env{err: &out}, "warn")
 		log.Info("left out")
 		log.Warn("kept", slog.Any("error", eris.Wrap(eris.New("table is down"), "read head")))
 		is.True(strings.Contains(out.String(), "read head: table is down"))
--- a/internal/cli/main.go
+++ b/internal/cli/main.go
@@ -18,23 +18,22 @@
 	exitUsage  = 2
 )
 
-// env is what every command runs in.
+// env holds the output streams of a command.
 type env struct {
 	out io.Writer
 	err io.Writer
 }
 
-// Extra is a command that the caller of [Main] adds: the command line knows
-// nothing of it.
+// Extra is a command that the caller of [Main] adds to those of this package. Name is its word on
+// the command line; Short and Long are its help texts.
 type Extra struct {
 	Name, Short, Long string
 	// Data is a struct with flags that implements [flags.Commander].
 	Data flags.Commander
 }
 
-// Main parses the arguments, runs the command and returns the exit code: 0
-// when it did its work, 1 when it failed, 2 when the command line or a setting
-// is wrong.
+// Main parses the arguments, runs the command and returns the exit code: 0 for success, 1 for a
+// failure of the command, 2 for an invalid command line or setting. Errors are printed to errOut.
 func Main(args []string, out, errOut io.Writer, extra ...Extra) int {
 	_, err := newParser(&env{out: out, err: errOut}, extra...).ParseArgs(args)
 	var flagErr *flags.Error
@@ -57,7 +56,7 @@
 	}
 }
 
-// execute checks all settings of a command before it runs.
+// execute checks all settings of a command and runs it if there are no faults.
 func execute(command flags.Commander, args []string) error {
 	if command == nil {
 		return nil
@@ -66,8 +65,8 @@
 		return &flags.Error{Type: flags.ErrCommandRequired, Message: "unexpected argument: " + strings.Join(args, " ")}
 	}
 	faults := setting.Check(command)
-	if more, ok := command.(interface{ faults() setting.Faults }); ok {
-		faults = append(faults, more.faults()...)
+	if checker, ok := command.(interface{ faults() setting.Faults }); ok {
+		faults = append(faults, checker.faults()...)
 	}
 	if len(faults) > 0 {
 		return faults
--- a/internal/cli/parser.go
+++ b/internal/cli/parser.go
@@ -4,7 +4,7 @@
 	"github.com/jessevdk/go-flags"
 )
 
-const about = `Model-aware router for versions and cascades.
+const longDescription = `Model-aware router for versions and cascades.
 
 A newcomer's first command, everything in one process:
   hickorybank dev --deployment tarifas
@@ -12,7 +12,7 @@
 Each flag can be given by its environment variable instead.
 Exit codes: 0 done, 1 failed, 2 wrong command line or settings.`
 
-// command is one entry of the command line.
+// command defines a command or a group of subcommands.
 type command struct {
 	name  string
 	short string
@@ -23,27 +23,27 @@
 
 func newParser(e *env, extra ...Extra) *flags.Parser {
 	parser := flags.NewNamedParser("hickorybank", flags.HelpFlag|flags.PassDoubleDash)
-	parser.LongDescription = about
+	parser.LongDescription = longDescription
 	parser.CommandHandler = execute
 	for _, c := range commands(e) {
-		add(parser.Command, c)
+		addCommand(parser.Command, c)
 	}
 	for _, x := range extra {
-		add(parser.Command, command{name: x.Name, short: x.Short, long: x.Long, data: x.Data})
+		addCommand(parser.Command, command{name: x.Name, short: x.Short, long: x.Long, data: x.Data})
 	}
 	return parser
 }
 
-func add(to *flags.Command, c command) {
+func addCommand(parent *flags.Command, c command) {
 	if c.data == nil {
 		c.data = &struct{}{}
 	}
-	added, err := to.AddCommand(c.name, c.short, c.long, c.data)
+	added, err := parent.AddCommand(c.name, c.short, c.long, c.data)
 	if err != nil {
-		panic(err) // a command's own definition is wrong
+		panic(err) // the definition of the command is invalid
 	}
 	for _, sub := range c.sub {
-		add(added, sub)
+		addCommand(added, sub)
 	}
 }
 
--- a/internal/cli/setting/check.go
+++ b/internal/cli/setting/check.go
@@ -6,27 +6,27 @@
 	"strings"
 )
 
-// Tags of a field, beside those of go-flags.
+// Tags of a field in addition to those of go-flags.
 const (
-	// tagAccept says what is accepted: a word of forms or "one of a, b" for a
-	// text or each of a list, LEAST..MOST for a Duration, Count or Number.
+	// tagAccept defines the accepted values. For a string, or each item of a list, it is a key of
+	// textFormats or "one of a, b". For a Duration, Count or Number it is LOWER..UPPER.
 	tagAccept = "accept"
-	// tagNeeded says with "yes" that the setting must be given.
+	// tagNeeded is "yes" for a required setting.
 	tagNeeded = "needed"
-	// tagSecret says with "yes" that the value is not to be shown.
+	// tagSecret is "yes" for a setting whose value must not be printed.
 	tagSecret = "secret"
 
 	yes = "yes"
 )
 
-// ranged is a setting with a least and a greatest value.
-type ranged interface {
+// rangeSetting is a setting with a lower and an upper bound, both inclusive.
+type rangeSetting interface {
 	given() string
-	within(least, most string) bool
+	within(lower, upper string) bool
 }
 
-// Check returns every fault of the settings in the struct that data points to,
-// those of embedded structs included.
+// Check returns the faults of all settings in the struct that data points to, including those in
+// embedded structs. It panics if a field's type or accept tag is invalid.
 func Check(data any) Faults {
 	var faults Faults
 	checkStruct(reflect.ValueOf(data).Elem(), &faults)
@@ -55,10 +55,10 @@
 		if len(value) == 0 {
 			checkText(field, "", faults)
 		}
-		for _, one := range value {
-			checkText(field, one, faults)
+		for _, item := range value {
+			checkText(field, item, faults)
 		}
-	case ranged:
+	case rangeSetting:
 		checkRange(field, value, faults)
 	default:
 		panic("setting of unexpected type: " + field.Name)
@@ -66,21 +66,21 @@
 }
 
 func checkText(field reflect.StructField, text string, faults *Faults) {
-	f := formOf(field.Tag.Get(tagAccept))
+	f := formatOf(field.Tag.Get(tagAccept))
 	missing := text == "" && field.Tag.Get(tagNeeded) == yes
-	if missing || (text != "" && !f.fits(text)) {
+	if missing || (text != "" && !f.matches(text)) {
 		faults.add(field, text, f.accepted)
 	}
 }
 
-func checkRange(field reflect.StructField, value ranged, faults *Faults) {
-	least, most, ok := strings.Cut(field.Tag.Get(tagAccept), "..")
+func checkRange(field reflect.StructField, value rangeSetting, faults *Faults) {
+	lower, upper, ok := strings.Cut(field.Tag.Get(tagAccept), "..")
 	if !ok {
 		panic("accept tag without a range: " + field.Name)
 	}
 	missing := value.given() == "" && field.Tag.Get(tagNeeded) == yes
-	if missing || (value.given() != "" && !value.within(least, most)) {
-		faults.add(field, value.given(), least+" to "+most)
+	if missing || (value.given() != "" && !value.within(lower, upper)) {
+		faults.add(field, value.given(), lower+" to "+upper)
 	}
 }
 
--- a/internal/cli/setting/check_test.go
+++ b/internal/cli/setting/check_test.go
@@ -26,7 +26,7 @@
 	args    []string
 }
 
-func fill(t *testing.T, gap, batch, rate string) (s sample) {
+func newSample(t *testing.T, gap, batch, rate string) (s sample) {
 	t.Helper()
 	is := is.New(t)
 	is.NoErr(s.Gap.UnmarshalFlag(gap))
@@ -35,12 +35,11 @@
 	return s
 }
 
-// Somebody sets up a node and gets six settings wrong. Told of one at a time,
-// it takes six starts; told at once, one. A secret that is wrong must not end
-// up in the log.
-func TestAllFaultsAreToldAtOnce(t *testing.T) {
+// If only the first fault were reported, each invalid setting would cost the operator one more
+// start. All must be reported together. The value of an invalid secret must not be printed.
+func TestAllFaultsAreReportedTogether(t *testing.T) {
 	is := is.New(t)
-	s := fill(t, "5", "0", "NaN")
+	s := newSample(t, "5", "0", "NaN")
 	s.Format = "xml"
 	s.Peers = []string{"127.0.0.1:1", "localhost:1"}
 	s.URL = "127.0.0.1:80"
@@ -61,9 +60,9 @@
   --rate (X_RATE) is "NaN"; accepted: 0 to 1`)
 }
 
-func TestSoundSettingsPass(t *testing.T) {
+func TestValidSettingsHaveNoFaults(t *testing.T) {
 	is := is.New(t)
-	s := fill(t, "5ms", "100", "0.5")
+	s := newSample(t, "5ms", "100", "0.5")
 	s.Listen = "[::1]:0"
 	s.Format = "json"
 	s.URL = "http://127.0.0.1:8070/x"
@@ -73,5 +72,5 @@
 	is.Equal(s.Batch.Uint64(), uint64(100))
 	is.Equal(s.Rate.Get(), 0.5)
 	var empty sample
-	is.Equal(len(Check(&empty)), 2) // what is needed: listen and rate
+	is.Equal(len(Check(&empty)), 2) // the required settings: listen and rate
 }
--- a/internal/cli/setting/doc.go
+++ b/internal/cli/setting/doc.go
@@ -1,4 +1,4 @@
-// Package setting checks the settings of a command as a whole. A setting keeps
-// what was given, whatever it is, until all are known; then every fault is told
-// at once, each with its flag, its variable, the value and what is accepted.
+// Package setting checks all settings of a command together. Settings keep any text that is given
+// until all are parsed. [Check] then reports every fault with its flag, environment variable, value
+// and accepted values.
 package setting
--- a/internal/cli/setting/fault.go
+++ b/internal/cli/setting/fault.go
@@ -5,17 +5,19 @@
 	"strings"
 )
 
-// Fault is one setting that cannot be used.
+// Fault is one invalid or missing setting.
 type Fault struct {
-	// Flag is without its dashes.
-	Flag     string
+	// Flag is the name of the flag without dashes.
+	Flag string
+	// Variable is the name of the environment variable.
 	Variable string
-	// Value is what was given; empty when nothing was.
-	Value    string
+	// Value is the given value; empty if the setting is missing.
+	Value string
+	// Accepted describes the accepted values.
 	Accepted string
 }
 
-// String is one line for people.
+// String returns the fault as one line.
 func (f Fault) String() string {
 	value := "is missing"
 	if f.Value != "" {
@@ -24,10 +26,10 @@
 	return fmt.Sprintf("--%s (%s) %s; accepted: %s", f.Flag, f.Variable, value, f.Accepted)
 }
 
-// Faults is every fault of a command's settings; an error when not empty.
+// Faults are all faults of a command's settings. A non-empty list serves as an error.
 type Faults []Fault
 
-// Error lists all faults, one a line.
+// Error returns a heading and the faults, one on each line.
 func (f Faults) Error() string {
 	lines := make([]string, 0, len(f)+1)
 	head := "a setting cannot be used:"
--- a/internal/cli/setting/text.go
+++ b/internal/cli/setting/text.go
@@ -10,17 +10,17 @@
 	"github.com/hickorybank/hickorybank/internal/config"
 )
 
-// secretBytes is the least length of a secret.
+// secretBytes is the minimum length of a secret.
 const secretBytes = 32
 
-// form is what a text may be.
-type form struct {
+// textFormat is the format of a text setting: its description for faults and its check.
+type textFormat struct {
 	accepted string
-	fits     func(text string) bool
+	matches  func(text string) bool
 }
 
-// forms are the words that an accept tag may have for texts.
-var forms = map[string]form{
+// textFormats maps the values of accept tags for texts to their formats.
+var textFormats = map[string]textFormat{
 	"address": {"an IP and port, for example 127.0.0.1:8080", isAddress},
 	"url":     {"a base URL, for example http://127.0.0.1:8070", isURL},
 	"name":    {"1 to 64 letters, digits and . _ - @ + :", config.IsName},
@@ -31,12 +31,12 @@
 
 const choicePrefix = "one of "
 
-func formOf(accept string) form {
+func formatOf(accept string) textFormat {
 	if list, ok := strings.CutPrefix(accept, choicePrefix); ok {
 		choices := strings.Split(list, ", ")
-		return form{accept, func(text string) bool { return slices.Contains(choices, text) }}
+		return textFormat{accept, func(text string) bool { return slices.Contains(choices, text) }}
 	}
-	f, ok := forms[accept]
+	f, ok := textFormats[accept]
 	if !ok {
 		panic("unknown accept tag: " + accept)
 	}
--- a/internal/cli/standin_platform.go
+++ b/internal/cli/standin_platform.go
@@ -31,7 +31,7 @@
 	Noise       setting.Number   `long:"rating-noise" env:"HICKORYBANK_RATING_NOISE" accept:"0..1" default:"0.1" description:"standard deviation of a rating"`
 }
 
-// Execute runs the stand-in platform until it is told to stop.
+// Execute runs the stand-in platform until SIGINT or SIGTERM.
 func (c *standinPlatformCommand) Execute([]string) error {
 	log := c.logger(c.env)
 	server, err := standin.New(standin.Settings{
--- a/internal/cli/standin_upstream.go
+++ b/internal/cli/standin_upstream.go
@@ -40,8 +40,9 @@
 	Platform      string           `long:"platform" env:"HICKORYBANK_PLATFORM" accept:"url" description:"base URL of the stand-in platform to register with"`
 }
 
-type upstreamPart interface {
-	part
+// standinServer is a stand-in model engine or plain service.
+type standinServer interface {
+	component
 	Addr() string
 	FaultAddr() string
 }
@@ -53,7 +54,7 @@
 	return setting.Faults{{Flag: "service", Variable: "HICKORYBANK_SERVICE", Accepted: "the name of the service, with --kind service"}}
 }
 
-// Execute runs the stand-in until it is told to stop.
+// Execute runs the stand-in until SIGINT or SIGTERM.
 func (c *standinUpstreamCommand) Execute([]string) error {
 	log := c.logger(c.env)
 	server, vm, err := c.build()
@@ -73,7 +74,7 @@
 	return run(log, stopTimeout, ready, server)
 }
 
-func (c *standinUpstreamCommand) build() (upstreamPart, platform.VM, error) {
+func (c *standinUpstreamCommand) build() (standinServer, platform.VM, error) {
 	vm := platform.VM{ID: c.ID, FailureDomain: c.FailureDomain, State: platform.Live}
 	if c.Kind == "service" {
 		return c.buildService(vm)
@@ -87,7 +88,7 @@
 	return server, vm, err
 }
 
-func (c *standinUpstreamCommand) buildService(vm platform.VM) (upstreamPart, platform.VM, error) {
+func (c *standinUpstreamCommand) buildService(vm platform.VM) (standinServer, platform.VM, error) {
 	vm.Role = platform.RoleService
 	vm.Service = c.Service
 	server, err := service.New(service.Settings{
--- a/internal/cli/table.go
+++ b/internal/cli/table.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// table is rows for people.
+// table is human-readable output in columns.
 type table struct {
 	header []string
 	rows   [][]string
@@ -26,7 +26,7 @@
 	t.rows = append(t.rows, row)
 }
 
-// cell shows nothing as a dash, so that a column is never empty.
+// cell formats a value. An empty value becomes a dash, so that no cell is blank.
 func cell(v any) string {
 	text := fmt.Sprint(v)
 	switch v := v.(type) {
--- a/internal/cli/version.go
+++ b/internal/cli/version.go
@@ -5,7 +5,7 @@
 	"runtime"
 )
 
-// version is set by the build.
+// version is set by the linker at build time.
 var version = "dev"
 
 const versionHelp = `Print the version, and what it was built with and for.
