--- a/internal/admin/changes.go
+++ b/internal/admin/changes.go
@@ -25,8 +25,8 @@
 	Differences []config.Difference `json:"differences,omitempty"`
 }
 
-// Trial is the answer to a change with dry_run, which is checked but not made.
-type Trial struct {
+// DryRunResult is the answer to a change with dry_run, which is checked but not made.
+type DryRunResult struct {
 	DryRun      bool                `json:"dry_run"`
 	Base        uint64              `json:"base"`
 	Warnings    []config.Fault      `json:"warnings,omitempty"`
@@ -129,7 +129,7 @@
 		return nil, storeFailure(err, "")
 	}
 	setETag(in.w, c.Base)
-	return Trial{DryRun: true, Base: c.Base, Warnings: after.Warnings(), Differences: config.Diff(before, after)}, nil
+	return DryRunResult{DryRun: true, Base: c.Base, Warnings: after.Warnings(), Differences: config.Diff(before, after)}, nil
 }
 
 // ChangeState is the state of a change as far as the store determines it.
--- a/internal/admin/client/client.go
+++ b/internal/admin/client/client.go
@@ -64,10 +64,10 @@
 }
 
 // Try sends a change as a dry run: the API checks it and does not make it.
-func (c *Client) Try(ctx context.Context, m Change) (admin.Trial, error) {
+func (c *Client) Try(ctx context.Context, m Change) (admin.DryRunResult, error) {
 	req := m.request()
 	req.path += "?dry_run=true"
-	var t admin.Trial
+	var t admin.DryRunResult
 	_, err := c.do(ctx, req, &t)
 	return t, err
 }
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -150,7 +150,7 @@
 	d := newFixture(t)
 	got := d.call("POST", "/admin/v1/versions/lines@2/withdraw?dry_run=true", "", ifMatch(1))
 	is.Equal(got.status, http.StatusOK)
-	var trial Trial
+	var trial DryRunResult
 	got.decode(&trial)
 	is.Equal(len(trial.Differences), 1)
 	is.Equal(trial.Differences[0].Field, "models[lines].versions[lines@2].state")
