--- a/internal/admin/client/client.go
+++ b/internal/admin/client/client.go
@@ -63,8 +63,8 @@
 	return a, err
 }
 
-// Try sends a change as a dry run: the API checks it and does not make it.
-func (c *Client) Try(ctx context.Context, m Change) (admin.DryRunResult, error) {
+// DryRun sends a change as a dry run: the API checks it and does not make it.
+func (c *Client) DryRun(ctx context.Context, m Change) (admin.DryRunResult, error) {
 	req := m.request()
 	req.path += "?dry_run=true"
 	var t admin.DryRunResult
--- a/internal/cli/admin_change.go
+++ b/internal/cli/admin_change.go
@@ -67,7 +67,7 @@
 }
 
 func (o *changeOptions) dryRun(s *session, c client.Change) error {
-	trial, err := s.client.Try(s.ctx, c)
+	trial, err := s.client.DryRun(s.ctx, c)
 	if err != nil {
 		return err
 	}
