--- a/internal/admin/client/client.go
+++ b/internal/admin/client/client.go
@@ -32,11 +32,11 @@
 }
 
 // New returns a client of the API at a base URL that authenticates with an operator's key.
-func New(baseURL, key string) *Client { return NewSecure(baseURL, key, nil) }
+func New(baseURL, key string) *Client { return NewWithTLS(baseURL, key, nil) }
 
-// NewSecure returns a client with a TLS configuration. If that is nil, the client trusts the
+// NewWithTLS returns a client with a TLS configuration. If that is nil, the client trusts the
 // system's certificate authorities.
-func NewSecure(baseURL, key string, secure *tls.Config) *Client {
+func NewWithTLS(baseURL, key string, secure *tls.Config) *Client {
 	return &Client{
 		base: strings.TrimSuffix(baseURL, "/"),
 		key:  key,
--- a/internal/cli/admin_options.go
+++ b/internal/cli/admin_options.go
@@ -36,7 +36,7 @@
 		return nil, err
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), o.Timeout.Get())
-	return &session{client: client.NewSecure(o.URL, o.Key, secure), ctx: ctx, cancel: cancel}, nil
+	return &session{client: client.NewWithTLS(o.URL, o.Key, secure), ctx: ctx, cancel: cancel}, nil
 }
 
 // trustFile returns a TLS configuration with the certificate authorities of a PEM file, or nil (the
