--- a/internal/admin/changes.go
+++ b/internal/admin/changes.go
@@ -97,8 +97,8 @@
 	event.ConfigurationAccepted.Log(s.deps.Log,
 		slog.Uint64("revision", r.Revision), slog.String("change", r.Change),
 		slog.String("operator", r.Operator), slog.String("preset", r.Preset))
-	if s.deps.Accepted != nil {
-		s.deps.Accepted(r.Revision)
+	if s.deps.OnAccepted != nil {
+		s.deps.OnAccepted(r.Revision)
 	}
 }
 
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -37,8 +37,8 @@
 	Upstreams UpstreamReader
 	Rollouts  RolloutReader
 	Holds     HoldKeeper
-	// Accepted is called with each revision that this server has accepted; may be nil.
-	Accepted func(revision uint64)
+	// OnAccepted is called with each revision that this server has accepted; may be nil.
+	OnAccepted func(revision uint64)
 	Log      *slog.Logger
 	// Now is the clock; nil means time.Now.
 	Now func() time.Time
--- a/internal/admin/status_test.go
+++ b/internal/admin/status_test.go
@@ -88,7 +88,7 @@
 func TestAcceptedChangeListsLaggingNodes(t *testing.T) {
 	is := is.New(t)
 	var notified uint64
-	d := newFixture(t, new(fakeReaders).attach, func(d *Deps) { d.Accepted = func(r uint64) { notified = r } })
+	d := newFixture(t, new(fakeReaders).attach, func(d *Deps) { d.OnAccepted = func(r uint64) { notified = r } })
 	got := d.call("POST", "/admin/v1/preset", `{"name":"peak"}`, ifMatch(1)).acceptance()
 	is.Equal(got.InForce.Revision, uint64(2))
 	is.Equal(got.InForce.InForce, false)
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -51,7 +51,7 @@
 	mux := http.NewServeMux()
 	mux.Handle("/admin/", admin.NewServer(admin.Deps{
 		Store: n.store, Keys: n.operatorKeys, Confirmer: o, Bills: o, Nodes: o, Upstreams: o, Rollouts: o, Holds: o,
-		Accepted: func(uint64) { n.sync.RequestRead() }, Log: n.deps.Log,
+		OnAccepted: func(uint64) { n.sync.RequestRead() }, Log: n.deps.Log,
 	}))
 	mux.Handle("/metrics", n.metrics.Handler())
 	mux.Handle("/debug/pprof/", n.operatorsOnly(http.HandlerFunc(pprof.Index)))
