--- a/internal/admin/fuzz_test.go
+++ b/internal/admin/fuzz_test.go
@@ -19,7 +19,7 @@
 			return
 		}
 		d := newFixture(t)
-		got := d.call(method, path, body, header{HeaderRevision, revision}, header{HeaderChange, id})
+		got := d.call(method, path, body, header{HeaderRevision, revision}, header{HeaderChangeID, id})
 		if got.status >= 500 && got.status != http.StatusNotImplemented {
 			t.Fatal(got.status, got.body)
 		}
--- a/internal/admin/harness_test.go
+++ b/internal/admin/harness_test.go
@@ -95,7 +95,7 @@
 
 func ifMatch(revision uint64) header { return header{HeaderRevision, Tag(revision)} }
 
-func changeIDHeader(id string) header { return header{HeaderChange, id} }
+func changeIDHeader(id string) header { return header{HeaderChangeID, id} }
 
 func (d *fixture) call(method, path, body string, headers ...header) response {
 	r := httptest.NewRequest(method, path, strings.NewReader(body))
--- a/internal/admin/headers.go
+++ b/internal/admin/headers.go
@@ -14,8 +14,8 @@
 	// HeaderRevision carries the revision that a change is made from, in the form of an answer's
 	// ETag.
 	HeaderRevision = "If-Match"
-	// HeaderChange carries the change's id; retries carry the same id.
-	HeaderChange = "Idempotency-Key"
+	// HeaderChangeID carries the change's id; retries carry the same id.
+	HeaderChangeID = "Idempotency-Key"
 	// HeaderReplayed is "true" in the answer to a change that had been accepted before.
 	HeaderReplayed = "Idempotency-Replayed"
 )
@@ -47,12 +47,12 @@
 
 // changeID reads Idempotency-Key, or generates an id if there is none.
 func changeID(r *http.Request) (string, *Failure) {
-	id := r.Header.Get(HeaderChange)
+	id := r.Header.Get(HeaderChangeID)
 	if id == "" {
 		return uuid.NewString(), nil
 	}
 	if !validChangeID(id) {
-		return "", badRequest("%s: accepted are 1 to %d printable ASCII characters without space and slash", HeaderChange, maxChangeID)
+		return "", badRequest("%s: accepted are 1 to %d printable ASCII characters without space and slash", HeaderChangeID, maxChangeID)
 	}
 	return id, nil
 }
