--- a/internal/admin/decode.go
+++ b/internal/admin/decode.go
@@ -34,7 +34,7 @@
 }
 
 func changeIDReused(id string) *Failure {
-	f := newFailure(http.StatusUnprocessableEntity, CodeKeyReused, "%s: %s belongs to another change", HeaderChangeID, id)
+	f := newFailure(http.StatusUnprocessableEntity, CodeChangeIDReused, "%s: %s belongs to another change", HeaderChangeID, id)
 	f.Outcome = NotApplied
 	return f
 }
--- a/internal/admin/failure.go
+++ b/internal/admin/failure.go
@@ -29,8 +29,8 @@
 	CodeNoRevision Code = "revision_required"
 	// CodeInvalid means that the document or a part of it is invalid; see [Failure.Faults].
 	CodeInvalid Code = "invalid"
-	// CodeKeyReused means that the change's id belongs to another change.
-	CodeKeyReused Code = "change_id_reused"
+	// CodeChangeIDReused means that the change's id belongs to another change.
+	CodeChangeIDReused Code = "change_id_reused"
 	// CodeStoreUnavailable means that the platform's store or a reader did not answer.
 	CodeStoreUnavailable Code = "store_unavailable"
 	// CodeUnknown means that the store did not confirm the outcome.
--- a/internal/admin/page_test.go
+++ b/internal/admin/page_test.go
@@ -25,7 +25,7 @@
 	is.Equal(documented, endpoints)
 	for _, code := range []Code{
 		CodeBadRequest, CodeUnauthorised, CodeNotFound, CodeTooLarge, CodeConflict, CodeNoRevision, CodeInvalid,
-		CodeKeyReused, CodeStoreUnavailable, CodeUnknown, CodeNotOffered, CodeInternal,
+		CodeChangeIDReused, CodeStoreUnavailable, CodeUnknown, CodeNotOffered, CodeInternal,
 	} {
 		is.True(regexp.MustCompile("\\| `" + string(code) + "` \\|").Match(page)) // the page lists the code
 	}
--- a/internal/admin/race_test.go
+++ b/internal/admin/race_test.go
@@ -190,7 +190,7 @@
 		d.call("POST", "/admin/v1/versions/dues@1/withdraw", "", ifMatch(1), changeIDHeader("c")),
 	} {
 		is.Equal(other.status, http.StatusUnprocessableEntity)
-		is.Equal(other.failure().Code, CodeKeyReused)
+		is.Equal(other.failure().Code, CodeChangeIDReused)
 	}
 	is.Equal(d.revision(), uint64(2))
 }
