--- a/internal/admin/client/change.go
+++ b/internal/admin/client/change.go
@@ -21,7 +21,7 @@
 func (c Change) request() request {
 	return request{
 		method: c.Method, path: c.Path, body: c.Body,
-		headers: map[string]string{admin.HeaderRevision: admin.Tag(c.Base), admin.HeaderChangeID: c.ID},
+		headers: map[string]string{admin.HeaderRevision: admin.ETag(c.Base), admin.HeaderChangeID: c.ID},
 	}
 }
 
--- a/internal/admin/harness_test.go
+++ b/internal/admin/harness_test.go
@@ -93,7 +93,7 @@
 // header is one header field of a request.
 type header struct{ name, value string }
 
-func ifMatch(revision uint64) header { return header{HeaderRevision, Tag(revision)} }
+func ifMatch(revision uint64) header { return header{HeaderRevision, ETag(revision)} }
 
 func changeIDHeader(id string) header { return header{HeaderChangeID, id} }
 
--- a/internal/admin/headers.go
+++ b/internal/admin/headers.go
@@ -23,24 +23,24 @@
 // maxChangeID is the longest id of a change, in bytes.
 const maxChangeID = 128
 
-// Tag returns the ETag of a revision.
-func Tag(revision uint64) string { return strconv.Quote(strconv.FormatUint(revision, 10)) }
+// ETag returns the ETag of a revision.
+func ETag(revision uint64) string { return strconv.Quote(strconv.FormatUint(revision, 10)) }
 
-func setETag(w http.ResponseWriter, revision uint64) { w.Header().Set("ETag", Tag(revision)) }
+func setETag(w http.ResponseWriter, revision uint64) { w.Header().Set("ETag", ETag(revision)) }
 
 // baseRevision reads If-Match. It accepts exactly one revision: with "*" a change could overwrite a
 // revision that its author has not seen.
 func baseRevision(r *http.Request) (uint64, *Failure) {
 	text := strings.TrimSpace(r.Header.Get(HeaderRevision))
 	if text == "" {
-		return 0, newFailure(http.StatusPreconditionRequired, CodeNoRevision, "%s: the revision that the change was made from is needed, for example %s", HeaderRevision, Tag(7))
+		return 0, newFailure(http.StatusPreconditionRequired, CodeNoRevision, "%s: the revision that the change was made from is needed, for example %s", HeaderRevision, ETag(7))
 	}
 	if len(text) >= 2 && text[0] == '"' && text[len(text)-1] == '"' {
 		text = text[1 : len(text)-1]
 	}
 	revision, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		return 0, badRequest("%s: must be one revision, for example %s", HeaderRevision, Tag(7))
+		return 0, badRequest("%s: must be one revision, for example %s", HeaderRevision, ETag(7))
 	}
 	return revision, nil
 }
--- a/internal/admin/race_test.go
+++ b/internal/admin/race_test.go
@@ -28,7 +28,7 @@
 	got := d.call("POST", "/admin/v1/versions/dues@1/withdraw", "", ifMatch(1))
 	is.Equal(got.status, http.StatusPreconditionFailed)
 	is.Equal(*got.failure().Revision, uint64(2))
-	is.Equal(got.header.Get("ETag"), Tag(2))
+	is.Equal(got.header.Get("ETag"), ETag(2))
 	is.Equal(got.failure().Outcome, NotApplied)
 	is.Equal(string(findVersion(d.document(), "dues@1").State), "serving")
 }
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -87,7 +87,7 @@
 	for i, s := range steps {
 		got := d.call(s.method, s.path, s.body, ifMatch(uint64(i+1)))
 		is.Equal(got.status, http.StatusOK)
-		is.Equal(got.header.Get("ETag"), Tag(uint64(i+2)))
+		is.Equal(got.header.Get("ETag"), ETag(uint64(i+2)))
 		is.Equal(got.acceptance().Revision, uint64(i+2))
 		is.True(len(got.acceptance().Differences) > 0) // the answer lists the differences
 	}
@@ -124,7 +124,7 @@
 			is.Equal(got.status, http.StatusOK)
 			is.True(strings.Contains(got.body, c.part))
 			if !strings.HasSuffix(c.path, "changes") {
-				is.Equal(got.header.Get("ETag"), Tag(1)) // the base revision of a change
+				is.Equal(got.header.Get("ETag"), ETag(1)) // the base revision of a change
 			}
 		})
 	}
@@ -138,7 +138,7 @@
 	d := newEmptyFixture(t)
 	got := d.call("GET", "/admin/v1/configuration", "")
 	is.Equal(got.status, http.StatusNotFound)
-	is.Equal(got.header.Get("ETag"), Tag(0))
+	is.Equal(got.header.Get("ETag"), ETag(0))
 	text := `{"preset":"p","presets":[{"name":"p"}]}`
 	is.Equal(d.call("PUT", "/admin/v1/configuration", text, ifMatch(0)).status, http.StatusOK)
 	is.Equal(d.call("PUT", "/admin/v1/configuration", text, ifMatch(0)).status, http.StatusPreconditionFailed)
