--- a/internal/capacity/document.go
+++ b/internal/capacity/document.go
@@ -21,7 +21,7 @@
 func document(organisations int) *config.Document {
 	d := &config.Document{
 		Preset:  "ordinary",
-		Presets: []config.Preset{{Name: "ordinary", Cascades: true, RolloutsMove: true}},
+		Presets: []config.Preset{{Name: "ordinary", Cascades: true, AdvanceRollouts: true}},
 	}
 	kinds := []config.Kind{config.Immediate, config.Heavy, config.Deferrable}
 	for i := range docClasses {
--- a/internal/choice/fixture_test.go
+++ b/internal/choice/fixture_test.go
@@ -17,7 +17,7 @@
 func document(n int) *config.Document {
 	doc := &config.Document{
 		Preset:  "ordinary",
-		Presets: []config.Preset{{Name: "ordinary", Cascades: true, RolloutsMove: true}, {Name: "maintenance"}},
+		Presets: []config.Preset{{Name: "ordinary", Cascades: true, AdvanceRollouts: true}, {Name: "maintenance"}},
 		Classes: []config.Class{{Name: "draft", Kind: config.Heavy, DeadlineMillis: 120_000, Model: "m", Cascade: true}},
 		Models:  []config.Model{{Name: "m"}},
 		Organisations: []config.Organisation{{
--- a/internal/choice/opening.go
+++ b/internal/choice/opening.go
@@ -25,7 +25,7 @@
 		return false
 	}
 	i, ok := c.view.index[version]
-	if !ok || !c.view.snapshot.Preset().RolloutsMove {
+	if !ok || !c.view.snapshot.Preset().AdvanceRollouts {
 		return false
 	}
 	v := &c.view.versions[i]
--- a/internal/cli/admin_lists.go
+++ b/internal/cli/admin_lists.go
@@ -104,7 +104,7 @@
 	return show(&c.adminOptions, "presets", nil, func(list *[]config.Preset) error {
 		t := newTable("PRESET", "DEFER DEFERRABLE", "CASCADES", "ROLL-OUTS MOVE")
 		for _, p := range *list {
-			t.add(p.Name, p.DeferDeferrable, p.Cascades, p.RolloutsMove)
+			t.add(p.Name, p.DeferDeferrable, p.Cascades, p.AdvanceRollouts)
 		}
 		return t.write(c.env.out)
 	})
--- a/internal/rollout/engines_test.go
+++ b/internal/rollout/engines_test.go
@@ -93,7 +93,7 @@
 	r.t.Helper()
 	doc := &config.Document{
 		Preset:  "ordinary",
-		Presets: []config.Preset{{Name: "ordinary", RolloutsMove: true}},
+		Presets: []config.Preset{{Name: "ordinary", AdvanceRollouts: true}},
 		Classes: []config.Class{{Name: "draft", Kind: config.Heavy, DeadlineMillis: 1}},
 		Models:  []config.Model{{Name: "dues", Versions: []config.Version{first, second}}},
 	}
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -27,7 +27,7 @@
 }
 
 func newPlan(s *config.Snapshot) *plan {
-	p := &plan{revision: s.Revision, ordersAllowed: s.Preset().RolloutsMove, index: map[string]int{}}
+	p := &plan{revision: s.Revision, ordersAllowed: s.Preset().AdvanceRollouts, index: map[string]int{}}
 	for i := range s.Doc.Models {
 		p.add(&s.Doc.Models[i])
 	}
--- a/internal/rollout/schedule_test.go
+++ b/internal/rollout/schedule_test.go
@@ -22,7 +22,7 @@
 func document(preset string, models ...string) *config.Document {
 	d := &config.Document{
 		Preset:  preset,
-		Presets: []config.Preset{{Name: "ordinary", RolloutsMove: true}, {Name: "maintenance"}},
+		Presets: []config.Preset{{Name: "ordinary", AdvanceRollouts: true}, {Name: "maintenance"}},
 		Classes: []config.Class{{Name: "draft", Kind: config.Heavy, DeadlineMillis: 20_000}},
 	}
 	for _, text := range models {
