--- a/internal/admin/readers.go
+++ b/internal/admin/readers.go
@@ -119,8 +119,8 @@
 	Detail string    `json:"detail,omitempty"`
 }
 
-// HoldKeeper lists and lifts the holds of versions that turned bad.
-type HoldKeeper interface {
+// HoldManager lists and lifts the holds of versions that turned bad.
+type HoldManager interface {
 	Holds(ctx context.Context) ([]Hold, error)
 	// Lift ends the hold of a version with that term. It returns false if there is no such hold.
 	Lift(ctx context.Context, version string, term uint64) (bool, error)
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -36,7 +36,7 @@
 	Nodes     NodeReader
 	Upstreams UpstreamReader
 	Rollouts  RolloutReader
-	Holds     HoldKeeper
+	Holds     HoldManager
 	// OnAccepted is called with each revision that this server has accepted; may be nil.
 	OnAccepted func(revision uint64)
 	Log      *slog.Logger
