--- a/internal/cli/dev.go
+++ b/internal/cli/dev.go
@@ -51,7 +51,7 @@
 		if err := d.AwaitReady(ctx); err != nil {
 			return err
 		}
-		d.Guide(c.env.out)
+		d.PrintGuide(c.env.out)
 		return nil
 	}
 	return run(log, stopTimeout, ready, d)
--- a/internal/cli/dev/guide.go
+++ b/internal/cli/dev/guide.go
@@ -26,8 +26,8 @@
 	return fmt.Sprintf(`curl -s %s/v1/chat/completions -H 'Authorization: Bearer %s' -d '{"model":"%s","messages":[{"role":"user","content":"Hello."}]}'`, d.BaseURL(), key, class)
 }
 
-// Guide prints the ready line, the URLs and keys, and example commands.
-func (d *Deployment) Guide(w io.Writer) {
+// PrintGuide prints the ready line, the URLs and keys, and example commands.
+func (d *Deployment) PrintGuide(w io.Writer) {
 	fmt.Fprintf(w, "ready dev %s admin %s\n\n", d.entries[0].Addr(), d.entries[0].AdminAddr())
 	fmt.Fprintf(w, "deployment    %s in %s: %d entry nodes, %d engines, %d service runners in %d failure domains\n",
 		d.settings.Deployment, d.topology.Region, len(d.entries), d.topology.Engines, d.topology.Services, len(d.topology.FailureDomains))
