--- a/internal/admin/client/client_test.go
+++ b/internal/admin/client/client_test.go
@@ -46,9 +46,9 @@
 	is.Equal(revision, uint64(1))
 	is.Equal(doc.Preset, "ordinary")
 	change := Change{Method: "POST", Path: "preset", Body: []byte(`{"name":"peak"}`), Base: revision, ID: "c1"}
-	trial, err := c.DryRun(ctx, change)
+	dryRun, err := c.DryRun(ctx, change)
 	is.NoErr(err)
-	is.Equal(len(trial.Differences), 1)
+	is.Equal(len(dryRun.Differences), 1)
 	a, err := c.Change(ctx, change)
 	is.NoErr(err)
 	is.Equal(a.Revision, uint64(2))
--- a/internal/admin/race_test.go
+++ b/internal/admin/race_test.go
@@ -128,7 +128,7 @@
 		is.Equal(replay.status, http.StatusOK)
 		is.Equal(replay.header.Get(HeaderReplayed), "true")
 		is.Equal(replay.acceptance().Revision, uint64(2))
-		is.Equal(d.document().Preset, "ordinary") // the later change stands
+		is.Equal(d.document().Preset, "ordinary") // the later change stays in force
 	})
 }
 
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -150,11 +150,11 @@
 	d := newFixture(t)
 	got := d.call("POST", "/admin/v1/versions/lines@2/withdraw?dry_run=true", "", ifMatch(1))
 	is.Equal(got.status, http.StatusOK)
-	var trial DryRunResult
-	got.decode(&trial)
-	is.Equal(len(trial.Differences), 1)
-	is.Equal(trial.Differences[0].Field, "models[lines].versions[lines@2].state")
-	is.True(len(trial.Warnings) > 0) // no version meets some targets any more
+	var dryRun DryRunResult
+	got.decode(&dryRun)
+	is.Equal(len(dryRun.Differences), 1)
+	is.Equal(dryRun.Differences[0].Field, "models[lines].versions[lines@2].state")
+	is.True(len(dryRun.Warnings) > 0) // no version meets some targets any more
 	is.Equal(d.revision(), uint64(1))
 	is.Equal(d.call("POST", "/admin/v1/preset?dry_run=true", `{"name":"nights"}`, ifMatch(1)).status, 422)
 	is.Equal(d.call("POST", "/admin/v1/preset?dry_run=true", `{"name":"peak"}`, ifMatch(0)).status, 412)
--- a/internal/cli/admin_change.go
+++ b/internal/cli/admin_change.go
@@ -67,15 +67,15 @@
 }
 
 func (o *changeOptions) dryRun(s *session, c client.Change) error {
-	trial, err := s.client.DryRun(s.ctx, c)
+	result, err := s.client.DryRun(s.ctx, c)
 	if err != nil {
 		return err
 	}
 	if o.JSON {
-		return writeJSON(o.env.out, trial)
+		return writeJSON(o.env.out, result)
 	}
-	fmt.Fprintf(o.env.out, "nothing was changed; from revision %d it would be:\n", trial.Base)
-	o.printChange(trial.Differences, trial.Warnings)
+	fmt.Fprintf(o.env.out, "nothing was changed; from revision %d it would be:\n", result.Base)
+	o.printChange(result.Differences, result.Warnings)
 	return nil
 }
 
