--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -39,7 +39,7 @@
 	Holds     HoldManager
 	// OnAccepted is called with each revision that this server has accepted; may be nil.
 	OnAccepted func(revision uint64)
-	Log      *slog.Logger
+	Log        *slog.Logger
 	// Now is the clock; nil means time.Now.
 	Now func() time.Time
 }
