--- a/internal/duty/doc.go
+++ b/internal/duty/doc.go
@@ -1,2 +1,3 @@
-// Package duty runs the goroutines of a process's duties.
+// Package duty runs the long-lived background goroutines of a process and ends the
+// process when one of them panics.
 package duty
--- a/internal/duty/group.go
+++ b/internal/duty/group.go
@@ -5,14 +5,14 @@
 	"github.com/sourcegraph/conc/panics"
 )
 
-// Group waits for its goroutines. A panic in one of them ends the process: a
-// panic means a broken invariant, and conc alone would keep it until Wait while
-// the process went on without that duty. The zero value is ready.
+// Group runs goroutines and waits for them. A panic in one of them ends the process:
+// it means a broken invariant, and conc alone would hold it back until Wait while the
+// process continued without that goroutine. The zero value is ready to use.
 type Group struct {
 	wait conc.WaitGroup
 }
 
-// Go runs f in a goroutine of the group.
+// Go runs f in a new goroutine. A panic in f ends the process.
 func (g *Group) Go(f func()) {
 	g.wait.Go(func() {
 		if caught := panics.Try(f); caught != nil {
@@ -21,10 +21,10 @@
 	})
 }
 
-// Wait waits for all goroutines.
+// Wait blocks until all goroutines started by Go have returned.
 func (g *Group) Wait() { g.wait.Wait() }
 
-// endProcess panics where nothing recovers it.
+// endProcess panics in a goroutine that has no recover, which ends the process.
 func endProcess(caught *panics.Recovered) {
 	go func() { panic(caught.AsError()) }()
 	select {}
--- a/internal/duty/group_test.go
+++ b/internal/duty/group_test.go
@@ -11,10 +11,9 @@
 
 const childVariable = "DUTY_TEST_CHILD"
 
-// A node goes on serving without its configuration duty. A broken invariant
-// panics there, and the group keeps the panic until the node is stopped, hours
-// later. The cause would be a recover that nobody looks at: the process must
-// end at once and name the panic.
+// Guards against a node that keeps serving after one of its background goroutines
+// panicked. A recovered panic that is only returned by Wait stays unnoticed until the
+// node is stopped. The process must end at once and print the panic.
 func TestPanicEndsTheProcess(t *testing.T) {
 	if os.Getenv(childVariable) != "" {
 		var g Group
@@ -29,7 +28,8 @@
 	is.True(strings.Contains(string(out), "invariant broken"))
 }
 
-func TestWaitWaitsForAll(t *testing.T) {
+// Guards against Wait returning while a goroutine still runs.
+func TestWaitBlocksUntilAllGoroutinesReturn(t *testing.T) {
 	var g Group
 	release := make(chan struct{})
 	done := false
--- a/internal/network/network.go
+++ b/internal/network/network.go
@@ -1,5 +1,5 @@
-// Package network is how a node listens and connects. The machine's own network
-// is [OS]; tests pass one with bandwidths and faults of their own.
+// Package network abstracts how a node listens and connects. [OS] is the operating
+// system's network; tests use implementations with set bandwidths and faults.
 package network
 
 import (
@@ -9,22 +9,22 @@
 
 // Network opens TCP connections over IPv4.
 type Network interface {
-	// Listen takes an address, IP and port.
+	// Listen listens on addr, an IP address and port.
 	Listen(addr string) (net.Listener, error)
-	// Dial connects to an address; ctx bounds the opening only.
+	// Dial connects to addr. ctx bounds the connection set-up only, not its use.
 	Dial(ctx context.Context, addr string) (net.Conn, error)
 }
 
-// OS is the machine's own network.
+// OS implements [Network] with the operating system's network stack.
 type OS struct {
-	// Dialer sets the options of connections that are opened.
+	// Dialer holds the options of outgoing connections.
 	Dialer net.Dialer
 }
 
-// Listen takes an address of the machine.
+// Listen implements [Network].
 func (*OS) Listen(addr string) (net.Listener, error) { return net.Listen("tcp4", addr) }
 
-// Dial connects to an address.
+// Dial implements [Network].
 func (o *OS) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	return o.Dialer.DialContext(ctx, "tcp4", addr)
 }
--- a/internal/seal/doc.go
+++ b/internal/seal/doc.go
@@ -1,3 +1,3 @@
-// Package seal signs small values that callers carry for us, so that any node
-// can read them and none has to keep them. What is sealed is not secret.
+// Package seal encodes small values as signed tokens that callers store and send back,
+// so that any node can verify them and none has to store them. Tokens are not encrypted.
 package seal
--- a/internal/seal/sealer.go
+++ b/internal/seal/sealer.go
@@ -14,87 +14,96 @@
 )
 
 const (
-	// MinKeyBytes is the least length of a signing key.
+	// MinKeyBytes is the minimum length of a signing key, in bytes.
 	MinKeyBytes = 32
-	// MaxBytes bounds what is read from a caller.
+	// MaxBytes is the maximum length of a token that Open accepts, in bytes.
 	MaxBytes = 2048
 )
 
-// Why a sealed value is refused.
+// Errors of [Sealer.Open].
 var (
+	// ErrMalformed means that the token is too long, not of the form of a token, or
+	// that its payload does not decode into the value.
 	ErrMalformed = errors.New("malformed")
-	ErrForged    = errors.New("not signed here")
+	// ErrForged means that none of the keys verifies the signature for the domain.
+	ErrForged = errors.New("not signed here")
 )
 
-// Sealer signs and reads values. The first key signs; all keys verify, so that
-// a key can be replaced node by node.
+// Sealer signs values and verifies tokens. The first key signs; all keys verify, so
+// that a key can be replaced one node at a time.
 type Sealer struct {
 	keys [][]byte
 }
 
-// New returns a sealer. Each key must have at least MinKeyBytes.
+// New returns a Sealer with at least one key. It returns an error if there is none or
+// if a key is shorter than MinKeyBytes.
 func New(keys ...[]byte) (*Sealer, error) {
 	if len(keys) == 0 {
 		return nil, eris.New("a session key is needed")
 	}
 	for _, key := range keys {
 		if len(key) < MinKeyBytes {
-			return nil, eris.Errorf("a session key needs at least %d bytes", MinKeyBytes)
+			return nil, eris.Errorf("session key has %d bytes, needs at least %d", len(key), MinKeyBytes)
 		}
 	}
 	return &Sealer{keys: keys}, nil
 }
 
-// Seal returns the value in the form that callers carry. The domain keeps
-// values of one use from being taken for another's.
+// Seal encodes the value as JSON and returns it as a signed token. The domain is part
+// of the signature, so that a token for one use is not accepted for another.
 func (s *Sealer) Seal(domain string, value any) (string, error) {
 	payload, err := json.Marshal(value)
 	if err != nil {
 		return "", eris.Wrap(err, "encode sealed value")
 	}
-	return encode(payload) + "." + encode(sum(s.keys[0], domain, payload)), nil
+	return encode(payload) + "." + encode(computeMAC(s.keys[0], domain, payload)), nil
 }
 
-// Open verifies a sealed value and decodes it strictly. The error is
-// ErrMalformed or ErrForged.
-func (s *Sealer) Open(domain, text string, value any) error {
-	payload, given, err := split(text)
+// Open verifies a token and decodes its payload into value; unknown fields and trailing
+// data are errors. The error is ErrMalformed or ErrForged.
+func (s *Sealer) Open(domain, token string, value any) error {
+	payload, signature, err := splitToken(token)
 	if err != nil {
 		return err
 	}
-	if !s.signed(domain, payload, given) {
+	if !s.verifies(domain, payload, signature) {
 		return ErrForged
 	}
-	return decode(payload, value)
+	return decodeStrict(payload, value)
 }
 
-func (s *Sealer) signed(domain string, payload, given []byte) bool {
+// verifies reports whether one of the keys verifies the signature. It compares in
+// constant time.
+func (s *Sealer) verifies(domain string, payload, signature []byte) bool {
 	for _, key := range s.keys {
-		if hmac.Equal(given, sum(key, domain, payload)) {
+		if hmac.Equal(signature, computeMAC(key, domain, payload)) {
 			return true
 		}
 	}
 	return false
 }
 
-func split(text string) (payload, given []byte, err error) {
-	if len(text) > MaxBytes {
+// splitToken returns the decoded payload and signature of a token.
+func splitToken(token string) (payload, signature []byte, err error) {
+	if len(token) > MaxBytes {
 		return nil, nil, ErrMalformed
 	}
-	left, right, found := strings.Cut(text, ".")
+	left, right, found := strings.Cut(token, ".")
 	if !found {
 		return nil, nil, ErrMalformed
 	}
 	if payload, err = base64.RawURLEncoding.Strict().DecodeString(left); err != nil {
 		return nil, nil, ErrMalformed
 	}
-	if given, err = base64.RawURLEncoding.Strict().DecodeString(right); err != nil {
+	if signature, err = base64.RawURLEncoding.Strict().DecodeString(right); err != nil {
 		return nil, nil, ErrMalformed
 	}
-	return payload, given, nil
+	return payload, signature, nil
 }
 
-func sum(key []byte, domain string, payload []byte) []byte {
+// computeMAC returns the HMAC of the domain and the payload. The zero byte separates them, so
+// that no two pairs give the same input.
+func computeMAC(key []byte, domain string, payload []byte) []byte {
 	mac := hmac.New(sha256.New, key)
 	mac.Write([]byte(domain))
 	mac.Write([]byte{0})
@@ -104,7 +113,8 @@
 
 func encode(b []byte) string { return base64.RawURLEncoding.EncodeToString(b) }
 
-func decode(data []byte, v any) error {
+// decodeStrict decodes one JSON value strictly.
+func decodeStrict(data []byte, v any) error {
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	decoder.DisallowUnknownFields()
 	if decoder.Decode(v) != nil {
--- a/internal/secure/doc.go
+++ b/internal/secure/doc.go
@@ -1,4 +1,4 @@
-// Package secure makes the TLS settings of a node: a certificate towards
-// callers and operators, and mutual TLS between entry nodes, so that nobody
-// else can speak for one of them.
+// Package secure builds the TLS configurations of a node: server certificates for
+// callers and operators, and mutual TLS between entry nodes, so that no other process
+// can impersonate an entry node.
 package secure
--- a/internal/secure/files.go
+++ b/internal/secure/files.go
@@ -1,11 +1,13 @@
 package secure
 
-// Files name PEM files. All empty means plain TCP.
+// Files holds the paths of the PEM files for TLS. If all are empty, the node uses
+// plain TCP.
 type Files struct {
-	// Certificate and Key are the node's own.
+	// Certificate is the path of the node's certificate.
 	Certificate string
-	Key         string
-	// PeerAuthority signs the certificates of the entry nodes; empty means
-	// that they talk in the clear.
+	// Key is the path of the private key of Certificate.
+	Key string
+	// PeerAuthority is the path of the CA certificate that signs the certificates of
+	// the entry nodes. If it is empty, entry nodes connect to each other without TLS.
 	PeerAuthority string
 }
--- a/internal/secure/load_test.go
+++ b/internal/secure/load_test.go
@@ -21,20 +21,20 @@
 	"github.com/hickorybank/hickorybank/internal/peer"
 )
 
-// authority signs certificates for tests.
-type authority struct {
+// testAuthority is a certificate testAuthority for tests. It writes its files into dir.
+type testAuthority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 	dir  string
 }
 
-func newAuthority(t *testing.T) *authority {
+func newTestAuthority(t *testing.T) *testAuthority {
 	t.Helper()
 	is := is.New(t)
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	is.NoErr(err)
-	a := &authority{key: key, dir: t.TempDir()}
-	a.cert = template(1)
+	a := &testAuthority{key: key, dir: t.TempDir()}
+	a.cert = newCertificateTemplate(1)
 	a.cert.IsCA = true
 	a.cert.BasicConstraintsValid = true
 	a.cert.KeyUsage = x509.KeyUsageCertSign
@@ -42,7 +42,7 @@
 	return a
 }
 
-func template(serial int64) *x509.Certificate {
+func newCertificateTemplate(serial int64) *x509.Certificate {
 	return &x509.Certificate{
 		SerialNumber: big.NewInt(serial), Subject: pkix.Name{CommonName: "test"},
 		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour),
@@ -51,7 +51,7 @@
 	}
 }
 
-func (a *authority) write(t *testing.T, name string, cert *x509.Certificate, key *ecdsa.PrivateKey) string {
+func (a *testAuthority) write(t *testing.T, name string, cert *x509.Certificate, key *ecdsa.PrivateKey) string {
 	t.Helper()
 	is := is.New(t)
 	der, err := x509.CreateCertificate(rand.Reader, cert, a.cert, &key.PublicKey, a.key)
@@ -61,13 +61,13 @@
 	return path
 }
 
-// issue returns the files of a node.
-func (a *authority) issue(t *testing.T) Files {
+// issue makes a certificate with a key for a node and returns their files.
+func (a *testAuthority) issue(t *testing.T) Files {
 	t.Helper()
 	is := is.New(t)
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	is.NoErr(err)
-	cert := a.write(t, "node.pem", template(2), key)
+	cert := a.write(t, "node.pem", newCertificateTemplate(2), key)
 	der, err := x509.MarshalECPrivateKey(key)
 	is.NoErr(err)
 	path := filepath.Join(a.dir, "node.key")
@@ -82,16 +82,16 @@
 	return nil
 }
 
-// A stranger on the network tells an entry node that a version is in force, or
-// that a bill is kept. It connects to the peers' port in the clear, or with a
-// certificate of its own. Only nodes that our authority signed may call.
-func TestStrangersCannotCallPeers(t *testing.T) {
+// Guards against another process on the network that calls the peer port of an entry
+// node, without TLS or with a certificate of another authority. It could report a
+// version as active or a bill as stored. Only certificates of the peer authority pass.
+func TestPeerServerRejectsUntrustedClients(t *testing.T) {
 	is := is.New(t)
-	ours, err := Load(newAuthority(t).issue(t))
+	trusted, err := Load(newTestAuthority(t).issue(t))
 	is.NoErr(err)
-	theirs, err := Load(newAuthority(t).issue(t))
+	untrusted, err := Load(newTestAuthority(t).issue(t))
 	is.NoErr(err)
-	server := peer.NewSecureServer(ours.PeerServer)
+	server := peer.NewSecureServer(trusted.PeerServer)
 	is.NoErr(server.Register("Echo", echo{}))
 	is.NoErr(server.Start("127.0.0.1:0"))
 	defer server.Close()
@@ -100,9 +100,9 @@
 		pool *peer.Pool
 		ok   bool
 	}{
-		{"ours", peer.NewSecurePool(ours.PeerClient), true},
-		{"in the clear", peer.NewPool(), false},
-		{"another authority's", peer.NewSecurePool(theirs.PeerClient), false},
+		{"certificate of the peer authority", peer.NewSecurePool(trusted.PeerClient), true},
+		{"without TLS", peer.NewPool(), false},
+		{"certificate of another authority", peer.NewSecurePool(untrusted.PeerClient), false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -116,16 +116,18 @@
 	}
 }
 
-func TestLoadNamesTheWrongFile(t *testing.T) {
-	files := newAuthority(t).issue(t)
+// Guards against a node that starts with incomplete TLS files, or without TLS although
+// files are set.
+func TestLoadRejectsIncompleteFiles(t *testing.T) {
+	files := newTestAuthority(t).issue(t)
 	cases := []struct {
 		name  string
 		files Files
 	}{
 		{"key missing", Files{Certificate: files.Certificate}},
-		{"authority alone", Files{PeerAuthority: files.PeerAuthority}},
+		{"peer authority only", Files{PeerAuthority: files.PeerAuthority}},
 		{"no such file", Files{Certificate: "none.pem", Key: files.Key}},
-		{"authority is no certificate", Files{Certificate: files.Certificate, Key: files.Key, PeerAuthority: files.Key}},
+		{"peer authority is not a certificate", Files{Certificate: files.Certificate, Key: files.Key, PeerAuthority: files.Key}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
