--- a/internal/platform/client/call.go
+++ b/internal/platform/client/call.go
@@ -13,136 +13,142 @@
 	"github.com/hickorybank/hickorybank/internal/platform/client/wire"
 )
 
-// call is one HTTP exchange with the platform.
-type call struct {
+// operation is one HTTP request to the platform.
+type operation struct {
 	method string
 	path   string
 	body   []byte
-	// write says that the call may take effect.
-	write bool
-	// known is the tag of the state that the caller has, for a conditional
-	// read; seen, if set, takes the answer's tag.
-	known string
-	seen  *seenTag
+	// mutates is set if the call can have an effect on the platform.
+	mutates bool
+	// ifNoneMatch is the entity tag for a conditional read; empty for an unconditional
+	// one.
+	ifNoneMatch string
+	// entityTag receives the entity tag of the response if it is not nil.
+	entityTag *responseTag
 }
 
-// seenTag is the entity tag of an answer.
-type seenTag struct {
-	tag       string
-	unchanged bool
+// responseTag is the entity tag of a response. notModified is set on status 304.
+type responseTag struct {
+	tag         string
+	notModified bool
 }
 
-// onceBody is a request body that net/http cannot rewind. Given a
-// bytes.Reader, net/http sets Request.GetBody and may send the request again
-// on another connection. A commit sent again after it took effect would find
-// its own conditions broken and be answered as a conflict: the caller would
-// hold a done write for a lost race. Without GetBody there is no second sending.
+// onceBody is a request body that net/http cannot rewind. For a bytes.Reader, net/http
+// sets Request.GetBody and may resend the request on another connection. The conditions
+// of a commit that is resent after it took effect fail because of its own writes, and
+// the caller would treat a completed write as a conflict. Without GetBody, net/http
+// does not resend.
 type onceBody struct{ io.Reader }
 
 // Close implements [io.Closer].
 func (onceBody) Close() error { return nil }
 
-// do exchanges one call and decodes the answer into out, if that is not nil.
-func (c *Client) do(ctx context.Context, what call, out any) error {
-	data, err := c.exchange(ctx, what)
+// do makes one call and decodes the response into out, if that is not nil.
+func (c *Client) do(ctx context.Context, op operation, out any) error {
+	data, err := c.exchange(ctx, op)
 	if err != nil {
-		return eris.Wrap(err, "platform: "+what.method+" "+what.path)
+		return eris.Wrap(err, "platform: "+op.method+" "+op.path)
 	}
 	if out == nil {
 		return nil
 	}
 	if err := json.Unmarshal(data, out); err != nil {
-		return eris.Wrap(what.broken(err), "platform: answer of "+what.path)
+		return eris.Wrap(op.classifyFailure(err), "platform: answer of "+op.path)
 	}
 	return nil
 }
 
-// exchange returns the body of a whole and successful answer.
-func (c *Client) exchange(ctx context.Context, what call) ([]byte, error) {
-	if err := checkSize(what.body); err != nil {
+// exchange makes one call and returns the body of a complete and successful response.
+// On status 304 the body is nil.
+func (c *Client) exchange(ctx context.Context, op operation) ([]byte, error) {
+	if err := checkSize(op.body); err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	var track sent
-	req, err := c.request(track.trace(ctx), what)
+	var track sendTracker
+	req, err := c.request(track.trace(ctx), op)
 	if err != nil {
 		return nil, wire.Refused(err)
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		if track.maybe() {
-			return nil, what.broken(err)
+		if track.maybeSent() {
+			return nil, op.classifyFailure(err)
 		}
 		return nil, wire.Refused(err)
 	}
 	defer resp.Body.Close()
-	if what.seen != nil {
-		*what.seen = seenTag{tag: resp.Header.Get("ETag"), unchanged: resp.StatusCode == http.StatusNotModified}
-		if what.seen.unchanged {
+	if op.entityTag != nil {
+		*op.entityTag = responseTag{tag: resp.Header.Get("ETag"), notModified: resp.StatusCode == http.StatusNotModified}
+		if op.entityTag.notModified {
 			return nil, nil
 		}
 	}
 	data, err := readBody(resp.Body)
 	if err != nil {
-		return nil, what.broken(err)
+		return nil, op.classifyFailure(err)
 	}
-	return data, what.status(resp, data)
+	return data, op.checkStatus(resp, data)
 }
 
-func (c *Client) request(ctx context.Context, what call) (*http.Request, error) {
-	req, err := http.NewRequestWithContext(ctx, what.method, c.base+what.path, nil)
+// request builds the HTTP request of a call. A write cannot be resent by net/http; a
+// read can.
+func (c *Client) request(ctx context.Context, op operation) (*http.Request, error) {
+	req, err := http.NewRequestWithContext(ctx, op.method, c.base+op.path, nil)
 	if err != nil {
 		return nil, err
 	}
-	if what.known != "" {
-		req.Header.Set("If-None-Match", what.known)
+	if op.ifNoneMatch != "" {
+		req.Header.Set("If-None-Match", op.ifNoneMatch)
 	}
-	if what.body == nil {
+	if op.body == nil {
 		return req, nil
 	}
-	req.ContentLength = int64(len(what.body))
-	if what.write {
-		req.Body = onceBody{bytes.NewReader(what.body)}
+	req.ContentLength = int64(len(op.body))
+	if op.mutates {
+		req.Body = onceBody{bytes.NewReader(op.body)}
 		return req, nil
 	}
-	req.GetBody = func() (io.ReadCloser, error) { return io.NopCloser(bytes.NewReader(what.body)), nil }
+	req.GetBody = func() (io.ReadCloser, error) { return io.NopCloser(bytes.NewReader(op.body)), nil }
 	req.Body, err = req.GetBody()
-	// A read may be sent again. Without this mark net/http does not, as it is a
-	// POST, and a read on a kept connection that the platform is just closing
-	// fails although the platform is well. An empty list is not sent.
+	// A read may be resent. Without this header net/http does not resend a POST, and a
+	// read on an idle connection that the platform is closing would fail although the
+	// platform is available. A header with a nil value is not sent.
 	req.Header[idempotencyKey] = nil
 	return req, err
 }
 
-// idempotencyKey marks requests that net/http may send again.
+// idempotencyKey is the header that marks requests that net/http may resend.
 const idempotencyKey = "X-Idempotency-Key"
 
-var errTooLong = errors.New("answer too long")
+var errResponseTooLong = errors.New("answer too long")
 
+// readBody reads a response of at most wire.MaxBody bytes.
 func readBody(body io.Reader) ([]byte, error) {
 	data, err := io.ReadAll(io.LimitReader(body, wire.MaxBody+1))
 	if err != nil {
 		return nil, err
 	}
 	if len(data) > wire.MaxBody {
-		return nil, errTooLong
+		return nil, errResponseTooLong
 	}
 	return data, nil
 }
 
-// broken classifies a failure after which the call may have been received.
-func (what call) broken(cause error) error {
-	if what.write {
+// classifyFailure returns the error for a failure after which the platform may have received the
+// call.
+func (op operation) classifyFailure(cause error) error {
+	if op.mutates {
 		return wire.Unknown(cause)
 	}
 	return wire.Refused(cause)
 }
 
-// status turns an unsuccessful answer into an error. Only a refusal in the
-// platform's own form proves that a write had no effect: another error status
-// may come from something between, after the write went through.
-func (what call) status(resp *http.Response, data []byte) error {
+// checkStatus returns an error for an unsuccessful response. Only a refusal in the platform's
+// own format proves that a write had no effect. Another error checkStatus may come from a
+// proxy, after the write took effect.
+func (op operation) checkStatus(resp *http.Response, data []byte) error {
 	if resp.StatusCode == http.StatusOK || resp.StatusCode == http.StatusNoContent {
 		return nil
 	}
@@ -150,5 +156,5 @@
 	if json.Unmarshal(data, refusal) == nil && refusal.Reason != "" {
 		return refusal
 	}
-	return what.broken(eris.Errorf("status %s", resp.Status))
+	return op.classifyFailure(eris.Errorf("status %s", resp.Status))
 }
--- a/internal/platform/client/client.go
+++ b/internal/platform/client/client.go
@@ -9,7 +9,7 @@
 	"github.com/hickorybank/hickorybank/internal/platform/client/wire"
 )
 
-// Refusal is the platform's own refusal of a call; it wraps
+// Refusal is the error of a call that the platform refused; it wraps
 // platform.ErrRefused.
 type Refusal = wire.Refusal
 
@@ -22,24 +22,25 @@
 
 var _ platform.Platform = (*Client)(nil)
 
-// New returns a client of the platform at a base URL such as
-// "http://127.0.0.1:7000".
+// New returns a Client for the platform at a base URL such as "http://127.0.0.1:7000".
+// It does not connect.
 func New(baseURL string, opts ...Option) *Client {
-	o := defaults()
+	o := defaultOptions()
 	for _, opt := range opts {
 		opt(&o)
 	}
 	return &Client{
 		base:    strings.TrimSuffix(baseURL, "/"),
-		http:    &http.Client{Transport: transport(o), CheckRedirect: noRedirect},
+		http:    &http.Client{Transport: newTransport(o), CheckRedirect: noRedirect},
 		timeout: o.timeout,
 	}
 }
 
-// noRedirect keeps net/http from sending a call a second time elsewhere.
+// noRedirect prevents net/http from following a redirect, which would send a call a
+// second time.
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// Close closes the idle connections.
+// Close closes the idle connections. Calls in progress continue.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
 // Objects implements [platform.Platform].
--- a/internal/platform/client/conn.go
+++ b/internal/platform/client/conn.go
@@ -7,21 +7,22 @@
 	"sync/atomic"
 )
 
-// conn counts the writes begun on a connection, so that a failed call can tell
-// whether any of its bytes may have left.
-type conn struct {
+// countingConn counts the writes started on a connection. The count shows whether any
+// byte of a failed call may have been sent.
+type countingConn struct {
 	net.Conn
 	writes atomic.Uint64
 }
 
-// Write counts before it writes: a write that the count does not show has not
-// reached the socket.
-func (c *conn) Write(b []byte) (int, error) {
+// Write increments the counter before it writes, so that a write that is not counted
+// has not reached the socket.
+func (c *countingConn) Write(b []byte) (int, error) {
 	c.writes.Add(1)
 	return c.Conn.Write(b)
 }
 
-func transport(o options) *http.Transport {
+// newTransport returns an HTTP newTransport whose connections are all of type *conn.
+func newTransport(o options) *http.Transport {
 	dialer := new(net.Dialer)
 	return &http.Transport{
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -29,7 +30,7 @@
 			if err != nil {
 				return nil, err
 			}
-			return &conn{Conn: raw}, nil
+			return &countingConn{Conn: raw}, nil
 		},
 		MaxIdleConns:        DefaultConnections,
 		MaxIdleConnsPerHost: DefaultConnections,
--- a/internal/platform/client/objects.go
+++ b/internal/platform/client/objects.go
@@ -12,24 +12,24 @@
 	"github.com/hickorybank/hickorybank/internal/platform/client/wire"
 )
 
-// objects is the object store as a Client reaches it.
+// objects implements platform.Objects with a Client.
 type objects struct{ c *Client }
 
 var _ platform.Objects = objects{}
 
-// Put implements [platform.Objects].
+// Put implements [platform.Objects]. A nil value creates an empty object.
 func (o objects) Put(ctx context.Context, key string, value []byte) error {
 	if value == nil {
 		value = []byte{}
 	}
-	what := call{method: http.MethodPut, path: objectPath(key), body: value, write: true}
-	return o.c.do(ctx, what, nil)
+	op := operation{method: http.MethodPut, path: objectPath(key), body: value, mutates: true}
+	return o.c.do(ctx, op, nil)
 }
 
 // Get implements [platform.Objects].
 func (o objects) Get(ctx context.Context, key string) ([]byte, bool, error) {
-	what := call{method: http.MethodGet, path: objectPath(key)}
-	value, err := o.c.exchange(ctx, what)
+	op := operation{method: http.MethodGet, path: objectPath(key)}
+	value, err := o.c.exchange(ctx, op)
 	var refusal *Refusal
 	if errors.As(err, &refusal) && refusal.Reason == wire.Absent {
 		return nil, false, nil
@@ -44,8 +44,8 @@
 func (o objects) List(ctx context.Context, prefix string) ([]string, error) {
 	var resp wire.KeysResponse
 	query := url.Values{wire.QueryPrefix: {prefix}}
-	what := call{method: http.MethodGet, path: wire.PathObjectKeys + "?" + query.Encode()}
-	err := o.c.do(ctx, what, &resp)
+	op := operation{method: http.MethodGet, path: wire.PathObjectKeys + "?" + query.Encode()}
+	err := o.c.do(ctx, op, &resp)
 	return resp.Keys, err
 }
 
--- a/internal/platform/client/option.go
+++ b/internal/platform/client/option.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// Defaults of the options.
+// Defaults of a Client.
 const (
-	// DefaultTimeout bounds one call, connecting included.
+	// DefaultTimeout is the time limit of one call, including the connection set-up.
 	DefaultTimeout = 5 * time.Second
-	// DefaultConnections is how many idle connections are kept.
+	// DefaultConnections is the maximum number of idle connections.
 	DefaultConnections = 64
-	// idleTimeout is well below the time after which servers commonly close an
-	// idle connection, so that few calls meet one that is just being closed.
+	// idleTimeout is how long an idle connection is kept. It is well below the time after
+	// which servers commonly close one, so that few calls use a connection that the
+	// server is closing.
 	idleTimeout = 30 * time.Second
 )
 
@@ -17,15 +18,15 @@
 	timeout time.Duration
 }
 
-// Option changes a new Client.
+// Option sets an option of a new Client.
 type Option func(*options)
 
-// WithTimeout bounds each call but weight downloads; a context may end it
-// earlier.
+// WithTimeout sets the time limit of each call except weight downloads. A context may
+// end a call earlier.
 func WithTimeout(d time.Duration) Option {
 	return func(o *options) { o.timeout = d }
 }
 
-func defaults() options {
+func defaultOptions() options {
 	return options{timeout: DefaultTimeout}
 }
--- a/internal/platform/client/peer_test.go
+++ b/internal/platform/client/peer_test.go
@@ -9,19 +9,20 @@
 	"github.com/hickorybank/hickorybank/internal/rawhttp"
 )
 
-// peer reads each request whole, counts it, and then does what the test says.
-type peer struct {
+// fakePlatform is a server that reads and counts each request and then calls respond.
+type fakePlatform struct {
 	*rawhttp.Server
-	reply    reply
+	respond  responder
 	requests atomic.Int64
 }
 
-// reply writes the answer to the n-th request; false closes the connection.
-type reply func(n int, conn net.Conn) bool
+// responder writes the response to the n-th request, counted from 1. If it returns false,
+// the connection is closed.
+type responder func(n int, conn net.Conn) bool
 
-func newPeer(t *testing.T, answer reply) *peer {
+func newFakePlatform(t *testing.T, respond responder) *fakePlatform {
 	t.Helper()
-	p := &peer{reply: answer}
+	p := &fakePlatform{respond: respond}
 	server, err := rawhttp.Listen(p)
 	if err != nil {
 		t.Fatal(err)
@@ -31,18 +32,18 @@
 	return p
 }
 
-func (p *peer) url() string { return "http://" + p.Addr() }
+func (p *fakePlatform) url() string { return "http://" + p.Addr() }
 
-// Head lets every body be read.
-func (p *peer) Head(net.Conn, *http.Request) bool { return true }
+// Head returns true, so that every body is read.
+func (p *fakePlatform) Head(net.Conn, *http.Request) bool { return true }
 
-// Answer counts a request that came whole.
-func (p *peer) Answer(conn net.Conn, _ *http.Request, _ []byte) error {
-	if !p.reply(int(p.requests.Add(1)), conn) {
+// Answer counts a completely received request and responds to it.
+func (p *fakePlatform) Answer(conn net.Conn, _ *http.Request, _ []byte) error {
+	if !p.respond(int(p.requests.Add(1)), conn) {
 		return rawhttp.ErrClose
 	}
 	return nil
 }
 
-// seen returns how many requests have arrived whole.
-func (p *peer) seen() int { return int(p.requests.Load()) }
+// requestCount returns the number of completely received requests.
+func (p *fakePlatform) requestCount() int { return int(p.requests.Load()) }
--- a/internal/platform/client/sent.go
+++ b/internal/platform/client/sent.go
@@ -6,45 +6,47 @@
 	"sync"
 )
 
-// sent follows one call through net/http and tells whether any of its bytes
-// may have left the process.
-type sent struct {
-	mu     sync.Mutex
-	conn   *conn
-	before uint64
-	lost   bool
+// sendTracker tracks the connections that net/http uses for one call, and reports whether any
+// byte of the call may have been sendTracker.
+type sendTracker struct {
+	mu           sync.Mutex
+	conn         *countingConn
+	writesBefore uint64
+	maybeWritten bool
 }
 
-// trace returns a context that makes net/http report the call's connection.
-func (s *sent) trace(ctx context.Context) context.Context {
-	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: s.got})
+// trace returns a context with which net/http reports the connections of the call.
+func (s *sendTracker) trace(ctx context.Context) context.Context {
+	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: s.gotConn})
 }
 
-func (s *sent) got(info httptrace.GotConnInfo) {
+// gotConn records that the call is about to use a connection. If bytes may have been
+// written to an earlier one, or the connection does not count writes, maybeWritten is
+// set.
+func (s *sendTracker) gotConn(info httptrace.GotConnInfo) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.conn != nil && s.conn.writes.Load() != s.before {
-		s.lost = true
+	if s.conn != nil && s.conn.writes.Load() != s.writesBefore {
+		s.maybeWritten = true
 	}
-	own, ok := info.Conn.(*conn)
+	counting, ok := info.Conn.(*countingConn)
 	if !ok {
-		s.lost = true
+		s.maybeWritten = true
 		return
 	}
-	s.conn = own
-	s.before = own.writes.Load()
+	s.conn = counting
+	s.writesBefore = counting.writes.Load()
 }
 
-// maybe reports whether bytes of the failed call may have left. It closes the
-// connection first: net/http's writer may still be about to write, and only on
-// a closed connection is "nothing was written" final. A write that begins
-// after the close fails; one that began before it is in the count.
-func (s *sent) maybe() bool {
+// maybeSent reports whether bytes of the failed call may have been sent. It closes the
+// connection first, since net/http may still be about to write. A write that starts
+// after the close fails; one that started before it is counted.
+func (s *sendTracker) maybeSent() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.conn == nil {
-		return s.lost
+		return s.maybeWritten
 	}
 	_ = s.conn.Close()
-	return s.lost || s.conn.writes.Load() != s.before
+	return s.maybeWritten || s.conn.writes.Load() != s.writesBefore
 }
--- a/internal/platform/client/sent_test.go
+++ b/internal/platform/client/sent_test.go
@@ -8,44 +8,44 @@
 	"github.com/matryer/is"
 )
 
-// A connection is broken when a commit gets it, or breaks under its first
-// byte. The count of writes tells the two apart: with none begun, the caller
-// may be told that nothing took effect.
-func TestSentCountsWritesOfThisCallOnly(t *testing.T) {
+// Guards against confusing a connection that was broken before a commit used it with one
+// that broke during its first write. Only if no write was started may the client report
+// that the commit had no effect.
+func TestMaybeSentCountsWritesOfThisCallOnly(t *testing.T) {
 	is := is.New(t)
 	near, far := net.Pipe()
 	_ = far.Close()
-	c := &conn{Conn: near}
+	c := &countingConn{Conn: near}
 	_, _ = c.Write([]byte("an earlier call"))
 
-	var fresh sent
-	is.True(!fresh.maybe())
+	var unused sendTracker
+	is.True(!unused.maybeSent())
 
-	var call sent
-	call.got(httptrace.GotConnInfo{Conn: c})
-	is.True(!call.maybe())
+	var call sendTracker
+	call.gotConn(httptrace.GotConnInfo{Conn: c})
+	is.True(!call.maybeSent())
 	_, err := c.Write([]byte("x"))
 	is.True(err != nil)
-	is.True(call.maybe())
+	is.True(call.maybeSent())
 }
 
-// A call that net/http moved to a second connection has still left when the
-// first one saw a byte of it.
-func TestSentRemembersTheFirstConnection(t *testing.T) {
+// Guards against reporting a call as not sent if net/http moved it to a second
+// connection after it had written to the first one.
+func TestMaybeSentCoversEarlierConnections(t *testing.T) {
 	is := is.New(t)
-	first, second := &conn{Conn: pipe()}, &conn{Conn: pipe()}
-	var call sent
-	call.got(httptrace.GotConnInfo{Conn: first})
+	first, second := &countingConn{Conn: brokenPipe()}, &countingConn{Conn: brokenPipe()}
+	var call sendTracker
+	call.gotConn(httptrace.GotConnInfo{Conn: first})
 	_, _ = first.Write([]byte("x"))
-	call.got(httptrace.GotConnInfo{Conn: second})
-	is.True(call.maybe())
+	call.gotConn(httptrace.GotConnInfo{Conn: second})
+	is.True(call.maybeSent())
 
-	var foreign sent
-	foreign.got(httptrace.GotConnInfo{Conn: pipe()})
-	is.True(foreign.maybe())
+	var untracked sendTracker
+	untracked.gotConn(httptrace.GotConnInfo{Conn: brokenPipe()})
+	is.True(untracked.maybeSent())
 }
 
-func pipe() net.Conn {
+func brokenPipe() net.Conn {
 	near, far := net.Pipe()
 	_ = far.Close()
 	return near
--- a/internal/platform/client/table.go
+++ b/internal/platform/client/table.go
@@ -14,7 +14,7 @@
 // Get implements [platform.Table].
 func (c *Client) Get(ctx context.Context, key string) (platform.Row, error) {
 	var row platform.Row
-	if err := checkText(key); err != nil {
+	if err := checkKeys(key); err != nil {
 		return row, eris.Wrap(err, "platform: get")
 	}
 	err := c.post(ctx, wire.PathGet, wire.GetRequest{Key: key}, &row)
@@ -23,7 +23,7 @@
 
 // Scan implements [platform.Table].
 func (c *Client) Scan(ctx context.Context, prefix, after string, limit int) ([]platform.Row, error) {
-	if err := checkText(prefix, after); err != nil {
+	if err := checkKeys(prefix, after); err != nil {
 		return nil, eris.Wrap(err, "platform: scan")
 	}
 	var resp wire.ScanResponse
@@ -42,16 +42,16 @@
 	if err != nil {
 		return result, eris.Wrap(wire.Refused(err), "platform: encode commit")
 	}
-	what := call{method: http.MethodPost, path: wire.PathCommit, body: body, write: true}
-	err = c.do(ctx, what, &result)
+	op := operation{method: http.MethodPost, path: wire.PathCommit, body: body, mutates: true}
+	err = c.do(ctx, op, &result)
 	return result, err
 }
 
-// post sends a message that only reads.
+// post makes a call that only reads.
 func (c *Client) post(ctx context.Context, path string, in, out any) error {
 	body, err := json.Marshal(in)
 	if err != nil {
 		return eris.Wrap(wire.Refused(err), "platform: encode "+path)
 	}
-	return c.do(ctx, call{method: http.MethodPost, path: path, body: body}, out)
+	return c.do(ctx, operation{method: http.MethodPost, path: path, body: body}, out)
 }
--- a/internal/platform/client/vms.go
+++ b/internal/platform/client/vms.go
@@ -12,7 +12,7 @@
 	"github.com/hickorybank/hickorybank/internal/platform/client/wire"
 )
 
-// vms is the VM list as a Client reaches it.
+// vms implements platform.ConditionalVMs with a Client.
 type vms struct{ c *Client }
 
 var _ platform.ConditionalVMs = vms{}
@@ -20,48 +20,50 @@
 // List implements [platform.VMs].
 func (v vms) List(ctx context.Context) ([]platform.VM, error) {
 	var resp wire.VMsResponse
-	err := v.c.do(ctx, call{method: http.MethodGet, path: wire.PathVMs}, &resp)
+	err := v.c.do(ctx, operation{method: http.MethodGet, path: wire.PathVMs}, &resp)
 	return resp.VMs, err
 }
 
-// ListUnless implements [platform.ConditionalVMs] with an entity tag. A platform
-// that knows none sends the list, without a tag.
+// ListUnless implements [platform.ConditionalVMs] with an HTTP entity tag. A platform
+// that does not support entity tags always returns the list, without a tag.
 func (v vms) ListUnless(ctx context.Context, tag string) (platform.TaggedVMs, error) {
-	var seen seenTag
-	what := call{method: http.MethodGet, path: wire.PathVMs, known: tag, seen: &seen}
-	data, err := v.c.exchange(ctx, what)
+	var received responseTag
+	op := operation{method: http.MethodGet, path: wire.PathVMs, ifNoneMatch: tag, entityTag: &received}
+	data, err := v.c.exchange(ctx, op)
 	if err != nil {
 		return platform.TaggedVMs{}, eris.Wrap(err, "platform: read the VM list")
 	}
-	if seen.unchanged {
+	if received.notModified {
 		return platform.TaggedVMs{Tag: tag, Unchanged: true}, nil
 	}
 	var resp wire.VMsResponse
 	if err := json.Unmarshal(data, &resp); err != nil {
 		return platform.TaggedVMs{}, eris.Wrap(wire.Refused(err), "platform: decode the VM list")
 	}
-	return platform.TaggedVMs{VMs: resp.VMs, Tag: seen.tag}, nil
+	return platform.TaggedVMs{VMs: resp.VMs, Tag: received.tag}, nil
 }
 
-// RegisterVM adds a VM to the stand-in's list, or replaces the one with its id.
+// RegisterVM adds a VM to the list of the stand-in platform, or replaces the one with
+// the same ID.
 func (c *Client) RegisterVM(ctx context.Context, vm platform.VM) error {
 	body, err := json.Marshal(vm)
 	if err != nil {
 		return eris.Wrap(wire.Refused(err), "platform: encode VM")
 	}
-	what := call{method: http.MethodPost, path: wire.PathVMs, body: body, write: true}
-	return c.do(ctx, what, nil)
+	op := operation{method: http.MethodPost, path: wire.PathVMs, body: body, mutates: true}
+	return c.do(ctx, op, nil)
 }
 
-// LeaveVM marks a VM of the stand-in's list as leaving.
+// LeaveVM marks a VM in the list of the stand-in platform as leaving.
 func (c *Client) LeaveVM(ctx context.Context, id string) error {
-	what := call{method: http.MethodPost, path: vmPath(id) + "/leave", body: []byte{}, write: true}
-	return c.do(ctx, what, nil)
+	op := operation{method: http.MethodPost, path: vmPath(id) + "/leave", body: []byte{}, mutates: true}
+	return c.do(ctx, op, nil)
 }
 
-// RemoveVM takes a VM out of the stand-in's list; an absent one is no error.
+// RemoveVM removes a VM from the list of the stand-in platform. It is not an error if
+// the VM is absent.
 func (c *Client) RemoveVM(ctx context.Context, id string) error {
-	return c.do(ctx, call{method: http.MethodDelete, path: vmPath(id), write: true}, nil)
+	return c.do(ctx, operation{method: http.MethodDelete, path: vmPath(id), mutates: true}, nil)
 }
 
 func vmPath(id string) string { return wire.PathVMs + "/" + url.PathEscape(id) }
--- a/internal/platform/client/weights.go
+++ b/internal/platform/client/weights.go
@@ -11,20 +11,20 @@
 	"github.com/hickorybank/hickorybank/internal/platform/client/wire"
 )
 
-// FetchWeights downloads a version's weights at the pace of the weight store,
-// throws them away, and returns how many bytes came. Only the context bounds
-// how long it takes.
+// FetchWeights downloads the weights of a version, discards them and returns the number
+// of bytes received. The weight store limits the rate; only ctx limits the duration.
 func (c *Client) FetchWeights(ctx context.Context, version string) (int64, error) {
-	what := call{method: http.MethodGet, path: wire.PathWeights + "/" + url.PathEscape(version)}
-	n, err := c.download(ctx, what)
+	op := operation{method: http.MethodGet, path: wire.PathWeights + "/" + url.PathEscape(version)}
+	n, err := c.download(ctx, op)
 	if err != nil {
 		return n, eris.Wrap(err, "platform: fetch weights")
 	}
 	return n, nil
 }
 
-func (c *Client) download(ctx context.Context, what call) (int64, error) {
-	req, err := c.request(ctx, what)
+// download makes a call without the time limit of the Client and discards the body.
+func (c *Client) download(ctx context.Context, op operation) (int64, error) {
+	req, err := c.request(ctx, op)
 	if err != nil {
 		return 0, wire.Refused(err)
 	}
@@ -34,7 +34,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return 0, what.refusal(resp)
+		return 0, op.readFailure(resp)
 	}
 	n, err := io.Copy(io.Discard, resp.Body)
 	if err != nil {
@@ -43,11 +43,11 @@
 	return n, nil
 }
 
-// refusal reads an unsuccessful answer.
-func (what call) refusal(resp *http.Response) error {
+// readFailure returns the error for an unsuccessful response.
+func (op operation) readFailure(resp *http.Response) error {
 	data, err := readBody(resp.Body)
 	if err != nil {
-		return what.broken(err)
+		return op.classifyFailure(err)
 	}
-	return what.status(resp, data)
+	return op.checkStatus(resp, data)
 }
--- a/internal/platform/client/wire/doc.go
+++ b/internal/platform/client/wire/doc.go
@@ -1,3 +1,3 @@
-// Package wire holds the messages, paths and errors of the platform's HTTP
-// interface, shared by its client and by the stand-in that serves it.
+// Package wire defines the messages, paths and errors of the platform's HTTP interface.
+// The client and the stand-in platform share it.
 package wire
--- a/internal/platform/client/wire/failure.go
+++ b/internal/platform/client/wire/failure.go
@@ -2,28 +2,29 @@
 
 import "github.com/hickorybank/hickorybank/internal/platform"
 
-// Failure is a call that ended without an answer. Kind is
-// [platform.ErrRefused] when the call can have had no effect, else
-// [platform.ErrUnknown]; Cause is what broke it, for example a context's error.
+// Failure is the error of a call that ended without a usable response.
 type Failure struct {
-	Kind  error
+	// Kind is [platform.ErrRefused] if the call had no effect, otherwise
+	// [platform.ErrUnknown].
+	Kind error
+	// Cause is the underlying error, for example that of a context.
 	Cause error
 }
 
-// Refused returns a Failure that had no effect.
+// Refused returns the Failure of a call that had no effect.
 func Refused(cause error) *Failure {
 	return &Failure{Kind: platform.ErrRefused, Cause: cause}
 }
 
-// Unknown returns a Failure that may have had an effect.
+// Unknown returns the Failure of a call that may have taken effect.
 func Unknown(cause error) *Failure {
 	return &Failure{Kind: platform.ErrUnknown, Cause: cause}
 }
 
-// Error implements error.
+// Error returns the kind and the cause.
 func (f *Failure) Error() string {
 	return f.Kind.Error() + ": " + f.Cause.Error()
 }
 
-// Unwrap makes errors.Is find both the kind and the cause.
+// Unwrap returns the kind and the cause, so that errors.Is finds both.
 func (f *Failure) Unwrap() []error { return []error{f.Kind, f.Cause} }
--- a/internal/platform/client/wire/paths.go
+++ b/internal/platform/client/wire/paths.go
@@ -20,6 +20,6 @@
 	QueryPrefix = "prefix"
 )
 
-// MaxBody is the most bytes that a request or an answer may carry, weights
-// apart.
+// MaxBody is the maximum size of the body of a request or response, in bytes. It does
+// not apply to weights.
 const MaxBody = 64 << 20
--- a/internal/platform/errors.go
+++ b/internal/platform/errors.go
@@ -3,9 +3,10 @@
 import "errors"
 
 var (
-	// ErrRefused says that the call took no effect: the platform said so, or
-	// could not be connected to.
+	// ErrRefused means that the call had no effect: the platform refused it, the
+	// connection failed, or the call only reads.
 	ErrRefused = errors.New("platform refused the call")
-	// ErrUnknown says that the answer was lost: the call may have taken effect.
+	// ErrUnknown means that the response was lost and that the call may have taken
+	// effect.
 	ErrUnknown = errors.New("platform's answer was lost")
 )
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,6 +1,6 @@
 package platform
 
-// Platform is all of it together.
+// Platform combines all interfaces of the platform.
 type Platform interface {
 	Table
 	Rater
--- a/internal/platform/rating.go
+++ b/internal/platform/rating.go
@@ -2,16 +2,18 @@
 
 import "context"
 
-// RateRequest asks for the rating of one answer.
+// RateRequest is a request to rate one answer of a model.
 type RateRequest struct {
+	// Version is the model version that gave the answer.
 	Version string `json:"version"`
-	Class   string `json:"class"`
-	Prompt  string `json:"prompt"`
-	Answer  string `json:"answer"`
+	// Class is the class of the request.
+	Class  string `json:"class"`
+	Prompt string `json:"prompt"`
+	Answer string `json:"answer"`
 }
 
-// Rater is the platform's service that rates answers.
+// Rater is the platform's service that rates model answers.
 type Rater interface {
-	// Rate returns a noisy score in [0,1].
+	// Rate returns a score in [0,1]. Scores are noisy.
 	Rate(ctx context.Context, req RateRequest) (float64, error)
 }
--- a/internal/platform/row.go
+++ b/internal/platform/row.go
@@ -3,7 +3,7 @@
 // Row is one row of the table.
 type Row struct {
 	Key string `json:"key"`
-	// Version grows with each write of the row; 0 means that it is absent.
+	// Version increases with each write of the row; 0 means that the row is absent.
 	Version uint64 `json:"version"`
 	Value   []byte `json:"value,omitempty"`
 }
--- a/internal/platform/table.go
+++ b/internal/platform/table.go
@@ -6,9 +6,10 @@
 type Table interface {
 	// Get reads one row; an absent row has Version 0.
 	Get(ctx context.Context, key string) (Row, error)
-	// Scan reads rows whose key begins with prefix and sorts after the key
-	// after, in key order, at most limit.
+	// Scan reads at most limit rows in key order. Their keys begin with prefix and are
+	// greater than after.
 	Scan(ctx context.Context, prefix, after string, limit int) ([]Row, error)
-	// Commit applies all writes if every condition holds, else none.
+	// Commit atomically applies all writes if every condition holds, otherwise none. A
+	// failed condition is not an error: the result has Applied false.
 	Commit(ctx context.Context, txn Txn) (CommitResult, error)
 }
--- a/internal/platform/vm.go
+++ b/internal/platform/vm.go
@@ -12,7 +12,7 @@
 	RoleService Role = "service"
 )
 
-// VMState is what the platform says of a VM.
+// VMState is the state of a VM as reported by the platform.
 type VMState string
 
 // The states of VMs.
@@ -21,41 +21,41 @@
 	Leaving VMState = "leaving"
 )
 
-// VM is one entry of the platform's list. The list lags: a VM may be gone, or
-// present and not yet listed.
+// VM is one entry of the platform's VM list. The list lags behind: a listed VM may no
+// longer exist, and a new one may not be listed yet.
 type VM struct {
 	ID   string `json:"id"`
 	Role Role   `json:"role"`
-	// Service is the plain service that a VM of RoleService offers.
+	// Service is the name of the plain service that a VM with RoleService runs.
 	Service string `json:"service,omitempty"`
-	// Addr is the IP and port for callers (entry) or for requests (upstream).
+	// Addr is the IP address and port for callers (entry) or for requests (upstream).
 	Addr string `json:"addr"`
-	// Peer is an entry VM's IP and port for its peers.
+	// Peer is the IP address and port of an entry VM for other entry VMs.
 	Peer          string  `json:"peer,omitempty"`
 	FailureDomain string  `json:"failure_domain"`
 	State         VMState `json:"state"`
 }
 
-// VMs is the platform's lagging list of live and leaving VMs.
+// VMs is the platform's list of live and leaving VMs.
 type VMs interface {
+	// List returns the list, which lags behind the actual VMs.
 	List(ctx context.Context) ([]VM, error)
 }
 
-// ConditionalVMs is a VM list that can say that nothing changed.
+// ConditionalVMs is a VM list that supports conditional reads.
 type ConditionalVMs interface {
 	VMs
-	// ListUnless reads the list unless its tag is still the one given; an
-	// empty tag always reads it.
+	// ListUnless returns the list unless it still has the given tag. With an empty tag
+	// it always returns the list.
 	ListUnless(ctx context.Context, tag string) (TaggedVMs, error)
 }
 
-// TaggedVMs is the answer to a conditional read of the VM list.
+// TaggedVMs is the result of a conditional read of the VM list.
 type TaggedVMs struct {
 	VMs []VM
-	// Tag names this state of the list; a platform that names none leaves it
-	// empty.
+	// Tag identifies this state of the list; empty if the platform does not support
+	// tags.
 	Tag string
-	// Unchanged says that the list still has the tag that was given; VMs is
-	// not set then.
+	// Unchanged means that the list still has the given tag; then VMs is not set.
 	Unchanged bool
 }
