--- a/internal/platform/client/sent.go
+++ b/internal/platform/client/sent.go
@@ -6,8 +6,8 @@
 	"sync"
 )
 
-// sendTracker tracks the connections that net/http uses for one call, and reports whether any
-// byte of the call may have been sendTracker.
+// sendTracker tracks the connections that net/http uses for one call, and reports
+// whether any byte of the call may have been sent.
 type sendTracker struct {
 	mu           sync.Mutex
 	conn         *countingConn
