--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -1,15 +1,16 @@
 package upstream
 
-// Attempt is one try of a request at one engine. Its ID is unique, so that an
-// answer is matched to its attempt and to nothing else.
+// Attempt is one attempt to run a request on an engine.
 type Attempt struct {
-	ID      string
+	// ID is unique, so that each chunk of an answer is matched to its attempt.
+	ID string
+	// Version is the model version that the engine runs.
 	Version string
-	// Priority is passed to the engine; a lower one runs first.
+	// Priority is passed to the engine. Lower values run first.
 	Priority int
-	// PrefixHash identifies the prompt's shared prefix for the engine's cache.
+	// PrefixHash identifies the shared prefix of the prompt for the engine's cache.
 	PrefixHash uint64
-	// Body is the request in the chat completion form, with model = Version
-	// and stream = true.
+	// Body is the JSON body of the chat completion request, with model set to Version
+	// and stream set to true.
 	Body []byte
 }
--- a/internal/upstream/client/announced.go
+++ b/internal/upstream/client/announced.go
@@ -7,8 +7,9 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// announced decodes what an upstream says of itself in an answer's headers.
-func announced(status int, h http.Header) notice.Response {
+// parseNotices parses the headers by which an upstream reports its own state. Retry-After
+// counts only with status 503.
+func parseNotices(status int, h http.Header) notice.Response {
 	a := notice.Response{}
 	a.ParseLimit(upstream.HeaderRateLimit, h.Get(upstream.HeaderRateLimit))
 	a.ParseLeaving(upstream.HeaderLeaving, h.Get(upstream.HeaderLeaving))
--- a/internal/upstream/client/announced_test.go
+++ b/internal/upstream/client/announced_test.go
@@ -13,9 +13,9 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// TestEachAnswerSaysWhatItsUpstreamBears guards against what an upstream in need says in
-// refusals, failures and load reports, and nobody reads.
-func TestEachAnswerSaysWhatItsUpstreamBears(t *testing.T) {
+// Guards against ignoring the headers of an overloaded upstream in refusals, failures
+// and load reports.
+func TestHandlerReceivesNoticesOfEachResponse(t *testing.T) {
 	is := is.New(t)
 	status := http.StatusOK
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -23,21 +23,21 @@
 		w.Header().Set(upstream.HeaderLeaving, "1")
 		w.Header().Set(upstream.HeaderRetryAfter, "1.5")
 		w.WriteHeader(status)
-		_, _ = w.Write([]byte("{}")) // the test sees whether it came
+		_, _ = w.Write([]byte("{}")) // the client checks the response
 	}))
 	defer server.Close()
 	addr := server.Listener.Addr().String()
-	var heard []notice.Response
-	ctx := upstream.WithHeard(context.Background(), func(a notice.Response, _ time.Time) { heard = append(heard, a) })
+	var received []notice.Response
+	ctx := upstream.WithHeard(context.Background(), func(a notice.Response, _ time.Time) { received = append(received, a) })
 	services, engines := NewServices(Options{}), NewEngines(Options{})
 	defer services.Close()
 	defer engines.Close()
 	for _, status = range []int{http.StatusOK, http.StatusServiceUnavailable, http.StatusInternalServerError} {
-		_, _ = services.Do(ctx, addr, upstream.ServiceCall{Method: http.MethodGet, Path: "/"}) // a failure too tells
+		_, _ = services.Do(ctx, addr, upstream.ServiceCall{Method: http.MethodGet, Path: "/"}) // failures count as well
 		_, _ = engines.Load(ctx, addr)                                                         // as above
 	}
-	is.Equal(len(heard), 6)
-	for i, a := range heard {
+	is.Equal(len(received), 6)
+	for i, a := range received {
 		is.Equal(a.Limit, notice.Limit{Named: true, PerSecond: 2.5})
 		is.True(a.Leaving)
 		refused := i == 2 || i == 3
--- a/internal/upstream/client/body.go
+++ b/internal/upstream/client/body.go
@@ -7,11 +7,11 @@
 
 // onceBody is a request body that the transport cannot rewind.
 //
-// It guards against a silent second sending: net/http repeats a request on a
-// new connection when a reused one breaks before the answer, if the request
-// has no body or GetBody, and is a GET or bears an Idempotency-Key. The
-// upstream may have run the first sending by then. A body of a type that
-// net/http does not know has no GetBody, so an empty one counts as a body too.
+// It prevents net/http from resending a request without notice. If a reused connection
+// breaks before the response, net/http resends a request that has no body or has
+// GetBody, and that is a GET or has an Idempotency-Key. The upstream may already have
+// run the first one. For a body of a type that net/http does not know, GetBody is not
+// set, and even an empty one counts as a body.
 type onceBody struct{ r bytes.Reader }
 
 func newOnceBody(b []byte) io.ReadCloser {
@@ -20,8 +20,8 @@
 	return &body
 }
 
-// Read returns the next bytes of the body.
+// Read implements [io.Reader].
 func (b *onceBody) Read(p []byte) (int, error) { return b.r.Read(p) }
 
-// Close does nothing.
+// Close implements [io.Closer].
 func (b *onceBody) Close() error { return nil }
--- a/internal/upstream/client/caches.go
+++ b/internal/upstream/client/caches.go
@@ -14,30 +14,30 @@
 
 var _ upstream.Caches = (*Engines)(nil)
 
-// CacheEvents returns the published cache events that follow seq.
+// CacheEvents implements [upstream.Caches].
 func (e *Engines) CacheEvents(ctx context.Context, addr string, seq uint64) ([]upstream.CacheEvent, error) {
 	target := url.URL{Path: "/cache-events", RawQuery: "after=" + strconv.FormatUint(seq, 10)}
-	body, fault := e.call(ctx, http.MethodGet, addr, target, nil, nil)
-	if fault != nil {
-		return nil, fault
+	body, failure := e.call(ctx, http.MethodGet, addr, target, nil, nil)
+	if failure != nil {
+		return nil, failure
 	}
 	var events []upstream.CacheEvent
 	if err := json.Unmarshal(body, &events); err != nil {
-		return nil, fail(addr, upstream.MaybeRun, eris.Wrap(err, "cache events"))
+		return nil, newError(addr, upstream.MaybeRun, eris.Wrap(err, "cache events"))
 	}
 	return events, nil
 }
 
-// ExportPrefix returns a prefix's KV cache.
+// ExportPrefix implements [upstream.Caches].
 func (e *Engines) ExportPrefix(ctx context.Context, addr string, prefix uint64) ([]byte, error) {
-	kv, fault := e.call(ctx, http.MethodGet, addr, kvTarget(prefix), nil, cacheCauses)
-	return kv, plain(fault)
+	kv, failure := e.call(ctx, http.MethodGet, addr, kvTarget(prefix), nil, cacheCauses)
+	return kv, asError(failure)
 }
 
-// ImportPrefix gives an engine a prefix's KV cache.
+// ImportPrefix implements [upstream.Caches].
 func (e *Engines) ImportPrefix(ctx context.Context, addr string, prefix uint64, kv []byte) error {
-	_, fault := e.call(ctx, http.MethodPut, addr, kvTarget(prefix), kv, nil)
-	return plain(fault)
+	_, failure := e.call(ctx, http.MethodPut, addr, kvTarget(prefix), kv, nil)
+	return asError(failure)
 }
 
 func kvTarget(prefix uint64) url.URL {
--- a/internal/upstream/client/conn.go
+++ b/internal/upstream/client/conn.go
@@ -9,29 +9,31 @@
 
 var errSealed = eris.New("connection is sealed")
 
-// conn counts the writes that were begun on a connection, and can be sealed
-// against further ones.
+// sealableConn counts the writes started on a connection, and can be sealed against further
+// writes.
 //
-// It guards against calling a request "not sent" whose bytes have left. The
-// transport reports many failures alike whether it has written or not, and its
-// writer may still be about to write when the failure is returned. Sealing and
-// comparing the count under one lock makes "nothing was written" final.
-type conn struct {
+// It prevents reporting a request as not sent although bytes were written. The transport
+// reports many failures alike whether it has written or not, and may still be about to
+// write when it returns the failure. Sealing the connection and comparing the count
+// under one lock ensures that nothing is written later.
+type sealableConn struct {
 	net.Conn
 	mu     sync.Mutex
 	writes uint64
 	sealed bool
 }
 
-// Write counts the write before any byte can leave.
-func (c *conn) Write(b []byte) (int, error) {
-	if !c.beginWrite() {
+// Write counts the write before it passes any byte on. It returns errSealed on a sealed
+// connection.
+func (c *sealableConn) Write(b []byte) (int, error) {
+	if !c.startWrite() {
 		return 0, errSealed
 	}
 	return c.Conn.Write(b)
 }
 
-func (c *conn) beginWrite() bool {
+// startWrite counts a write; it returns false if the connection is sealed.
+func (c *sealableConn) startWrite() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.sealed {
@@ -41,15 +43,16 @@
 	return true
 }
 
-func (c *conn) begun() uint64 {
+// writesStarted returns the number of writes started.
+func (c *sealableConn) writesStarted() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.writes
 }
 
-// sealUnwritten forbids all further writes and reports whether none was begun
-// since the count was before.
-func (c *conn) sealUnwritten(before uint64) bool {
+// seal seals the connection and reports whether no write was started since the
+// count was before.
+func (c *sealableConn) seal(before uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.sealed = true
--- a/internal/upstream/client/conn_test.go
+++ b/internal/upstream/client/conn_test.go
@@ -8,29 +8,29 @@
 	"github.com/matryer/is"
 )
 
-// A request is called "not run" and runs after all: the transport's writer is
-// still about to write when the failure is returned.
+// Guards against a request that is reported as not sent and runs later, because the
+// transport writes it after it returned the failure.
 func TestSealedConnectionWritesNothing(t *testing.T) {
 	is := is.New(t)
 	near, far := net.Pipe()
 	defer func() { is.NoErr(near.Close()) }()
 	defer func() { is.NoErr(far.Close()) }()
-	c := &conn{Conn: near}
-	is.True(c.sealUnwritten(c.begun()))
+	c := &sealableConn{Conn: near}
+	is.True(c.seal(c.writesStarted()))
 	_, err := c.Write([]byte("late"))
 	is.True(errors.Is(err, errSealed))
 }
 
-// A request is called "not run" although its first byte has left: the write
-// began and then failed.
-func TestBegunWriteCounts(t *testing.T) {
+// Guards against reporting a request as not sent although its first byte may have been
+// sent, because a write was started and then failed.
+func TestFailedWriteCounts(t *testing.T) {
 	is := is.New(t)
 	near, far := net.Pipe()
 	is.NoErr(far.Close())
-	c := &conn{Conn: near}
-	before := c.begun()
+	c := &sealableConn{Conn: near}
+	before := c.writesStarted()
 	_, err := c.Write([]byte("x"))
 	is.True(err != nil)
-	is.True(!c.sealUnwritten(before))
+	is.True(!c.seal(before))
 	is.NoErr(near.Close())
 }
--- a/internal/upstream/client/decoder.go
+++ b/internal/upstream/client/decoder.go
@@ -12,10 +12,11 @@
 )
 
 const (
-	// maxEvent bounds one line of a stream, in bytes.
-	maxEvent = 1 << 20
-	// bufferSize is for several pieces, which are short.
-	bufferSize = 2 << 10
+	// maxLineBytes is the maximum length of one line of a stream, in bytes.
+	maxLineBytes = 1 << 20
+	// bufferBytes is the size of the read buffer, in bytes. Several chunks fit into it.
+	bufferBytes = 2 << 10
+	// errorEvent is the name of an event that reports an error.
 	errorEvent = "error"
 )
 
@@ -27,56 +28,56 @@
 	carriageReturn = []byte("\r")
 )
 
-// StreamError is an error that the engine reported within a stream.
+// StreamError is an error that an engine reported within a stream.
 type StreamError struct{ Message string }
 
-// Error returns the engine's message.
+// Error returns a text with the engine's message.
 func (e *StreamError) Error() string { return fmt.Sprintf("engine reported %q", e.Message) }
 
-// decoder reads pieces from server-sent events. An event counts only once the
-// empty line that ends it has come, so that a cut event is never a piece.
+// decoder decodes chunks from server-sent events. An event is complete only with the
+// empty line that ends it, so that a truncated event never becomes a chunk.
 type decoder struct {
-	in     *bufio.Reader
-	long   []byte // a line that is longer than the buffer
-	data   []byte
-	name   string
-	pieces pieces
+	reader    *bufio.Reader
+	longLine  []byte // a line longer than the buffer
+	data      []byte
+	eventName string
+	parser    chunkParser
 }
 
 func newDecoder(r io.Reader) *decoder {
-	return &decoder{in: bufio.NewReaderSize(r, bufferSize)}
+	return &decoder{reader: bufio.NewReaderSize(r, bufferBytes)}
 }
 
-// ready says that a whole event has come that has not been returned.
+// ready reports whether the buffer contains a complete event.
 func (d *decoder) ready() bool {
-	waiting, err := d.in.Peek(d.in.Buffered())
-	return err == nil && bytes.Contains(waiting, eventEnd)
+	buffered, err := d.reader.Peek(d.reader.Buffered())
+	return err == nil && bytes.Contains(buffered, eventEnd)
 }
 
-// line returns the next line without its end. One that the stream's end cuts
-// off does not count.
+// line returns the next line without its line end. It returns an error if the stream
+// ends within the line.
 func (d *decoder) line() ([]byte, error) {
-	d.long = d.long[:0]
-	line, err := d.in.ReadSlice('\n')
+	d.longLine = d.longLine[:0]
+	line, err := d.reader.ReadSlice('\n')
 	for err == bufio.ErrBufferFull {
-		d.long = append(d.long, line...)
-		if len(d.long) > maxEvent {
+		d.longLine = append(d.longLine, line...)
+		if len(d.longLine) > maxLineBytes {
 			return nil, bufio.ErrTooLong
 		}
-		line, err = d.in.ReadSlice('\n')
+		line, err = d.reader.ReadSlice('\n')
 	}
 	if err != nil {
 		return nil, err
 	}
-	if len(d.long) > 0 {
-		d.long = append(d.long, line...)
-		line = d.long
+	if len(d.longLine) > 0 {
+		d.longLine = append(d.longLine, line...)
+		line = d.longLine
 	}
 	return bytes.TrimSuffix(line[:len(line)-1], carriageReturn), nil
 }
 
-// next returns the next piece. The stream's end is io.ErrUnexpectedEOF, since
-// only a piece with Done ends an answer.
+// next returns the next chunk. At the end of the stream it returns io.ErrUnexpectedEOF,
+// since only a chunk with Done ends an answer.
 func (d *decoder) next() (upstream.Chunk, error) {
 	d.reset()
 	for {
@@ -88,7 +89,7 @@
 			return upstream.Chunk{}, eris.Wrap(err, "stream")
 		}
 		if len(line) > 0 {
-			d.field(line)
+			d.processField(line)
 			continue
 		}
 		if len(d.data) > 0 {
@@ -100,25 +101,27 @@
 
 func (d *decoder) reset() {
 	d.data = d.data[:0]
-	d.name = ""
+	d.eventName = ""
 }
 
-// field takes one line of an event. Other fields and comments are ignored.
-func (d *decoder) field(line []byte) {
+// processField processes one line of an event. Comments and fields other than data and event
+// are ignored.
+func (d *decoder) processField(line []byte) {
 	if value, ok := bytes.CutPrefix(line, dataField); ok {
 		d.data = append(d.data, bytes.TrimPrefix(value, []byte(" "))...)
 		return
 	}
 	if value, ok := bytes.CutPrefix(line, eventField); ok {
-		d.name = string(bytes.TrimSpace(value))
+		d.eventName = string(bytes.TrimSpace(value))
 	}
 }
 
+// dispatch returns the chunk or the error of a complete event.
 func (d *decoder) dispatch() (upstream.Chunk, error) {
-	if d.name == errorEvent {
+	if d.eventName == errorEvent {
 		return upstream.Chunk{}, &StreamError{Message: string(d.data)}
 	}
-	c, err := d.pieces.parse(d.data)
+	c, err := d.parser.parse(d.data)
 	if err != nil {
 		return upstream.Chunk{}, eris.Wrap(err, "piece")
 	}
--- a/internal/upstream/client/decoder_ready_test.go
+++ b/internal/upstream/client/decoder_ready_test.go
@@ -7,9 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// A caller waits for a piece that the router has: held back because a next one
-// is thought to be here, of which only a part has come.
-func TestOnlyAWholeEventIsReady(t *testing.T) {
+// Guards against delaying a chunk to the caller because the next one seems to be
+// available although only a part of it has arrived.
+func TestOnlyCompleteEventIsReady(t *testing.T) {
 	is := is.New(t)
 	r, w := io.Pipe()
 	go func() {
@@ -18,7 +18,7 @@
 	}()
 	d := newDecoder(r)
 	for seq, ready := range []bool{true, false, false} {
-		is.Equal(d.ready(), seq == 1) // nothing is read ahead at first
+		is.Equal(d.ready(), seq == 1) // the buffer is empty before the first read
 		c, err := d.next()
 		is.NoErr(err)
 		is.Equal(c.Seq, seq+1)
--- a/internal/upstream/client/decoder_test.go
+++ b/internal/upstream/client/decoder_test.go
@@ -14,20 +14,21 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// A caller gets an answer that stops in the middle as if it were whole: the
-// connection breaks within the last event, after its data line.
-func TestCutEventIsNoPiece(t *testing.T) {
+// Guards against passing a truncated answer as complete, if the connection breaks within
+// the last event after its data line.
+func TestTruncatedEventIsNotAChunk(t *testing.T) {
 	is := is.New(t)
-	whole := "id: 1\ndata: {\"attempt\":\"a\",\"seq\":1,\"done\":true}\n\n"
-	c, err := newDecoder(strings.NewReader(whole)).next()
+	complete := "id: 1\ndata: {\"attempt\":\"a\",\"seq\":1,\"done\":true}\n\n"
+	c, err := newDecoder(strings.NewReader(complete)).next()
 	is.NoErr(err)
 	is.True(c.Done)
-	for n := range len(whole) - 1 {
-		_, err := newDecoder(strings.NewReader(whole[:n])).next()
+	for n := range len(complete) - 1 {
+		_, err := newDecoder(strings.NewReader(complete[:n])).next()
 		is.True(errors.Is(err, io.ErrUnexpectedEOF))
 	}
 }
 
+// Guards against events whose fields, comments or line ends are decoded wrongly.
 func TestDecoderReadsEvents(t *testing.T) {
 	cases := []struct{ name, in, want string }{
 		{"piece", "data: {\"seq\":2,\"text\":\"hi\"}\n\n", "2 hi"},
@@ -50,8 +51,8 @@
 	}
 }
 
-// FuzzDecoder feeds arbitrary bytes: the decoder must end, and whatever piece
-// it returns must come back the same when it is encoded and decoded again.
+// FuzzDecoder decodes arbitrary bytes. The decoder must terminate, and each chunk it
+// returns must be the same after encoding and decoding it again.
 func FuzzDecoder(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: {\"attempt\":\"a\",\"seq\":1,\"text\":\"x\"}\n\n"))
 	f.Add([]byte("event: error\ndata: bad\n\n"))
@@ -69,13 +70,13 @@
 			if err != nil {
 				return
 			}
-			is.Equal(again(t, c), c)
+			is.Equal(roundTripChunk(t, c), c)
 		}
 		t.Fatal("more events than bytes")
 	})
 }
 
-func again(t *testing.T, c upstream.Chunk) upstream.Chunk {
+func roundTripChunk(t *testing.T, c upstream.Chunk) upstream.Chunk {
 	t.Helper()
 	data, err := json.Marshal(c)
 	if err != nil {
--- a/internal/upstream/client/doc.go
+++ b/internal/upstream/client/doc.go
@@ -1,3 +1,3 @@
-// Package client reaches upstreams over HTTP: it implements upstream.Engines
-// and upstream.Services, and says of each failed call how far it got.
+// Package client implements upstream.Engines, upstream.Caches and upstream.Services over
+// HTTP. The error of a failed call tells how far the request got.
 package client
--- a/internal/upstream/client/engines.go
+++ b/internal/upstream/client/engines.go
@@ -12,20 +12,22 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// Engines reaches model engines over HTTP.
+// Engines implements [upstream.Engines] and [upstream.Caches] over HTTP. It is safe for
+// concurrent use.
 type Engines struct{ transport *http.Transport }
 
 var _ upstream.Engines = (*Engines)(nil)
 
-// NewEngines returns a client with its own pool of connections.
+// NewEngines returns an Engines with its own connection pool.
 func NewEngines(o Options) *Engines {
 	return &Engines{transport: newTransport(o.withDefaults())}
 }
 
-// Close drops idle connections.
+// Close closes the idle connections.
 func (e *Engines) Close() { e.transport.CloseIdleConnections() }
 
-// Start sends the attempt and returns its stream.
+// Start implements [upstream.Engines]. The error wraps [upstream.ErrUnknownVersion] if
+// the engine has not loaded the version.
 func (e *Engines) Start(ctx context.Context, addr string, a upstream.Attempt) (upstream.Stream, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	req, err := newRequest(ctx, http.MethodPost, addr, url.URL{Path: "/v1/chat/completions"}, a.Body)
@@ -40,7 +42,8 @@
 	return e.open(addr, req, cancel, startCauses)
 }
 
-// Resume reads the attempt's stream again from the piece after seq.
+// Resume implements [upstream.Engines]. The error wraps [upstream.ErrUnknownStream] if
+// the engine has no stream of the attempt.
 func (e *Engines) Resume(ctx context.Context, addr, attempt string, seq int) (upstream.Stream, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	target := streamTarget(attempt)
@@ -55,80 +58,83 @@
 
 func streamTarget(attempt string) url.URL { return url.URL{Path: "/v1/streams/" + attempt} }
 
+// open sends the request and returns the stream of the response. It calls cancel on an
+// error; otherwise the stream does.
 func (e *Engines) open(addr string, req *http.Request, cancel context.CancelFunc, causes causeByStatus) (upstream.Stream, error) {
-	res, err := trip(e.transport, req)
+	res, err := roundTrip(e.transport, req)
 	if err != nil {
 		cancel()
 		return nil, err
 	}
 	if res.StatusCode != http.StatusOK {
 		defer cancel()
-		return nil, statusFailure(addr, res, causes)
+		return nil, statusError(addr, res, causes)
 	}
 	return newStream(addr, res.Body, cancel), nil
 }
 
-// Cancel stops the attempt at the engine. An attempt that the engine does not
-// know is an error that wraps [upstream.ErrUnknownStream].
+// Cancel implements [upstream.Engines]. The error wraps [upstream.ErrUnknownStream] if
+// the engine has no stream of the attempt.
 func (e *Engines) Cancel(ctx context.Context, addr, attempt string) error {
 	_, err := e.call(ctx, http.MethodDelete, addr, streamTarget(attempt), nil, streamCauses)
-	return plain(err)
+	return asError(err)
 }
 
-// Load returns the engine's lagging load report.
+// Load implements [upstream.Engines].
 func (e *Engines) Load(ctx context.Context, addr string) (upstream.LoadReport, error) {
 	var r upstream.LoadReport
 	err := e.get(ctx, addr, "/load", &r)
-	return r, plain(err)
+	return r, asError(err)
 }
 
-// Order tells the engine what to load, unload or be. An order that the engine
-// refuses as old is an error that wraps [upstream.ErrStaleFence].
+// Order implements [upstream.Engines]. The error wraps [upstream.ErrStaleFence] if the
+// engine refuses the fencing number.
 func (e *Engines) Order(ctx context.Context, addr string, o upstream.Order) error {
 	body, err := json.Marshal(o)
 	if err != nil {
-		return fail(addr, upstream.NotSent, eris.Wrap(err, "order"))
+		return newError(addr, upstream.NotSent, eris.Wrap(err, "order"))
 	}
-	_, fault := e.call(ctx, http.MethodPost, addr, url.URL{Path: "/orders"}, body, orderCauses)
-	return plain(fault)
+	_, failure := e.call(ctx, http.MethodPost, addr, url.URL{Path: "/orders"}, body, orderCauses)
+	return asError(failure)
 }
 
-// State reads back what the engine has.
+// State implements [upstream.Engines].
 func (e *Engines) State(ctx context.Context, addr string) (upstream.EngineState, error) {
-	var st upstream.EngineState
-	err := e.get(ctx, addr, "/state", &st)
-	return st, plain(err)
+	var state upstream.EngineState
+	err := e.get(ctx, addr, "/state", &state)
+	return state, asError(err)
 }
 
+// get reads a path and decodes the JSON response into v.
 func (e *Engines) get(ctx context.Context, addr, path string, v any) *upstream.Error {
-	body, fault := e.call(ctx, http.MethodGet, addr, url.URL{Path: path}, nil, nil)
-	if fault != nil {
-		return fault
+	body, failure := e.call(ctx, http.MethodGet, addr, url.URL{Path: path}, nil, nil)
+	if failure != nil {
+		return failure
 	}
 	if err := json.Unmarshal(body, v); err != nil {
-		return fail(addr, upstream.MaybeRun, eris.Wrap(err, path))
+		return newError(addr, upstream.MaybeRun, eris.Wrap(err, path))
 	}
 	return nil
 }
 
-// call sends a short request and returns the body of a 2xx answer.
+// call sends a request and returns the body of a response with a 2xx status.
 func (e *Engines) call(ctx context.Context, method, addr string, target url.URL, body []byte, causes causeByStatus) ([]byte, *upstream.Error) {
 	req, err := newRequest(ctx, method, addr, target, body)
 	if err != nil {
 		return nil, err
 	}
-	res, err := trip(e.transport, req)
+	res, err := roundTrip(e.transport, req)
 	if err != nil {
 		return nil, err
 	}
 	if res.StatusCode/100 != 2 {
-		return nil, statusFailure(addr, res, causes)
+		return nil, statusError(addr, res, causes)
 	}
-	return readWhole(addr, res)
+	return readBody(addr, res)
 }
 
-// plain turns a nil *upstream.Error into a nil error.
-func plain(err *upstream.Error) error {
+// asError converts a nil *upstream.Error to a nil error.
+func asError(err *upstream.Error) error {
 	if err == nil {
 		return nil
 	}
--- a/internal/upstream/client/engines_test.go
+++ b/internal/upstream/client/engines_test.go
@@ -11,7 +11,9 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-func TestAnswerNamesItsPrompt(t *testing.T) {
+// Guards against chunks with a wrong number, attempt or text: the first chunk of the
+// stand-in engine contains the version, the prompt's digest and the attempt.
+func TestChunksOfStandInEngine(t *testing.T) {
 	is := is.New(t)
 	srv, err := engine.New(engine.Settings{
 		Listen: "127.0.0.1:0", Versions: []string{"drafter@1"}, BatchLimit: 4, TokensPerAnswer: 3,
--- a/internal/upstream/client/options.go
+++ b/internal/upstream/client/options.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Options tunes the connections to upstreams. Zero fields take defaults.
+// Options configures the connections to upstreams. Zero fields use the defaults.
 type Options struct {
-	// DialTimeout bounds the time until a connection stands.
+	// DialTimeout is the time limit for connecting.
 	DialTimeout time.Duration
-	// HeaderTimeout bounds the time from the request's last byte to the
-	// answer's header; an engine sends it before the first token.
+	// HeaderTimeout is the time limit from the last byte of the request to the headers
+	// of the response. An engine sends the headers before the first token.
 	HeaderTimeout time.Duration
-	// IdlePerHost is how many idle connections are kept to an upstream.
+	// IdlePerHost is the maximum number of idle connections per upstream.
 	IdlePerHost int
 	// IdleTimeout is how long an idle connection is kept.
 	IdleTimeout time.Duration
--- a/internal/upstream/client/piece.go
+++ b/internal/upstream/client/piece.go
@@ -8,23 +8,24 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// The parts of a piece in the order in which engines write them.
+// The fixed parts of an encoded chunk, in the order in which engines write them.
 var (
-	attemptPart = []byte(`{"attempt":"`)
-	seqPart     = []byte(`","seq":`)
-	textPart    = []byte(`,"text":"`)
-	pieceEnd    = []byte(`"}`)
+	attemptStart = []byte(`{"attempt":"`)
+	seqStart     = []byte(`","seq":`)
+	textStart    = []byte(`,"text":"`)
+	chunkEnd     = []byte(`"}`)
 )
 
-// maxSeqDigits keeps a piece's number within an int of 32 bits.
+// maxSeqDigits is the maximum number of digits of a chunk's number, so that it fits into
+// 32 bits.
 const maxSeqDigits = 9
 
-// pieces parses pieces. Nearly all of a stream have one form, which is read
-// without encoding/json; whatever deviates by one byte is left to it.
-type pieces struct{ attempt string }
+// chunkParser parses the chunks of a stream. Nearly all have the same form, which is parsed
+// without encoding/json for speed. Any other input is passed to encoding/json.
+type chunkParser struct{ attempt string }
 
-func (p *pieces) parse(data []byte) (upstream.Chunk, error) {
-	if c, ok := p.common(data); ok {
+func (p *chunkParser) parse(data []byte) (upstream.Chunk, error) {
+	if c, ok := p.parseFast(data); ok {
 		return c, nil
 	}
 	var c upstream.Chunk
@@ -32,13 +33,14 @@
 	return c, err
 }
 
-// common reads the form {"attempt":"…","seq":…,"text":"…"} without escapes.
-func (p *pieces) common(data []byte) (upstream.Chunk, bool) {
-	rest, ok := bytes.CutPrefix(data, attemptPart)
+// parseFast parses the form {"attempt":"…","seq":…,"text":"…"} without escapes. It
+// returns false for any other input.
+func (p *chunkParser) parseFast(data []byte) (upstream.Chunk, bool) {
+	rest, ok := bytes.CutPrefix(data, attemptStart)
 	if !ok {
 		return upstream.Chunk{}, false
 	}
-	attempt, rest, ok := cutPlain(rest, seqPart)
+	attempt, rest, ok := cutUnescaped(rest, seqStart)
 	if !ok {
 		return upstream.Chunk{}, false
 	}
@@ -46,37 +48,39 @@
 	if !ok {
 		return upstream.Chunk{}, false
 	}
-	rest, ok = bytes.CutPrefix(rest, textPart)
+	rest, ok = bytes.CutPrefix(rest, textStart)
 	if !ok {
 		return upstream.Chunk{}, false
 	}
-	text, rest, ok := cutPlain(rest, pieceEnd)
+	text, rest, ok := cutUnescaped(rest, chunkEnd)
 	if !ok || len(rest) > 0 {
 		return upstream.Chunk{}, false
 	}
-	return upstream.Chunk{Attempt: p.name(attempt), Seq: seq, Text: string(text)}, true
+	return upstream.Chunk{Attempt: p.attemptID(attempt), Seq: seq, Text: string(text)}, true
 }
 
-// name keeps the attempt's name, which is the same in a whole stream.
-func (p *pieces) name(attempt []byte) string {
+// attemptID returns the attempt as a string. It reuses the previous string if the attempt is
+// the same, as it is throughout a stream.
+func (p *chunkParser) attemptID(attempt []byte) string {
 	if p.attempt != string(attempt) {
 		p.attempt = string(attempt)
 	}
 	return p.attempt
 }
 
-// cutPlain cuts a string that stands for itself, up to its quote and what must
-// follow there.
-func cutPlain(data, end []byte) (text, rest []byte, ok bool) {
+// cutUnescaped splits data into a JSON string without escapes and the bytes after end, which
+// must follow the string and begins with its closing quote.
+func cutUnescaped(data, end []byte) (text, rest []byte, ok bool) {
 	quote := bytes.IndexByte(data, '"')
-	if quote < 0 || !plainText(data[:quote]) {
+	if quote < 0 || !isUnescaped(data[:quote]) {
 		return nil, nil, false
 	}
 	rest, ok = bytes.CutPrefix(data[quote:], end)
 	return data[:quote], rest, ok
 }
 
-func plainText(text []byte) bool {
+// isUnescaped reports whether the text is the content of a JSON string without escapes.
+func isUnescaped(text []byte) bool {
 	for _, c := range text {
 		if c < ' ' || c == '\\' {
 			return false
@@ -85,7 +89,8 @@
 	return utf8.Valid(text)
 }
 
-// cutNumber cuts a positive number, which JSON writes without a leading 0.
+// cutNumber splits data into a positive integer, which in JSON has no leading 0, and the
+// rest.
 func cutNumber(data []byte) (n int, rest []byte, ok bool) {
 	digits := 0
 	for digits < len(data) && data[digits] >= '0' && data[digits] <= '9' {
--- a/internal/upstream/client/piece_test.go
+++ b/internal/upstream/client/piece_test.go
@@ -9,10 +9,9 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// FuzzPiece holds the short way of reading a piece against encoding/json: what
-// it takes must be the same piece, and what it does not take is not its to
-// judge.
-func FuzzPiece(f *testing.F) {
+// FuzzParseFast compares the fast parser with encoding/json. Input that the fast parser
+// accepts must give the same chunk; it may reject any input.
+func FuzzParseFast(f *testing.F) {
 	for _, s := range []string{
 		`{"attempt":"a.1","seq":7,"text":"token "}`,
 		`{"attempt":"a.1","seq":7,"text":"añ\u00e9\n"}`,
@@ -26,7 +25,7 @@
 	}
 	f.Fuzz(func(t *testing.T, in []byte) {
 		is := is.New(t)
-		got, ok := new(pieces).common(in)
+		got, ok := new(chunkParser).parseFast(in)
 		if !ok {
 			return
 		}
@@ -36,13 +35,13 @@
 	})
 }
 
-// A stream of one attempt has a piece of another in it. Keeping the attempt's
-// name from piece to piece must not hide that.
-func TestEachPieceKeepsItsOwnAttempt(t *testing.T) {
+// Guards against hiding a chunk of another attempt in a stream by reusing the string of
+// the previous chunk's attempt.
+func TestParserReturnsAttemptOfEachChunk(t *testing.T) {
 	is := is.New(t)
-	var p pieces
+	var p chunkParser
 	for _, attempt := range []string{"a", "b", "a"} {
-		c, ok := p.common([]byte(`{"attempt":"` + attempt + `","seq":1,"text":"x"}`))
+		c, ok := p.parseFast([]byte(`{"attempt":"` + attempt + `","seq":1,"text":"x"}`))
 		is.True(ok)
 		is.Equal(c.Attempt, attempt)
 	}
--- a/internal/upstream/client/raw_test.go
+++ b/internal/upstream/client/raw_test.go
@@ -12,15 +12,15 @@
 
 const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// rawServer hands each request that it has read in full, with its connection,
-// to answer. answer returns false to close the connection.
+// rawServer passes each completely received request and its connection to answer. If
+// answer returns false, the connection is closed.
 type rawServer struct {
 	*rawhttp.Server
 	answer func(c net.Conn, key string, nth int) bool
 
-	mu   sync.Mutex
-	seen []string
-	nth  map[*http.Request]int
+	mu           sync.Mutex
+	receivedKeys []string
+	nth          map[*http.Request]int
 }
 
 func newRawServer(t *testing.T, answer func(c net.Conn, key string, nth int) bool) *rawServer {
@@ -35,34 +35,35 @@
 	return s
 }
 
-// Head records that the header of a request has come.
+// Head records that the headers of a request were received.
 func (s *rawServer) Head(_ net.Conn, req *http.Request) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.seen = append(s.seen, keyOf(req))
-	s.nth[req] = len(s.seen)
+	s.receivedKeys = append(s.receivedKeys, idempotencyKey(req))
+	s.nth[req] = len(s.receivedKeys)
 	return true
 }
 
-// Answer gives a request that came whole to the test.
+// Answer passes a completely received request to the test.
 func (s *rawServer) Answer(c net.Conn, req *http.Request, _ []byte) error {
 	s.mu.Lock()
 	nth := s.nth[req]
 	s.mu.Unlock()
-	if !s.answer(c, keyOf(req), nth) {
+	if !s.answer(c, idempotencyKey(req), nth) {
 		return rawhttp.ErrClose
 	}
 	return nil
 }
 
-func keyOf(req *http.Request) string { return req.Header.Get("Idempotency-Key") }
+func idempotencyKey(req *http.Request) string { return req.Header.Get("Idempotency-Key") }
 
-// times counts the requests that have come, in part or whole.
-func (s *rawServer) times(key string) int {
+// countReceived returns the number of requests with the key that were received, at least in
+// part.
+func (s *rawServer) countReceived(key string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
-	for _, k := range s.seen {
+	for _, k := range s.receivedKeys {
 		if k == key {
 			n++
 		}
--- a/internal/upstream/client/reach_test.go
+++ b/internal/upstream/client/reach_test.go
@@ -23,11 +23,10 @@
 	return e.Reach
 }
 
-// A call runs twice although the router sent it once. A connection that has
-// served a call lies idle; the next call goes out on it; the service runs it
-// and dies before it answers. net/http then repeats a GET, or any call with an
-// Idempotency-Key, on a new connection without a word.
-func TestReusedConnectionBreaksAfterTheCall(t *testing.T) {
+// Guards against a call that runs twice although the router sent it once. The call uses
+// an idle connection, and the service runs it and crashes before it responds. net/http
+// would then resend a GET, or any call with an Idempotency-Key, on a new connection.
+func TestCallIsNotResentIfReusedConnectionBreaks(t *testing.T) {
 	calls := []upstream.ServiceCall{
 		{Method: http.MethodPost, Path: "/charges", Key: "k", Body: []byte("body")},
 		{Method: http.MethodPost, Path: "/charges", Key: "k"},
@@ -46,28 +45,28 @@
 			is.NoErr(err)
 			_, err = client.Do(context.Background(), s.Addr(), call)
 			is.Equal(reachOf(t, err), upstream.MaybeRun)
-			is.Equal(s.times("k"), 1)
-			is.Equal(s.Conns(), 1) // the second call took the idle connection
+			is.Equal(s.countReceived("k"), 1)
+			is.Equal(s.Conns(), 1) // the second call used the idle connection
 		})
 	}
 }
 
-// A call is called "not run" although the service has it. Calls go out while
-// the service closes idle connections, so that some meet a connection that is
-// just breaking. Whatever the race, a call that the service has seen must not
-// be NotSent, and none may be seen twice.
-func TestIdleConnectionsCloseUnderCalls(t *testing.T) {
+// Guards against reporting a call as not sent although the service received it. Calls
+// are sent while the service closes idle connections, so that some use a connection that
+// is just closing. Whatever the race, a call that the service received must not be
+// NotSent, and none may be received twice.
+func TestCallsRaceWithClosingIdleConnections(t *testing.T) {
 	is := is.New(t)
 	s := newRawServer(t, func(c net.Conn, _ string, nth int) bool {
 		return write(c, okAnswer) && nth%2 == 0
 	})
 	client := NewServices(Options{})
 	defer client.Close()
-	var ok, notSent, maybe int
+	var ok, notSent, maybeRun int
 	for i := range 2000 {
 		key := fmt.Sprint("k", i)
 		_, err := client.Do(context.Background(), s.Addr(), upstream.ServiceCall{Method: http.MethodPost, Path: "/", Key: key, Body: []byte("x")})
-		seen := s.times(key)
+		seen := s.countReceived(key)
 		is.True(seen <= 1)
 		switch {
 		case err == nil:
@@ -77,14 +76,14 @@
 			notSent++
 			is.Equal(seen, 0)
 		default:
-			maybe++
+			maybeRun++
 		}
 	}
-	t.Logf("ok %d, not sent %d, maybe run %d", ok, notSent, maybe)
+	t.Logf("ok %d, not sent %d, maybe run %d", ok, notSent, maybeRun)
 }
 
-// A request is called "in doubt" although no byte of it has left: the service
-// is gone, or the caller gave up while the connection was being made.
+// Guards against reporting a request as possibly run although no byte was sent, because
+// nothing listens, the context was cancelled or the request is invalid.
 func TestNoConnectionIsNotSent(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -97,25 +96,25 @@
 	is.Equal(reachOf(t, err), upstream.NotSent)
 	_, err = services.Do(context.Background(), addr, upstream.ServiceCall{Method: http.MethodPost, Path: "/"})
 	is.Equal(reachOf(t, err), upstream.NotSent)
-	gone, cancel := context.WithCancel(context.Background())
+	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
-	_, err = services.Do(gone, addr, upstream.ServiceCall{Method: http.MethodPost, Path: "/"})
+	_, err = services.Do(cancelled, addr, upstream.ServiceCall{Method: http.MethodPost, Path: "/"})
 	is.Equal(reachOf(t, err), upstream.NotSent)
 	_, err = services.Do(context.Background(), addr, upstream.ServiceCall{Method: "BAD METHOD", Path: "/"})
 	is.Equal(reachOf(t, err), upstream.NotSent)
 }
 
-// A call that the service has read is called "not run" when the caller gives
-// up, when the service is silent, or when it breaks in the middle of a body.
-func TestAfterTheFirstByteItIsInDoubt(t *testing.T) {
+// Guards against reporting a call as not run although the service received it, if the
+// response times out or the context is cancelled.
+func TestReceivedCallIsMaybeRun(t *testing.T) {
 	is := is.New(t)
 	silent := newRawServer(t, func(c net.Conn, _ string, _ int) bool {
-		_, _ = c.Read(make([]byte, 1)) // until the client closes
+		_, _ = c.Read(make([]byte, 1)) // blocks until the client closes the connection
 		return false
 	})
-	impatient := NewServices(Options{HeaderTimeout: 20 * time.Millisecond})
-	defer impatient.Close()
-	_, err := impatient.Do(context.Background(), silent.Addr(), upstream.ServiceCall{Method: http.MethodPost, Path: "/", Body: []byte("x")})
+	shortTimeout := NewServices(Options{HeaderTimeout: 20 * time.Millisecond})
+	defer shortTimeout.Close()
+	_, err := shortTimeout.Do(context.Background(), silent.Addr(), upstream.ServiceCall{Method: http.MethodPost, Path: "/", Body: []byte("x")})
 	is.Equal(reachOf(t, err), upstream.MaybeRun)
 	ctx, cancel := context.WithCancel(context.Background())
 	breaking := newRawServer(t, func(_ net.Conn, _ string, _ int) bool {
@@ -128,8 +127,9 @@
 	is.Equal(reachOf(t, err), upstream.MaybeRun)
 }
 
-// A cut answer passes for a whole one: the service dies while it answers.
-func TestCutAnswerIsAnError(t *testing.T) {
+// Guards against passing a truncated response as complete, if the service crashes while
+// it responds.
+func TestTruncatedResponseIsAnError(t *testing.T) {
 	is := is.New(t)
 	s := newRawServer(t, func(c net.Conn, _ string, _ int) bool {
 		write(c, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nonly")
@@ -141,8 +141,8 @@
 	is.Equal(reachOf(t, err), upstream.MaybeRun)
 }
 
-// A request is called "not run" on the strength of a status alone, or of the
-// header on a status by which nobody turns work away.
+// Guards against reporting a request as not run because of the status alone, or because
+// of the header with a status by which no upstream rejects requests.
 func TestDeclinedNeedsStatusAndHeader(t *testing.T) {
 	cases := []struct {
 		status string
--- a/internal/upstream/client/read.go
+++ b/internal/upstream/client/read.go
@@ -9,19 +9,20 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// maxAnswer bounds an answer that is read as a whole, in bytes.
-const maxAnswer = 16 << 20
+// maxResponseBytes is the maximum size of a response that is not streamed, in bytes.
+const maxResponseBytes = 16 << 20
 
-// readWhole reads and closes the answer's body. A longer one than maxAnswer is
-// a failure: a cut answer must not pass for a whole one.
-func readWhole(addr string, res *http.Response) ([]byte, *upstream.Error) {
+// readBody reads and closes the body of a response. It returns an error if the body is
+// longer than maxResponseBytes, so that a truncated body is not taken for a complete
+// one.
+func readBody(addr string, res *http.Response) ([]byte, *upstream.Error) {
 	defer func() { _ = res.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(res.Body, maxAnswer+1))
+	data, err := io.ReadAll(io.LimitReader(res.Body, maxResponseBytes+1))
 	if err != nil {
-		return nil, fail(addr, upstream.MaybeRun, eris.Wrap(err, "answer"))
+		return nil, newError(addr, upstream.MaybeRun, eris.Wrap(err, "answer"))
 	}
-	if len(data) > maxAnswer {
-		return nil, fail(addr, upstream.MaybeRun, eris.Errorf("answer is longer than %d bytes", maxAnswer))
+	if len(data) > maxResponseBytes {
+		return nil, newError(addr, upstream.MaybeRun, eris.Errorf("answer is longer than %d bytes", maxResponseBytes))
 	}
 	return data, nil
 }
--- a/internal/upstream/client/sending.go
+++ b/internal/upstream/client/sending.go
@@ -7,44 +7,47 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// sending follows one request to the connection that it was handed to.
-type sending struct {
-	mu     sync.Mutex
-	conn   *conn
-	before uint64
-	// twice is set when the request was handed to a second connection.
-	twice bool
+// sendTracker tracks the connection that the transport uses for one request.
+type sendTracker struct {
+	mu           sync.Mutex
+	conn         *sealableConn
+	writesBefore uint64
+	// uncertain is set if the transport used a second connection, or one that does not count
+	// writes.
+	uncertain bool
 }
 
-func (s *sending) trace() *httptrace.ClientTrace {
+// trace returns a trace that reports the connections of the request.
+func (s *sendTracker) trace() *httptrace.ClientTrace {
 	return &httptrace.ClientTrace{GotConn: s.gotConn}
 }
 
-func (s *sending) gotConn(info httptrace.GotConnInfo) {
+// gotConn records that the request is about to use a connection.
+func (s *sendTracker) gotConn(info httptrace.GotConnInfo) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c, ok := info.Conn.(*conn)
+	c, ok := info.Conn.(*sealableConn)
 	if !ok || s.conn != nil {
-		s.twice = true
+		s.uncertain = true
 		return
 	}
 	s.conn = c
-	s.before = c.begun()
+	s.writesBefore = c.writesStarted()
 }
 
-// reach says how far the failed request got. Without a connection it was not
-// sent; with one it was not sent only if nothing was written to it, and then
-// nothing ever will be.
-func (s *sending) reach() upstream.Reach {
+// reach returns how far the failed request got. It was not sent if it got no connection,
+// or if nothing was written to its connection. reach seals and closes the connection, so
+// that nothing is written later.
+func (s *sendTracker) reach() upstream.Reach {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.twice {
+	if s.uncertain {
 		return upstream.MaybeRun
 	}
 	if s.conn == nil {
 		return upstream.NotSent
 	}
-	unwritten := s.conn.sealUnwritten(s.before)
+	unwritten := s.conn.seal(s.writesBefore)
 	_ = s.conn.Close()
 	if unwritten {
 		return upstream.NotSent
--- a/internal/upstream/client/services.go
+++ b/internal/upstream/client/services.go
@@ -8,22 +8,21 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// Services reaches plain services over HTTP.
+// Services implements [upstream.Services] over HTTP. It is safe for concurrent use.
 type Services struct{ transport *http.Transport }
 
 var _ upstream.Services = (*Services)(nil)
 
-// NewServices returns a client with its own pool of connections.
+// NewServices returns a Services with its own connection pool.
 func NewServices(o Options) *Services {
 	return &Services{transport: newTransport(o.withDefaults())}
 }
 
-// Close drops idle connections.
+// Close closes the idle connections.
 func (s *Services) Close() { s.transport.CloseIdleConnections() }
 
-// Do sends the call once and returns the whole answer, whatever its status,
-// unless the service says that it did not run the call. The call's path is
-// the decoded one.
+// Do implements [upstream.Services]. It sends the call once and returns the complete
+// response, whatever its status. If the service declines the call, Do returns an error.
 func (s *Services) Do(ctx context.Context, addr string, call upstream.ServiceCall) (upstream.ServiceAnswer, error) {
 	target := url.URL{Path: call.Path, RawQuery: call.RawQuery}
 	req, err := newRequest(ctx, call.Method, addr, target, call.Body)
@@ -36,14 +35,14 @@
 	if call.ContentType != "" {
 		req.Header.Set("Content-Type", call.ContentType)
 	}
-	res, err := trip(s.transport, req)
+	res, err := roundTrip(s.transport, req)
 	if err != nil {
 		return upstream.ServiceAnswer{}, err
 	}
 	if declined(res) {
-		return upstream.ServiceAnswer{}, statusFailure(addr, res, nil)
+		return upstream.ServiceAnswer{}, statusError(addr, res, nil)
 	}
-	body, err := readWhole(addr, res)
+	body, err := readBody(addr, res)
 	if err != nil {
 		return upstream.ServiceAnswer{}, err
 	}
--- a/internal/upstream/client/status.go
+++ b/internal/upstream/client/status.go
@@ -9,18 +9,20 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// maxReason bounds what is read of a failure's reason, in bytes.
-const maxReason = 512
+// maxReasonBytes is the maximum length of the reason that is read from a failure, in bytes.
+const maxReasonBytes = 512
 
-// StatusError is an answer with a status that is no success.
+// StatusError is the error of a response with an unsuccessful status.
 type StatusError struct {
+	// Status is the HTTP status code.
 	Status int
+	// Reason is the start of the body, without surrounding white space.
 	Reason string
 	// Cause is one of the causes in package upstream, or nil.
 	Cause error
 }
 
-// Error names the status and the reason that the upstream gave.
+// Error returns the status and the reason.
 func (e *StatusError) Error() string {
 	return fmt.Sprintf("status %d: %s", e.Status, e.Reason)
 }
@@ -28,9 +30,9 @@
 // Unwrap returns the cause.
 func (e *StatusError) Unwrap() error { return e.Cause }
 
-// statusFailure reads the reason, closes the answer and classifies it.
-func statusFailure(addr string, res *http.Response, causes causeByStatus) *upstream.Error {
-	reason, _ := io.ReadAll(io.LimitReader(res.Body, maxReason))
+// statusError returns the error for an unsuccessful response, and closes its body.
+func statusError(addr string, res *http.Response, causes causeByStatus) *upstream.Error {
+	reason, _ := io.ReadAll(io.LimitReader(res.Body, maxReasonBytes))
 	_ = res.Body.Close()
 	err := &StatusError{
 		Status: res.StatusCode,
@@ -38,12 +40,12 @@
 		Cause:  causes[res.StatusCode],
 	}
 	if declined(res) {
-		return fail(addr, upstream.Declined, err)
+		return newError(addr, upstream.Declined, err)
 	}
-	return fail(addr, upstream.MaybeRun, err)
+	return newError(addr, upstream.MaybeRun, err)
 }
 
-// causeByStatus says what a status means on one of the engine's paths.
+// causeByStatus maps status codes to causes, for one kind of request to an engine.
 type causeByStatus map[int]error
 
 var (
--- a/internal/upstream/client/stream.go
+++ b/internal/upstream/client/stream.go
@@ -9,51 +9,51 @@
 )
 
 const (
-	// drainLimit bounds what is read after the last piece, in bytes.
-	drainLimit = 4 << 10
-	// drainTime bounds how long that may take.
-	drainTime = 100 * time.Millisecond
+	// drainBytes is the maximum number of bytes that are read after the last chunk.
+	drainBytes = 4 << 10
+	// drainTimeout is the time limit for reading them.
+	drainTimeout = 100 * time.Millisecond
 )
 
-// stream reads an engine's answer. Pieces are returned as they came: the
-// caller matches them to its attempt.
+// stream implements [upstream.Stream]. It returns chunks as received; the caller checks
+// that they belong to its attempt.
 type stream struct {
-	addr   string
-	body   io.ReadCloser
-	cancel context.CancelFunc
-	dec    *decoder
-	done   bool
+	addr    string
+	body    io.ReadCloser
+	cancel  context.CancelFunc
+	decoder *decoder
+	done    bool
 }
 
 func newStream(addr string, body io.ReadCloser, cancel context.CancelFunc) *stream {
-	return &stream{addr: addr, body: body, cancel: cancel, dec: newDecoder(body)}
+	return &stream{addr: addr, body: body, cancel: cancel, decoder: newDecoder(body)}
 }
 
-// Next returns the next piece; io.EOF follows the last one. A stream that ends
-// without its last piece is an error.
+// Next implements [upstream.Stream]. After the last chunk it returns io.EOF. A stream
+// that ends without a last chunk gives an error.
 func (s *stream) Next() (upstream.Chunk, error) {
 	if s.done {
 		return upstream.Chunk{}, io.EOF
 	}
-	c, err := s.dec.next()
+	c, err := s.decoder.next()
 	if err != nil {
-		return upstream.Chunk{}, fail(s.addr, upstream.MaybeRun, err)
+		return upstream.Chunk{}, newError(s.addr, upstream.MaybeRun, err)
 	}
 	s.done = c.Done
 	return c, nil
 }
 
-// Ready says that Next will not wait.
-func (s *stream) Ready() bool { return s.done || s.dec.ready() }
+// Ready implements [upstream.Stream].
+func (s *stream) Ready() bool { return s.done || s.decoder.ready() }
 
-// Close releases the connection; it does not cancel the attempt. After a whole
-// answer the connection goes back to the pool, for which the end of the body
-// has to be read; an engine that never sends it costs the connection.
+// Close implements [upstream.Stream]. After a complete answer it reads the end of the
+// body, so that the connection returns to the pool. If the engine does not send the end
+// within drainTimeout, the connection is closed.
 func (s *stream) Close() error {
 	if s.done {
-		late := time.AfterFunc(drainTime, s.cancel)
-		_, _ = io.CopyN(io.Discard, s.body, drainLimit)
-		late.Stop()
+		timer := time.AfterFunc(drainTimeout, s.cancel)
+		_, _ = io.CopyN(io.Discard, s.body, drainBytes)
+		timer.Stop()
 	}
 	err := s.body.Close()
 	s.cancel()
--- a/internal/upstream/client/transport.go
+++ b/internal/upstream/client/transport.go
@@ -6,8 +6,8 @@
 	"net/http"
 )
 
-// newTransport returns a pool of connections, all of type *conn. Compression
-// is off, since it would delay the pieces of a stream.
+// newTransport returns an HTTP transport whose connections are all of type *sealableConn.
+// Compression is off, since it would delay the chunks of a stream.
 func newTransport(o Options) *http.Transport {
 	dialer := net.Dialer{Timeout: o.DialTimeout}
 	dial := func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -15,7 +15,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return &conn{Conn: c}, nil
+		return &sealableConn{Conn: c}, nil
 	}
 	return &http.Transport{
 		DialContext:           dial,
--- a/internal/upstream/client/trip.go
+++ b/internal/upstream/client/trip.go
@@ -12,15 +12,16 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// trip sends the request at most once and classifies a failure.
-func trip(t *http.Transport, req *http.Request) (*http.Response, *upstream.Error) {
-	var s sending
-	res, err := t.RoundTrip(req.WithContext(httptrace.WithClientTrace(req.Context(), s.trace())))
+// roundTrip sends the request at most once and determines how far a failed one got. It passes
+// the headers of the response to the handler of the context.
+func roundTrip(t *http.Transport, req *http.Request) (*http.Response, *upstream.Error) {
+	var tracker sendTracker
+	res, err := t.RoundTrip(req.WithContext(httptrace.WithClientTrace(req.Context(), tracker.trace())))
 	if err != nil {
-		return nil, fail(req.URL.Host, s.reach(), err)
+		return nil, newError(req.URL.Host, tracker.reach(), err)
 	}
-	if heard := upstream.HeardFrom(req.Context()); heard != nil {
-		heard(announced(res.StatusCode, res.Header), time.Now())
+	if handle := upstream.HeardFrom(req.Context()); handle != nil {
+		handle(parseNotices(res.StatusCode, res.Header), time.Now())
 	}
 	return res, nil
 }
@@ -31,7 +32,7 @@
 	target.Host = addr
 	req, err := http.NewRequestWithContext(ctx, method, target.String(), nil)
 	if err != nil {
-		return nil, fail(addr, upstream.NotSent, eris.Wrap(err, "request"))
+		return nil, newError(addr, upstream.NotSent, eris.Wrap(err, "request"))
 	}
 	req.Body = newOnceBody(body)
 	req.ContentLength = int64(len(body))
--- a/internal/upstream/doc.go
+++ b/internal/upstream/doc.go
@@ -1,5 +1,6 @@
-// Package upstream reaches the upstreams: model engines and plain services.
+// Package upstream defines the interfaces of the upstreams: model engines and plain
+// services. Package client implements them over HTTP.
 //
-// Every failure says how far the request got, because only a request of which
-// no byte can have reached an upstream may be called "not run".
+// Every error tells how far the request got, because a failed request may be treated as
+// not run only if no byte can have reached the upstream or the upstream declined it.
 package upstream
--- a/internal/upstream/headers.go
+++ b/internal/upstream/headers.go
@@ -1,13 +1,13 @@
 package upstream
 
-// Headers in which an upstream says things of itself, in any answer.
+// Headers by which an upstream reports its own state, in any response.
 const (
-	// HeaderRateLimit names the requests a second that an upstream in need takes from all
-	// nodes together, for as long as its answers name it.
+	// HeaderRateLimit is the number of requests per second that an overloaded upstream
+	// accepts from all nodes together. It applies as long as responses contain it.
 	HeaderRateLimit = "X-Rate-Limit-Per-Second"
-	// HeaderLeaving is 1 where the upstream takes no new work any more.
+	// HeaderLeaving is 1 if the upstream accepts no new requests.
 	HeaderLeaving = "X-Leaving"
-	// HeaderRetryAfter, in a refusal with status 503, is how long the upstream wants nothing
-	// from the node that it has turned away: seconds, or a date.
+	// HeaderRetryAfter, in a response with status 503, is how long the node that receives
+	// it must not send requests to the upstream: seconds, or a date.
 	HeaderRetryAfter = "Retry-After"
 )
--- a/internal/upstream/heard.go
+++ b/internal/upstream/heard.go
@@ -7,18 +7,20 @@
 	"github.com/hickorybank/hickorybank/internal/notice"
 )
 
-// Heard takes what an upstream says of itself in the headers of an answer, read at a time.
-type Heard func(a notice.Response, at time.Time)
+// NoticeHandler handles what an upstream reports of itself in the headers of a response.
+// at is the time at which the headers were received.
+type NoticeHandler func(notices notice.Response, at time.Time)
 
-type heardKey struct{}
+type noticeHandlerKey struct{}
 
-// WithHeard returns a context whose calls tell of each answer's headers, whatever its status.
-func WithHeard(ctx context.Context, heard Heard) context.Context {
-	return context.WithValue(ctx, heardKey{}, heard)
+// WithHeard returns a context with a handler. Calls with this context pass the headers of
+// each response to it, whatever the status.
+func WithHeard(ctx context.Context, handle NoticeHandler) context.Context {
+	return context.WithValue(ctx, noticeHandlerKey{}, handle)
 }
 
-// HeardFrom returns who hears of the answers to a context's calls; nil for nobody.
-func HeardFrom(ctx context.Context) Heard {
-	heard, _ := ctx.Value(heardKey{}).(Heard)
-	return heard
+// HeardFrom returns the handler of a context, or nil if there is none.
+func HeardFrom(ctx context.Context) NoticeHandler {
+	handle, _ := ctx.Value(noticeHandlerKey{}).(NoticeHandler)
+	return handle
 }
--- a/internal/upstream/load.go
+++ b/internal/upstream/load.go
@@ -1,18 +1,19 @@
 package upstream
 
-// LoadReport is what an upstream says of its load. It lags.
+// LoadReport is the load that an upstream reports. It lags behind the actual load.
 type LoadReport struct {
+	// Running is the number of requests in progress.
 	Running int `json:"running"`
-	Queued  int `json:"queued"`
-	// Limit is how many requests the engine batches at a time.
+	// Queued is the number of requests that wait for a slot.
+	Queued int `json:"queued"`
+	// Limit is the maximum number of requests that the engine batches.
 	Limit int `json:"limit"`
-	// Versions are the versions that the engine has loaded.
+	// Versions are the model versions that the engine has loaded.
 	Versions []string `json:"versions,omitempty"`
-	// Leaving is set when the upstream takes no new work.
+	// Leaving is set if the upstream accepts no new requests.
 	Leaving bool `json:"leaving,omitempty"`
-	// Epoch tells the runs of the upstream's process apart: it changes with
-	// each start.
+	// Epoch identifies the run of the upstream's process; it changes at each start.
 	Epoch uint64 `json:"epoch,omitempty"`
-	// AgeMillis is how old the report was when it was sent.
+	// AgeMillis is the age of the report when it was sent, in milliseconds.
 	AgeMillis int64 `json:"age_ms"`
 }
--- a/internal/upstream/order.go
+++ b/internal/upstream/order.go
@@ -1,29 +1,34 @@
 package upstream
 
-// OrderAction is what an engine is told to do.
+// OrderAction is the action of an [Order].
 type OrderAction string
 
-// The orders that engines take.
+// The actions that engines support.
 const (
 	LoadVersion   OrderAction = "load"
 	UnloadVersion OrderAction = "unload"
 	SetRole       OrderAction = "role"
 )
 
-// Order tells an engine to load or unload a version or to change its role.
-// Some engines refuse a fence lower than the highest they have seen; others
-// ignore it.
+// Order is a command to an engine to load or unload a version or to change its role.
 type Order struct {
-	Fence   uint64      `json:"fence"`
-	Action  OrderAction `json:"action"`
-	Version string      `json:"version,omitempty"`
-	Role    string      `json:"role,omitempty"`
+	// Fence is the fencing number. Some engines refuse an order with a lower number than
+	// the highest they have seen; others ignore it.
+	Fence  uint64      `json:"fence"`
+	Action OrderAction `json:"action"`
+	// Version is set for LoadVersion and UnloadVersion.
+	Version string `json:"version,omitempty"`
+	// Role is set for SetRole.
+	Role string `json:"role,omitempty"`
 }
 
-// EngineState is what an engine says it has, read back after an order.
+// EngineState is the state that an engine reports, read back after an order.
 type EngineState struct {
-	Fence    uint64   `json:"fence"`
-	Role     string   `json:"role"`
+	// Fence is the highest fencing number that the engine has seen.
+	Fence uint64 `json:"fence"`
+	Role  string `json:"role"`
+	// Versions are the loaded versions.
 	Versions []string `json:"versions"`
-	Loading  []string `json:"loading,omitempty"`
+	// Loading are the versions that are being loaded.
+	Loading []string `json:"loading,omitempty"`
 }
--- a/internal/upstream/reach.go
+++ b/internal/upstream/reach.go
@@ -2,27 +2,30 @@
 
 import "fmt"
 
-// Reach says how far a failed request got.
+// Reach is how far a failed request got.
 type Reach int
 
-// The reaches.
+// The values of Reach.
 const (
-	// NotSent: no byte can have reached the upstream.
+	// NotSent means that no byte can have reached the upstream.
 	NotSent Reach = iota
-	// Declined: the upstream's contract says that it did not run the request.
+	// Declined means that the upstream guarantees that it did not run the request.
 	Declined
-	// MaybeRun: in doubt; it may have run, wholly or in part.
+	// MaybeRun means that the request may have run, completely or in part.
 	MaybeRun
 )
 
-// Error is a failed call to an upstream.
+// Error is the error of a failed call to an upstream.
 type Error struct {
+	// Reach is how far the request got.
 	Reach Reach
-	Addr  string
-	Err   error
+	// Addr is the address of the upstream.
+	Addr string
+	// Err is the cause.
+	Err error
 }
 
-// Error says how far the request got and why it failed.
+// Error returns the address, how far the request got, and the cause.
 func (e *Error) Error() string {
 	word := [...]string{"not sent", "declined", "maybe run"}[e.Reach]
 	return fmt.Sprintf("upstream %s (%s): %v", e.Addr, word, e.Err)
