--- a/internal/api/addresses.go
+++ b/internal/api/addresses.go
@@ -7,7 +7,8 @@
 	"github.com/julienschmidt/httprouter"
 )
 
-// addresses needs no key: a caller asks before anything else.
+// addresses responds with the entry addresses for the caller. It requires no key, since
+// it is a caller's first request.
 func (s *Server) addresses(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	host, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
--- a/internal/api/completion.go
+++ b/internal/api/completion.go
@@ -8,7 +8,7 @@
 	roleAssistant    = "assistant"
 )
 
-// completion is the answer of the chat completion API, whole or as a chunk.
+// completion is a response of the chat completion API, or one chunk of a stream.
 type completion struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -16,19 +16,23 @@
 	Model   string   `json:"model"`
 	Choices []choice `json:"choices"`
 	Usage   *usage   `json:"usage,omitempty"`
-	// Own is what the router adds to the form of the API.
-	Own *own `json:"hickorybank,omitempty"`
+	// Extras is the router's extension of the API.
+	Extras *extras `json:"hickorybank,omitempty"`
 }
 
-// own is what a caller of the router learns of an answer.
-type own struct {
+// extras is the information on an answer that the router adds to the API.
+type extras struct {
+	// Version is the model version that answered.
 	Version string `json:"version"`
-	// CostMicros is in micro-units of currency.
+	// CostMicros is the cost in micro-units of currency.
 	CostMicros int64 `json:"cost_micros"`
 }
 
-func ownOf(a request.Answer) *own { return &own{Version: a.Version, CostMicros: a.Cost} }
+// extrasOf returns the router's extension for an answer.
+func extrasOf(a request.Answer) *extras { return &extras{Version: a.Version, CostMicros: a.Cost} }
 
+// choice is the only choice of a completion. Message is set in a response, Delta in a
+// chunk.
 type choice struct {
 	Index        int      `json:"index"`
 	Message      *content `json:"message,omitempty"`
@@ -36,11 +40,13 @@
 	FinishReason *string  `json:"finish_reason"`
 }
 
+// content is a message or a part of it.
 type content struct {
 	Role    string `json:"role,omitempty"`
 	Content string `json:"content"`
 }
 
+// usage is the token usage in the form of the API.
 type usage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
--- a/internal/api/decode.go
+++ b/internal/api/decode.go
@@ -15,16 +15,16 @@
 	"github.com/hickorybank/hickorybank/internal/request"
 )
 
-// Limits of what callers may send.
+// Limits of requests.
 const (
-	maxBody    = 4 << 20 // bytes
-	maxKey     = 128     // characters of an idempotency key
-	maxTimeout = time.Hour
-	// bodyTimeout bounds the reading of a body.
+	maxBodyBytes = 4 << 20 // bytes
+	maxKeyLength = 128     // characters of an idempotency key
+	maxTimeout   = time.Hour
+	// bodyTimeout is the time limit for reading a body.
 	bodyTimeout = 30 * time.Second
 )
 
-// Headers of the interface.
+// Headers of requests and responses.
 const (
 	headerKey         = "Idempotency-Key"
 	headerSession     = "Hickorybank-Session"
@@ -36,47 +36,54 @@
 	headerCost        = "Hickorybank-Cost-Micros"
 )
 
+// message is one message of a chat request. Content is not decoded.
 type message struct {
 	Role    string
 	Content json.RawMessage
 }
 
+// part is one part of a message whose content is a list.
 type part struct {
 	Type string `json:"type"`
 	Text string `json:"text"`
 }
 
-func bad(text string) *request.Failure { return badFor(request.ReasonMalformed, text) }
+// malformed returns the failure of a malformed request, with a text for the caller.
+func malformed(text string) *request.Failure { return badRequest(request.ReasonMalformed, text) }
 
-func badFor(why request.Reason, text string) *request.Failure {
+// badRequest returns the failure of an invalid request, with a reason and a text for the
+// caller.
+func badRequest(reason request.Reason, text string) *request.Failure {
 	f := request.Refuse(request.CodeBadRequest, 0, text)
-	f.Reason = why
+	f.Reason = reason
 	return f
 }
 
+// readBody reads a body of at most maxBodyBytes.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, *request.Failure) {
-	// A body that never ends would hold its connection for ever. The limit
-	// ends with the body: a long answer must not be cut by it.
+	// Without a deadline, a body that never ends would occupy its connection forever. The
+	// deadline is removed after the body, so that it does not interrupt a long answer.
 	control := http.NewResponseController(w)
-	_ = control.SetReadDeadline(time.Now().Add(bodyTimeout)) // not offered by test recorders
+	_ = control.SetReadDeadline(time.Now().Add(bodyTimeout)) // test recorders do not support it
 	defer func() { _ = control.SetReadDeadline(time.Time{}) }()
-	body, err := readAll(http.MaxBytesReader(w, r.Body, maxBody), r.ContentLength)
+	body, err := readAll(http.MaxBytesReader(w, r.Body, maxBodyBytes), r.ContentLength)
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return nil, badFor(request.ReasonTooLarge, "the body is larger than "+strconv.Itoa(maxBody)+" bytes")
+		return nil, badRequest(request.ReasonTooLarge, "the body is larger than "+strconv.Itoa(maxBodyBytes)+" bytes")
 	}
 	if err != nil {
-		return nil, badFor(request.ReasonUnread, "the body could not be read: "+err.Error())
+		return nil, badRequest(request.ReasonUnread, "the body could not be read: "+err.Error())
 	}
 	return body, nil
 }
 
-// maxRoom bounds what a stated length reserves before anything has come.
-const maxRoom = 64 << 10
+// maxPreallocatedBytes is the maximum number of bytes that are allocated for a stated
+// content length before any data is received.
+const maxPreallocatedBytes = 64 << 10
 
-// readAll reads a body whose length is stated without growing a buffer.
+// readAll reads a body. If its length is stated and small, it allocates the buffer once.
 func readAll(r io.Reader, length int64) ([]byte, error) {
-	if length < 0 || length > maxRoom {
+	if length < 0 || length > maxPreallocatedBytes {
 		return io.ReadAll(r)
 	}
 	var body bytes.Buffer
@@ -85,44 +92,45 @@
 	return body.Bytes(), err
 }
 
-// decode reads a chat request's body and says whether its answer is to be
-// streamed. Fields that the router does not know pass through to the engine.
-func (call *ChatCall) decode(body []byte) (stream bool, fail *request.Failure) {
-	fields, fail := fieldsOf(body)
-	if fail != nil {
-		return false, fail
+// decode decodes the body of a chat request into the call. stream is set if the answer is
+// to be streamed. Fields that the router does not use are passed to the engine.
+func (call *ChatCall) decode(body []byte) (stream bool, failure *request.Failure) {
+	fields, failure := splitBody(body)
+	if failure != nil {
+		return false, failure
 	}
 	if raw, ok := fields["stream"]; ok && json.Unmarshal(raw, &stream) != nil {
-		return false, bad("stream: must be true or false")
+		return false, malformed("stream: must be true or false")
 	}
 	if json.Unmarshal(fields["model"], &call.Model) != nil || call.Model == "" {
-		return false, bad("model: must be the name of a model, version or class")
+		return false, malformed("model: must be the name of a model, version or class")
 	}
-	messages, ok := messagesOf(fields["messages"])
+	messages, ok := decodeMessages(fields["messages"])
 	if !ok || len(messages) == 0 {
-		return false, bad("messages: must be a list with at least one message")
+		return false, malformed("messages: must be a list with at least one message")
 	}
-	prompt, fail := promptOf(messages)
-	if fail != nil {
-		return false, fail
+	prompt, failure := validateMessages(messages)
+	if failure != nil {
+		return false, failure
 	}
 	call.Fields = fields
 	call.Prompt = prompt
 	call.PrefixHash = prefixHash(messages)
 	call.Body = body
-	call.UsageApart = usageApart(fields["stream_options"])
+	call.UsageApart = wantsUsageChunk(fields["stream_options"])
 	return stream, nil
 }
 
-// usageApart takes anything but a clear wish as none, as engines do.
-func usageApart(raw json.RawMessage) bool {
+// wantsUsageChunk reports whether stream_options requests a separate chunk with the
+// usage. As in engines, any other value than true counts as false.
+func wantsUsageChunk(raw json.RawMessage) bool {
 	options, _ := request.SplitObject(raw)
 	return string(options["include_usage"]) == "true"
 }
 
-// fieldsOf checks the body once as a whole and then only cuts it up; what is
-// no object is left to the decoder, whose error says why.
-func fieldsOf(body []byte) (request.Fields, *request.Failure) {
+// splitBody returns the fields of the body. It validates the body once and then only
+// splits it. A body that is not an object is decoded for the error message.
+func splitBody(body []byte) (request.Fields, *request.Failure) {
 	if json.Valid(body) {
 		if fields, ok := request.SplitObject(body); ok {
 			return fields, nil
@@ -130,11 +138,12 @@
 	}
 	var fields request.Fields
 	if err := decodeOne(body, &fields); err != nil {
-		return nil, bad("the body is not one JSON object: " + err.Error())
+		return nil, malformed("the body is not one JSON object: " + err.Error())
 	}
 	return fields, nil
 }
 
+// decodeOne decodes one JSON value. It returns an error if data follows the value.
 func decodeOne(body []byte, v any) error {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	if err := decoder.Decode(v); err != nil {
@@ -146,18 +155,20 @@
 	return nil
 }
 
-func messagesOf(raw json.RawMessage) ([]message, bool) {
+// decodeMessages decodes the list of messages; ok is false if it is malformed.
+func decodeMessages(raw json.RawMessage) ([]message, bool) {
 	list, ok := request.SplitArray(raw)
 	messages := make([]message, len(list))
 	for i, element := range list {
-		if messages[i], ok = messageOf(element); !ok {
+		if messages[i], ok = decodeMessage(element); !ok {
 			return nil, false
 		}
 	}
 	return messages, ok
 }
 
-func messageOf(raw json.RawMessage) (message, bool) {
+// decodeMessage decodes a message; null gives an empty one.
+func decodeMessage(raw json.RawMessage) (message, bool) {
 	if string(raw) == "null" {
 		return message{}, true
 	}
@@ -172,16 +183,16 @@
 	return m, ok
 }
 
-// promptOf checks the messages and returns the last one of the user.
-func promptOf(messages []message) (string, *request.Failure) {
+// validateMessages validates the messages and returns the text of the user's last one.
+func validateMessages(messages []message) (string, *request.Failure) {
 	last := -1
 	for i, m := range messages {
 		field := "messages[" + strconv.Itoa(i) + "]"
 		if m.Role == "" {
-			return "", bad(field + ".role: must not be empty")
+			return "", malformed(field + ".role: must not be empty")
 		}
-		if !isContent(m.Content) {
-			return "", bad(field + ".content: must be text, null or a list of parts")
+		if !isValidContent(m.Content) {
+			return "", malformed(field + ".content: must be text, null or a list of parts")
 		}
 		if m.Role == "user" {
 			last = i
@@ -194,8 +205,9 @@
 	return text, nil
 }
 
-// isContent spares the decoding of a text, which is valid JSON already.
-func isContent(raw json.RawMessage) bool {
+// isValidContent reports whether raw is valid content of a message. It does not decode a
+// string, which is known to be valid JSON.
+func isValidContent(raw json.RawMessage) bool {
 	if len(raw) > 0 && raw[0] == '"' {
 		return true
 	}
@@ -203,6 +215,7 @@
 	return ok
 }
 
+// contentText returns the text of a message's content: a string, null or a list of parts.
 func contentText(raw json.RawMessage) (string, bool) {
 	if len(raw) == 0 || string(raw) == "null" {
 		return "", true
@@ -222,8 +235,8 @@
 	return strings.Join(texts, "\n"), true
 }
 
-// prefixHash covers all messages but the last, which is what turns of one
-// conversation share; with one message it covers that.
+// prefixHash returns the hash of all messages except the last, which is the prefix that
+// the turns of a conversation share. A single message is hashed itself.
 func prefixHash(messages []message) uint64 {
 	shared := messages
 	if len(messages) > 1 {
@@ -237,20 +250,22 @@
 	return h.Sum64()
 }
 
-func keyOf(r *http.Request) (string, *request.Failure) {
+// idempotencyKey returns the idempotency key; empty if there is none.
+func idempotencyKey(r *http.Request) (string, *request.Failure) {
 	key := r.Header.Get(headerKey)
-	if len(key) > maxKey {
-		return "", bad(headerKey + ": longer than " + strconv.Itoa(maxKey) + " characters")
+	if len(key) > maxKeyLength {
+		return "", malformed(headerKey + ": longer than " + strconv.Itoa(maxKeyLength) + " characters")
 	}
 	for _, c := range key {
 		if c <= ' ' || c > '~' || c == '/' {
-			return "", bad(headerKey + ": only printable ASCII without space and slash is accepted")
+			return "", malformed(headerKey + ": only printable ASCII without space and slash is accepted")
 		}
 	}
 	return key, nil
 }
 
-func timeoutOf(r *http.Request) (time.Duration, *request.Failure) {
+// requestTimeout returns the time-out of the request; 0 if the header is missing.
+func requestTimeout(r *http.Request) (time.Duration, *request.Failure) {
 	text := r.Header.Get(headerTimeout)
 	if text == "" {
 		return 0, nil
@@ -258,7 +273,7 @@
 	millis, err := strconv.ParseInt(text, 10, 64)
 	limit := maxTimeout.Milliseconds()
 	if err != nil || millis <= 0 || millis > limit {
-		return 0, bad(headerTimeout + ": must be whole milliseconds from 1 to " + strconv.FormatInt(limit, 10))
+		return 0, malformed(headerTimeout + ": must be whole milliseconds from 1 to " + strconv.FormatInt(limit, 10))
 	}
 	return time.Duration(millis) * time.Millisecond, nil
 }
--- a/internal/api/doc.go
+++ b/internal/api/doc.go
@@ -1,4 +1,4 @@
-// Package api is the callers' HTTP interface: the chat completion API in the
-// OpenAI form, plain services, and the addresses to use. It checks everything
-// that arrives before any of it reaches the router.
+// Package api implements the HTTP interface for callers: a chat completion API that is
+// compatible with OpenAI's, calls of plain services, and the list of entry addresses. It
+// validates every request before it passes it to the router.
 package api
--- a/internal/api/door_test.go
+++ b/internal/api/door_test.go
@@ -12,9 +12,9 @@
 	"github.com/hickorybank/hickorybank/internal/request"
 )
 
-// Whatever is wrong with what arrives, the caller hears what, in the API's
-// error form and as not run, and nothing of it reaches the router.
-func TestBadInputEndsAtTheDoor(t *testing.T) {
+// Guards against passing an invalid request to the router. The caller must get an error
+// response that names the fault, with outcome not run.
+func TestInvalidRequestDoesNotReachRouter(t *testing.T) {
 	chat := "/v1/chat/completions"
 	withModel := func(model string) string { return `{"model":` + model + `,"messages":[{"role":"user","content":"x"}]}` }
 	withMessages := func(messages string) string { return `{"model":"draft","messages":` + messages + `}` }
@@ -26,7 +26,7 @@
 		part                     string
 	}{
 		{"no key", "POST", chat, goodChat, []header{{"Authorization", ""}}, 401, request.CodeUnauthorised, "bearer key"},
-		{"foreign key", "POST", chat, goodChat, []header{{"Authorization", "Bearer nobody"}}, 401, request.CodeUnauthorised, "bearer key"},
+		{"unknown key", "POST", chat, goodChat, []header{{"Authorization", "Bearer nobody"}}, 401, request.CodeUnauthorised, "bearer key"},
 		{"empty key", "POST", chat, goodChat, []header{{"Authorization", "Bearer "}}, 401, request.CodeUnauthorised, "bearer key"},
 		{"other scheme", "POST", chat, goodChat, []header{{"Authorization", "Basic " + example.DemoKey("cartagena")}}, 401, request.CodeUnauthorised, "bearer key"},
 		{"operator's key", "POST", chat, goodChat, []header{{"Authorization", "Bearer " + example.OperatorKey}}, 401, request.CodeUnauthorised, "bearer key"},
@@ -37,12 +37,12 @@
 		{"unknown method", "PUT", chat, goodChat, nil, 404, request.CodeBadRequest, "PUT"},
 		{"operators' path", "GET", "/admin/v1/configuration", "", nil, 404, request.CodeBadRequest, "/admin"},
 		{"empty body", "POST", chat, "", nil, 400, request.CodeBadRequest, "not one JSON object"},
-		{"half a body", "POST", chat, goodChat[:30], nil, 400, request.CodeBadRequest, "not one JSON object"},
+		{"truncated body", "POST", chat, goodChat[:30], nil, 400, request.CodeBadRequest, "not one JSON object"},
 		{"two bodies", "POST", chat, goodChat + goodChat, nil, 400, request.CodeBadRequest, "data after it"},
 		{"a list", "POST", chat, "[]", nil, 400, request.CodeBadRequest, "not one JSON object"},
 		{"null", "POST", chat, "null", nil, 400, request.CodeBadRequest, "model"},
 		{"not text", "POST", chat, "\xff\xfe", nil, 400, request.CodeBadRequest, "not one JSON object"},
-		{"too large", "POST", chat, `{"model":"` + strings.Repeat("x", maxBody) + `"}`, nil, 400, request.CodeBadRequest, "larger than"},
+		{"too large", "POST", chat, `{"model":"` + strings.Repeat("x", maxBodyBytes) + `"}`, nil, 400, request.CodeBadRequest, "larger than"},
 		{"no model", "POST", chat, `{"messages":[{"role":"user","content":"x"}]}`, nil, 400, request.CodeBadRequest, "model:"},
 		{"empty model", "POST", chat, withModel(`""`), nil, 400, request.CodeBadRequest, "model:"},
 		{"model is a number", "POST", chat, withModel("7"), nil, 400, request.CodeBadRequest, "model:"},
@@ -52,7 +52,7 @@
 		{"message without role", "POST", chat, withMessages(`[{"content":"x"}]`), nil, 400, request.CodeBadRequest, "messages[0].role"},
 		{"content is a number", "POST", chat, withMessages(`[{"role":"user","content":"x"},{"role":"user","content":5}]`), nil, 400, request.CodeBadRequest, "messages[1].content"},
 		{"stream is text", "POST", chat, `{"stream":"yes",` + goodChat[1:], nil, 400, request.CodeBadRequest, "stream:"},
-		{"long idempotency key", "POST", chat, goodChat, []header{{headerKey, strings.Repeat("k", maxKey+1)}}, 400, request.CodeBadRequest, headerKey},
+		{"long idempotency key", "POST", chat, goodChat, []header{{headerKey, strings.Repeat("k", maxKeyLength+1)}}, 400, request.CodeBadRequest, headerKey},
 		{"space in idempotency key", "POST", chat, goodChat, []header{{headerKey, "a b"}}, 400, request.CodeBadRequest, headerKey},
 		{"slash in idempotency key", "POST", chat, goodChat, []header{{headerKey, "a/b"}}, 400, request.CodeBadRequest, headerKey},
 		{"byte in idempotency key", "POST", chat, goodChat, []header{{headerKey, "a\x80"}}, 400, request.CodeBadRequest, headerKey},
@@ -62,16 +62,16 @@
 		{"unknown service", "GET", "/v1/services/tides/x", "", nil, 404, request.CodeUnknownModel, "tides"},
 		{"undeclared call", "DELETE", "/v1/services/billing/receipts/1", "", nil, 400, request.CodeBadRequest, "declares no call"},
 		{"undeclared path", "GET", "/v1/services/billing/secrets", "", nil, 400, request.CodeBadRequest, "declares no call"},
-		{"path out of a declared one", "GET", "/v1/services/billing/receipts/../secrets", "", nil, 400, request.CodeBadRequest, "segments"},
+		{"path leaves a declared one", "GET", "/v1/services/billing/receipts/../secrets", "", nil, 400, request.CodeBadRequest, "segments"},
 		{"bad key for a call", "POST", "/v1/services/billing/settlements", "{}", []header{{headerKey, "a b"}}, 400, request.CodeBadRequest, headerKey},
-		{"too large a call", "POST", "/v1/services/billing/settlements", strings.Repeat("x", maxBody+1), nil, 400, request.CodeBadRequest, "larger than"},
-		{"stream from a word", "GET", "/v1/streams/abc?after=x", "", nil, 400, request.CodeBadRequest, "after"},
-		{"stream from below 0", "GET", "/v1/streams/abc", "", []header{{headerLastEvent, "-1"}}, 400, request.CodeBadRequest, "after"},
+		{"call too large", "POST", "/v1/services/billing/settlements", strings.Repeat("x", maxBodyBytes+1), nil, 400, request.CodeBadRequest, "larger than"},
+		{"after is not a number", "GET", "/v1/streams/abc?after=x", "", nil, 400, request.CodeBadRequest, "after"},
+		{"after is negative", "GET", "/v1/streams/abc", "", []header{{headerLastEvent, "-1"}}, 400, request.CodeBadRequest, "after"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			b := newBackend(t)
+			b := newFakeRouter(t)
 			w := send(b, c.method, c.path, c.body, c.headers...)
 			is.Equal(w.Code, c.status)
 			is.Equal(w.Header().Get("Content-Type"), "application/json")
@@ -79,18 +79,19 @@
 			is.Equal(detail.Code, c.code)
 			is.Equal(detail.Outcome, request.NotRun)
 			is.True(detail.Type != "")
-			is.True(strings.Contains(detail.Message, c.part)) // says what is wrong
+			is.True(strings.Contains(detail.Message, c.part)) // names the fault
 			is.Equal(b.reached(), 0)
-			is.Equal(len(b.refused), 1) // counted, once
+			is.Equal(len(b.refused), 1) // counted once
 			is.Equal(b.refused[0].Code, c.code)
 			is.True(b.refused[0].AtDoor)
 		})
 	}
 }
 
-func TestGoodInputComesThroughAsSent(t *testing.T) {
+// Guards against a valid request whose fields or headers are lost or changed.
+func TestValidRequestReachesRouterUnchanged(t *testing.T) {
 	is := is.New(t)
-	b := newBackend(t)
+	b := newFakeRouter(t)
 	body := `{"model":"draft","temperature":0.5,"messages":[{"role":"system","content":"s"},{"role":"user","content":[{"type":"text","text":"a"},{"type":"text","text":"b"}]}]}`
 	w := send(b, "POST", "/v1/chat/completions", body, header{headerKey, "k-1"}, header{headerTimeout, "1500"}, header{headerSession, "s"}, header{headerClass, "draft"})
 	is.Equal(w.Code, http.StatusOK)
@@ -102,23 +103,22 @@
 	is.Equal(call.Session, "s")
 	is.Equal(call.Class, "draft")
 	is.Equal(call.Prompt, "a\nb")
-	is.Equal(string(call.Fields["temperature"]), "0.5") // the engine's, not ours
+	is.Equal(string(call.Fields["temperature"]), "0.5") // passed to the engine
 	w = send(b, "POST", "/v1/services/billing/settlements?x=1", "{}", header{headerKey, "k-2"})
 	is.Equal(w.Code, http.StatusOK)
 	is.Equal(b.calls[0].Request.Path, "/settlements")
 	is.Equal(b.calls[0].Request.RawQuery, "x=1")
 	w = send(b, "GET", "/v1/streams/token?after=4", "")
 	is.Equal(w.Code, http.StatusOK)
-	is.Equal(b.readsOn[0].After, 4)
-	is.Equal(b.readsOn[0].Token, "token")
+	is.Equal(b.resumes[0].After, 4)
+	is.Equal(b.resumes[0].Token, "token")
 }
 
-// Two callers share a system message and differ in the last one. Their
-// prefixes must be known as one, and another conversation's as another, or the
-// engines' caches are of no use.
-func TestPrefixCoversAllButTheLastMessage(t *testing.T) {
+// Guards against prefix hashes that make the engines' caches useless. Requests that differ
+// only in the last message must have the same hash, other conversations another one.
+func TestPrefixHashCoversAllButLastMessage(t *testing.T) {
 	is := is.New(t)
-	b := newBackend(t)
+	b := newFakeRouter(t)
 	for _, messages := range []string{
 		`[{"role":"system","content":"s"},{"role":"user","content":"1"}]`,
 		`[{"role":"system","content":"s"},{"role":"user","content":"2"}]`,
@@ -130,9 +130,11 @@
 	is.True(b.chats[0].PrefixHash != b.chats[2].PrefixHash)
 }
 
-func TestWithoutConfigurationNothingIsServed(t *testing.T) {
+// Guards against serving requests before a configuration is in force. Only the addresses
+// are available then.
+func TestRequestsAreRefusedWithoutConfiguration(t *testing.T) {
 	is := is.New(t)
-	b := &backend{}
+	b := &fakeRouter{}
 	w := send(b, "POST", "/v1/chat/completions", goodChat)
 	is.Equal(w.Code, http.StatusServiceUnavailable)
 	is.Equal(errorOf(t, w).Outcome, request.NotRun)
@@ -140,28 +142,28 @@
 	is.Equal(send(b, "GET", "/v1/addresses", "").Code, http.StatusOK)
 }
 
-// Every code must have a status of its own choosing: one that is forgotten
-// would be told as a server's fault.
-func TestFailuresAreToldInTheFormOfTheAPI(t *testing.T) {
-	for code, status := range statuses {
+// Guards against failures that are sent with a wrong status, Retry-After or message,
+// streamed or not.
+func TestFailuresHaveStatusAndRetryAfter(t *testing.T) {
+	for code, status := range statusByCode {
 		is := is.New(t)
-		b := newBackend(t)
+		b := newFakeRouter(t)
 		b.failure = request.Refuse(code, 1500*time.Millisecond, "why")
 		w := send(b, "POST", "/v1/chat/completions", goodChat)
 		is.Equal(w.Code, status)
 		is.Equal(w.Header().Get("Retry-After"), "2") // whole seconds, rounded up
 		is.Equal(errorOf(t, w).Message, "why")
 		streamed := send(b, "POST", "/v1/chat/completions", `{"stream":true,`+goodChat[1:])
-		is.Equal(streamed.Code, status) // nothing had begun
+		is.Equal(streamed.Code, status) // the stream has not started
 		is.Equal(send(b, "POST", "/v1/services/billing/settlements", "{}").Code, status)
 	}
 }
 
-// A stream breaks after its first piece. Its end must not look like a normal
-// one: the caller would take half a dues statement for the whole.
-func TestBrokenStreamHasNoNormalEnd(t *testing.T) {
+// Guards against a stream that breaks after its first chunk and ends like a complete one.
+// The caller would take half a dues statement for the whole.
+func TestBrokenStreamHasNoEndMarker(t *testing.T) {
 	is := is.New(t)
-	b := newBackend(t)
+	b := newFakeRouter(t)
 	b.failure = &request.Failure{Code: request.CodeUpstreamFailed, Message: "gone", Outcome: request.Unknown}
 	w := send(b, "POST", "/v1/chat/completions", `{"stream":true,`+goodChat[1:])
 	is.Equal(w.Code, http.StatusOK)
--- a/internal/api/error.go
+++ b/internal/api/error.go
@@ -10,11 +10,12 @@
 	"github.com/hickorybank/hickorybank/internal/request"
 )
 
-// errorBody is the error form of the OpenAI API, with the outcome added.
+// errorBody is an error response of the OpenAI API, extended by the outcome.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
 
+// errorDetail describes an error. Outcome tells whether the request may have run.
 type errorDetail struct {
 	Message string          `json:"message"`
 	Type    string          `json:"type"`
@@ -23,7 +24,9 @@
 	Outcome request.Outcome `json:"outcome"`
 }
 
-var statuses = map[request.Code]int{
+// statusByCode maps failure codes to HTTP status codes. A code that is missing here would
+// be sent as an internal server error.
+var statusByCode = map[request.Code]int{
 	request.CodeBadRequest:     http.StatusBadRequest,
 	request.CodeUnauthorised:   http.StatusUnauthorized,
 	request.CodeUnknownModel:   http.StatusNotFound,
@@ -45,8 +48,8 @@
 	request.CodeCancelled:      http.StatusRequestTimeout,
 }
 
-// asFailure returns the failure in err; anything else is unknown, because it
-// is not known what ran.
+// asFailure returns the failure in err. Any other error becomes a failure with outcome
+// Unknown, since the request may have run.
 func asFailure(err error) *request.Failure {
 	var f *request.Failure
 	if errors.As(err, &f) {
@@ -55,7 +58,8 @@
 	return &request.Failure{Code: request.CodeUpstreamFailed, Message: err.Error(), Outcome: request.Unknown, RetryAfter: time.Second}
 }
 
-func (d errorDetail) kind(status int) string {
+// errorType returns the error type of the OpenAI API for an HTTP status.
+func (d errorDetail) errorType(status int) string {
 	switch {
 	case status == http.StatusUnauthorized:
 		return "authentication_error"
@@ -68,16 +72,18 @@
 	}
 }
 
+// newErrorBody returns the HTTP status and the body for a failure.
 func newErrorBody(f *request.Failure) (int, errorBody) {
-	status, ok := statuses[f.Code]
+	status, ok := statusByCode[f.Code]
 	if !ok {
 		status = http.StatusInternalServerError
 	}
 	detail := errorDetail{Message: f.Message, Code: f.Code, Outcome: f.Outcome}
-	detail.Type = detail.kind(status)
+	detail.Type = detail.errorType(status)
 	return status, errorBody{Error: detail}
 }
 
+// writeFailure sends a failure as the response.
 func writeFailure(w http.ResponseWriter, f *request.Failure) {
 	status, body := newErrorBody(f)
 	if f.RetryAfter > 0 {
@@ -85,10 +91,10 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(body) // the caller may have gone; nothing is left to do
+	_ = json.NewEncoder(w).Encode(body) // the caller may have disconnected
 }
 
-// retryAfterSeconds rounds up, since the header has whole seconds.
+// retryAfterSeconds returns the value of Retry-After in whole seconds, rounded up.
 func retryAfterSeconds(d time.Duration) string {
 	return strconv.FormatInt(int64((d+time.Second-1)/time.Second), 10)
 }
--- a/internal/api/event.go
+++ b/internal/api/event.go
@@ -6,14 +6,15 @@
 	"unicode/utf8"
 )
 
-// appendEvent adds a server-sent event; a number of 0 gives it no id.
+// appendEvent appends a server-sent event. If seq is 0, the event has no ID.
 func appendEvent(out []byte, seq int, data []byte) []byte {
-	out = appendID(out, seq)
+	out = appendEventStart(out, seq)
 	out = append(out, data...)
 	return append(out, "\n\n"...)
 }
 
-func appendID(out []byte, seq int) []byte {
+// appendEventStart appends the start of a server-sent event, up to its data.
+func appendEventStart(out []byte, seq int) []byte {
 	if seq > 0 {
 		out = append(out, "id: "...)
 		out = strconv.AppendInt(out, int64(seq), 10)
@@ -22,9 +23,9 @@
 	return append(out, "data: "...)
 }
 
-// appendText adds text as a JSON string, as encoding/json writes it.
-func appendText(out []byte, text string) []byte {
-	if !plain(text) {
+// appendJSONString appends text as a JSON string, with the same bytes as encoding/json.
+func appendJSONString(out []byte, text string) []byte {
+	if !isUnescaped(text) {
 		quoted, err := json.Marshal(text)
 		if err != nil {
 			panic(err) // a string can always be encoded
@@ -36,8 +37,8 @@
 	return append(out, '"')
 }
 
-// plain says that a text stands for itself in JSON.
-func plain(text string) bool {
+// isUnescaped reports whether encoding/json writes the text without escapes.
+func isUnescaped(text string) bool {
 	for i := range len(text) {
 		switch c := text[i]; {
 		case c < ' ' || c >= utf8.RuneSelf:
--- a/internal/api/event_test.go
+++ b/internal/api/event_test.go
@@ -11,8 +11,8 @@
 	"github.com/hickorybank/hickorybank/internal/request"
 )
 
-// FuzzStreamedText holds the events of a stream, which are put together by
-// hand, against encoding/json: byte for byte the same.
+// FuzzStreamedText compares the events of a stream, which are assembled without
+// encoding/json, with the output of encoding/json. They must be equal byte for byte.
 func FuzzStreamedText(f *testing.F) {
 	for _, s := range []string{"", "token ", "a\"b\\c\n", "<añ&\u2028>", "\xff\x00\x7f"} {
 		f.Add(s)
--- a/internal/api/fuzz_test.go
+++ b/internal/api/fuzz_test.go
@@ -8,27 +8,27 @@
 	"github.com/hickorybank/hickorybank/internal/example"
 )
 
-// FuzzChat sends any body and headers as a chat request. What is refused is
-// refused as the caller's mistake and goes no further; what goes through has
-// a model and a body for the engine.
+// FuzzChat sends arbitrary bodies and headers as chat requests. A refused request must
+// get a 4xx status and not reach the router. An accepted one must have a model and a body
+// for the engine.
 func FuzzChat(f *testing.F) {
 	f.Add(goodChat, "", "", "")
 	f.Add(`{"stream":true,`+goodChat[1:], "key", "100", "0")
 	f.Add(`{"model":"a","model":"b","messages":[{"role":"user","content":[{"type":"text","text":"x"}]}]}`, "k", "", "9")
 	f.Add(`{"model":"\ud800","messages":[{"role":"user","content":null}]}`, "", "1e3", "-0")
-	b := newBackend(f)
+	b := newFakeRouter(f)
 	f.Fuzz(func(t *testing.T, body, key, timeout, after string) {
 		before := len(b.chats)
 		w := send(b, http.MethodPost, "/v1/chat/completions", body, header{headerKey, key}, header{headerTimeout, timeout})
 		if w.Code >= 500 {
 			t.Fatal(w.Code, w.Body.String())
 		}
-		passed := len(b.chats) > before
-		if passed != (w.Code == http.StatusOK) {
-			t.Fatal("reached the router:", passed, "status:", w.Code)
+		reached := len(b.chats) > before
+		if reached != (w.Code == http.StatusOK) {
+			t.Fatal("reached the router:", reached, "status:", w.Code)
 		}
-		if passed {
-			checkPassed(t, b.chats[len(b.chats)-1])
+		if reached {
+			checkAccepted(t, b.chats[len(b.chats)-1])
 		}
 		if w := send(b, http.MethodGet, "/v1/streams/t", "", header{headerLastEvent, after}); w.Code >= 500 {
 			t.Fatal(w.Code)
@@ -36,7 +36,9 @@
 	})
 }
 
-func checkPassed(t *testing.T, call ChatCall) {
+// checkAccepted checks that the engine decodes the same request from the body as the
+// router.
+func checkAccepted(t *testing.T, call ChatCall) {
 	if call.Model == "" || call.Org.Name != "cartagena" {
 		t.Fatal("incomplete call")
 	}
@@ -44,24 +46,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var again ChatCall
-	_, fail := again.decode(body)
-	if fail != nil || again.Model != "dues@1" || again.Prompt != call.Prompt {
-		t.Fatal("the engine would read something else:", fail)
+	var decoded ChatCall
+	_, failure := decoded.decode(body)
+	if failure != nil || decoded.Model != "dues@1" || decoded.Prompt != call.Prompt {
+		t.Fatal("the body for the engine decodes to a different request:", failure)
 	}
 }
 
-// FuzzServicePath calls any path below a service. Only a declared call may
-// reach it, and under no other name than the one that was checked.
+// FuzzServicePath calls arbitrary paths of a service. Only a declared call may reach the
+// service, and with the same path that was checked.
 func FuzzServicePath(f *testing.F) {
 	for _, path := range []string{"/receipts/1", "/receipts/../x", "/receipts/%2e%2e/x", "//receipts/", "/settlements", "/clearance/\x00"} {
 		f.Add("GET", path)
 	}
-	b := newBackend(f)
+	b := newFakeRouter(f)
 	f.Fuzz(func(t *testing.T, method, path string) {
 		r, err := http.NewRequest(method, "http://x/v1/services/billing"+path, http.NoBody)
 		if err != nil {
-			return // no server would hand it on
+			return // not a valid request
 		}
 		r.Header.Set("Authorization", "Bearer "+example.DemoKey("tolu"))
 		before := len(b.calls)
@@ -70,7 +72,7 @@
 			return
 		}
 		call := b.calls[len(b.calls)-1]
-		if call.Service.Call(call.Request.Method, call.Request.Path) != call.Call || hasDots(call.Request.Path) {
+		if call.Service.Call(call.Request.Method, call.Request.Path) != call.Call || hasDotSegment(call.Request.Path) {
 			t.Fatalf("%+v", call.Request)
 		}
 	})
--- a/internal/api/harness_test.go
+++ b/internal/api/harness_test.go
@@ -16,31 +16,33 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// backend is a Router that notes what reaches it.
-type backend struct {
+// fakeRouter is a Router that records its calls. If failure is set, they fail with it.
+type fakeRouter struct {
 	snapshot *config.Snapshot
 	chats    []ChatCall
 	calls    []ServiceCall
-	readsOn  []ReadOnCall
+	resumes  []ReadOnCall
 	failure  *request.Failure
 	refused  []Refusal
 }
 
-func (b *backend) Refused(r Refusal) { b.refused = append(b.refused, r) }
+func (b *fakeRouter) Refused(r Refusal) { b.refused = append(b.refused, r) }
 
-func (b *backend) Snapshot() *config.Snapshot { return b.snapshot }
+func (b *fakeRouter) Snapshot() *config.Snapshot { return b.snapshot }
 
-func (b *backend) Chat(_ context.Context, call ChatCall, sink request.Sink) (request.Answer, error) {
+func (b *fakeRouter) Chat(_ context.Context, call ChatCall, sink request.Sink) (request.Answer, error) {
 	b.chats = append(b.chats, call)
 	return b.answer(sink)
 }
 
-func (b *backend) ReadOn(_ context.Context, call ReadOnCall, sink request.Sink) (request.Answer, error) {
-	b.readsOn = append(b.readsOn, call)
+func (b *fakeRouter) ReadOn(_ context.Context, call ReadOnCall, sink request.Sink) (request.Answer, error) {
+	b.resumes = append(b.resumes, call)
 	return b.answer(sink)
 }
 
-func (b *backend) answer(sink request.Sink) (request.Answer, error) {
+// answer writes an answer of two chunks to sink. It fails after the first one if the
+// failure may have run.
+func (b *fakeRouter) answer(sink request.Sink) (request.Answer, error) {
 	if b.failure != nil && b.failure.Outcome == request.NotRun {
 		return request.Answer{}, b.failure
 	}
@@ -53,7 +55,7 @@
 	return request.Answer{Version: "dues@1", FinishReason: "stop", Usage: upstream.Usage{InputTokens: 3, OutputTokens: 2}, Cost: 9}, nil
 }
 
-func (b *backend) Service(_ context.Context, call ServiceCall) (upstream.ServiceAnswer, error) {
+func (b *fakeRouter) Service(_ context.Context, call ServiceCall) (upstream.ServiceAnswer, error) {
 	b.calls = append(b.calls, call)
 	if b.failure != nil {
 		return upstream.ServiceAnswer{}, b.failure
@@ -61,14 +63,14 @@
 	return upstream.ServiceAnswer{Status: http.StatusOK, Body: []byte("{}")}, nil
 }
 
-func (b *backend) Addresses(string) Addresses {
+func (b *fakeRouter) Addresses(string) Addresses {
 	return Addresses{Addresses: []string{"10.0.0.1:8080"}, TTLMillis: 5000}
 }
 
-// reached is how many requests came through the door.
-func (b *backend) reached() int { return len(b.chats) + len(b.calls) + len(b.readsOn) }
+// reached returns the number of requests that reached the router.
+func (b *fakeRouter) reached() int { return len(b.chats) + len(b.calls) + len(b.resumes) }
 
-func newBackend(t testing.TB) *backend {
+func newFakeRouter(t testing.TB) *fakeRouter {
 	t.Helper()
 	doc, err := example.Load("tarifas")
 	if err != nil {
@@ -78,7 +80,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &backend{snapshot: snapshot}
+	return &fakeRouter{snapshot: snapshot}
 }
 
 // header is one header of a request.
@@ -86,8 +88,8 @@
 
 const goodChat = `{"model":"draft","messages":[{"role":"user","content":"Hello."}]}`
 
-// send sends a request with a known key, unless a header says otherwise.
-func send(b *backend, method, path, body string, headers ...header) *httptest.ResponseRecorder {
+// send sends a request with a known key, unless headers contains another one.
+func send(b *fakeRouter, method, path, body string, headers ...header) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(method, path, strings.NewReader(body))
 	r.Header.Set("Authorization", "Bearer "+example.DemoKey("cartagena"))
 	for _, h := range headers {
--- a/internal/api/models.go
+++ b/internal/api/models.go
@@ -6,11 +6,13 @@
 	"github.com/julienschmidt/httprouter"
 )
 
+// modelList is the response of the models endpoint of the OpenAI API.
 type modelList struct {
 	Object string  `json:"object"`
 	Data   []model `json:"data"`
 }
 
+// model is one entry of a modelList: a version, a model or a class.
 type model struct {
 	ID      string `json:"id"`
 	Object  string `json:"object"`
@@ -18,7 +20,8 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// models lists what the organisation may name: versions, their models, classes.
+// models responds with the names that the organisation may use as a model: its allowed
+// versions, their models, and all classes.
 func (s *Server) models(w http.ResponseWriter, _ *http.Request, _ httprouter.Params, id identity) {
 	list := modelList{Object: "list", Data: []model{}}
 	add := func(name, owner string) {
--- a/internal/api/read_on.go
+++ b/internal/api/read_on.go
@@ -14,12 +14,12 @@
 	queryAfter      = "after"
 )
 
-// readOn sends the rest of a stream whose connection broke. Any entry node can,
-// since the token says where the stream runs.
-func (s *Server) readOn(w http.ResponseWriter, r *http.Request, p httprouter.Params, id identity) {
-	after, fail := afterOf(r)
-	if fail != nil {
-		s.refuse(w, Refusal{Org: id.org, Snapshot: id.snapshot, AtDoor: true}, fail)
+// resume sends the rest of a stream whose connection broke. Any entry node can do so,
+// since the token identifies where the stream runs.
+func (s *Server) resume(w http.ResponseWriter, r *http.Request, p httprouter.Params, id identity) {
+	after, failure := resumeAfter(r)
+	if failure != nil {
+		s.refuse(w, Refusal{Org: id.org, Snapshot: id.snapshot, AtDoor: true}, failure)
 		return
 	}
 	sink := newStreamSink(w)
@@ -31,9 +31,9 @@
 	sink.finish(answer)
 }
 
-// afterOf is the number of the last piece that the caller has, from the query
-// or from the header that event-stream libraries send.
-func afterOf(r *http.Request) (int, *request.Failure) {
+// resumeAfter returns the number of the last chunk that the caller has received, from the
+// query or from the header that event-stream libraries send; 0 if both are missing.
+func resumeAfter(r *http.Request) (int, *request.Failure) {
 	text := r.URL.Query().Get(queryAfter)
 	if text == "" {
 		text = r.Header.Get(headerLastEvent)
@@ -43,7 +43,7 @@
 	}
 	after, err := strconv.Atoi(text)
 	if err != nil || after < 0 {
-		return 0, bad("after: must be the number of the last event that came, from 0")
+		return 0, malformed("after: must be the number of the last event that came, from 0")
 	}
 	return after, nil
 }
--- a/internal/api/refusal.go
+++ b/internal/api/refusal.go
@@ -7,33 +7,36 @@
 	"github.com/hickorybank/hickorybank/internal/request"
 )
 
-// Refusal is a request that was refused and not run. Its names are the
-// caller's, as far as they were read.
+// Refusal describes a request that was refused and not run.
 type Refusal struct {
-	// Org is nil when the caller is not known.
+	// Org is nil if the caller is unknown.
 	Org *config.Organisation
-	// Snapshot is nil when no configuration is in force.
+	// Snapshot is nil if no configuration is in force.
 	Snapshot *config.Snapshot
-	Class    string
-	Model    string
-	// AtDoor says that nothing of it reached the router.
+	// Class is the class from the header of the request, or of the called service; empty
+	// if it was not read.
+	Class string
+	// Model is the model from the request; empty if it was not read.
+	Model string
+	// AtDoor is set if the request was refused before it reached the router.
 	AtDoor bool
 	Code   request.Code
 	Reason request.Reason
 }
 
-// refuse counts a failure, if nothing ran, and tells the caller.
+// refuse sends a failure to the caller, and counts it if the request did not run.
 func (s *Server) refuse(w http.ResponseWriter, r Refusal, f *request.Failure) {
 	s.count(r, f)
 	writeFailure(w, f)
 }
 
-// fail is refuse for a stream, which may have begun.
+// fail is like refuse, for a stream that may have started.
 func (s *Server) fail(sink *streamSink, r Refusal, f *request.Failure) {
 	s.count(r, f)
 	sink.fail(f)
 }
 
+// count passes the refusal to the router if the request did not run.
 func (s *Server) count(r Refusal, f *request.Failure) {
 	if f.Outcome != request.NotRun {
 		return
--- a/internal/api/router.go
+++ b/internal/api/router.go
@@ -9,63 +9,86 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// Router does the work behind the interface.
+// Router runs the requests that the API accepts.
 type Router interface {
-	// Snapshot returns the configuration in force here.
+	// Snapshot returns the configuration in force at this node; nil if there is none.
 	Snapshot() *config.Snapshot
-	// Chat runs model work. On failure the error is a *request.Failure.
+	// Chat runs a chat request and writes the answer to sink. The error is a
+	// *request.Failure.
 	Chat(ctx context.Context, call ChatCall, sink request.Sink) (request.Answer, error)
-	// ReadOn goes on with a stream whose connection broke.
+	// ReadOn writes the rest of a stream whose connection broke to sink.
 	ReadOn(ctx context.Context, call ReadOnCall, sink request.Sink) (request.Answer, error)
-	// Service runs a call of a plain service.
+	// Service makes a call of a plain service.
 	Service(ctx context.Context, call ServiceCall) (upstream.ServiceAnswer, error)
 	// Refused counts a request that was refused and not run.
 	Refused(r Refusal)
-	// Addresses returns the entry addresses that a caller should use.
+	// Addresses returns the entry addresses that the caller with an IP address should
+	// use.
 	Addresses(caller string) Addresses
 }
 
-// ChatCall is a chat request as the caller sent it, decoded.
+// ChatCall is a decoded and validated chat request.
 type ChatCall struct {
-	Org         *config.Organisation
-	Snapshot    *config.Snapshot
-	Key         string
-	Model       string
-	Class       string // empty: derived from Model
-	Session     string // token of an earlier answer, or empty
+	// Org is the organisation of the caller.
+	Org *config.Organisation
+	// Snapshot is the configuration under which the caller was authenticated.
+	Snapshot *config.Snapshot
+	// Key is the idempotency key; empty for none.
+	Key string
+	// Model is the name of a model, version or class.
+	Model string
+	// Class is the class from the header; empty if it is to be derived from Model.
+	Class string
+	// Session is the session token of an earlier answer; empty for none.
+	Session string
+	// WantSession requests a session token for a new session.
 	WantSession bool
-	// UsageApart asks for a chunk of its own with the usage at a stream's
-	// end, as stream_options.include_usage does.
+	// UsageApart requests a separate chunk with the usage at the end of a stream, as
+	// stream_options.include_usage does.
 	UsageApart bool
-	Timeout    time.Duration // 0: the class's deadline
-	Fields     request.Fields
-	Prompt     string
+	// Timeout is the time limit of the request; 0 for the deadline of the class.
+	Timeout time.Duration
+	// Fields are the fields of the body.
+	Fields request.Fields
+	// Prompt is the text of the user's last message.
+	Prompt string
+	// PrefixHash is the hash of all messages except the last.
 	PrefixHash uint64
-	Body       []byte
+	// Body is the body as received.
+	Body []byte
 }
 
-// ReadOnCall asks for the rest of a stream.
+// ReadOnCall is a request for the rest of a stream.
 type ReadOnCall struct {
+	// Org is the organisation of the caller.
 	Org *config.Organisation
-	// Token came with the stream's beginning.
+	// Token is the stream token that was sent at the start of the stream.
 	Token string
-	// After is the number of the last piece that the caller has.
+	// After is the number of the last chunk that the caller has received.
 	After int
 }
 
-// ServiceCall is a call of a plain service as the caller sent it.
+// ServiceCall is a validated call of a plain service.
 type ServiceCall struct {
-	Org      *config.Organisation
+	// Org is the organisation of the caller.
+	Org *config.Organisation
+	// Snapshot is the configuration under which the caller was authenticated.
 	Snapshot *config.Snapshot
-	Service  *config.Service
-	Call     *config.Call
-	Key      string
-	Timeout  time.Duration
-	Request  upstream.ServiceCall
+	// Service is the called service.
+	Service *config.Service
+	// Call is the declaration of the call in the configuration.
+	Call *config.Call
+	// Key is the idempotency key; empty for none.
+	Key string
+	// Timeout is the time limit of the call; 0 for the deadline of its class.
+	Timeout time.Duration
+	// Request is the call to send to the service.
+	Request upstream.ServiceCall
 }
 
-// Addresses are the entry addresses to use and how long to keep the answer.
+// Addresses is the response with the entry addresses that a caller should use.
 type Addresses struct {
 	Addresses []string `json:"addresses"`
-	TTLMillis int64    `json:"ttl_ms"`
+	// TTLMillis is how long the caller may use the response, in milliseconds.
+	TTLMillis int64 `json:"ttl_ms"`
 }
--- a/internal/api/stream.go
+++ b/internal/api/stream.go
@@ -8,68 +8,70 @@
 	"github.com/hickorybank/hickorybank/internal/request"
 )
 
-// streamSink sends an answer as server-sent events. A stream that fails ends
-// in an error event and never in the normal end mark, so that no caller takes
-// a part for the whole.
+// streamSink implements [request.Sink] and sends an answer as server-sent events. A
+// stream that fails ends with an error event and without the end marker, so that no
+// caller takes a partial answer for a complete one.
 type streamSink struct {
-	w       http.ResponseWriter
-	flusher *http.ResponseController
-	head    completion
-	opening []byte
-	out     []byte // the last event's, to be used again
-	begun   bool
-	// usageApart puts the usage into a chunk of its own.
-	usageApart bool
-	first      bool
+	w          http.ResponseWriter
+	flusher    *http.ResponseController
+	head       completion
+	chunkStart []byte
+	buffer     []byte // buffer of the last event, for reuse
+	started    bool
+	// separateUsage is set if the usage is to be sent in a separate chunk.
+	separateUsage bool
+	// first is set until the first chunk, which contains the role.
+	first bool
 }
 
 func newStreamSink(w http.ResponseWriter) *streamSink {
 	return &streamSink{w: w, flusher: http.NewResponseController(w), first: true}
 }
 
-// Streams is true: pieces go out as they come.
+// Streams returns true: chunks are sent as they are produced.
 func (s *streamSink) Streams() bool { return true }
 
-// Begin sends the headers.
+// Begin sends the headers and prepares the constant part of the chunks.
 func (s *streamSink) Begin(h request.Head) {
-	setHead(s.w.Header(), h)
+	setHeadHeaders(s.w.Header(), h)
 	s.w.Header().Set("Content-Type", "text/event-stream")
 	s.w.Header().Set("Cache-Control", "no-cache")
 	s.w.WriteHeader(http.StatusOK)
 	s.head = completion{ID: completionID(), Object: objectChunk, Created: time.Now().Unix(), Model: h.Version}
-	s.opening = openingOf(s.head)
-	s.begun = true
+	s.chunkStart = chunkStartOf(s.head)
+	s.started = true
 }
 
-// Text takes one piece. Its number is the event's id, with which the caller
-// says where to read on.
+// Text writes one chunk. Its number is the event ID, with which the caller can resume the
+// stream.
 func (s *streamSink) Text(seq int, text string) error {
-	out := appendID(s.out[:0], seq)
-	out = append(out, s.opening...)
+	out := appendEventStart(s.buffer[:0], seq)
+	out = append(out, s.chunkStart...)
 	if s.first {
 		out = append(out, `"role":"`+roleAssistant+`",`...)
 		s.first = false
 	}
 	out = append(out, `"content":`...)
-	out = appendText(out, text)
-	s.out = append(out, "},\"finish_reason\":null}]}\n\n"...)
-	_, err := s.w.Write(s.out)
+	out = appendJSONString(out, text)
+	s.buffer = append(out, "},\"finish_reason\":null}]}\n\n"...)
+	_, err := s.w.Write(s.buffer)
 	return err
 }
 
-// Flush sends the pieces that were taken.
+// Flush sends the chunks that were written.
 func (s *streamSink) Flush() error { return s.flusher.Flush() }
 
-// openingOf is what all pieces of a stream have before their text.
-func openingOf(c completion) []byte {
+// chunkStartOf returns the JSON that all chunks of a stream have before their text.
+func chunkStartOf(c completion) []byte {
 	c.Choices = []choice{}
 	data, err := json.Marshal(c)
 	if err != nil {
-		panic(err) // plain strings and numbers
+		panic(err) // strings and numbers can always be encoded
 	}
 	return append(data[:len(data)-len("]}")], `{"index":0,"delta":{`...)
 }
 
+// send writes and flushes events.
 func (s *streamSink) send(out []byte) error {
 	if _, err := s.w.Write(out); err != nil {
 		return err
@@ -77,10 +79,10 @@
 	return s.Flush()
 }
 
-// finish sends the end in one piece, since nothing comes between.
+// finish sends the last chunks and the end marker in one write.
 func (s *streamSink) finish(a request.Answer) {
-	out := s.out[:0]
-	for _, chunk := range s.endOf(a) {
+	out := s.buffer[:0]
+	for _, chunk := range s.lastChunks(a) {
 		data, err := json.Marshal(chunk)
 		if err != nil {
 			return
@@ -88,31 +90,34 @@
 		out = appendEvent(out, 0, data)
 	}
 	out = appendEvent(out, 0, []byte("[DONE]"))
-	_ = s.send(out) // the caller may have gone; nothing is left to do
+	_ = s.send(out) // the caller may have disconnected
 }
 
-// endOf is the last chunk, or the last two: a caller that asked for the usage
-// reads it from a chunk without choices.
-func (s *streamSink) endOf(a request.Answer) []completion {
+// lastChunks returns the last chunk, or the last two: a caller that requested the usage
+// expects it in a chunk without choices.
+func (s *streamSink) lastChunks(a request.Answer) []completion {
 	reason := a.FinishReason
 	last := s.head
 	last.Choices = []choice{{Delta: &content{}, FinishReason: &reason}}
-	if !s.usageApart {
+	if !s.separateUsage {
 		return []completion{withUsage(last, a)}
 	}
-	apart := s.head
-	apart.Choices = []choice{}
-	return []completion{last, withUsage(apart, a)}
+	usageChunk := s.head
+	usageChunk.Choices = []choice{}
+	return []completion{last, withUsage(usageChunk, a)}
 }
 
+// withUsage returns the completion with usage, version and cost of the answer.
 func withUsage(c completion, a request.Answer) completion {
 	c.Usage = usageOf(a)
-	c.Own = ownOf(a)
+	c.Extras = extrasOf(a)
 	return c
 }
 
+// fail sends a failure: as an error event if the stream has started, otherwise as a
+// response with an error status.
 func (s *streamSink) fail(f *request.Failure) {
-	if !s.begun {
+	if !s.started {
 		writeFailure(s.w, f)
 		return
 	}
@@ -121,5 +126,5 @@
 	if err != nil {
 		return
 	}
-	_ = s.send(appendEvent(nil, 0, data)) // the caller may have gone; nothing is left to do
+	_ = s.send(appendEvent(nil, 0, data)) // the caller may have disconnected
 }
--- a/internal/api/usage_test.go
+++ b/internal/api/usage_test.go
@@ -8,8 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// clientChunk is what a client library of the OpenAI API reads of a chunk or
-// of a whole answer, with the field that is the router's.
+// clientChunk is what a client library of the OpenAI API decodes from a chunk or a
+// response, with the router's extension.
 type clientChunk struct {
 	ID      string `json:"id"`
 	Object  string `json:"object"`
@@ -28,7 +28,7 @@
 		CompletionTokens int `json:"completion_tokens"`
 		TotalTokens      int `json:"total_tokens"`
 	} `json:"usage"`
-	Own *struct {
+	Extras *struct {
 		Version    string `json:"version"`
 		CostMicros int64  `json:"cost_micros"`
 	} `json:"hickorybank"`
@@ -49,12 +49,13 @@
 	return chunks
 }
 
-// A caller that streams cannot say what its answers cost: the price stood only
-// in a header of whole answers, which a stream sends before it is known.
+// Guards against streams that do not contain the usage and the cost. The header with the
+// cost is only in responses that are not streamed, since a stream sends its headers
+// before the cost is known.
 func TestStreamEndsWithUsageAndCost(t *testing.T) {
 	for _, c := range []struct {
-		options string
-		apart   bool
+		options  string
+		separate bool
 	}{
 		{"", false},
 		{`"stream_options":{"include_usage":true},`, true},
@@ -63,16 +64,16 @@
 	} {
 		t.Run(c.options, func(t *testing.T) {
 			is := is.New(t)
-			w := send(newBackend(t), "POST", "/v1/chat/completions", `{"stream":true,`+c.options+goodChat[1:])
+			w := send(newFakeRouter(t), "POST", "/v1/chat/completions", `{"stream":true,`+c.options+goodChat[1:])
 			is.True(strings.HasSuffix(w.Body.String(), "data: [DONE]\n\n"))
 			chunks := chunksOf(t, w.Body.String())
 			last := chunks[len(chunks)-1]
 			is.Equal(last.Usage.PromptTokens, 3)
 			is.Equal(last.Usage.CompletionTokens, 2)
 			is.Equal(last.Usage.TotalTokens, 5)
-			is.Equal(last.Own.CostMicros, int64(9))
-			is.Equal(last.Own.Version, "dues@1")
-			is.Equal(len(last.Choices) == 0, c.apart)
+			is.Equal(last.Extras.CostMicros, int64(9))
+			is.Equal(last.Extras.Version, "dues@1")
+			is.Equal(len(last.Choices) == 0, c.separate)
 			ends, text := 0, ""
 			for i, chunk := range chunks {
 				is.Equal(chunk.ID, last.ID)
@@ -90,11 +91,12 @@
 	}
 }
 
-func TestWholeAnswerTellsItsCost(t *testing.T) {
+// Guards against a response whose body lacks the usage or the cost.
+func TestResponseContainsUsageAndCost(t *testing.T) {
 	is := is.New(t)
-	w := send(newBackend(t), "POST", "/v1/chat/completions", goodChat)
+	w := send(newFakeRouter(t), "POST", "/v1/chat/completions", goodChat)
 	var c clientChunk
 	is.NoErr(json.Unmarshal(w.Body.Bytes(), &c))
-	is.Equal(c.Own.CostMicros, int64(9))
+	is.Equal(c.Extras.CostMicros, int64(9))
 	is.Equal(c.Usage.TotalTokens, 5)
 }
--- a/internal/api/whole.go
+++ b/internal/api/whole.go
@@ -11,33 +11,36 @@
 	"github.com/hickorybank/hickorybank/internal/request"
 )
 
-// wholeSink gathers an answer that goes out in one piece.
-type wholeSink struct {
+// bufferedSink implements [request.Sink] and buffers an answer that is sent in one
+// response.
+type bufferedSink struct {
 	head request.Head
 	text strings.Builder
 }
 
-// Streams is false: the answer goes out in one piece.
-func (s *wholeSink) Streams() bool { return false }
+// Streams returns false: the answer is sent in one response.
+func (s *bufferedSink) Streams() bool { return false }
 
-// Begin notes the head for the headers.
-func (s *wholeSink) Begin(h request.Head) { s.head = h }
+// Begin stores the head for the headers.
+func (s *bufferedSink) Begin(h request.Head) { s.head = h }
 
-// Text gathers one piece.
-func (s *wholeSink) Text(_ int, text string) error {
+// Text appends the text of one chunk.
+func (s *bufferedSink) Text(_ int, text string) error {
 	s.text.WriteString(text)
 	return nil
 }
 
-// Flush does nothing: the answer goes out in one piece.
-func (s *wholeSink) Flush() error { return nil }
+// Flush does nothing: the answer is sent in one response.
+func (s *bufferedSink) Flush() error { return nil }
 
-func (s *wholeSink) setHeaders(h http.Header, a request.Answer) {
-	setHead(h, s.head)
+// setHeaders sets the headers of the response.
+func (s *bufferedSink) setHeaders(h http.Header, a request.Answer) {
+	setHeadHeaders(h, s.head)
 	h.Set(headerCost, strconv.FormatInt(a.Cost, 10))
 }
 
-func setHead(h http.Header, head request.Head) {
+// setHeadHeaders sets the headers that are known when an answer starts.
+func setHeadHeaders(h http.Header, head request.Head) {
 	h.Set(headerVersion, head.Version)
 	if head.Session != "" {
 		h.Set(headerSession, head.Session)
@@ -47,7 +50,8 @@
 	}
 }
 
-func (s *wholeSink) completion(a request.Answer) completion {
+// completion returns the body of the response.
+func (s *bufferedSink) completion(a request.Answer) completion {
 	reason := a.FinishReason
 	return completion{
 		ID:      completionID(),
@@ -56,7 +60,7 @@
 		Model:   a.Version,
 		Choices: []choice{{Message: &content{Role: roleAssistant, Content: s.text.String()}, FinishReason: &reason}},
 		Usage:   usageOf(a),
-		Own:     ownOf(a),
+		Extras:  extrasOf(a),
 	}
 }
 
--- a/internal/archive/archive.go
+++ b/internal/archive/archive.go
@@ -96,8 +96,8 @@
 	return size
 }
 
-// applyDeltas applies deltas in order. It skips those before the current state, and returns
-// an error if none starts at that state or if one is missing in between.
+// applyDeltas applies deltas in order. It skips those before the current state, and
+// returns an error if none starts at that state or if one is missing in between.
 func (a *Archive) applyDeltas(deltas []Delta) (*Archive, error) {
 	for len(deltas) > 0 && a != nil && deltas[0].From != a.tag {
 		deltas = deltas[1:]
@@ -143,8 +143,8 @@
 	return &Update{To: a.tag, Full: a.compressed()}
 }
 
-// deltasSince returns the deltas from the state with the tag known to the current one; nil if
-// they are not retained.
+// deltasSince returns the deltas from the state with the tag known to the current one;
+// nil if they are not retained.
 func (a *Archive) deltasSince(known uint64) []Delta {
 	for i := len(a.deltas) - 1; i >= 0; i-- {
 		if a.deltas[i].From == known {
--- a/internal/archive/pack.go
+++ b/internal/archive/pack.go
@@ -8,8 +8,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// maxDecompressedBytes is the maximum size of decompressed data, in bytes. A row of the table is
-// far smaller.
+// maxDecompressedBytes is the maximum size of decompressed data, in bytes. A row of the
+// table is far smaller.
 const maxDecompressedBytes = 64 << 20
 
 // Pack compresses data with DEFLATE.
--- a/internal/archive/script.go
+++ b/internal/archive/script.go
@@ -27,8 +27,8 @@
 	return fieldEdit{Name: f.Name, Runs: diffElements(oldElements, newElements)}, nil
 }
 
-// diffElements expresses the array after by runs of the array before. Elements are found by
-// hash and then compared.
+// diffElements expresses the array after by runs of the array before. Elements are found
+// by hash and then compared.
 func diffElements(before, after []json.RawMessage) []run {
 	indexes := make(map[uint64]int, len(before))
 	for i, e := range before {
@@ -75,7 +75,8 @@
 	return b.Bytes(), nil
 }
 
-// approximateSize returns the approximate encoded size of an object with these fields, in bytes.
+// approximateSize returns the approximate encoded size of an object with these fields, in
+// bytes.
 func approximateSize(fields []Field) (size int) {
 	for _, f := range fields {
 		size += len(f.Name) + len(f.Value) + len(`"":,`)
--- a/internal/platform/client/call.go
+++ b/internal/platform/client/call.go
@@ -136,8 +136,8 @@
 	return data, nil
 }
 
-// classifyFailure returns the error for a failure after which the platform may have received the
-// call.
+// classifyFailure returns the error for a failure after which the platform may have
+// received the call.
 func (op operation) classifyFailure(cause error) error {
 	if op.mutates {
 		return wire.Unknown(cause)
@@ -145,9 +145,9 @@
 	return wire.Refused(cause)
 }
 
-// checkStatus returns an error for an unsuccessful response. Only a refusal in the platform's
-// own format proves that a write had no effect. Another error checkStatus may come from a
-// proxy, after the write took effect.
+// checkStatus returns an error for an unsuccessful response. Only a refusal in the
+// platform's own format proves that a write had no effect. Another error status may come
+// from a proxy, after the write took effect.
 func (op operation) checkStatus(resp *http.Response, data []byte) error {
 	if resp.StatusCode == http.StatusOK || resp.StatusCode == http.StatusNoContent {
 		return nil
--- a/internal/platform/client/conn.go
+++ b/internal/platform/client/conn.go
@@ -21,7 +21,8 @@
 	return c.Conn.Write(b)
 }
 
-// newTransport returns an HTTP newTransport whose connections are all of type *conn.
+// newTransport returns an HTTP transport whose connections are all of type
+// *countingConn.
 func newTransport(o options) *http.Transport {
 	dialer := new(net.Dialer)
 	return &http.Transport{
--- a/internal/seal/sealer.go
+++ b/internal/seal/sealer.go
@@ -101,8 +101,8 @@
 	return payload, signature, nil
 }
 
-// computeMAC returns the HMAC of the domain and the payload. The zero byte separates them, so
-// that no two pairs give the same input.
+// computeMAC returns the HMAC of the domain and the payload. The zero byte separates
+// them, so that no two pairs give the same input.
 func computeMAC(key []byte, domain string, payload []byte) []byte {
 	mac := hmac.New(sha256.New, key)
 	mac.Write([]byte(domain))
--- a/internal/secure/load_test.go
+++ b/internal/secure/load_test.go
@@ -21,7 +21,7 @@
 	"github.com/hickorybank/hickorybank/internal/peer"
 )
 
-// testAuthority is a certificate testAuthority for tests. It writes its files into dir.
+// testAuthority is a certificate authority for tests. It writes its files into dir.
 type testAuthority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
--- a/internal/upstream/client/conn.go
+++ b/internal/upstream/client/conn.go
@@ -9,13 +9,13 @@
 
 var errSealed = eris.New("connection is sealed")
 
-// sealableConn counts the writes started on a connection, and can be sealed against further
-// writes.
+// sealableConn counts the writes started on a connection, and can be sealed against
+// further writes.
 //
 // It prevents reporting a request as not sent although bytes were written. The transport
 // reports many failures alike whether it has written or not, and may still be about to
-// write when it returns the failure. Sealing the connection and comparing the count
-// under one lock ensures that nothing is written later.
+// write when it returns the failure. Sealing the connection and comparing the count under
+// one lock ensures that nothing is written later.
 type sealableConn struct {
 	net.Conn
 	mu     sync.Mutex
--- a/internal/upstream/client/decoder.go
+++ b/internal/upstream/client/decoder.go
@@ -104,8 +104,8 @@
 	d.eventName = ""
 }
 
-// processField processes one line of an event. Comments and fields other than data and event
-// are ignored.
+// processField processes one line of an event. Comments and fields other than data and
+// event are ignored.
 func (d *decoder) processField(line []byte) {
 	if value, ok := bytes.CutPrefix(line, dataField); ok {
 		d.data = append(d.data, bytes.TrimPrefix(value, []byte(" "))...)
--- a/internal/upstream/client/piece.go
+++ b/internal/upstream/client/piece.go
@@ -20,8 +20,8 @@
 // 32 bits.
 const maxSeqDigits = 9
 
-// chunkParser parses the chunks of a stream. Nearly all have the same form, which is parsed
-// without encoding/json for speed. Any other input is passed to encoding/json.
+// chunkParser parses the chunks of a stream. Nearly all have the same form, which is
+// parsed without encoding/json for speed. Any other input is passed to encoding/json.
 type chunkParser struct{ attempt string }
 
 func (p *chunkParser) parse(data []byte) (upstream.Chunk, error) {
@@ -59,8 +59,8 @@
 	return upstream.Chunk{Attempt: p.attemptID(attempt), Seq: seq, Text: string(text)}, true
 }
 
-// attemptID returns the attempt as a string. It reuses the previous string if the attempt is
-// the same, as it is throughout a stream.
+// attemptID returns the attempt as a string. It reuses the previous string if the attempt
+// is the same, as it is throughout a stream.
 func (p *chunkParser) attemptID(attempt []byte) string {
 	if p.attempt != string(attempt) {
 		p.attempt = string(attempt)
@@ -68,8 +68,8 @@
 	return p.attempt
 }
 
-// cutUnescaped splits data into a JSON string without escapes and the bytes after end, which
-// must follow the string and begins with its closing quote.
+// cutUnescaped splits data into a JSON string without escapes and the bytes after end,
+// which must follow the string and begins with its closing quote.
 func cutUnescaped(data, end []byte) (text, rest []byte, ok bool) {
 	quote := bytes.IndexByte(data, '"')
 	if quote < 0 || !isUnescaped(data[:quote]) {
--- a/internal/upstream/client/raw_test.go
+++ b/internal/upstream/client/raw_test.go
@@ -57,8 +57,8 @@
 
 func idempotencyKey(req *http.Request) string { return req.Header.Get("Idempotency-Key") }
 
-// countReceived returns the number of requests with the key that were received, at least in
-// part.
+// countReceived returns the number of requests with the key that were received, at least
+// in part.
 func (s *rawServer) countReceived(key string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/upstream/client/sending.go
+++ b/internal/upstream/client/sending.go
@@ -12,8 +12,8 @@
 	mu           sync.Mutex
 	conn         *sealableConn
 	writesBefore uint64
-	// uncertain is set if the transport used a second connection, or one that does not count
-	// writes.
+	// uncertain is set if the transport used a second connection, or one that does not
+	// count writes.
 	uncertain bool
 }
 
--- a/internal/upstream/client/status.go
+++ b/internal/upstream/client/status.go
@@ -9,7 +9,8 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// maxReasonBytes is the maximum length of the reason that is read from a failure, in bytes.
+// maxReasonBytes is the maximum length of the reason that is read from a failure, in
+// bytes.
 const maxReasonBytes = 512
 
 // StatusError is the error of a response with an unsuccessful status.
--- a/internal/upstream/client/trip.go
+++ b/internal/upstream/client/trip.go
@@ -12,8 +12,8 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// roundTrip sends the request at most once and determines how far a failed one got. It passes
-// the headers of the response to the handler of the context.
+// roundTrip sends the request at most once and determines how far a failed one got. It
+// passes the headers of the response to the handler of the context.
 func roundTrip(t *http.Transport, req *http.Request) (*http.Response, *upstream.Error) {
 	var tracker sendTracker
 	res, err := t.RoundTrip(req.WithContext(httptrace.WithClientTrace(req.Context(), tracker.trace())))
