--- a/internal/archive/archive.go
+++ b/internal/archive/archive.go
@@ -35,7 +35,7 @@
 // to the state, oldest first; they may be nil.
 func New(tag uint64, raw []byte, deltas []Delta) *Archive {
 	a := &Archive{tag: tag, raw: raw, deltas: deltas}
-	a.compressed = sync.OnceValue(func() []byte { return Pack(raw) })
+	a.compressed = sync.OnceValue(func() []byte { return Compress(raw) })
 	return a
 }
 
--- a/internal/archive/delta.go
+++ b/internal/archive/delta.go
@@ -79,7 +79,7 @@
 	if err != nil {
 		return Delta{}, eris.Wrap(err, "encode delta")
 	}
-	return Delta{From: from, To: to, Edits: Pack(encoded)}, nil
+	return Delta{From: from, To: to, Edits: Compress(encoded)}, nil
 }
 
 // Apply returns the state after the delta. It returns an error if the delta is damaged
--- a/internal/archive/pack.go
+++ b/internal/archive/pack.go
@@ -12,8 +12,8 @@
 // table is far smaller.
 const maxDecompressedBytes = 64 << 20
 
-// Pack compresses data with DEFLATE.
-func Pack(data []byte) []byte {
+// Compress compresses data with DEFLATE.
+func Compress(data []byte) []byte {
 	var b bytes.Buffer
 	w, err := flate.NewWriter(&b, flate.DefaultCompression)
 	if err != nil {
--- a/internal/confsync/export_test.go
+++ b/internal/confsync/export_test.go
@@ -3,4 +3,4 @@
 import "github.com/hickorybank/hickorybank/internal/archive"
 
 // PackedSize returns the size in bytes of a state that is sent in full.
-func PackedSize(raw []byte) int { return len(archive.Pack(raw)) }
+func PackedSize(raw []byte) int { return len(archive.Compress(raw)) }
