--- a/internal/archive/archive.go
+++ b/internal/archive/archive.go
@@ -118,9 +118,9 @@
 	return a, nil
 }
 
-// Take returns the Archive after an update from a peer. A nil Archive accepts an update
+// Apply returns the Archive after an update from a peer. A nil Archive accepts an update
 // with the full state. It returns an error if the update does not apply.
-func (a *Archive) Take(u Update) (*Archive, error) {
+func (a *Archive) Apply(u Update) (*Archive, error) {
 	if len(u.Full) == 0 {
 		return a.applyDeltas(u.Deltas)
 	}
--- a/internal/archive/archive_test.go
+++ b/internal/archive/archive_test.go
@@ -98,14 +98,14 @@
 			if c.known > 0 {
 				peer = New(c.known, stateOf(c.known), nil)
 			}
-			peer, err := peer.Take(*u)
+			peer, err := peer.Apply(*u)
 			is.NoErr(err)
 			is.Equal(peer.tag, newest)
 			is.Equal(string(peer.raw), string(a.raw))
 		})
 	}
 	is.True(a.Update(newest, false) == nil) // the peer is up to date
-	_, err := New(3, stateOf(3), nil).Take(*a.Update(newest-1, false))
+	_, err := New(3, stateOf(3), nil).Apply(*a.Update(newest-1, false))
 	is.True(err != nil) // deltas with a gap
 }
 
--- a/internal/confsync/applier.go
+++ b/internal/confsync/applier.go
@@ -89,7 +89,7 @@
 // archive returns the archive with the job's document as its newest state.
 func (j job) archive(current *archive.Archive) (*archive.Archive, error) {
 	if j.stored == nil {
-		return current.Take(j.update)
+		return current.Apply(j.update)
 	}
 	raw, err := archive.Compact(j.stored)
 	if err != nil {
--- a/internal/confsync/loop_list.go
+++ b/internal/confsync/loop_list.go
@@ -44,7 +44,7 @@
 
 // handlePeerList keeps a list received from a peer, or rejects it if it cannot be decoded.
 func (l *loop) handlePeerList(u archive.Update) {
-	next, err := l.list.Take(u)
+	next, err := l.list.Apply(u)
 	if err != nil {
 		l.rejectList(err)
 		return
--- a/internal/transfer/receiver.go
+++ b/internal/transfer/receiver.go
@@ -76,7 +76,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return current.Take(u)
+	return current.Apply(u)
 }
 
 // Decode returns the complete update without applying it. It returns an error if the data
