--- a/internal/node/notices.go
+++ b/internal/node/notices.go
@@ -29,7 +29,7 @@
 
 // withNotices returns a context whose calls report the notices in the upstream's answers.
 func (u *upstreams) withNotices(ctx context.Context, vm platform.VM) context.Context {
-	return upstream.WithHeard(ctx, func(a notice.Response, at time.Time) { u.applyNotice(vm, a, at) })
+	return upstream.WithNoticeHandler(ctx, func(a notice.Response, at time.Time) { u.applyNotice(vm, a, at) })
 }
 
 // applyNotice applies the notice that an upstream sent about itself in an answer.
--- a/internal/upstream/client/announced_test.go
+++ b/internal/upstream/client/announced_test.go
@@ -28,7 +28,7 @@
 	defer server.Close()
 	addr := server.Listener.Addr().String()
 	var received []notice.Response
-	ctx := upstream.WithHeard(context.Background(), func(a notice.Response, _ time.Time) { received = append(received, a) })
+	ctx := upstream.WithNoticeHandler(context.Background(), func(a notice.Response, _ time.Time) { received = append(received, a) })
 	services, engines := NewServices(Options{}), NewEngines(Options{})
 	defer services.Close()
 	defer engines.Close()
--- a/internal/upstream/heard.go
+++ b/internal/upstream/heard.go
@@ -13,9 +13,9 @@
 
 type noticeHandlerKey struct{}
 
-// WithHeard returns a context with a handler. Calls with this context pass the headers of
+// WithNoticeHandler returns a context with a handler. Calls with this context pass the headers of
 // each response to it, whatever the status.
-func WithHeard(ctx context.Context, handle NoticeHandler) context.Context {
+func WithNoticeHandler(ctx context.Context, handle NoticeHandler) context.Context {
 	return context.WithValue(ctx, noticeHandlerKey{}, handle)
 }
 
