--- a/internal/upstream/client/trip.go
+++ b/internal/upstream/client/trip.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		return nil, newError(req.URL.Host, tracker.reach(), err)
 	}
-	if handle := upstream.HeardFrom(req.Context()); handle != nil {
+	if handle := upstream.NoticeHandlerFrom(req.Context()); handle != nil {
 		handle(parseNotices(res.StatusCode, res.Header), time.Now())
 	}
 	return res, nil
--- a/internal/upstream/heard.go
+++ b/internal/upstream/heard.go
@@ -19,8 +19,8 @@
 	return context.WithValue(ctx, noticeHandlerKey{}, handle)
 }
 
-// HeardFrom returns the handler of a context, or nil if there is none.
-func HeardFrom(ctx context.Context) NoticeHandler {
+// NoticeHandlerFrom returns the handler of a context, or nil if there is none.
+func NoticeHandlerFrom(ctx context.Context) NoticeHandler {
 	handle, _ := ctx.Value(noticeHandlerKey{}).(NoticeHandler)
 	return handle
 }
