--- a/internal/api/chat.go
+++ b/internal/api/chat.go
@@ -65,7 +65,7 @@
 // chatStream runs a chat request and streams the answer.
 func (s *Server) chatStream(w http.ResponseWriter, r *http.Request, call ChatCall) {
 	sink := newStreamSink(w)
-	sink.separateUsage = call.UsageApart
+	sink.separateUsage = call.SeparateUsage
 	answer, err := s.router.Chat(r.Context(), call, sink)
 	if err != nil {
 		s.fail(sink, newRefusal(call, false), asFailure(err))
--- a/internal/api/decode.go
+++ b/internal/api/decode.go
@@ -117,7 +117,7 @@
 	call.Prompt = prompt
 	call.PrefixHash = prefixHash(messages)
 	call.Body = body
-	call.UsageApart = wantsUsageChunk(fields["stream_options"])
+	call.SeparateUsage = wantsUsageChunk(fields["stream_options"])
 	return stream, nil
 }
 
--- a/internal/api/router.go
+++ b/internal/api/router.go
@@ -43,9 +43,9 @@
 	Session string
 	// WantSession requests a session token for a new session.
 	WantSession bool
-	// UsageApart requests a separate chunk with the usage at the end of a stream, as
+	// SeparateUsage requests a separate chunk with the usage at the end of a stream, as
 	// stream_options.include_usage does.
-	UsageApart bool
+	SeparateUsage bool
 	// Timeout is the time limit of the request; 0 for the deadline of the class.
 	Timeout time.Duration
 	// Fields are the fields of the body.
