--- a/internal/upstream/heard.go
+++ b/internal/upstream/heard.go
@@ -13,8 +13,8 @@
 
 type noticeHandlerKey struct{}
 
-// WithNoticeHandler returns a context with a handler. Calls with this context pass the headers of
-// each response to it, whatever the status.
+// WithNoticeHandler returns a context with a handler. Calls with this context pass the
+// headers of each response to it, whatever the status.
 func WithNoticeHandler(ctx context.Context, handle NoticeHandler) context.Context {
 	return context.WithValue(ctx, noticeHandlerKey{}, handle)
 }
