--- a/internal/api/chat.go
+++ b/internal/api/chat.go
@@ -47,7 +47,7 @@
 
 // newRefusal returns the refusal of a chat request, without its code and reason.
 func newRefusal(call ChatCall, beforeRouter bool) Refusal {
-	return Refusal{Org: call.Org, Snapshot: call.Snapshot, Class: call.Class, Model: call.Model, AtDoor: beforeRouter}
+	return Refusal{Org: call.Org, Snapshot: call.Snapshot, Class: call.Class, Model: call.Model, BeforeRouter: beforeRouter}
 }
 
 // chatBuffered runs a chat request and sends the answer in one response.
--- a/internal/api/door_test.go
+++ b/internal/api/door_test.go
@@ -83,7 +83,7 @@
 			is.Equal(b.reached(), 0)
 			is.Equal(len(b.refused), 1) // counted once
 			is.Equal(b.refused[0].Code, c.code)
-			is.True(b.refused[0].AtDoor)
+			is.True(b.refused[0].BeforeRouter)
 		})
 	}
 }
--- a/internal/api/read_on.go
+++ b/internal/api/read_on.go
@@ -19,7 +19,7 @@
 func (s *Server) resume(w http.ResponseWriter, r *http.Request, p httprouter.Params, id identity) {
 	after, failure := resumeAfter(r)
 	if failure != nil {
-		s.refuse(w, Refusal{Org: id.org, Snapshot: id.snapshot, AtDoor: true}, failure)
+		s.refuse(w, Refusal{Org: id.org, Snapshot: id.snapshot, BeforeRouter: true}, failure)
 		return
 	}
 	sink := newStreamSink(w)
--- a/internal/api/refusal.go
+++ b/internal/api/refusal.go
@@ -18,10 +18,10 @@
 	Class string
 	// Model is the model from the request; empty if it was not read.
 	Model string
-	// AtDoor is set if the request was refused before it reached the router.
-	AtDoor bool
-	Code   request.Code
-	Reason request.Reason
+	// BeforeRouter is set if the request was refused before it reached the router.
+	BeforeRouter bool
+	Code         request.Code
+	Reason       request.Reason
 }
 
 // refuse sends a failure to the caller, and counts it if the request did not run.
--- a/internal/api/refusal_test.go
+++ b/internal/api/refusal_test.go
@@ -44,7 +44,7 @@
 			is.Equal(org, c.org)
 			is.Equal(got.Class, c.class)
 			is.Equal(got.Model, c.model)
-			is.Equal(got.AtDoor, c.beforeRouter)
+			is.Equal(got.BeforeRouter, c.beforeRouter)
 			is.Equal(got.Reason, c.reason)
 		})
 	}
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -55,13 +55,13 @@
 	return func(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 		snapshot := s.router.Snapshot()
 		if snapshot == nil {
-			s.refuse(w, Refusal{AtDoor: true}, request.Refuse(request.CodeNotFresh, notReadyRetryDelay, "no configuration is in force here yet"))
+			s.refuse(w, Refusal{BeforeRouter: true}, request.Refuse(request.CodeNotFresh, notReadyRetryDelay, "no configuration is in force here yet"))
 			return
 		}
 		key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 		org := snapshot.OrganisationByKey(key)
 		if !ok || org == nil {
-			s.refuse(w, Refusal{Snapshot: snapshot, AtDoor: true}, request.Refuse(request.CodeUnauthorised, 0, "Authorization: a known bearer key is needed"))
+			s.refuse(w, Refusal{Snapshot: snapshot, BeforeRouter: true}, request.Refuse(request.CodeUnauthorised, 0, "Authorization: a known bearer key is needed"))
 			return
 		}
 		next(w, r, p, identity{snapshot: snapshot, org: org})
@@ -71,7 +71,7 @@
 // notFound refuses a request with an unknown path or method.
 func (s *Server) notFound(w http.ResponseWriter, r *http.Request) {
 	f := badRequest(request.ReasonUnknownPath, "there is no "+r.Method+" "+r.URL.Path)
-	s.count(Refusal{Snapshot: s.router.Snapshot(), AtDoor: true}, f)
+	s.count(Refusal{Snapshot: s.router.Snapshot(), BeforeRouter: true}, f)
 	_, body := newErrorBody(f)
 	writeJSON(w, http.StatusNotFound, body)
 }
--- a/internal/api/service.go
+++ b/internal/api/service.go
@@ -18,7 +18,7 @@
 func (s *Server) service(w http.ResponseWriter, r *http.Request, p httprouter.Params, id identity) {
 	call, failure := readServiceCall(w, r, p, id)
 	if failure != nil {
-		s.refuse(w, Refusal{Org: id.org, Snapshot: id.snapshot, Class: classOfCall(call), AtDoor: true}, failure)
+		s.refuse(w, Refusal{Org: id.org, Snapshot: id.snapshot, Class: classOfCall(call), BeforeRouter: true}, failure)
 		return
 	}
 	answer, err := s.router.Service(r.Context(), call)
--- a/internal/node/refusals.go
+++ b/internal/node/refusals.go
@@ -16,7 +16,7 @@
 		org = r.Org.Name
 	}
 	n.metrics.Refused(org, refusedClass(r), r.Reason)
-	if r.AtDoor {
+	if r.BeforeRouter {
 		n.metrics.Failed(r.Code) // others are counted when they end
 	}
 }
