--- a/internal/api/router.go
+++ b/internal/api/router.go
@@ -16,8 +16,8 @@
 	// Chat runs a chat request and writes the answer to sink. The error is a
 	// *request.Failure.
 	Chat(ctx context.Context, call ChatCall, sink request.Sink) (request.Answer, error)
-	// ReadOn writes the rest of a stream whose connection broke to sink.
-	ReadOn(ctx context.Context, call ReadOnCall, sink request.Sink) (request.Answer, error)
+	// ResumeStream writes the rest of a stream whose connection broke to sink.
+	ResumeStream(ctx context.Context, call ReadOnCall, sink request.Sink) (request.Answer, error)
 	// Service makes a call of a plain service.
 	Service(ctx context.Context, call ServiceCall) (upstream.ServiceAnswer, error)
 	// Refused counts a request that was refused and not run.
--- a/internal/capacity/relayrouter.go
+++ b/internal/capacity/relayrouter.go
@@ -33,8 +33,8 @@
 	return upstream.ServiceAnswer{}, eris.New("no services here")
 }
 
-// ReadOn implements [api.Router].
-func (r *relayRouter) ReadOn(context.Context, api.ReadOnCall, request.Sink) (request.Answer, error) {
+// ResumeStream implements [api.Router].
+func (r *relayRouter) ResumeStream(context.Context, api.ReadOnCall, request.Sink) (request.Answer, error) {
 	return request.Answer{}, eris.New("nothing is read on here")
 }
 
--- a/internal/node/read_on.go
+++ b/internal/node/read_on.go
@@ -37,10 +37,10 @@
 	return text
 }
 
-// ReadOn resumes a stream whose connection to the caller broke. It is not new work: the
+// ResumeStream resumes a stream whose connection to the caller broke. It is not new work: the
 // attempt is already running, so neither admission nor the withdrawal of its version blocks it,
 // and its bill has the same key. The error is a *request.Failure.
-func (n *Node) ReadOn(ctx context.Context, call api.ReadOnCall, sink request.Sink) (request.Answer, error) {
+func (n *Node) ResumeStream(ctx context.Context, call api.ReadOnCall, sink request.Sink) (request.Answer, error) {
 	n.running.Add(1)
 	defer n.running.Add(-1)
 	token, err := streamtoken.Open(n.sealer, call.Token, call.Org.Name, time.Now())
