--- a/internal/api/harness_test.go
+++ b/internal/api/harness_test.go
@@ -21,7 +21,7 @@
 	snapshot *config.Snapshot
 	chats    []ChatCall
 	calls    []ServiceCall
-	resumes  []ReadOnCall
+	resumes  []ResumeCall
 	failure  *request.Failure
 	refused  []Refusal
 }
@@ -35,7 +35,7 @@
 	return b.answer(sink)
 }
 
-func (b *fakeRouter) ResumeStream(_ context.Context, call ReadOnCall, sink request.Sink) (request.Answer, error) {
+func (b *fakeRouter) ResumeStream(_ context.Context, call ResumeCall, sink request.Sink) (request.Answer, error) {
 	b.resumes = append(b.resumes, call)
 	return b.answer(sink)
 }
--- a/internal/api/read_on.go
+++ b/internal/api/read_on.go
@@ -23,7 +23,7 @@
 		return
 	}
 	sink := newStreamSink(w)
-	answer, err := s.router.ResumeStream(r.Context(), ReadOnCall{Org: id.org, Token: p.ByName("token"), After: after}, sink)
+	answer, err := s.router.ResumeStream(r.Context(), ResumeCall{Org: id.org, Token: p.ByName("token"), After: after}, sink)
 	if err != nil {
 		s.fail(sink, Refusal{Org: id.org, Snapshot: id.snapshot}, asFailure(err))
 		return
--- a/internal/api/router.go
+++ b/internal/api/router.go
@@ -17,7 +17,7 @@
 	// *request.Failure.
 	Chat(ctx context.Context, call ChatCall, sink request.Sink) (request.Answer, error)
 	// ResumeStream writes the rest of a stream whose connection broke to sink.
-	ResumeStream(ctx context.Context, call ReadOnCall, sink request.Sink) (request.Answer, error)
+	ResumeStream(ctx context.Context, call ResumeCall, sink request.Sink) (request.Answer, error)
 	// Service makes a call of a plain service.
 	Service(ctx context.Context, call ServiceCall) (upstream.ServiceAnswer, error)
 	// Refused counts a request that was refused and not run.
@@ -58,8 +58,8 @@
 	Body []byte
 }
 
-// ReadOnCall is a request for the rest of a stream.
-type ReadOnCall struct {
+// ResumeCall is a request for the rest of a stream.
+type ResumeCall struct {
 	// Org is the organisation of the caller.
 	Org *config.Organisation
 	// Token is the stream token that was sent at the start of the stream.
--- a/internal/capacity/relayrouter.go
+++ b/internal/capacity/relayrouter.go
@@ -34,7 +34,7 @@
 }
 
 // ResumeStream implements [api.Router].
-func (r *relayRouter) ResumeStream(context.Context, api.ReadOnCall, request.Sink) (request.Answer, error) {
+func (r *relayRouter) ResumeStream(context.Context, api.ResumeCall, request.Sink) (request.Answer, error) {
 	return request.Answer{}, eris.New("nothing is read on here")
 }
 
--- a/internal/node/read_on.go
+++ b/internal/node/read_on.go
@@ -40,7 +40,7 @@
 // ResumeStream resumes a stream whose connection to the caller broke. It is not new work: the
 // attempt is already running, so neither admission nor the withdrawal of its version blocks it,
 // and its bill has the same key. The error is a *request.Failure.
-func (n *Node) ResumeStream(ctx context.Context, call api.ReadOnCall, sink request.Sink) (request.Answer, error) {
+func (n *Node) ResumeStream(ctx context.Context, call api.ResumeCall, sink request.Sink) (request.Answer, error) {
 	n.running.Add(1)
 	defer n.running.Add(-1)
 	token, err := streamtoken.Open(n.sealer, call.Token, call.Org.Name, time.Now())
@@ -58,7 +58,7 @@
 	return answer, err
 }
 
-func (n *Node) adopt(call api.ReadOnCall, token streamtoken.Token, sink request.Sink) (*chatRun, *request.Failure) {
+func (n *Node) adopt(call api.ResumeCall, token streamtoken.Token, sink request.Sink) (*chatRun, *request.Failure) {
 	snapshot := n.sync.Snapshot()
 	version := snapshot.Version(token.Version)
 	class := snapshot.Class(token.Class)
