--- a/internal/api/harness_test.go
+++ b/internal/api/harness_test.go
@@ -26,7 +26,7 @@
 	refused  []Refusal
 }
 
-func (b *fakeRouter) Refused(r Refusal) { b.refused = append(b.refused, r) }
+func (b *fakeRouter) CountRefusal(r Refusal) { b.refused = append(b.refused, r) }
 
 func (b *fakeRouter) Snapshot() *config.Snapshot { return b.snapshot }
 
--- a/internal/api/refusal.go
+++ b/internal/api/refusal.go
@@ -43,5 +43,5 @@
 	}
 	r.Code = f.Code
 	r.Reason = f.ReasonOrCode()
-	s.router.Refused(r)
+	s.router.CountRefusal(r)
 }
--- a/internal/api/router.go
+++ b/internal/api/router.go
@@ -20,8 +20,8 @@
 	ResumeStream(ctx context.Context, call ResumeCall, sink request.Sink) (request.Answer, error)
 	// Service makes a call of a plain service.
 	Service(ctx context.Context, call ServiceCall) (upstream.ServiceAnswer, error)
-	// Refused counts a request that was refused and not run.
-	Refused(r Refusal)
+	// CountRefusal counts a request that was refused and not run.
+	CountRefusal(r Refusal)
 	// Addresses returns the entry addresses that the caller with an IP address should
 	// use.
 	Addresses(caller string) Addresses
--- a/internal/capacity/relayrouter.go
+++ b/internal/capacity/relayrouter.go
@@ -38,8 +38,8 @@
 	return request.Answer{}, eris.New("nothing is read on here")
 }
 
-// Refused implements [api.Router].
-func (r *relayRouter) Refused(api.Refusal) {}
+// CountRefusal implements [api.Router].
+func (r *relayRouter) CountRefusal(api.Refusal) {}
 
 // Addresses implements [api.Router].
 func (r *relayRouter) Addresses(string) api.Addresses { return api.Addresses{} }
--- a/internal/node/refusals.go
+++ b/internal/node/refusals.go
@@ -9,8 +9,8 @@
 // invalid requests are not used as labels, or callers could create any number of time series.
 const unknownLabel = "unknown"
 
-// Refused counts a request that was refused and not run, by organisation, class and reason.
-func (n *Node) Refused(r api.Refusal) {
+// CountRefusal counts a request that was refused and not run, by organisation, class and reason.
+func (n *Node) CountRefusal(r api.Refusal) {
 	org := unknownLabel
 	if r.Org != nil {
 		org = r.Org.Name
