--- a/internal/confsync/list_measure_test.go
+++ b/internal/confsync/list_measure_test.go
@@ -36,7 +36,7 @@
 	b.ReportAllocs()
 	reads := 0
 	for b.Loop() {
-		read, err := lists.ListUnless(b.Context(), tag)
+		read, err := lists.ListIfChanged(b.Context(), tag)
 		if err != nil || read.Unchanged == whole {
 			b.Fatal(read.Unchanged, err)
 		}
--- a/internal/confsync/list_read.go
+++ b/internal/confsync/list_read.go
@@ -62,7 +62,7 @@
 // reads always returns the full list.
 func readListUnless(ctx context.Context, lists platform.VMs, tag string) (platform.TaggedVMs, error) {
 	if conditional, ok := lists.(platform.ConditionalVMs); ok {
-		return conditional.ListUnless(ctx, tag)
+		return conditional.ListIfChanged(ctx, tag)
 	}
 	vms, err := lists.List(ctx)
 	return platform.TaggedVMs{VMs: vms}, err
--- a/internal/confsync/list_read_test.go
+++ b/internal/confsync/list_read_test.go
@@ -38,7 +38,7 @@
 // taggedLists also supports conditional reads.
 type taggedLists struct{ countedLists }
 
-func (l *taggedLists) ListUnless(ctx context.Context, tag string) (platform.TaggedVMs, error) {
+func (l *taggedLists) ListIfChanged(ctx context.Context, tag string) (platform.TaggedVMs, error) {
 	now := fmt.Sprint(*l.vms.Load())
 	if now == tag {
 		return platform.TaggedVMs{Tag: tag, Unchanged: true}, nil
--- a/internal/platform/client/vms.go
+++ b/internal/platform/client/vms.go
@@ -24,9 +24,9 @@
 	return resp.VMs, err
 }
 
-// ListUnless implements [platform.ConditionalVMs] with an HTTP entity tag. A platform
+// ListIfChanged implements [platform.ConditionalVMs] with an HTTP entity tag. A platform
 // that does not support entity tags always returns the list, without a tag.
-func (v vms) ListUnless(ctx context.Context, tag string) (platform.TaggedVMs, error) {
+func (v vms) ListIfChanged(ctx context.Context, tag string) (platform.TaggedVMs, error) {
 	var received responseTag
 	op := operation{method: http.MethodGet, path: wire.PathVMs, ifNoneMatch: tag, entityTag: &received}
 	data, err := v.c.exchange(ctx, op)
--- a/internal/platform/vm.go
+++ b/internal/platform/vm.go
@@ -45,9 +45,9 @@
 // ConditionalVMs is a VM list that supports conditional reads.
 type ConditionalVMs interface {
 	VMs
-	// ListUnless returns the list unless it still has the given tag. With an empty tag
+	// ListIfChanged returns the list unless it still has the given tag. With an empty tag
 	// it always returns the list.
-	ListUnless(ctx context.Context, tag string) (TaggedVMs, error)
+	ListIfChanged(ctx context.Context, tag string) (TaggedVMs, error)
 }
 
 // TaggedVMs is the result of a conditional read of the VM list.
