--- a/internal/standin/platform/fault/change.go
+++ b/internal/standin/platform/fault/change.go
@@ -5,30 +5,38 @@
 	"strings"
 )
 
-// Change replaces the faults of the services it names; the others stay.
+// Change replaces the faults of some services. A service whose field is nil keeps
+// its faults.
 type Change struct {
-	Table   *Fault `json:"table,omitempty"`
+	// Table is the new fault of the transactional table.
+	Table *Fault `json:"table,omitempty"`
+	// Objects is the new fault of the object store.
 	Objects *Fault `json:"objects,omitempty"`
-	VMs     *Fault `json:"vms,omitempty"`
-	Rating  *Fault `json:"rating,omitempty"`
+	// VMs is the new fault of the VM list.
+	VMs *Fault `json:"vms,omitempty"`
+	// Rating is the new fault of the answer rating.
+	Rating *Fault `json:"rating,omitempty"`
+	// Weights is the new fault of the weight store.
 	Weights *Fault `json:"weights,omitempty"`
 }
 
-// Validate names every impossible value by its field.
+// Validate returns an error that lists every invalid value with its field and the
+// accepted range.
 func (c Change) Validate() error {
-	var wrong []string
-	for service := range services {
-		if f := c.of(service); f != nil {
-			wrong = append(wrong, f.check(service)...)
+	var problems []string
+	for service := range numServices {
+		if f := c.faultOf(service); f != nil {
+			problems = append(problems, f.check(service)...)
 		}
 	}
-	if len(wrong) == 0 {
+	if len(problems) == 0 {
 		return nil
 	}
-	return errors.New(strings.Join(wrong, "; "))
+	return errors.New(strings.Join(problems, "; "))
 }
 
-func (c Change) of(service Service) *Fault {
+// faultOf returns the new fault of one service, or nil if it stays unchanged.
+func (c Change) faultOf(service Service) *Fault {
 	switch service {
 	case Table:
 		return c.Table
--- a/internal/standin/platform/fault/doc.go
+++ b/internal/standin/platform/fault/doc.go
@@ -1,4 +1,4 @@
-// Package fault decides which calls of the stand-in platform go wrong, and
-// how. It holds the settings and a seeded generator; it has no clock and does
-// no I/O, and only says what shall happen.
+// Package fault decides which calls to the stand-in platform fail, and how. It
+// holds the fault settings and a seeded random generator. It has no clock and does
+// no I/O: the caller carries out the decisions.
 package fault
--- a/internal/standin/platform/fault/injector.go
+++ b/internal/standin/platform/fault/injector.go
@@ -2,41 +2,44 @@
 
 import "math/rand/v2"
 
-// Injector holds the faults in force and decides for each call. Every service
-// draws from a generator of its own, so that a fault in one does not change
-// what happens in another.
+// Injector holds the current faults and decides the outcome of each call. Each
+// service has its own random generator, so a fault in one service does not change
+// the random decisions for another. It is not safe for concurrent use.
 type Injector struct {
 	set Set
-	rng [services]*rand.Rand
+	rng [numServices]*rand.Rand
 }
 
-// NewInjector returns an injector without faults.
+// NewInjector returns an injector without faults. The same seed and calls give the
+// same decisions.
 func NewInjector(seed uint64) *Injector {
 	in := new(Injector)
-	for s := range services {
+	for s := range numServices {
 		in.rng[s] = rand.New(rand.NewPCG(seed, uint64(s)))
 	}
 	return in
 }
 
-// Faults returns the faults in force; LoseAcks has counted down.
+// Faults returns the current faults. LoseAcks is the number of answers still to be
+// lost.
 func (in *Injector) Faults() Set { return in.set }
 
-// Apply puts a valid change into force.
+// Apply replaces the faults of the services that the change sets. It does not
+// validate the change.
 func (in *Injector) Apply(c Change) {
-	for s := range services {
-		if f := c.of(s); f != nil {
-			*in.set.of(s) = *f
+	for s := range numServices {
+		if f := c.faultOf(s); f != nil {
+			*in.set.faultOf(s) = *f
 		}
 	}
 }
 
-// Down reports whether the service is down.
-func (in *Injector) Down(s Service) bool { return in.set.of(s).Down }
+// Down reports whether the service currently refuses every call.
+func (in *Injector) Down(s Service) bool { return in.set.faultOf(s).Down }
 
-// Begin decides about a call that arrives.
+// Begin decides what happens to a call on arrival, before it takes effect.
 func (in *Injector) Begin(s Service) Verdict {
-	f := in.set.of(s)
+	f := in.set.faultOf(s)
 	if f.Down || in.draw(s, f.RefuseFraction) {
 		return Verdict{Refuse: true}
 	}
@@ -46,17 +49,18 @@
 	}
 }
 
-// EndRead decides about the answer of a call that only read.
+// EndRead decides whether a read gets its answer.
 func (in *Injector) EndRead(s Service) Ending {
-	if in.set.of(s).OneWay {
+	if in.set.faultOf(s).OneWay {
 		return Silent
 	}
 	return Answered
 }
 
-// EndWrite decides about the answer of a write, which took effect or not.
+// EndWrite decides whether a write gets its answer. effect reports whether the
+// write took effect. A lost answer decrements LoseAcks.
 func (in *Injector) EndWrite(s Service, effect bool) Ending {
-	f := in.set.of(s)
+	f := in.set.faultOf(s)
 	if f.OneWay {
 		return Silent
 	}
@@ -70,6 +74,7 @@
 	return Answered
 }
 
+// draw returns true with the given probability.
 func (in *Injector) draw(s Service, fraction float64) bool {
 	return fraction > 0 && in.rng[s].Float64() < fraction
 }
--- a/internal/standin/platform/fault/service.go
+++ b/internal/standin/platform/fault/service.go
@@ -1,22 +1,26 @@
 package fault
 
-// Service is a part of the platform that fails on its own.
+// Service is a part of the platform whose faults are independent of the others'.
 type Service int
 
-// The services.
 const (
+	// Table is the transactional table.
 	Table Service = iota
+	// Objects is the object store.
 	Objects
+	// VMs is the VM list.
 	VMs
+	// Rating is the answer rating.
 	Rating
+	// Weights is the weight store.
 	Weights
-	services
+	numServices
 )
 
-var names = [services]string{"table", "objects", "vms", "rating", "weights"}
+var serviceNames = [numServices]string{"table", "objects", "vms", "rating", "weights"}
 
-// String returns the service's name in the settings.
-func (s Service) String() string { return names[s] }
+// String returns the key of the service in the fault settings.
+func (s Service) String() string { return serviceNames[s] }
 
-// writes says whether the service has calls that take effect.
-func (s Service) writes() bool { return s == Table || s == Objects }
+// hasWrites reports whether the service has calls that change its state.
+func (s Service) hasWrites() bool { return s == Table || s == Objects }
--- a/internal/standin/platform/fault/set.go
+++ b/internal/standin/platform/fault/set.go
@@ -1,16 +1,21 @@
 package fault
 
-// Set is how all services fail.
+// Set holds the faults of all services.
 type Set struct {
-	Table   Fault `json:"table"`
+	// Table is the fault of the transactional table.
+	Table Fault `json:"table"`
+	// Objects is the fault of the object store.
 	Objects Fault `json:"objects"`
-	VMs     Fault `json:"vms"`
-	Rating  Fault `json:"rating"`
+	// VMs is the fault of the VM list.
+	VMs Fault `json:"vms"`
+	// Rating is the fault of the answer rating.
+	Rating Fault `json:"rating"`
+	// Weights is the fault of the weight store.
 	Weights Fault `json:"weights"`
 }
 
-// of returns the fault of one service.
-func (s *Set) of(service Service) *Fault {
+// faultOf returns the fault of one service, for reading and changing.
+func (s *Set) faultOf(service Service) *Fault {
 	switch service {
 	case Table:
 		return &s.Table
