--- a/internal/standin/platform/control/paths.go
+++ b/internal/standin/platform/control/paths.go
@@ -2,15 +2,15 @@
 
 // Paths of the fault port.
 const (
-	// PathFaults takes a fault.Change (POST) and gives a fault.Set (GET).
+	// PathFaults accepts a fault.Change (POST) and returns a fault.Set (GET and POST).
 	PathFaults = "/faults"
-	// PathLimits takes a memory.LimitsChange (POST) and gives a memory.Limits
-	// (GET).
+	// PathLimits accepts a memory.LimitsChange (POST) and returns a memory.Limits
+	// (GET and POST).
 	PathLimits = "/limits"
-	// PathQuality takes a rating.Quality (POST).
+	// PathQuality accepts a rating.Quality (POST) and returns it.
 	PathQuality = "/quality"
-	// PathStats gives a memory.Stats (GET).
+	// PathStats returns a memory.Stats (GET).
 	PathStats = "/stats"
-	// PathDump gives a memory.Dump (GET); its query parameter is "prefix".
+	// PathDump returns a memory.Dump (GET). Its query parameter is "prefix".
 	PathDump = "/dump"
 )
