--- a/internal/standin/platform/vmlist/doc.go
+++ b/internal/standin/platform/vmlist/doc.go
@@ -1,3 +1,3 @@
-// Package vmlist is the lagging VM list of the stand-in platform: a plain
-// structure that is given the time and answers with the state of some time ago.
+// Package vmlist holds the VM list of the stand-in platform with its recent history,
+// so that reads can return an outdated list. It has no clock: callers pass the time.
 package vmlist
