--- a/internal/standin/platform/rating/rater.go
+++ b/internal/standin/platform/rating/rater.go
@@ -7,34 +7,36 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// stream is what has a quality and a sequence of scores of its own.
-type stream struct {
+// scoreKey identifies a version and class. Each has its own quality and sequence of
+// scores.
+type scoreKey struct {
 	version string
 	class   string
 }
 
-// Rater gives scores.
+// Rater computes the scores of versions. It is not safe for concurrent use.
 type Rater struct {
 	seed     uint64
 	noise    float64
 	fallback float64
-	quality  map[stream]float64
-	count    map[stream]uint64
+	quality  map[scoreKey]float64
+	// count is the number of scores given so far.
+	count map[scoreKey]uint64
 }
 
-// New returns a rater whose scores have the standard deviation noise, and
-// where versions that were given no quality have fallback.
+// New returns a rater. noise is the standard deviation of the scores before
+// clamping; fallback is the quality of versions without a setting.
 func New(seed uint64, noise, fallback float64) *Rater {
 	return &Rater{
 		seed:     seed,
 		noise:    noise,
 		fallback: fallback,
-		quality:  make(map[stream]float64),
-		count:    make(map[stream]uint64),
+		quality:  make(map[scoreKey]float64),
+		count:    make(map[scoreKey]uint64),
 	}
 }
 
-// Set puts a valid quality into force.
+// Set sets the quality of a version. It does not validate q.
 func (r *Rater) Set(q Quality) {
 	if q.Class == "" {
 		for s := range r.quality {
@@ -43,25 +45,26 @@
 			}
 		}
 	}
-	r.quality[stream{q.Version, q.Class}] = q.Quality
+	r.quality[scoreKey{q.Version, q.Class}] = q.Quality
 }
 
-// Quality returns the true quality of a version for a class.
+// Quality returns the true quality of a version for a class: the setting for the
+// class, else the one for all classes, else the fallback.
 func (r *Rater) Quality(version, class string) float64 {
-	if q, ok := r.quality[stream{version, class}]; ok {
+	if q, ok := r.quality[scoreKey{version, class}]; ok {
 		return q
 	}
-	if q, ok := r.quality[stream{version, ""}]; ok {
+	if q, ok := r.quality[scoreKey{version, ""}]; ok {
 		return q
 	}
 	return r.fallback
 }
 
-// Score returns the next score of a version for a class, in [0,1]. The noise
-// of the n-th score depends on seed, version, class and n alone, so calls for
-// other versions do not change it.
+// Score returns the next score of a version for a class, in [0,1]. The noise of the
+// n-th score depends only on seed, version, class and n, so calls for other versions
+// do not change it.
 func (r *Rater) Score(version, class string) float64 {
-	s := stream{version, class}
+	s := scoreKey{version, class}
 	r.count[s]++
 	score := r.Quality(version, class)
 	if r.noise > 0 {
@@ -70,7 +73,8 @@
 	return min(max(score, 0), 1)
 }
 
-func (r *Rater) normal(s stream) float64 {
+// normal returns the noise of the current score, with a standard deviation of 1.
+func (r *Rater) normal(s scoreKey) float64 {
 	name := strconv.Quote(s.version) + strconv.Quote(s.class)
 	source := rand.NewPCG(r.seed^xxhash.Sum64String(name), r.count[s])
 	return rand.New(source).NormFloat64()
--- a/internal/standin/platform/rating/rater_test.go
+++ b/internal/standin/platform/rating/rater_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-func TestScoresFollowTheTruth(t *testing.T) {
+func TestScoresFollowConfiguredQuality(t *testing.T) {
 	is := is.New(t)
 	r := New(7, 0.1, 0.8)
 	r.Set(Quality{Version: "good", Quality: 0.6})
@@ -24,18 +24,18 @@
 	is.Equal(r.Quality("good", "draft"), 0.1)
 }
 
-// A test that adds ratings of one version must not change the scores of
-// another, or its runs could not be compared.
-func TestVersionsDoNotDisturbEachOther(t *testing.T) {
+// Ratings of one version must not change the scores of another. Otherwise runs that
+// differ only in extra ratings could not be compared.
+func TestScoresOfVersionsAreIndependent(t *testing.T) {
 	is := is.New(t)
-	alone, beside := New(7, 0.1, 0.5), New(7, 0.1, 0.5)
+	alone, interleaved := New(7, 0.1, 0.5), New(7, 0.1, 0.5)
 	other := New(8, 0.1, 0.5)
 	var differs bool
 	for range 100 {
-		beside.Score("w", "draft")
-		beside.Score("v", "tag")
+		interleaved.Score("w", "draft")
+		interleaved.Score("v", "tag")
 		score := alone.Score("v", "draft")
-		is.Equal(score, beside.Score("v", "draft"))
+		is.Equal(score, interleaved.Score("v", "draft"))
 		differs = differs || score != other.Score("v", "draft")
 	}
 	is.True(differs)
