--- a/internal/standin/platform/limit/bucket.go
+++ b/internal/standin/platform/limit/bucket.go
@@ -5,30 +5,34 @@
 	"time"
 )
 
-// BurstWindow is how much unused allowance a bucket saves up. A quarter of a
-// second lets callers that batch several times a second reach the full rate,
-// while a second never holds more than 1.25 times the rate.
+// BurstWindow is how much unused allowance a bucket accumulates. With 250 ms, callers
+// that batch several times a second reach the full rate, and no second admits more
+// than 1.25 times the rate.
 const BurstWindow = 250 * time.Millisecond
 
-// maxPeriod keeps the time between two calls within what a Duration can add up.
+// maxPeriod bounds the time between two calls, so that sums of periods do not
+// overflow a Duration.
 const maxPeriod = 365 * 24 * time.Hour
 
-// Bucket is a token bucket, kept as the time at which it will be full again
-// (the generic cell rate algorithm). Times are whole nanoseconds, so the wait
-// that a refusal names is exact: a count of tokens in floating point can stand
-// at 0.9999999 when a caller comes back at just the time it was told.
+// Bucket is a token bucket. It stores the time at which it is full again (generic
+// cell rate algorithm). Times are whole nanoseconds, so the wait that Take returns is
+// exact: a floating-point token count can be 0.9999999 when a caller retries at
+// exactly that time. A Bucket is not safe for concurrent use.
 type Bucket struct {
-	rate   float64
+	// rate is in calls per second; 0 means no limit.
+	rate float64
+	// period is the time between two calls at the rate.
 	period time.Duration
-	full   time.Time
+	fullAt time.Time
 }
 
-// NewBucket returns a full bucket of a rate a second; 0 means no limit.
+// NewBucket returns a full bucket with a rate in calls per second; 0 means no limit.
 func NewBucket(rate float64) *Bucket {
 	return &Bucket{rate: rate, period: period(rate)}
 }
 
-// period rounds up, so that the rate is never exceeded.
+// period returns the time between two calls at a rate. It rounds up, so that the rate
+// is never exceeded.
 func period(rate float64) time.Duration {
 	if rate == 0 {
 		return 0
@@ -37,38 +41,38 @@
 	return time.Duration(min(ns, float64(maxPeriod)))
 }
 
-// Rate returns the rate a second; 0 means no limit.
+// Rate returns the rate in calls per second; 0 means no limit.
 func (b *Bucket) Rate() float64 { return b.rate }
 
-// SetRate changes the rate. What was taken at the old rate costs at most one
-// period of the new one.
+// SetRate changes the rate. Tokens taken at the old rate delay the next call by at
+// most one period of the new rate.
 func (b *Bucket) SetRate(rate float64, now time.Time) {
 	b.rate = rate
 	b.period = period(rate)
-	latest := now.Add(b.saved() + b.period)
-	if b.full.After(latest) {
-		b.full = latest
+	latest := now.Add(b.burstAllowance() + b.period)
+	if b.fullAt.After(latest) {
+		b.fullAt = latest
 	}
 }
 
-// Take takes one token. Without one it returns false and how long to wait
-// until there is one.
+// Take takes one token and reports true. Without a token it returns false and the
+// time until one is available.
 func (b *Bucket) Take(now time.Time) (time.Duration, bool) {
 	if b.rate == 0 {
 		return 0, true
 	}
-	if b.full.Before(now) {
-		b.full = now
+	if b.fullAt.Before(now) {
+		b.fullAt = now
 	}
-	if wait := b.full.Sub(now) - b.saved(); wait > 0 {
+	if wait := b.fullAt.Sub(now) - b.burstAllowance(); wait > 0 {
 		return wait, false
 	}
-	b.full = b.full.Add(b.period)
+	b.fullAt = b.fullAt.Add(b.period)
 	return 0, true
 }
 
-// saved is the allowance saved up beside the one token that every bucket
-// holds; a slow bucket saves none.
-func (b *Bucket) saved() time.Duration {
+// burstAllowance returns the allowance that a bucket accumulates beyond one token. It
+// is 0 for a bucket whose period is [BurstWindow] or longer.
+func (b *Bucket) burstAllowance() time.Duration {
 	return max(0, BurstWindow-b.period)
 }
--- a/internal/standin/platform/limit/doc.go
+++ b/internal/standin/platform/limit/doc.go
@@ -1,3 +1,3 @@
-// Package limit holds the stand-in platform's rate limits and rate figures:
-// plain structures that are given the time.
+// Package limit provides the rate limiters and call counters of the stand-in
+// platform. It has no clock: callers pass the time.
 package limit
--- a/internal/standin/platform/limit/limit_test.go
+++ b/internal/standin/platform/limit/limit_test.go
@@ -10,9 +10,9 @@
 
 var epoch = time.Unix(1_000_000, 0)
 
-// Whatever the arrivals, no stretch of time admits more than the rate and one
-// burst, and a caller who waits as long as it was told is admitted.
-func TestBucketKeepsItsRate(t *testing.T) {
+// For any arrivals, no period admits more calls than the rate and one burst allow. A
+// caller that retries after the returned wait is admitted.
+func TestBucketNeverExceedsItsRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(0.5, 3000).Draw(t, "rate")
 		b := NewBucket(rate)
@@ -32,17 +32,17 @@
 			}
 		}
 		for i := range admitted {
-			passed := now.Sub(admitted[i]).Seconds()
-			if most := max(1, rate*BurstWindow.Seconds()) + rate*passed + 1e-3; float64(len(admitted)-i) > most {
-				t.Fatalf("%d admitted in %fs; at most %f", len(admitted)-i, passed, most)
+			elapsed := now.Sub(admitted[i]).Seconds()
+			if bound := max(1, rate*BurstWindow.Seconds()) + rate*elapsed + 1e-3; float64(len(admitted)-i) > bound {
+				t.Fatalf("%d admitted in %fs; at most %f", len(admitted)-i, elapsed, bound)
 			}
 		}
 	})
 }
 
-// A caller is refused three times and comes back at the time that the last
-// refusal named. Tokens added up in floating point came to just under one
-// here, and the caller was refused again.
+// A caller is refused three times and retries exactly after the last returned wait.
+// With tokens counted in floating point, the sum is just under one here and the
+// caller is refused again.
 func TestWaitIsExact(t *testing.T) {
 	is := is.New(t)
 	b := NewBucket(0.625)
@@ -59,7 +59,7 @@
 	is.True(ok)
 }
 
-func TestBucketGivesItsRate(t *testing.T) {
+func TestBucketReachesItsRate(t *testing.T) {
 	is := is.New(t)
 	b := NewBucket(500)
 	var admitted int
@@ -109,7 +109,7 @@
 	is.Equal(p.Chunk(), int64(maxChunk))
 }
 
-func TestPeakIsOfOneSecond(t *testing.T) {
+func TestPeakCountsCallsPerClockSecond(t *testing.T) {
 	is := is.New(t)
 	var p Peak
 	for _, ms := range []int{0, 400, 999, 1000, 1500, 3000} {
--- a/internal/standin/platform/limit/peak.go
+++ b/internal/standin/platform/limit/peak.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Peak counts calls and keeps the most in one second of the clock.
+// Peak counts calls in total and the highest count within one clock second. It is not
+// safe for concurrent use.
 type Peak struct {
 	second int64
 	count  uint64
@@ -21,8 +22,8 @@
 	p.peak = max(p.peak, p.count)
 }
 
-// Total returns how many calls were counted.
+// Total returns the number of calls since the start.
 func (p *Peak) Total() uint64 { return p.total }
 
-// Peak returns the most calls in one second of the clock.
+// Peak returns the highest number of calls within one clock second.
 func (p *Peak) Peak() uint64 { return p.peak }
