--- a/internal/standin/platform/table/keyindex.go
+++ b/internal/standin/platform/table/keyindex.go
@@ -6,16 +6,17 @@
 	"sort"
 )
 
-// maxChunk bounds the keys that one insertion moves.
+// maxChunk is the maximum number of keys in a chunk. It bounds the keys that one
+// insertion moves.
 const maxChunk = 512
 
-// keyIndex keeps keys in order as a list of sorted chunks, none empty. An
-// insertion moves at most maxChunk keys and the chunk headers.
+// keyIndex holds keys in order, as a list of sorted, non-empty chunks. An insertion
+// moves at most maxChunk keys and the chunk headers.
 type keyIndex struct {
 	chunks [][]string
 }
 
-// chunkOf returns the chunk where key is or belongs.
+// chunkOf returns the index of the chunk where key is or belongs.
 func (x *keyIndex) chunkOf(key string) int {
 	after := sort.Search(len(x.chunks), func(i int) bool { return x.chunks[i][0] > key })
 	return max(after-1, 0)
@@ -35,6 +36,7 @@
 	}
 }
 
+// split divides a chunk into two halves.
 func (x *keyIndex) split(i int) {
 	chunk := x.chunks[i]
 	half := len(chunk) / 2
@@ -43,7 +45,7 @@
 	x.chunks = slices.Insert(x.chunks, i+1, upper)
 }
 
-// remove takes out a key that is present.
+// remove deletes a key that is present.
 func (x *keyIndex) remove(key string) {
 	i := x.chunkOf(key)
 	at, _ := slices.BinarySearch(x.chunks[i], key)
@@ -53,7 +55,7 @@
 	}
 }
 
-// from yields the keys that are at least first and above after, in order.
+// from yields the keys that are at least first and greater than after, in order.
 func (x *keyIndex) from(first, after string) iter.Seq[string] {
 	start := max(first, after)
 	return func(yield func(string) bool) {
--- a/internal/standin/platform/table/table.go
+++ b/internal/standin/platform/table/table.go
@@ -7,13 +7,13 @@
 	"github.com/hickorybank/hickorybank/internal/platform"
 )
 
-// Table holds versioned rows.
+// Table holds versioned rows. It is not safe for concurrent use.
 type Table struct {
 	rows map[string]platform.Row
 	keys keyIndex
-	// version is the last version given out. It is one counter for all rows,
-	// so a row that is deleted and written again never gets an old version
-	// back: a condition on the old one fails, as it must.
+	// version is the last assigned version. All rows share one counter, so a row that
+	// is deleted and written again never reuses a version. A condition on its old
+	// version therefore fails.
 	version uint64
 }
 
@@ -25,7 +25,7 @@
 // Len returns the number of rows.
 func (t *Table) Len() int { return len(t.rows) }
 
-// Get returns a copy of the row; an absent row has Version 0.
+// Get returns a copy of a row. An absent row has Version 0.
 func (t *Table) Get(key string) platform.Row {
 	row, ok := t.rows[key]
 	if !ok {
@@ -34,8 +34,8 @@
 	return clone(row)
 }
 
-// Scan returns copies of the rows whose key begins with prefix and sorts after
-// the key after, in key order, at most limit.
+// Scan returns copies of at most limit rows in key order, whose keys begin with
+// prefix and are greater than after.
 func (t *Table) Scan(prefix, after string, limit int) []platform.Row {
 	var rows []platform.Row
 	for key := range t.keys.from(prefix, after) {
@@ -47,7 +47,8 @@
 	return rows
 }
 
-// Commit applies all writes if every condition holds, else none.
+// Commit applies all writes if every condition holds, else none. The result of a
+// failed commit lists the rows whose versions differ.
 func (t *Table) Commit(txn platform.Txn) platform.CommitResult {
 	conflicts := t.conflicts(txn.Conditions)
 	if len(conflicts) > 0 {
@@ -63,6 +64,7 @@
 	return platform.CommitResult{Applied: true, Version: t.version}
 }
 
+// conflicts returns the rows whose versions differ from those in the conditions.
 func (t *Table) conflicts(conditions []platform.Condition) []platform.Row {
 	var rows []platform.Row
 	for _, c := range conditions {
@@ -73,6 +75,7 @@
 	return rows
 }
 
+// apply makes one write, with the current version.
 func (t *Table) apply(w platform.Write) {
 	_, present := t.rows[w.Key]
 	if w.Delete {
@@ -92,6 +95,7 @@
 	}
 }
 
+// clone returns a copy of a row that does not share its value.
 func clone(row platform.Row) platform.Row {
 	row.Value = bytes.Clone(row.Value)
 	return row
--- a/internal/standin/platform/table/table_test.go
+++ b/internal/standin/platform/table/table_test.go
@@ -13,7 +13,7 @@
 	"github.com/hickorybank/hickorybank/internal/platform"
 )
 
-// model is the plain map that the table must behave like.
+// model is a reference implementation of Table on a plain map.
 type model struct {
 	rows    map[string]platform.Row
 	version uint64
@@ -62,7 +62,7 @@
 	return rows
 }
 
-func TestBehavesLikeAMap(t *testing.T) {
+func TestTableMatchesMapModel(t *testing.T) {
 	keys := rapid.StringMatching(`[ab]{1,3}`)
 	rapid.Check(t, func(t *rapid.T) {
 		table := New()
@@ -114,10 +114,10 @@
 	}
 }
 
-// A writer reads a row, is paused, and wakes up after the row was deleted and
-// written anew. Were the new row to begin at version 1 again, the writer's old
-// condition would hold and its write would undo somebody else's.
-func TestVersionsAreNeverGivenTwice(t *testing.T) {
+// A writer reads a row and is paused while the row is deleted and written again. If
+// the new row reused the old version, the writer's condition would hold and its write
+// would overwrite the other one.
+func TestVersionsAreNeverReused(t *testing.T) {
 	is := is.New(t)
 	table := New()
 	put := platform.Txn{Writes: []platform.Write{{Key: "a", Value: []byte("x")}}}
