--- a/internal/standin/platform/memory/check.go
+++ b/internal/standin/platform/memory/check.go
@@ -11,15 +11,21 @@
 	"github.com/hickorybank/hickorybank/internal/platform/client/wire"
 )
 
-// Bounds of calls, of the kind that table services set.
+// Bounds of calls, similar to those of common table services.
 const (
-	MaxKey    = 1024
-	MaxValue  = 1 << 20
-	MaxTxn    = 1000
-	MaxScan   = 1000
+	// MaxKey is the maximum length of a key, in bytes.
+	MaxKey = 1024
+	// MaxValue is the maximum size of a row's value, in bytes.
+	MaxValue = 1 << 20
+	// MaxTxn is the maximum number of conditions, and of writes, in a transaction.
+	MaxTxn = 1000
+	// MaxScan is the maximum number of rows that a scan may ask for.
+	MaxScan = 1000
+	// MaxObject is the maximum size of an object, in bytes.
 	MaxObject = 32 << 20
 )
 
+// invalid returns the refusal of a call that can never succeed.
 func invalid(format string, args ...any) *wire.Refusal {
 	return &wire.Refusal{Reason: wire.Invalid, Detail: fmt.Sprintf(format, args...)}
 }
@@ -76,8 +82,8 @@
 	return nil
 }
 
-// cloneTxn keeps a write that takes effect late from seeing what its caller
-// does to the buffers meanwhile.
+// cloneTxn copies a transaction, so that a delayed write does not see later changes
+// that its caller makes to the buffers.
 func cloneTxn(txn platform.Txn) platform.Txn {
 	txn.Conditions = slices.Clone(txn.Conditions)
 	txn.Writes = slices.Clone(txn.Writes)
--- a/internal/standin/platform/memory/doc.go
+++ b/internal/standin/platform/memory/doc.go
@@ -1,4 +1,4 @@
-// Package memory is the stand-in platform within a process: it implements
-// platform.Platform without a socket or a goroutine, for tests, for virtual
-// time, and as the state behind the stand-in's HTTP server.
+// Package memory is the in-process stand-in platform. It implements platform.Platform
+// without sockets and goroutines, for tests, for virtual time, and as the state of the
+// stand-in's HTTP server.
 package memory
--- a/internal/standin/platform/memory/dump.go
+++ b/internal/standin/platform/memory/dump.go
@@ -6,25 +6,30 @@
 	"github.com/hickorybank/hickorybank/internal/platform"
 )
 
-// Dump is what the platform holds under a prefix.
+// Dump is the content of the platform under a key prefix.
 type Dump struct {
-	Rows    []platform.Row `json:"rows"`
-	Objects []ObjectSize   `json:"objects"`
-	// VMs are all VMs as they are now, without lag.
+	// Rows are the rows under the prefix, in key order.
+	Rows []platform.Row `json:"rows"`
+	// Objects are the objects under the prefix, in key order.
+	Objects []ObjectSize `json:"objects"`
+	// VMs are all VMs in their current state, without lag.
 	VMs []platform.VM `json:"vms"`
 }
 
-// ObjectSize is one object without its content.
+// ObjectSize is the key and the size of an object.
 type ObjectSize struct {
-	Key   string `json:"key"`
-	Bytes int    `json:"bytes"`
+	// Key is the key of the object.
+	Key string `json:"key"`
+	// Bytes is the size of its content.
+	Bytes int `json:"bytes"`
 }
 
-// Dump returns what the platform holds; it is neither limited nor faulted.
+// Dump returns the rows and objects under a prefix, and all VMs. Rate limits and
+// faults do not apply to it.
 func (p *Platform) Dump(prefix string) Dump {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	now := p.settled()
+	now := p.applyDueWrites()
 	dump := Dump{
 		Rows: p.table.Scan(prefix, "", math.MaxInt),
 		VMs:  p.vms.AsOf(now),
--- a/internal/standin/platform/memory/flow.go
+++ b/internal/standin/platform/memory/flow.go
@@ -10,18 +10,20 @@
 	"github.com/hickorybank/hickorybank/internal/standin/platform/fault"
 )
 
-// forever is how long a call without an answer waits for its caller to give up.
+// forever is the wait of a call that never gets an answer. It ends when the caller
+// gives up.
 const forever = time.Duration(math.MaxInt64)
 
-// What broke a call that got no answer.
+// Causes of a call without an answer.
 var (
 	errDropped  = errors.New("connection broke before the call took effect")
 	errAckLost  = errors.New("connection broke before the answer")
 	errNoAnswer = errors.New("no answer came")
 )
 
-// read admits a call that only reads, and looks at the state after the delay.
-func (p *Platform) read(ctx context.Context, s fault.Service, m *meter, look func(now time.Time)) error {
+// read runs a read: it admits the call, waits for the fault's delay and calls inspect,
+// which reads the state. Every error is a refusal.
+func (p *Platform) read(ctx context.Context, s fault.Service, m *meter, inspect func(now time.Time)) error {
 	if err := ctx.Err(); err != nil {
 		return wire.Refused(err)
 	}
@@ -32,8 +34,8 @@
 	if err := p.wait(ctx, delay); err != nil {
 		return wire.Refused(err)
 	}
-	if p.endRead(s, look) == fault.Silent {
-		return wire.Refused(p.silence(ctx))
+	if p.endRead(s, inspect) == fault.Silent {
+		return wire.Refused(p.waitUnanswered(ctx))
 	}
 	return nil
 }
@@ -41,7 +43,7 @@
 func (p *Platform) beginRead(s fault.Service, m *meter) (time.Duration, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	verdict, err := p.admit(s, m, p.settled())
+	verdict, err := p.admit(s, m, p.applyDueWrites())
 	if err != nil {
 		return 0, err
 	}
@@ -51,15 +53,16 @@
 	return verdict.Delay, nil
 }
 
-func (p *Platform) endRead(s fault.Service, look func(now time.Time)) fault.Ending {
+func (p *Platform) endRead(s fault.Service, inspect func(now time.Time)) fault.Ending {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	look(p.settled())
+	inspect(p.applyDueWrites())
 	return p.faults.EndRead(s)
 }
 
-// write admits a call that takes effect after the delay, also when the caller
-// has given up by then.
+// write runs a write: it admits the call, and calls effect after the fault's delay,
+// even when the caller has given up by then. effect reports whether it changed the
+// state.
 func (p *Platform) write(ctx context.Context, s fault.Service, effect func() bool) error {
 	if err := ctx.Err(); err != nil {
 		return wire.Refused(err)
@@ -75,7 +78,7 @@
 	case fault.Lost:
 		return wire.Unknown(errAckLost)
 	case fault.Silent:
-		return wire.Unknown(p.silence(ctx))
+		return wire.Unknown(p.waitUnanswered(ctx))
 	}
 	return nil
 }
@@ -83,7 +86,7 @@
 func (p *Platform) beginWrite(s fault.Service, effect func() bool) (*lateWrite, time.Duration, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	now := p.settled()
+	now := p.applyDueWrites()
 	verdict, err := p.admit(s, p.writes, now)
 	if err != nil {
 		return nil, 0, err
@@ -99,19 +102,20 @@
 func (p *Platform) endWrite(w *lateWrite) fault.Ending {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.settled()
+	p.applyDueWrites()
 	if !w.done {
-		// A clock that is set by hand may not have moved while we waited.
-		p.late.settle(w.due)
+		// A manually set clock may not have advanced during the wait.
+		p.late.applyDue(w.due)
 	}
-	ending := p.faults.EndWrite(w.service, w.took)
+	ending := p.faults.EndWrite(w.service, w.applied)
 	if ending == fault.Lost {
 		p.lostAcks++
 	}
 	return ending
 }
 
-// admit asks the faults first: a service that is down uses up no allowance.
+// admit decides about a call on arrival. Faults come before the rate limit, so that
+// calls to a service that is down do not use the allowance.
 func (p *Platform) admit(s fault.Service, m *meter, now time.Time) (fault.Verdict, error) {
 	verdict := p.faults.Begin(s)
 	if verdict.Refuse {
@@ -131,10 +135,10 @@
 	return &wire.Refusal{Reason: wire.Unavailable, Detail: "service " + s.String() + " is not available"}
 }
 
-// settled lets the writes that have fallen due take effect; returns the time.
-func (p *Platform) settled() time.Time {
+// applyDueWrites applies the writes that are due, and returns the current time.
+func (p *Platform) applyDueWrites() time.Time {
 	now := p.settings.Now()
-	p.late.settle(now)
+	p.late.applyDue(now)
 	return now
 }
 
@@ -145,8 +149,8 @@
 	return p.settings.Wait(ctx, d)
 }
 
-// silence waits until the caller gives up.
-func (p *Platform) silence(ctx context.Context) error {
+// waitUnanswered waits until the caller gives up, and returns the reason.
+func (p *Platform) waitUnanswered(ctx context.Context) error {
 	if err := p.settings.Wait(ctx, forever); err != nil {
 		return err
 	}
--- a/internal/standin/platform/memory/latewrites.go
+++ b/internal/standin/platform/memory/latewrites.go
@@ -7,25 +7,25 @@
 	"github.com/hickorybank/hickorybank/internal/standin/platform/fault"
 )
 
-// lateWrite is an admitted write that takes effect when it is due, whether or
-// not its caller still waits.
+// lateWrite is an admitted write that takes effect when it is due, whether or not its
+// caller is still waiting.
 type lateWrite struct {
 	service fault.Service
 	due     time.Time
-	// effect makes the change and reports whether there was one.
-	effect func() bool
-	done   bool
-	took   bool
+	// effect makes the change and reports whether the state changed.
+	effect  func() bool
+	done    bool
+	applied bool
 }
 
-// lateWrites are the admitted writes in the order in which they fall due. The
-// platform runs no goroutine: every call first settles what has fallen due, so
-// nobody can see a state in which a due write is missing.
+// lateWrites is the queue of admitted writes in the order of their due times. The
+// platform has no goroutine: every call first applies the writes that are due, so no
+// caller sees a state without them.
 type lateWrites struct {
 	queue []*lateWrite
 }
 
-// add puts the write behind all that fall due no later.
+// add inserts a write after all writes that are due at the same time or earlier.
 func (l *lateWrites) add(w *lateWrite) {
 	i := len(l.queue)
 	for i > 0 && l.queue[i-1].due.After(w.due) {
@@ -34,11 +34,11 @@
 	l.queue = slices.Insert(l.queue, i, w)
 }
 
-// settle lets every write due by now take effect, in order.
-func (l *lateWrites) settle(now time.Time) {
+// applyDue applies every write that is due at now or earlier, in order.
+func (l *lateWrites) applyDue(now time.Time) {
 	n := 0
 	for n < len(l.queue) && !l.queue[n].due.After(now) {
-		l.queue[n].took = l.queue[n].effect()
+		l.queue[n].applied = l.queue[n].effect()
 		l.queue[n].done = true
 		n++
 	}
--- a/internal/standin/platform/memory/memory_test.go
+++ b/internal/standin/platform/memory/memory_test.go
@@ -14,9 +14,9 @@
 	"github.com/hickorybank/hickorybank/internal/standin/platform/memory"
 )
 
-// The platform without options works with the real clock, so also in the
-// virtual time of a synctest bubble.
-func TestRunsOnTheClockOfABubble(t *testing.T) {
+// Without options the platform uses the clock of package time, which is virtual in a
+// synctest bubble. A delayed write must then take effect in virtual time.
+func TestDefaultClockFollowsSynctest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := memory.New()
@@ -34,9 +34,9 @@
 	})
 }
 
-// A caller whose context is already done must hear "refused": it has a right
-// to try again elsewhere without asking what became of the write.
-func TestDoneContextHasNoEffect(t *testing.T) {
+// A call whose context is already done must return [platform.ErrRefused], so that its
+// caller can retry elsewhere without checking whether the write took effect.
+func TestDoneContextIsRefused(t *testing.T) {
 	is := is.New(t)
 	p := memory.New()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -48,8 +48,8 @@
 	is.Equal(p.Stats().Rows, 0)
 }
 
-// A writer that reuses its buffer after it gave up must not change the write
-// that takes effect later, nor a reader the row that it was given.
+// A writer that reuses its buffer after giving up must not change the delayed write. A
+// reader that changes a returned row must not change the stored row.
 func TestBuffersAreNotShared(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_000_000, 0)
@@ -71,15 +71,17 @@
 	is.Equal(string(row.Value), "old")
 }
 
-// The same seed must give the same faults, or a failed run cannot be repeated.
+// The same seed must give the same faults. Otherwise a failed run cannot be repeated.
 func TestFaultsFollowTheSeed(t *testing.T) {
 	is := is.New(t)
-	first, again, other := fates(t, 1), fates(t, 1), fates(t, 2)
+	first, again, other := outcomes(t, 1), outcomes(t, 1), outcomes(t, 2)
 	is.Equal(first, again)
 	is.True(first != other)
 }
 
-func fates(t *testing.T, seed uint64) string {
+// outcomes returns one letter per commit under random faults: a for applied, r for
+// refused, u for unknown.
+func outcomes(t *testing.T, seed uint64) string {
 	p := memory.New(memory.WithSeed(seed))
 	faults := fault.Fault{RefuseFraction: 0.3, DropFraction: 0.3, LoseAckFraction: 0.3}
 	if err := p.SetFaults(fault.Change{Table: &faults}); err != nil {
--- a/internal/standin/platform/memory/meter.go
+++ b/internal/standin/platform/memory/meter.go
@@ -7,7 +7,8 @@
 	"github.com/hickorybank/hickorybank/internal/standin/platform/limit"
 )
 
-// meter bounds and counts one kind of call.
+// meter limits the rate of one kind of call, and counts the admitted and the refused
+// calls.
 type meter struct {
 	bucket  *limit.Bucket
 	peak    limit.Peak
@@ -16,7 +17,7 @@
 
 func newMeter(rate float64) *meter { return &meter{bucket: limit.NewBucket(rate)} }
 
-// admit counts the call, or refuses it.
+// admit counts an admitted call, or returns a refusal with the time to wait.
 func (m *meter) admit(now time.Time) error {
 	wait, ok := m.bucket.Take(now)
 	if !ok {
@@ -31,8 +32,8 @@
 	return nil
 }
 
-// roundUp returns whole milliseconds, so that a caller who waits that long
-// does not come too early.
+// roundUp returns d in milliseconds. It rounds up, so that a caller that waits that
+// long does not retry too early.
 func roundUp(d time.Duration) int64 {
 	return int64((d + time.Millisecond - 1) / time.Millisecond)
 }
--- a/internal/standin/platform/memory/objects.go
+++ b/internal/standin/platform/memory/objects.go
@@ -56,6 +56,7 @@
 	return keys, err
 }
 
+// objectKeys returns the sorted keys of the objects under a prefix.
 func (p *Platform) objectKeys(prefix string) []string {
 	var keys []string
 	for key := range p.objects {
--- a/internal/standin/platform/memory/platform.go
+++ b/internal/standin/platform/memory/platform.go
@@ -12,7 +12,7 @@
 	"github.com/hickorybank/hickorybank/internal/standin/platform/vmlist"
 )
 
-// Platform is the stand-in platform. It is safe for concurrent use.
+// Platform is the in-process stand-in platform. It is safe for concurrent use.
 type Platform struct {
 	settings Settings
 
@@ -26,10 +26,11 @@
 	faults  *fault.Injector
 	late    lateWrites
 
-	// reads and writes are of the table and the object store together.
+	// reads and writes limit and count the calls of the table and the object store
+	// together. The other meters only count.
 	reads   *meter
 	writes  *meter
-	lists   *meter
+	vmLists *meter
 	ratings *meter
 	weights *meter
 
@@ -42,7 +43,7 @@
 
 var _ platform.Platform = (*Platform)(nil)
 
-// New returns an empty platform.
+// New returns an empty platform. It does not validate the settings.
 func New(opts ...Option) *Platform {
 	var s Settings
 	for _, opt := range opts {
@@ -60,7 +61,7 @@
 		faults:   fault.NewInjector(s.Seed),
 		reads:    newMeter(s.ReadsPerSecond),
 		writes:   newMeter(s.WritesPerSecond),
-		lists:    newMeter(0),
+		vmLists:  newMeter(0),
 		ratings:  newMeter(0),
 		weights:  newMeter(0),
 	}
--- a/internal/standin/platform/memory/script_test.go
+++ b/internal/standin/platform/memory/script_test.go
@@ -19,18 +19,17 @@
 	"github.com/hickorybank/hickorybank/internal/standin/platform/rating"
 )
 
-// script runs one scripted scenario in virtual time. A call has a patience:
-// when the platform makes it wait longer, time passes up to there and the
-// caller gives up.
+// script runs one scripted scenario in virtual time. When a call waits longer than its
+// timeout, time advances by the timeout and the caller gives up.
 type script struct {
-	now      time.Time
-	patience time.Duration
-	p        *memory.Platform
+	now     time.Time
+	timeout time.Duration
+	p       *memory.Platform
 }
 
 func (s *script) wait(_ context.Context, d time.Duration) error {
-	if d > s.patience {
-		s.now = s.now.Add(s.patience)
+	if d > s.timeout {
+		s.now = s.now.Add(s.timeout)
 		return context.DeadlineExceeded
 	}
 	s.now = s.now.Add(d)
@@ -45,7 +44,7 @@
 }
 
 func (s *script) run(t *testing.T, d *datadriven.TestData) string {
-	s.patience = duration(t, d, "patience", time.Minute)
+	s.timeout = duration(t, d, "patience", time.Minute)
 	switch d.Cmd {
 	case "new":
 		return s.create(t, d)
@@ -112,15 +111,15 @@
 		score, err := s.p.Rate(ctx, platform.RateRequest{Version: text(d, "version"), Class: text(d, "class")})
 		return outcome(err, strconv.FormatFloat(score, 'f', 3, 64))
 	case "fetch":
-		began := s.now
+		start := s.now
 		n, err := s.p.FetchWeights(ctx, text(d, "version"))
-		return outcome(err, fmt.Sprintf("%d bytes in %s", n, s.now.Sub(began).Round(time.Millisecond)))
+		return outcome(err, fmt.Sprintf("%d bytes in %s", n, s.now.Sub(start).Round(time.Millisecond)))
 	}
 	t.Fatalf("%s: unknown command %s", d.Pos, d.Cmd)
 	return ""
 }
 
-// outcome prints lines, or how the call failed.
+// outcome returns the lines, or the kind and text of the error.
 func outcome(err error, lines ...string) string {
 	switch {
 	case err == nil && len(lines) == 0:
@@ -194,7 +193,7 @@
 	return lines
 }
 
-// stats prints the figures that are not zero.
+// stats returns the counters that are not zero, one per line.
 func stats(t *testing.T, s memory.Stats) string {
 	data, err := json.Marshal(s)
 	if err != nil {
--- a/internal/standin/platform/memory/stats.go
+++ b/internal/standin/platform/memory/stats.go
@@ -1,40 +1,48 @@
 package memory
 
-// Stats are the figures since the start.
+// Stats are the platform's counters since its start, and its current contents.
 type Stats struct {
-	// Reads and Writes were admitted, by the table and the object store
-	// together.
-	Reads  uint64 `json:"reads"`
+	// Reads counts admitted reads of the table and the object store.
+	Reads uint64 `json:"reads"`
+	// Writes counts admitted writes of the table and the object store.
 	Writes uint64 `json:"writes"`
-	// The peaks are the most admitted in one second of the clock.
-	PeakReads  uint64 `json:"peak_reads_per_second"`
+	// PeakReads is the highest number of admitted reads within one clock second.
+	PeakReads uint64 `json:"peak_reads_per_second"`
+	// PeakWrites is the highest number of admitted writes within one clock second.
 	PeakWrites uint64 `json:"peak_writes_per_second"`
-	// LimitedReads and LimitedWrites were refused by the rate limits.
-	LimitedReads  uint64 `json:"limited_reads"`
+	// LimitedReads counts reads that the rate limit refused.
+	LimitedReads uint64 `json:"limited_reads"`
+	// LimitedWrites counts writes that the rate limit refused.
 	LimitedWrites uint64 `json:"limited_writes"`
-	// Faulted calls were refused, and Dropped calls broken off, by a fault.
+	// Faulted counts calls that a fault refused.
 	Faulted uint64 `json:"faulted"`
+	// Dropped counts calls whose connection a fault broke before they took effect.
 	Dropped uint64 `json:"dropped"`
-	// LostAcks counts writes whose answer was lost.
+	// LostAcks counts writes whose answer a fault lost.
 	LostAcks uint64 `json:"lost_acks"`
 	// Conflicts counts commits whose conditions failed.
 	Conflicts uint64 `json:"conflicts"`
-	// LateWrites are admitted and have not yet taken effect.
+	// LateWrites is the number of admitted writes that have not yet taken effect.
 	LateWrites int `json:"late_writes"`
-	Rows       int `json:"rows"`
-	Objects    int `json:"objects"`
-	// VMLists, Ratings and Downloads count calls of these services.
-	VMLists     uint64 `json:"vm_lists"`
-	Ratings     uint64 `json:"ratings"`
-	Downloads   uint64 `json:"downloads"`
+	// Rows is the current number of rows in the table.
+	Rows int `json:"rows"`
+	// Objects is the current number of objects.
+	Objects int `json:"objects"`
+	// VMLists counts admitted reads of the VM list.
+	VMLists uint64 `json:"vm_lists"`
+	// Ratings counts admitted ratings.
+	Ratings uint64 `json:"ratings"`
+	// Downloads counts admitted downloads of weights.
+	Downloads uint64 `json:"downloads"`
+	// WeightBytes counts the bytes that downloads have reserved.
 	WeightBytes uint64 `json:"weight_bytes"`
 }
 
-// Stats returns the present figures.
+// Stats returns the current counters.
 func (p *Platform) Stats() Stats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.settled()
+	p.applyDueWrites()
 	return Stats{
 		Reads:         p.reads.peak.Total(),
 		Writes:        p.writes.peak.Total(),
@@ -49,7 +57,7 @@
 		LateWrites:    len(p.late.queue),
 		Rows:          p.table.Len(),
 		Objects:       len(p.objects),
-		VMLists:       p.lists.peak.Total(),
+		VMLists:       p.vmLists.peak.Total(),
 		Ratings:       p.ratings.peak.Total(),
 		Downloads:     p.weights.peak.Total(),
 		WeightBytes:   p.weightBytes,
--- a/internal/standin/platform/memory/table.go
+++ b/internal/standin/platform/memory/table.go
@@ -55,6 +55,7 @@
 	return result, nil
 }
 
+// commit applies a transaction and counts conflicts.
 func (p *Platform) commit(txn platform.Txn) platform.CommitResult {
 	result := p.table.Commit(txn)
 	if !result.Applied {
--- a/internal/standin/platform/memory/vms.go
+++ b/internal/standin/platform/memory/vms.go
@@ -9,7 +9,7 @@
 	"github.com/hickorybank/hickorybank/internal/standin/platform/fault"
 )
 
-// vms is the lagging VM list of a Platform.
+// vms is the VM list of a Platform. Its reads return an outdated list.
 type vms struct{ p *Platform }
 
 var _ platform.VMs = vms{}
@@ -17,15 +17,15 @@
 // List implements [platform.VMs].
 func (v vms) List(ctx context.Context) ([]platform.VM, error) {
 	var list []platform.VM
-	err := v.p.read(ctx, fault.VMs, v.p.lists, func(now time.Time) {
+	err := v.p.read(ctx, fault.VMs, v.p.vmLists, func(now time.Time) {
 		list = v.p.vms.AsOf(now.Add(-v.p.lag))
 	})
 	return list, err
 }
 
-// RegisterVM adds a VM, or replaces the one with its id. An empty state means
-// live. Registering, leaving and removing are the platform's own doing: faults
-// do not touch them.
+// RegisterVM adds a VM, or replaces the VM with the same id. An empty state means
+// live. Faults do not affect RegisterVM, LeaveVM and RemoveVM, because the platform
+// itself makes these changes.
 func (p *Platform) RegisterVM(_ context.Context, vm platform.VM) error {
 	if vm.State == "" {
 		vm.State = platform.Live
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// LeaveVM marks a VM as leaving.
+// LeaveVM sets a VM's state to leaving. It returns a refusal when no VM has the id.
 func (p *Platform) LeaveVM(_ context.Context, id string) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// RemoveVM takes a VM out of the list; an absent one is no error.
+// RemoveVM deletes a VM. It does nothing when no VM has the id.
 func (p *Platform) RemoveVM(_ context.Context, id string) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/standin/platform/memory/weights.go
+++ b/internal/standin/platform/memory/weights.go
@@ -8,14 +8,15 @@
 	"github.com/hickorybank/hickorybank/internal/standin/platform/fault"
 )
 
-// Download is one download of a version's weights, paced together with all
-// others. It belongs to one goroutine.
+// Download is one download of a version's weights. All downloads share one byte rate.
+// A Download is not safe for concurrent use.
 type Download struct {
 	p    *Platform
 	left int64
 }
 
-// Weights begins a download of a version's weights.
+// Weights starts a download of a version's weights. It returns a refusal when the
+// version is empty or a fault refuses the call.
 func (p *Platform) Weights(ctx context.Context, version string) (*Download, error) {
 	if version == "" {
 		return nil, invalid("version: missing")
@@ -27,8 +28,8 @@
 	return &Download{p: p, left: p.settings.WeightBytes}, nil
 }
 
-// FetchWeights downloads a version's weights, throws them away, and returns
-// how many bytes there were.
+// FetchWeights downloads a version's weights, discards them, and returns the number of
+// bytes, also when the download fails.
 func (p *Platform) FetchWeights(ctx context.Context, version string) (int64, error) {
 	d, err := p.Weights(ctx, version)
 	if err != nil {
@@ -45,10 +46,11 @@
 	return total, nil
 }
 
-// Left returns how many bytes are still to come.
+// Left returns the number of bytes that have not been downloaded.
 func (d *Download) Left() int64 { return d.left }
 
-// Next waits until the next chunk has come, and returns its size; 0 at the end.
+// Next waits for the next chunk and returns its size in bytes; 0 at the end. It
+// returns a refusal when the weight store is down or ctx is done.
 func (d *Download) Next(ctx context.Context) (int64, error) {
 	n, delay, err := d.reserve()
 	if err != nil {
@@ -61,6 +63,8 @@
 	return n, nil
 }
 
+// reserve reserves the next chunk and returns its size and the time until it has been
+// sent.
 func (d *Download) reserve() (int64, time.Duration, error) {
 	d.p.mu.Lock()
 	defer d.p.mu.Unlock()
