--- a/internal/standin/platform/answer.go
+++ b/internal/standin/platform/answer.go
@@ -15,47 +15,50 @@
 
 const contentJSON = "application/json"
 
-// answer writes a message, or what the error says.
-func answer(w http.ResponseWriter, message any, err error) {
+// respond answers with a message as JSON, or with the error.
+func respond(w http.ResponseWriter, message any, err error) {
 	if err != nil {
-		fail(w, err)
+		respondError(w, err)
 		return
 	}
 	writeJSON(w, http.StatusOK, message)
 }
 
-// done answers a call that returns nothing.
-func done(w http.ResponseWriter, err error) {
+// respondEmpty answers a call that returns no data, or with the error.
+func respondEmpty(w http.ResponseWriter, err error) {
 	if err != nil {
-		fail(w, err)
+		respondError(w, err)
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// fail answers with a refusal; without one the answer is lost, and the
-// connection is closed with no byte of it.
-func fail(w http.ResponseWriter, err error) {
+// respondError answers with the refusal in err. Any other error means a lost answer:
+// the connection is closed without sending a byte.
+func respondError(w http.ResponseWriter, err error) {
 	var refusal *wire.Refusal
 	if !errors.As(err, &refusal) {
 		panic(http.ErrAbortHandler)
 	}
-	refuse(w, refusal)
+	writeRefusal(w, refusal)
 }
 
-func refuse(w http.ResponseWriter, r *wire.Refusal) {
+// writeRefusal answers with a refusal, its status and its Retry-After header.
+func writeRefusal(w http.ResponseWriter, r *wire.Refusal) {
 	if wait := r.RetryAfter(); wait > 0 {
 		w.Header().Set("Retry-After", retrySeconds(wait))
 	}
 	writeJSON(w, statusOf(r.Reason), r)
 }
 
-// retrySeconds rounds up, as the header knows only whole seconds.
+// retrySeconds formats a Retry-After header. It rounds up, because the header has
+// whole seconds only.
 func retrySeconds(wait time.Duration) string {
 	seconds := (wait + time.Second - 1) / time.Second
 	return strconv.FormatInt(int64(seconds), 10)
 }
 
+// statusOf returns the HTTP status of a refusal.
 func statusOf(reason wire.Reason) int {
 	switch reason {
 	case wire.RateLimited:
@@ -69,9 +72,9 @@
 	}
 }
 
-// answerUnless writes a message with its entity tag, or only that the caller has
-// it already.
-func answerUnless(w http.ResponseWriter, r *http.Request, message any) {
+// respondConditional answers with a message and its entity tag, or with status 304 if
+// the request's If-None-Match has the same tag.
+func respondConditional(w http.ResponseWriter, r *http.Request, message any) {
 	body := encode(message)
 	tag := fmt.Sprintf("\"%016x\"", xxhash.Sum64(body))
 	w.Header().Set("ETag", tag)
--- a/internal/standin/platform/bench_test.go
+++ b/internal/standin/platform/bench_test.go
@@ -10,13 +10,13 @@
 	"github.com/hickorybank/hickorybank/internal/standin/platform/memory"
 )
 
-// BenchmarkCommit compares a commit in the process with one over HTTP, one
-// caller and many, each writing one row of 1 KiB under one condition.
+// BenchmarkCommit compares commits in the process with commits over HTTP, from one
+// caller and from many. Each commit writes one row of 1 KiB under one condition.
 func BenchmarkCommit(b *testing.B) {
-	b.Run("memory", func(b *testing.B) { commitAlone(b, memory.New()) })
+	b.Run("memory", func(b *testing.B) { commitSequential(b, memory.New()) })
 	b.Run("client", func(b *testing.B) {
 		_, c := start(b, standin.Settings{})
-		commitAlone(b, c)
+		commitSequential(b, c)
 	})
 	b.Run("client-parallel", func(b *testing.B) {
 		_, c := start(b, standin.Settings{})
@@ -24,9 +24,10 @@
 	})
 }
 
+// valueSize is the size of a written value, in bytes.
 const valueSize = 1 << 10
 
-func commitAlone(b *testing.B, table platform.Table) {
+func commitSequential(b *testing.B, table platform.Table) {
 	b.ReportAllocs()
 	var version uint64
 	value := make([]byte, valueSize)
--- a/internal/standin/platform/decode.go
+++ b/internal/standin/platform/decode.go
@@ -10,8 +10,8 @@
 	"github.com/hickorybank/hickorybank/internal/platform/client/wire"
 )
 
-// decode reads a request's JSON body strictly: unknown fields, trailing data
-// and bodies that are too long are refused.
+// decode reads the JSON body of a request. It refuses unknown fields, trailing data
+// and bodies longer than [wire.MaxBody].
 func decode[T any](r *http.Request) (T, error) {
 	var message T
 	data, err := readBody(r)
@@ -34,6 +34,7 @@
 	return nil
 }
 
+// readBody reads a request body of at most [wire.MaxBody] bytes.
 func readBody(r *http.Request) ([]byte, error) {
 	data, err := io.ReadAll(io.LimitReader(r.Body, wire.MaxBody+1))
 	if err != nil {
--- a/internal/standin/platform/doc.go
+++ b/internal/standin/platform/doc.go
@@ -1,5 +1,5 @@
-// Package platform serves the stand-in platform over HTTP: the interface of
-// package wire on one port and, on another, the faults, the truth behind the
-// ratings, and the figures. The state and its behaviour are package memory's;
-// this package only carries them over sockets.
+// Package platform serves the stand-in platform over HTTP. One port has the interface
+// of package wire. Another port, the fault port, sets faults, limits and the true
+// quality of versions, and serves counters and contents. State and behaviour are in
+// package memory.
 package platform
--- a/internal/standin/platform/faultport_test.go
+++ b/internal/standin/platform/faultport_test.go
@@ -31,8 +31,8 @@
 	is.True(resp.Header.Get("Retry-After") != "")
 }
 
-// An operator of a test mistypes a field: it must not pass for a test without
-// the fault.
+// A mistyped field in a request must be refused and named. If it were ignored, a test
+// would run without the fault that it sets.
 func TestUnknownFieldsAreNamed(t *testing.T) {
 	is := is.New(t)
 	server, _ := start(t, standin.Settings{FaultListen: "127.0.0.1:0"})
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestVersionGoesBad(t *testing.T) {
+func TestSetQualityChangesRating(t *testing.T) {
 	is := is.New(t)
 	c, ctl := startWithFaults(t, standin.Settings{Settings: memory.Settings{DefaultQuality: 0.9}})
 	ctx := t.Context()
--- a/internal/standin/platform/faults.go
+++ b/internal/standin/platform/faults.go
@@ -14,7 +14,7 @@
 	"github.com/hickorybank/hickorybank/internal/standin/platform/rating"
 )
 
-// faultRoutes serves the fault port.
+// faultRoutes returns the handler of the fault port.
 func (s *Server) faultRoutes() http.Handler {
 	router := newRouter()
 	router.POST(control.PathFaults, s.setFaults)
@@ -35,11 +35,11 @@
 	if err == nil {
 		event.PlatformFaultsChanged.Log(s.log, slog.Any("faults", s.state.Faults()))
 	}
-	answer(w, s.state.Faults(), err)
+	respond(w, s.state.Faults(), err)
 }
 
 func (s *Server) getFaults(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
-	answer(w, s.state.Faults(), nil)
+	respond(w, s.state.Faults(), nil)
 }
 
 func (s *Server) setLimits(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
@@ -50,11 +50,11 @@
 	if err == nil {
 		event.PlatformLimitsChanged.Log(s.log, slog.Any("limits", s.state.Limits()))
 	}
-	answer(w, s.state.Limits(), err)
+	respond(w, s.state.Limits(), err)
 }
 
 func (s *Server) getLimits(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
-	answer(w, s.state.Limits(), nil)
+	respond(w, s.state.Limits(), nil)
 }
 
 func (s *Server) setQuality(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
@@ -65,13 +65,13 @@
 	if err == nil {
 		event.PlatformQualityChanged.Log(s.log, slog.Any("quality", quality))
 	}
-	answer(w, quality, err)
+	respond(w, quality, err)
 }
 
 func (s *Server) stats(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
-	answer(w, s.state.Stats(), nil)
+	respond(w, s.state.Stats(), nil)
 }
 
 func (s *Server) dump(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-	answer(w, s.state.Dump(r.URL.Query().Get(wire.QueryPrefix)), nil)
+	respond(w, s.state.Dump(r.URL.Query().Get(wire.QueryPrefix)), nil)
 }
--- a/internal/standin/platform/faults_test.go
+++ b/internal/standin/platform/faults_test.go
@@ -16,8 +16,8 @@
 	"github.com/hickorybank/hickorybank/internal/standin/platform/memory"
 )
 
-// The table takes a write and the connection breaks before the answer. The
-// writer must hear "unknown", and find its write when it looks.
+// A write takes effect and the connection breaks before the answer. The writer must
+// get [platform.ErrUnknown] and find its write when it reads the row.
 func TestLostAck(t *testing.T) {
 	is := is.New(t)
 	c, ctl := startWithFaults(t, standin.Settings{})
@@ -83,9 +83,9 @@
 	is.Equal(len(dump.Rows)+len(dump.Objects), 0)
 }
 
-// The network loses one direction: writes arrive and take effect, and no
-// answer comes back. The writer gives up; nobody is told anything.
-func TestOneWay(t *testing.T) {
+// The network loses one direction: writes arrive and take effect, but no answer comes
+// back. The writer gives up and must get [platform.ErrUnknown].
+func TestOneWayFaultLosesAnswers(t *testing.T) {
 	is := is.New(t)
 	c, ctl := startWithFaults(t, standin.Settings{})
 	_, err := ctl.SetFaults(t.Context(), fault.Change{Table: &fault.Fault{OneWay: true}})
@@ -96,7 +96,7 @@
 	defer watcher.Wait()
 	watcher.Go(func() {
 		defer cancel()
-		await(t, func() bool {
+		waitUntil(t, func() bool {
 			stats, err := ctl.Stats(t.Context())
 			return err != nil || stats.Rows == 1
 		})
@@ -130,9 +130,9 @@
 	is.NoErr(err)
 }
 
-// A roll-out loads weights, and the weight store fails in the middle. The
-// loader must not take the part for the whole.
-func TestWeightsCutOff(t *testing.T) {
+// The weight store fails during a download. The client must return an error and not
+// report the partial download as complete.
+func TestWeightDownloadInterrupted(t *testing.T) {
 	is := is.New(t)
 	c, ctl := startWithFaults(t, standin.Settings{Settings: memory.Settings{WeightBytes: 1 << 20}})
 	ctx := t.Context()
@@ -146,7 +146,7 @@
 	var watcher conc.WaitGroup
 	defer watcher.Wait()
 	watcher.Go(func() {
-		await(t, func() bool {
+		waitUntil(t, func() bool {
 			stats, err := ctl.Stats(ctx)
 			return err != nil || stats.WeightBytes > 1<<20
 		})
--- a/internal/standin/platform/fuzz_test.go
+++ b/internal/standin/platform/fuzz_test.go
@@ -12,8 +12,8 @@
 	"github.com/hickorybank/hickorybank/internal/standin/platform/control"
 )
 
-// fuzzed are the requests that carry JSON.
-var fuzzed = []struct {
+// fuzzTargets are the requests with a JSON body.
+var fuzzTargets = []struct {
 	fault bool
 	path  string
 	seed  string
@@ -28,7 +28,8 @@
 	{true, control.PathQuality, `{"version":"v","class":"","quality":0.5}`},
 }
 
-var accepted = []int{
+// acceptedStatuses are the statuses that the interface defines.
+var acceptedStatuses = []int{
 	http.StatusOK,
 	http.StatusNoContent,
 	http.StatusBadRequest,
@@ -37,19 +38,19 @@
 	http.StatusServiceUnavailable,
 }
 
-// FuzzRequests sends any body to any request that carries JSON: it is answered
-// in one of the agreed ways.
+// FuzzRequests sends arbitrary bodies to every request with a JSON body. Each answer
+// must have one of the statuses that the interface defines.
 func FuzzRequests(f *testing.F) {
-	for i, r := range fuzzed {
+	for i, r := range fuzzTargets {
 		f.Add(uint8(i), []byte(r.seed))
 		f.Add(uint8(i), []byte(`{"unknown":1}`))
 	}
-	f.Fuzz(func(t *testing.T, which uint8, body []byte) {
+	f.Fuzz(func(t *testing.T, index uint8, body []byte) {
 		server, err := New(Settings{Listen: "127.0.0.1:0"}, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
 		}
-		target := fuzzed[int(which)%len(fuzzed)]
+		target := fuzzTargets[int(index)%len(fuzzTargets)]
 		handler := server.routes()
 		if target.fault {
 			handler = server.faultRoutes()
@@ -57,7 +58,7 @@
 		recorder := httptest.NewRecorder()
 		req := httptest.NewRequest(http.MethodPost, target.path, bytes.NewReader(body))
 		handler.ServeHTTP(recorder, req)
-		if !slices.Contains(accepted, recorder.Code) {
+		if !slices.Contains(acceptedStatuses, recorder.Code) {
 			t.Fatalf("status %d: %s", recorder.Code, recorder.Body)
 		}
 	})
--- a/internal/standin/platform/handlers.go
+++ b/internal/standin/platform/handlers.go
@@ -12,39 +12,39 @@
 func (s *Server) tableGet(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	req, err := decode[wire.GetRequest](r)
 	if err != nil {
-		fail(w, err)
+		respondError(w, err)
 		return
 	}
 	row, err := s.state.Get(r.Context(), req.Key)
-	answer(w, row, err)
+	respond(w, row, err)
 }
 
 func (s *Server) tableScan(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	req, err := decode[wire.ScanRequest](r)
 	if err != nil {
-		fail(w, err)
+		respondError(w, err)
 		return
 	}
 	rows, err := s.state.Scan(r.Context(), req.Prefix, req.After, req.Limit)
-	answer(w, wire.ScanResponse{Rows: rows}, err)
+	respond(w, wire.ScanResponse{Rows: rows}, err)
 }
 
 func (s *Server) tableCommit(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	txn, err := decode[platform.Txn](r)
 	if err != nil {
-		fail(w, err)
+		respondError(w, err)
 		return
 	}
 	result, err := s.state.Commit(r.Context(), txn)
-	answer(w, result, err)
+	respond(w, result, err)
 }
 
 func (s *Server) rate(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	req, err := decode[platform.RateRequest](r)
 	if err != nil {
-		fail(w, err)
+		respondError(w, err)
 		return
 	}
 	score, err := s.state.Rate(r.Context(), req)
-	answer(w, wire.RateResponse{Score: score}, err)
+	respond(w, wire.RateResponse{Score: score}, err)
 }
--- a/internal/standin/platform/harness_test.go
+++ b/internal/standin/platform/harness_test.go
@@ -12,6 +12,7 @@
 	"github.com/hickorybank/hickorybank/internal/standin/platform/control"
 )
 
+// start runs a stand-in platform until the end of the test, with a client of it.
 func start(t testing.TB, s standin.Settings) (*standin.Server, *client.Client) {
 	t.Helper()
 	if s.Listen == "" {
@@ -36,6 +37,7 @@
 	return server, c
 }
 
+// startWithFaults is start with a fault port; it returns a client of each port.
 func startWithFaults(t *testing.T, s standin.Settings) (*client.Client, *control.Client) {
 	t.Helper()
 	s.FaultListen = "127.0.0.1:0"
@@ -45,8 +47,8 @@
 	return c, ctl
 }
 
-// await polls until the condition holds or the test ends.
-func await(t *testing.T, holds func() bool) {
+// waitUntil polls until the condition holds or the test ends.
+func waitUntil(t *testing.T, holds func() bool) {
 	for !holds() && t.Context().Err() == nil {
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/standin/platform/lifecycle_test.go
+++ b/internal/standin/platform/lifecycle_test.go
@@ -16,7 +16,7 @@
 	"github.com/hickorybank/hickorybank/internal/standin/platform/memory"
 )
 
-func TestSettingsAreCheckedTogether(t *testing.T) {
+func TestValidateReportsEveryInvalidSetting(t *testing.T) {
 	is := is.New(t)
 	_, err := standin.New(standin.Settings{Settings: memory.Settings{WritesPerSecond: -1, VMListLag: -1, DefaultQuality: 3}}, nil)
 	is.True(err != nil)
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestPortTaken(t *testing.T) {
+func TestStartFailsOnOccupiedPort(t *testing.T) {
 	is := is.New(t)
 	other, _ := start(t, standin.Settings{})
 	server, err := standin.New(standin.Settings{Listen: "127.0.0.1:0", FaultListen: other.Addr()}, slog.New(slog.DiscardHandler))
@@ -34,9 +34,9 @@
 	is.NoErr(server.Close(t.Context()))
 }
 
-// A stand-in is stopped while calls are held back by a fault. It must end, and
-// the callers must hear that they do not know.
-func TestCloseEndsHeldCalls(t *testing.T) {
+// The server is closed while a fault delays a call. Close must return without waiting
+// for the delay, and the caller must get [platform.ErrUnknown].
+func TestCloseEndsDelayedCalls(t *testing.T) {
 	is := is.New(t)
 	server, c := start(t, standin.Settings{FaultListen: "127.0.0.1:0"})
 	is.NoErr(server.State().SetFaults(fault.Change{Table: &fault.Fault{DelayMS: 600_000}}))
@@ -44,7 +44,7 @@
 	var closer conc.WaitGroup
 	defer closer.Wait()
 	closer.Go(func() {
-		await(t, func() bool { return server.State().Stats().LateWrites == 1 })
+		waitUntil(t, func() bool { return server.State().Stats().LateWrites == 1 })
 		closed <- server.Close(context.Background())
 	})
 	_, err := c.Commit(t.Context(), put("a", "x"))
--- a/internal/standin/platform/linearizable_test.go
+++ b/internal/standin/platform/linearizable_test.go
@@ -29,23 +29,24 @@
 	value   string
 }
 
-// result is what its caller heard.
+// result is the answer that the caller of an op got.
 type result struct {
 	unknown bool
 	applied bool
-	// row is what was read, met in a conflict, or written.
+	// row is the row that was read, that conflicted, or that was written.
 	row platform.Row
 }
 
-// rowState is one state that a row may be in. After a write whose answer was
-// lost, its version is not known until somebody reads it.
+// rowState is one possible state of a row. After a write whose answer was lost, the
+// version is not known until a call returns it.
 type rowState struct {
 	version uint64
 	known   bool
 	value   string
 }
 
-// matches returns the state with its version bound to that of a row seen.
+// matches reports whether the state can be that of a returned row, and returns the
+// state with the row's version.
 func (s rowState) matches(row platform.Row) (rowState, bool) {
 	if s.value != string(row.Value) || s.known && s.version != row.Version {
 		return s, false
@@ -53,6 +54,8 @@
 	return rowState{version: row.Version, known: true, value: s.value}, true
 }
 
+// step returns the states that are possible after an op with a result, or nil if the
+// result is not possible in state s.
 func step(s rowState, in op, out result) []any {
 	if !in.write || !out.unknown && !out.applied {
 		seen, ok := s.matches(out.row)
@@ -77,6 +80,7 @@
 	return []any{s, next}
 }
 
+// rowModel is the porcupine model of independent rows.
 var rowModel = porcupine.NondeterministicModel{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byKey := make(map[string][]porcupine.Operation)
@@ -103,11 +107,11 @@
 // history records the calls of all workers.
 type history struct {
 	mu    sync.Mutex
-	began time.Time
+	start time.Time
 	ops   []porcupine.Operation
 }
 
-func (h *history) now() int64 { return int64(time.Since(h.began)) }
+func (h *history) now() int64 { return int64(time.Since(h.start)) }
 
 func (h *history) add(worker int, in op, call int64, out result) {
 	end := h.now()
@@ -128,10 +132,10 @@
 	rowCount = 4
 )
 
-// Several nodes write the same rows while answers get lost, calls break off,
-// and slow writes take effect after their writers gave up. Whatever each node
-// was told must fit one order of all calls: a write told as refused or as a
-// conflict must not show up, and one told as applied must not vanish.
+// Several clients write the same rows while answers are lost, connections break, and
+// delayed writes take effect after their callers gave up. All results must fit one
+// sequential order: a refused or conflicting write must not become visible, and an
+// applied write must not disappear.
 func TestCommitsAreLinearizable(t *testing.T) {
 	server, _ := start(t, standin.Settings{Settings: memory.Settings{Seed: 11}})
 	faults := fault.Fault{
@@ -143,10 +147,10 @@
 	if err := server.State().SetFaults(fault.Change{Table: &faults}); err != nil {
 		t.Fatal(err)
 	}
-	h := &history{began: time.Now()}
+	h := &history{start: time.Now()}
 	var wg conc.WaitGroup
 	for w := range workers {
-		wg.Go(func() { work(t, h, w, "http://"+server.Addr()) })
+		wg.Go(func() { runWorker(t, h, w, "http://"+server.Addr()) })
 	}
 	wg.Wait()
 	model := rowModel.ToModel()
@@ -166,7 +170,9 @@
 	t.Logf("%d calls, %d of them unknown to their callers", len(h.ops), unknown)
 }
 
-func work(t *testing.T, h *history, worker int, url string) {
+// runWorker makes one worker's calls and records them. Refused calls are not recorded,
+// because they must have no effect.
+func runWorker(t *testing.T, h *history, worker int, url string) {
 	c := client.New(url)
 	defer c.Close()
 	rng := rand.New(rand.NewPCG(3, uint64(worker)))
@@ -175,7 +181,7 @@
 		in := op{key: fmt.Sprintf("row/%d", rng.IntN(rowCount)), write: rng.IntN(3) > 0}
 		in.version = seen[in.key]
 		in.value = fmt.Sprintf("%d.%d", worker, n)
-		ctx, cancel := context.WithTimeout(t.Context(), patience(rng))
+		ctx, cancel := context.WithTimeout(t.Context(), callTimeout(rng))
 		call := h.now()
 		out, err := issue(ctx, c, in)
 		cancel()
@@ -194,8 +200,8 @@
 	}
 }
 
-// patience lets one caller in ten give up while its write is on the way.
-func patience(rng *rand.Rand) time.Duration {
+// callTimeout makes about one caller in ten give up while its write is delayed.
+func callTimeout(rng *rand.Rand) time.Duration {
 	if rng.IntN(10) == 0 {
 		return time.Millisecond + time.Duration(rng.IntN(1000))*time.Microsecond
 	}
--- a/internal/standin/platform/objects.go
+++ b/internal/standin/platform/objects.go
@@ -12,22 +12,22 @@
 func (s *Server) objectPut(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	value, err := readBody(r)
 	if err != nil {
-		fail(w, err)
+		respondError(w, err)
 		return
 	}
 	key := r.URL.Query().Get(wire.QueryKey)
-	done(w, s.state.Objects().Put(r.Context(), key, value))
+	respondEmpty(w, s.state.Objects().Put(r.Context(), key, value))
 }
 
 func (s *Server) objectGet(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	key := r.URL.Query().Get(wire.QueryKey)
 	value, ok, err := s.state.Objects().Get(r.Context(), key)
 	if err != nil {
-		fail(w, err)
+		respondError(w, err)
 		return
 	}
 	if !ok {
-		refuse(w, &wire.Refusal{Reason: wire.Absent, Detail: "no such object"})
+		writeRefusal(w, &wire.Refusal{Reason: wire.Absent, Detail: "no such object"})
 		return
 	}
 	w.Header().Set("Content-Type", "application/octet-stream")
@@ -38,5 +38,5 @@
 func (s *Server) objectKeys(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	prefix := r.URL.Query().Get(wire.QueryPrefix)
 	keys, err := s.state.Objects().List(r.Context(), prefix)
-	answer(w, wire.KeysResponse{Keys: keys}, err)
+	respond(w, wire.KeysResponse{Keys: keys}, err)
 }
--- a/internal/standin/platform/routes.go
+++ b/internal/standin/platform/routes.go
@@ -8,7 +8,7 @@
 	"github.com/hickorybank/hickorybank/internal/platform/client/wire"
 )
 
-// routes serves the platform's interface.
+// routes returns the handler of the platform's interface.
 func (s *Server) routes() http.Handler {
 	router := newRouter()
 	router.POST(wire.PathGet, s.tableGet)
@@ -26,17 +26,17 @@
 	return router
 }
 
-// newRouter answers unknown paths and methods with a refusal, since nothing
-// took effect.
+// newRouter returns a router that answers unknown paths and methods with a refusal,
+// because such calls have no effect.
 func newRouter() *httprouter.Router {
 	router := httprouter.New()
 	router.RedirectTrailingSlash = false
 	router.RedirectFixedPath = false
 	router.NotFound = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		refuse(w, &wire.Refusal{Reason: wire.Absent, Detail: "no such path: " + r.URL.Path})
+		writeRefusal(w, &wire.Refusal{Reason: wire.Absent, Detail: "no such path: " + r.URL.Path})
 	})
 	router.MethodNotAllowed = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		refuse(w, &wire.Refusal{Reason: wire.Invalid, Detail: "method not allowed: " + r.Method})
+		writeRefusal(w, &wire.Refusal{Reason: wire.Invalid, Detail: "method not allowed: " + r.Method})
 	})
 	return router
 }
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -15,34 +15,36 @@
 	"github.com/hickorybank/hickorybank/internal/standin/platform/memory"
 )
 
-// Bounds of connections.
 const (
+	// headerTimeout bounds the time for reading a request's header.
 	headerTimeout = 10 * time.Second
-	idleTimeout   = 2 * time.Minute
+	// idleTimeout bounds the time between requests on a connection.
+	idleTimeout = 2 * time.Minute
 )
 
-// Server is the stand-in platform on its ports.
+// Server serves the stand-in platform on its interface port and its fault port.
 type Server struct {
 	settings Settings
 	log      *slog.Logger
 	state    *memory.Platform
 
-	// stop ends the context of every request, so that calls that a fault
-	// holds back do not hold up Close.
+	// stop cancels the context of every request, so that calls delayed by a fault do
+	// not delay Close.
 	stop    context.CancelFunc
 	base    context.Context
-	main    listening
-	fault   listening
+	main    endpoint
+	fault   endpoint
 	serving conc.WaitGroup
 }
 
-// listening is one port and what serves it.
-type listening struct {
+// endpoint is one listening port and its HTTP server.
+type endpoint struct {
 	listener net.Listener
 	http     *http.Server
 }
 
-// New returns a server that does not listen yet.
+// New returns a server that is not yet listening, or an error that lists the invalid
+// settings.
 func New(s Settings, log *slog.Logger) (*Server, error) {
 	if err := s.Validate(); err != nil {
 		return nil, eris.Wrap(err, "stand-in platform")
@@ -57,10 +59,11 @@
 	}, nil
 }
 
-// State returns the platform's state, for tests in the same process.
+// State returns the platform behind the server, for tests in the same process.
 func (s *Server) State() *memory.Platform { return s.state }
 
-// Start listens and serves until Close.
+// Start listens on the configured ports and serves until Close. It returns an error
+// if a port cannot be bound.
 func (s *Server) Start() error {
 	if err := s.listen(&s.main, s.settings.Listen, s.routes()); err != nil {
 		return err
@@ -78,10 +81,10 @@
 	return nil
 }
 
-func (s *Server) listen(l *listening, addr string, handler http.Handler) error {
+func (s *Server) listen(l *endpoint, addr string, handler http.Handler) error {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
-		return eris.Wrap(err, "stand-in platform: listen")
+		return eris.Wrapf(err, "stand-in platform: listen on %s", addr)
 	}
 	l.listener = listener
 	l.http = &http.Server{
@@ -94,7 +97,7 @@
 	return nil
 }
 
-func (s *Server) serve(l *listening) {
+func (s *Server) serve(l *endpoint) {
 	if l.http == nil {
 		return
 	}
@@ -106,21 +109,21 @@
 	})
 }
 
-// Addr is the host and port of the platform's interface, once started.
+// Addr returns the host and port of the platform's interface, or "" before Start.
 func (s *Server) Addr() string { return s.main.addr() }
 
-// FaultAddr is the host and port of the fault interface; empty without one.
+// FaultAddr returns the host and port of the fault port, or "" without one.
 func (s *Server) FaultAddr() string { return s.fault.addr() }
 
-func (l *listening) addr() string {
+func (l *endpoint) addr() string {
 	if l.listener == nil {
 		return ""
 	}
 	return l.listener.Addr().String()
 }
 
-// Close stops listening, lets running calls end until the context is done, and
-// then breaks them off.
+// Close stops listening and cancels the contexts of running calls. It waits for the
+// calls until ctx is done, and then closes their connections.
 func (s *Server) Close(ctx context.Context) error {
 	s.stop()
 	err := errors.Join(s.main.close(ctx), s.fault.close(ctx))
@@ -129,7 +132,7 @@
 	return err
 }
 
-func (l *listening) close(ctx context.Context) error {
+func (l *endpoint) close(ctx context.Context) error {
 	if l.http == nil {
 		return nil
 	}
--- a/internal/standin/platform/server_test.go
+++ b/internal/standin/platform/server_test.go
@@ -9,7 +9,7 @@
 	standin "github.com/hickorybank/hickorybank/internal/standin/platform"
 )
 
-func TestWholeInterface(t *testing.T) {
+func TestEveryCallOverHTTP(t *testing.T) {
 	is := is.New(t)
 	_, c := start(t, standin.Settings{})
 	ctx := t.Context()
--- a/internal/standin/platform/vms.go
+++ b/internal/standin/platform/vms.go
@@ -12,25 +12,25 @@
 func (s *Server) vmList(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	list, err := s.state.VMs().List(r.Context())
 	if err != nil {
-		fail(w, err)
+		respondError(w, err)
 		return
 	}
-	answerUnless(w, r, wire.VMsResponse{VMs: list})
+	respondConditional(w, r, wire.VMsResponse{VMs: list})
 }
 
 func (s *Server) vmRegister(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	vm, err := decode[platform.VM](r)
 	if err != nil {
-		fail(w, err)
+		respondError(w, err)
 		return
 	}
-	done(w, s.state.RegisterVM(r.Context(), vm))
+	respondEmpty(w, s.state.RegisterVM(r.Context(), vm))
 }
 
 func (s *Server) vmLeave(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
-	done(w, s.state.LeaveVM(r.Context(), params.ByName("id")))
+	respondEmpty(w, s.state.LeaveVM(r.Context(), params.ByName("id")))
 }
 
 func (s *Server) vmRemove(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
-	done(w, s.state.RemoveVM(r.Context(), params.ByName("id")))
+	respondEmpty(w, s.state.RemoveVM(r.Context(), params.ByName("id")))
 }
--- a/internal/standin/platform/vms_test.go
+++ b/internal/standin/platform/vms_test.go
@@ -9,8 +9,8 @@
 	standin "github.com/hickorybank/hickorybank/internal/standin/platform"
 )
 
-// A list of 11,600 VMs has 1.3 MB: a reader that has it is told only that
-// nothing changed, and gets the whole list as soon as something did.
+// A list of 11,600 VMs has 1.3 MB. A reader that already has the list must get only
+// "unchanged", and the whole list once it has changed.
 func TestUnchangedListIsNotSentAgain(t *testing.T) {
 	is := is.New(t)
 	_, c := start(t, standin.Settings{})
--- a/internal/standin/platform/weights.go
+++ b/internal/standin/platform/weights.go
@@ -8,16 +8,16 @@
 	"github.com/julienschmidt/httprouter"
 )
 
-// zeros are what weights are made of.
+// zeros is the content of downloaded weights.
 var zeros [1 << 20]byte
 
-// weights sends a version's weights at the pace of the weight store. A fault
-// in the middle breaks the connection, and the length tells the client.
+// weights sends a version's weights at the rate of the weight store. A fault during the
+// download breaks the connection; the client detects it by the Content-Length.
 func (s *Server) weights(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
 	version := strings.TrimPrefix(params.ByName("version"), "/")
 	download, err := s.state.Weights(r.Context(), version)
 	if err != nil {
-		fail(w, err)
+		respondError(w, err)
 		return
 	}
 	w.Header().Set("Content-Type", "application/octet-stream")
