--- a/internal/standin/engine/host/doc.go
+++ b/internal/standin/engine/host/doc.go
@@ -1,4 +1,4 @@
-// Package host is what the stand-in upstreams share: a port that can refuse
-// connections and come back, a process that can freeze, a fault port beside
-// it, and the reading and writing of JSON.
+// Package host is the HTTP server that the stand-in upstreams share. Its request port
+// can refuse connections and reopen, and its requests can be frozen. It also serves
+// the fault port and reads and writes JSON.
 package host
--- a/internal/standin/engine/host/epoch.go
+++ b/internal/standin/engine/host/epoch.go
@@ -2,6 +2,6 @@
 
 import "time"
 
-// NewEpoch returns a number for one life of a process. A later life has a
-// higher one, as long as the clock is not set back.
+// NewEpoch returns a number for one run of a process, from its start to its end or
+// crash. A later run has a higher number unless the clock is set back.
 func NewEpoch() uint64 { return uint64(time.Now().UnixNano()) }
--- a/internal/standin/engine/host/faultclient.go
+++ b/internal/standin/engine/host/faultclient.go
@@ -9,15 +9,17 @@
 	"github.com/rotisserie/eris"
 )
 
-// FaultClient reaches the fault port of a stand-in upstream. Paths are those
-// of the stand-in: /faults, /runs, /counts, /doubles.
+// FaultClient is a client of a stand-in upstream's fault port. The paths are /faults,
+// /runs, /counts and, for services, /doubles.
 type FaultClient struct {
 	// Addr is the fault port's IP and port.
 	Addr string
+	// HTTP sends the requests. It must not be nil.
 	HTTP *http.Client
 }
 
-// Get reads the path's JSON into out.
+// Get decodes the JSON answer of a path into out. It returns an error for any status
+// other than 200.
 func (c FaultClient) Get(ctx context.Context, path string, out any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.Addr+path, nil)
 	if err != nil {
@@ -26,8 +28,8 @@
 	return c.do(req, out)
 }
 
-// Change posts a change of faults; what it does not name stays as it is. The
-// faults that are in effect then are read into out, unless it is nil.
+// Change posts a change of faults, which leaves the faults that it does not contain
+// unchanged. The resulting faults are decoded into out unless it is nil.
 func (c FaultClient) Change(ctx context.Context, change, out any) error {
 	body, err := json.Marshal(change)
 	if err != nil {
--- a/internal/standin/engine/host/faultroutes.go
+++ b/internal/standin/engine/host/faultroutes.go
@@ -7,20 +7,21 @@
 	"github.com/julienschmidt/httprouter"
 )
 
-// FaultPort is what a stand-in upstream tells and takes at its fault port.
+// FaultPort connects the routes of a fault port to a stand-in upstream. All functions
+// must be set; results are encoded as JSON.
 type FaultPort struct {
-	// Faults are the present ones.
+	// Faults returns the current faults.
 	Faults func() any
-	// Change puts into effect the faults that a JSON body names; the others
-	// stay. An error is the caller's fault.
+	// Change applies the faults in a JSON body and leaves the others unchanged. An
+	// error means an invalid body and is answered with status 400.
 	Change func(body []byte) error
-	// Runs are those from a number on.
+	// Runs returns a page of the runs, from the run numbered after.
 	Runs func(after int) any
-	// Counts is what the stand-in has done so far.
+	// Counts returns the counters since the start of the stand-in.
 	Counts func() any
 }
 
-// Routes is the router of the port; a stand-in may add its own.
+// Routes returns a router with the routes of the port. A stand-in may add routes.
 func (p FaultPort) Routes() *httprouter.Router {
 	r := httprouter.New()
 	r.GET("/faults", Tell(p.Faults))
@@ -30,9 +31,9 @@
 	return r
 }
 
-// Tell answers with what the function returns.
-func Tell(what func() any) httprouter.Handle {
-	return func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) { WriteJSON(w, what()) }
+// Tell returns a handler that answers with the function's result as JSON.
+func Tell(value func() any) httprouter.Handle {
+	return func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) { WriteJSON(w, value()) }
 }
 
 func (p FaultPort) postFaults(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
--- a/internal/standin/engine/host/freezer.go
+++ b/internal/standin/engine/host/freezer.go
@@ -2,9 +2,9 @@
 
 import "sync"
 
-// freezer holds up every request while the process is frozen. A request that
-// came meanwhile runs after the thaw, also when its caller has gone: that is
-// what a paused process does when it wakes.
+// freezer blocks every request while the process is frozen. A request that arrives
+// meanwhile runs after the thaw, even if its caller has gone, as in a paused process
+// that resumes.
 type freezer struct {
 	mu sync.Mutex
 	// thawed is open while the process is frozen, and nil otherwise.
--- a/internal/standin/engine/host/host_test.go
+++ b/internal/standin/engine/host/host_test.go
@@ -33,9 +33,9 @@
 	return host
 }
 
-// A stand-in that was down does not come back, or another one answers in its
-// place: while it was down somebody else took its port.
-func TestPortIsHeldWhileDown(t *testing.T) {
+// Another process binds the port of a stand-in that is down. The stand-in could then
+// not listen again, or the other process would answer in its place.
+func TestPortStaysReservedWhileDown(t *testing.T) {
 	is := is.New(t)
 	h := start(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "mine") })
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
@@ -43,8 +43,8 @@
 		h.Down()
 		_, err := client.Get("http://" + h.Addr())
 		is.True(errors.Is(err, syscall.ECONNREFUSED))
-		others := listenMany(t, 50)
-		for _, l := range others {
+		listeners := listenMany(t, 50)
+		for _, l := range listeners {
 			is.True(l.Addr().String() != h.Addr())
 			is.NoErr(l.Close())
 		}
@@ -71,10 +71,9 @@
 	return out
 }
 
-// A caller gives up on a frozen upstream and calls elsewhere; the upstream
-// wakes and runs the request as well. The stand-in has to do that too, or no
-// test can show it.
-func TestFrozenRequestRunsAfterTheThaw(t *testing.T) {
+// A caller gives up on a frozen upstream and retries elsewhere; the upstream resumes
+// and runs the request as well. The stand-in must reproduce this.
+func TestFrozenRequestRunsAfterThaw(t *testing.T) {
 	is := is.New(t)
 	var runs atomic.Int32
 	ran := make(chan struct{}, 1)
@@ -95,7 +94,7 @@
 	is.Equal(runs.Load(), int32(1))
 }
 
-// Closing must not hang on a port that is down or on a frozen request.
+// Close must not block on a port that is down or on a frozen request.
 func TestCloseWhileDownAndFrozen(t *testing.T) {
 	is := is.New(t)
 	h := start(t, func(http.ResponseWriter, *http.Request) {})
@@ -110,5 +109,5 @@
 	h.Down()
 	wg.Wait()
 	http.DefaultClient.CloseIdleConnections()
-	is.True(h.port.still(nil))
+	is.True(h.port.isCurrent(nil))
 }
--- a/internal/standin/engine/host/inflight.go
+++ b/internal/standin/engine/host/inflight.go
@@ -2,14 +2,14 @@
 
 import "sync"
 
-// inflight counts the requests that are being handled, so that Close can wait
-// for the last of them: net/http's server does not wait for handlers whose
-// connections it breaks.
+// inflight counts the requests that are being handled, so that Close can wait for all
+// of them. The server of net/http does not wait for handlers whose connections it
+// closes.
 type inflight struct {
 	mu     sync.Mutex
 	count  int
 	closed bool
-	// empty is closed when the last request has left after close.
+	// empty is closed when closed is set and no request is left.
 	empty chan struct{}
 }
 
@@ -33,7 +33,7 @@
 	}
 }
 
-// drain lets no more requests in and waits for the present ones.
+// drain rejects further requests and waits for the current ones.
 func (f *inflight) drain() {
 	f.mu.Lock()
 	if f.closed {
--- a/internal/standin/engine/host/port.go
+++ b/internal/standin/engine/host/port.go
@@ -9,35 +9,35 @@
 	"github.com/rotisserie/eris"
 )
 
-// port is a listener that can be closed and opened again on the same number.
+// port is a listener that can be closed and opened again on the same port number.
 //
-// It guards against another process taking the number meanwhile, which shows
-// as a stand-in that never comes back or as another's answers: a socket that
-// is bound and never listens holds the number for as long as the port lives.
-// A connection to it is refused.
+// A second socket, which is bound and never listens, reserves the number until the port
+// is closed for good. Otherwise another process could bind the number meanwhile, and the
+// stand-in could not listen again, or the other process would answer for it. Connections
+// to the bound socket are refused.
 type port struct {
-	addr   netip.AddrPort
-	holder int
-
-	mu     sync.Mutex
-	open   net.Listener
-	closed bool
-	// turned is closed and replaced when open or closed changes.
-	turned chan struct{}
-	conns  map[*trackedConn]struct{}
+	addr       netip.AddrPort
+	reservedFD int
+
+	mu       sync.Mutex
+	listener net.Listener
+	closed   bool
+	// changed is closed and replaced when listener or closed changes.
+	changed chan struct{}
+	conns   map[*trackedConn]struct{}
 }
 
-// newPort binds the address and begins to listen.
+// newPort binds an address, an IP and port, and starts to listen.
 func newPort(addr string) (*port, error) {
 	want, err := netip.ParseAddrPort(addr)
 	if err != nil {
-		return nil, eris.Wrap(err, "address")
+		return nil, eris.Wrapf(err, "address %q", addr)
 	}
-	holder, bound, err := hold(want)
+	holder, bound, err := reservePort(want)
 	if err != nil {
 		return nil, err
 	}
-	p := &port{addr: bound, holder: holder, turned: make(chan struct{}), conns: make(map[*trackedConn]struct{})}
+	p := &port{addr: bound, reservedFD: holder, changed: make(chan struct{}), conns: make(map[*trackedConn]struct{})}
 	if err := p.up(); err != nil {
 		_ = syscall.Close(holder)
 		return nil, err
@@ -45,46 +45,48 @@
 	return p, nil
 }
 
-// up listens again; nothing happens if it does already.
+// up listens again. It does nothing if the port is listening or closed.
 func (p *port) up() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.open != nil || p.closed {
+	if p.listener != nil || p.closed {
 		return nil
 	}
 	l, err := net.Listen("tcp", p.addr.String())
 	if err != nil {
-		return eris.Wrap(err, "listen")
+		return eris.Wrapf(err, "listen on %s", p.addr)
 	}
-	p.open = l
-	p.turn()
+	p.listener = l
+	p.notifyChange()
 	return nil
 }
 
-// down refuses new connections and breaks the present ones.
+// down stops listening, so that connections are refused, and closes the open ones.
 func (p *port) down() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.open == nil {
+	if p.listener == nil {
 		return
 	}
-	_ = p.open.Close()
-	p.open = nil
+	_ = p.listener.Close()
+	p.listener = nil
 	for c := range p.conns {
 		_ = c.Conn.Close()
 	}
-	p.turn()
+	p.notifyChange()
 }
 
-func (p *port) turn() {
-	close(p.turned)
-	p.turned = make(chan struct{})
+// notifyChange wakes a waiting Accept.
+func (p *port) notifyChange() {
+	close(p.changed)
+	p.changed = make(chan struct{})
 }
 
-// Accept returns the next connection. While the port is down it waits.
+// Accept returns the next connection. While the port is down, it blocks. It returns
+// [net.ErrClosed] after Close.
 func (p *port) Accept() (net.Conn, error) {
 	for {
-		l, turned, closed := p.present()
+		l, turned, closed := p.current()
 		if closed {
 			return nil, net.ErrClosed
 		}
@@ -94,7 +96,7 @@
 		}
 		c, err := l.Accept()
 		if err != nil {
-			if p.still(l) {
+			if p.isCurrent(l) {
 				return nil, err
 			}
 			continue
@@ -105,23 +107,25 @@
 	}
 }
 
-func (p *port) present() (l net.Listener, turned <-chan struct{}, closed bool) {
+func (p *port) current() (l net.Listener, turned <-chan struct{}, closed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.open, p.turned, p.closed
+	return p.listener, p.changed, p.closed
 }
 
-func (p *port) still(l net.Listener) bool {
+// isCurrent reports whether l is still the port's listener.
+func (p *port) isCurrent(l net.Listener) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.open == l
+	return p.listener == l
 }
 
-// track notes a connection, or closes it when the port has gone down since.
+// track records a connection that l accepted. It closes the connection and returns nil
+// if the port has gone down since.
 func (p *port) track(l net.Listener, c net.Conn) *trackedConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.open != l {
+	if p.listener != l {
 		_ = c.Close()
 		return nil
 	}
@@ -130,13 +134,13 @@
 	return t
 }
 
-func (p *port) forget(t *trackedConn) {
+func (p *port) untrack(t *trackedConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.conns, t)
 }
 
-// Close ends the port for good. Connections stay.
+// Close stops listening for good and releases the port number. Open connections remain.
 func (p *port) Close() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -144,25 +148,25 @@
 		return nil
 	}
 	p.closed = true
-	p.turn()
-	if p.open != nil {
-		_ = p.open.Close()
-		p.open = nil
+	p.notifyChange()
+	if p.listener != nil {
+		_ = p.listener.Close()
+		p.listener = nil
 	}
-	return syscall.Close(p.holder)
+	return syscall.Close(p.reservedFD)
 }
 
 // Addr returns the bound address.
 func (p *port) Addr() net.Addr { return net.TCPAddrFromAddrPort(p.addr) }
 
-// trackedConn is a connection that its port can break.
+// trackedConn is a connection that its port closes when it goes down.
 type trackedConn struct {
 	net.Conn
 	port *port
 }
 
-// Close closes the connection and forgets it.
+// Close closes the connection and removes it from its port.
 func (t *trackedConn) Close() error {
-	t.port.forget(t)
+	t.port.untrack(t)
 	return t.Conn.Close()
 }
--- a/internal/standin/engine/host/hold.go
+++ b/internal/standin/engine/host/reserve.go
@@ -8,17 +8,17 @@
 	"github.com/rotisserie/eris"
 )
 
-// hold binds a socket that never listens, and returns it with the address that
-// it has got.
-func hold(addr netip.AddrPort) (fd int, bound netip.AddrPort, err error) {
+// reservePort binds a socket that never listens. It returns the socket and the bound
+// address.
+func reservePort(addr netip.AddrPort) (fd int, bound netip.AddrPort, err error) {
 	fd, err = syscall.Socket(family(addr), syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
-		return 0, bound, eris.Wrap(os.NewSyscallError("socket", err), "hold port")
+		return 0, bound, eris.Wrapf(os.NewSyscallError("socket", err), "reserve port %s", addr)
 	}
 	bound, err = bind(fd, addr)
 	if err != nil {
 		_ = syscall.Close(fd)
-		return 0, bound, eris.Wrap(err, "hold port")
+		return 0, bound, eris.Wrapf(err, "reserve port %s", addr)
 	}
 	return fd, bound, nil
 }
@@ -31,7 +31,7 @@
 }
 
 func bind(fd int, addr netip.AddrPort) (netip.AddrPort, error) {
-	// The listener binds the same address, which needs the option on both.
+	// The listener binds the same address, which requires the option on both sockets.
 	if err := syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1); err != nil {
 		return addr, os.NewSyscallError("setsockopt", err)
 	}
--- a/internal/standin/engine/host/said.go
+++ b/internal/standin/engine/host/said.go
@@ -9,17 +9,18 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// Said is what an upstream says of itself in its answers. Fault ports read and change it.
+// Said is the status that an upstream announces in the headers of its answers. The
+// fault ports read and change it.
 type Said struct {
-	// RateLimit is the requests a second that it says it takes from all nodes together; 0
-	// for no word on that. It takes more all the same.
+	// RateLimit is the announced limit for all nodes together, in requests per second;
+	// 0 announces none. The upstream does not enforce it.
 	RateLimit float64 `json:"rate_limit"`
-	// RestMillis is the rest that it asks for with each request that it refuses, which are
-	// all; 0 while it takes work.
+	// RestMillis is the announced time until a retry, in milliseconds. While it is not
+	// 0, the upstream refuses all work.
 	RestMillis int64 `json:"rest_ms"`
 }
 
-// Validate reports the first value that cannot be used.
+// Validate returns an error if a value is negative or not a number.
 func (s Said) Validate() error {
 	if !(s.RateLimit >= 0) || s.RestMillis < 0 {
 		return eris.New("rate_limit, rest_ms: one is negative or no number")
@@ -27,20 +28,22 @@
 	return nil
 }
 
-// Refuse answers a request that does not run.
+// Refuse answers a request that does not run, with a status and a reason.
 type Refuse func(w http.ResponseWriter, status int, reason string)
 
-// Saying answers with what the upstream says of itself, and refuses work while it rests.
-func Saying(next http.Handler, said func() (s Said, leaving bool), work func(r *http.Request) bool, refuse Refuse) http.Handler {
+// Saying returns a handler that adds the headers of the current status to every answer.
+// While RestMillis is not 0, it refuses the requests for which isWork is true; all
+// others go to next.
+func Saying(next http.Handler, current func() (s Said, leaving bool), isWork func(r *http.Request) bool, refuse Refuse) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		s, leaving := said()
+		s, leaving := current()
 		if s.RateLimit > 0 {
 			w.Header().Set(upstream.HeaderRateLimit, strconv.FormatFloat(s.RateLimit, 'f', -1, 64))
 		}
 		if leaving {
 			w.Header().Set(upstream.HeaderLeaving, "1")
 		}
-		if s.RestMillis > 0 && work(r) {
+		if s.RestMillis > 0 && isWork(r) {
 			w.Header().Set(upstream.HeaderRetryAfter, strconv.FormatFloat(float64(s.RestMillis)/1000, 'f', -1, 64))
 			refuse(w, http.StatusServiceUnavailable, "the upstream rests")
 			return
