--- a/internal/standin/engine/model/advance.go
+++ b/internal/standin/engine/model/advance.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Next returns when the next thing happens if nothing comes in before; ok is
-// false when the engine is idle.
+// Next returns the time of the next event or change of the batch, provided that no
+// other call changes the engine before. ok is false when the engine has no work.
 func (e *Engine) Next() (at time.Duration, ok bool) {
 	if e.idle() {
 		return e.stepStart, e.queue.len() > 0
 	}
-	return e.endOf(e.nextStep()), true
+	return e.stepEnd(e.nextEventStep()), true
 }
 
-// Advance carries the engine to now and appends what happened to out. Calls
-// must not go back in time.
+// Advance advances the engine to now and appends the events up to then to out. now must
+// not decrease between calls.
 func (e *Engine) Advance(now time.Duration, out []Event) []Event {
 	for {
 		at, ok := e.Next()
@@ -20,32 +20,33 @@
 			return out
 		}
 		if at > now {
-			e.skip(now)
+			e.skipSteps(now)
 			return out
 		}
 		out = e.endStep(at, out)
 	}
 }
 
-// nextStep is the number of the next step at whose end something happens.
-func (e *Engine) nextStep() uint64 {
-	joins := e.queue.len() > 0 && e.batch.len() < e.cfg.BatchLimit
-	if joins || e.changed || e.batch.len() == 0 {
+// nextEventStep returns the number of the next step whose end has an event or a change
+// of the batch.
+func (e *Engine) nextEventStep() uint64 {
+	canJoin := e.queue.len() > 0 && e.batch.len() < e.cfg.BatchLimit
+	if canJoin || e.changed || e.batch.len() == 0 {
 		return e.step + 1
 	}
 	if e.cfg.EveryToken && e.decoders > 0 {
 		return e.step + 1
 	}
-	return e.jobs.slab[e.batch.top()].due
+	return e.jobs.slab[e.batch.top()].dueStep
 }
 
-// endOf returns when the step with this number ends.
-func (e *Engine) endOf(step uint64) time.Duration {
+// stepEnd returns the time at which the step with a number ends.
+func (e *Engine) stepEnd(step uint64) time.Duration {
 	return e.stepStart + time.Duration(step-e.step)*e.stepTime
 }
 
-// skip passes the steps that end by now and at whose end nothing happens.
-func (e *Engine) skip(now time.Duration) {
+// skipSteps advances over the steps that end by now. None of them has an event.
+func (e *Engine) skipSteps(now time.Duration) {
 	if e.idle() {
 		return
 	}
@@ -54,7 +55,8 @@
 	e.stepStart += n * e.stepTime
 }
 
-// endStep ends the step at the time at and begins the next one.
+// endStep ends the step that ends at the time at, appends its events and starts the
+// next step.
 func (e *Engine) endStep(at time.Duration, out []Event) []Event {
 	if !e.idle() {
 		e.step += uint64((at - e.stepStart) / e.stepTime)
@@ -62,25 +64,25 @@
 	e.stepStart = at
 	e.changed = false
 	if e.cfg.EveryToken {
-		out = e.tokens(at, out)
+		out = e.appendTokenEvents(at, out)
 	}
-	out = e.due(at, out)
-	out = e.join(at, out)
-	e.stepTime = e.pace()
-	e.rest()
-	e.note(at)
+	out = e.completePhases(at, out)
+	out = e.fillBatch(at, out)
+	e.stepTime = e.stepDuration()
+	e.stopIfEmpty()
+	e.recordLoad(at)
 	return out
 }
 
-// pace is how long a step of the present batch takes.
-func (e *Engine) pace() time.Duration {
-	lone := e.cfg.StepBase + time.Duration(e.weight)*e.cfg.StepSlope
-	return max(time.Duration(float64(lone)*e.slow), 1)
+// stepDuration returns how long a step with the current batch takes.
+func (e *Engine) stepDuration() time.Duration {
+	normal := e.cfg.StepBase + time.Duration(e.weight)*e.cfg.StepSlope
+	return max(time.Duration(float64(normal)*e.slowFactor), 1)
 }
 
-// tokens reports the token of each job that produces one, but for those whose
-// first token is due.
-func (e *Engine) tokens(at time.Duration, out []Event) []Event {
+// appendTokenEvents appends an event for each job that is decoding. First tokens are
+// not included; completePhases reports them.
+func (e *Engine) appendTokenEvents(at time.Duration, out []Event) []Event {
 	for _, slot := range e.batch.slots {
 		j := &e.jobs.slab[slot]
 		if j.state == decoding {
@@ -90,48 +92,48 @@
 	return out
 }
 
-// due handles the jobs whose first or last token came with this step.
-func (e *Engine) due(at time.Duration, out []Event) []Event {
+// completePhases handles the jobs whose first or last token is produced by this step.
+func (e *Engine) completePhases(at time.Duration, out []Event) []Event {
 	for e.batch.len() > 0 {
 		slot := e.batch.top()
 		j := &e.jobs.slab[slot]
-		if j.due > e.step {
+		if j.dueStep > e.step {
 			break
 		}
 		if j.state == prefilling {
-			e.decode(at, j)
+			e.startDecoding(at, j)
 			out = append(out, e.event(at, First, slot))
 		}
-		if j.due > e.step {
+		if j.dueStep > e.step {
 			e.batch.fix(e.jobs.slab)
 			continue
 		}
 		out = append(out, e.event(at, Finished, slot))
-		e.leave(slot)
+		e.removeFromBatch(slot)
 		e.jobs.release(slot)
 	}
 	return out
 }
 
-// decode turns a job whose prompt is read into one that produces tokens.
-func (e *Engine) decode(at time.Duration, j *job) {
+// startDecoding moves a job from prefilling to decoding and caches its prefix.
+func (e *Engine) startDecoding(at time.Duration, j *job) {
 	j.state = decoding
-	j.first = e.step
-	j.due = e.step + uint64(j.req.Tokens-1)
+	j.firstTokenStep = e.step
+	j.dueStep = e.step + uint64(j.req.Tokens-1)
 	e.weight -= PrefillWeight - 1
 	e.decoders++
 	e.store(at, j.req.Prefix)
 }
 
-// join fills the batch from the queue.
-func (e *Engine) join(at time.Duration, out []Event) []Event {
+// fillBatch moves jobs from the queue to the batch up to the batch limit.
+func (e *Engine) fillBatch(at time.Duration, out []Event) []Event {
 	for e.queue.len() > 0 && e.batch.len() < e.cfg.BatchLimit {
 		slot := e.queue.top()
 		e.queue.remove(e.jobs.slab, slot)
 		j := &e.jobs.slab[slot]
 		j.state = prefilling
 		j.cached = e.cache.touch(j.req.Prefix)
-		j.due = e.step + e.prefillSteps(j)
+		j.dueStep = e.step + e.prefillSteps(j)
 		e.weight += PrefillWeight
 		e.batch.push(e.jobs.slab, slot)
 		out = append(out, e.event(at, Started, slot))
@@ -139,21 +141,22 @@
 	return out
 }
 
-// prefillSteps is how many steps the job's prompt takes to read.
+// prefillSteps returns the number of steps that the job's prompt takes.
 func (e *Engine) prefillSteps(j *job) uint64 {
 	prefill := j.req.Prefill
 	if j.cached {
 		prefill /= CachedPrefillDivisor
 	}
-	lone := e.cfg.StepBase + PrefillWeight*e.cfg.StepSlope
-	return uint64(max((prefill+lone-1)/lone, 1))
+	singleStep := e.cfg.StepBase + PrefillWeight*e.cfg.StepSlope
+	return uint64(max((prefill+singleStep-1)/singleStep, 1))
 }
 
+// event returns an event of the job in a slot.
 func (e *Engine) event(at time.Duration, kind EventKind, slot int32) Event {
 	j := &e.jobs.slab[slot]
 	var count int32
 	if j.state == decoding {
-		count = int32(e.step-j.first) + 1
+		count = int32(e.step-j.firstTokenStep) + 1
 	}
-	return Event{At: at, ID: j.req.ID, Ticket: ticketOf(slot, j.round), Count: count, Kind: kind, Cached: j.cached}
+	return Event{At: at, ID: j.req.ID, Ticket: ticketOf(slot, j.reuses), Count: count, Kind: kind, Cached: j.cached}
 }
--- a/internal/standin/engine/model/cachelog.go
+++ b/internal/standin/engine/model/cachelog.go
@@ -4,71 +4,75 @@
 
 const (
 	perMille = 1000
-	// cacheLogSize is how many cache events an engine remembers.
+	// cacheLogSize is how many cache events an engine keeps.
 	cacheLogSize = 512
 )
 
-// CacheEventKind says what happened to a prefix.
+// CacheEventKind is the kind of a [CacheEvent].
 type CacheEventKind uint8
 
-// The kinds of cache events.
 const (
-	// Stored: the prefix was cached or imported.
+	// Stored means that the prefix was cached or imported.
 	Stored CacheEventKind = iota
-	// Evicted: the prefix had to go.
+	// Evicted means that the prefix was removed to make room for another.
 	Evicted
 )
 
 var cacheEventNames = [...]string{"stored", "evicted"}
 
-// String returns the kind's name.
+// String returns the name of the kind, "stored" or "evicted".
 func (k CacheEventKind) String() string { return cacheEventNames[k] }
 
-// CacheEvent is one change of the prefix cache. A missing Seq is a gap: an
-// event that was never published or that is too old.
+// CacheEvent is one change of the prefix cache. A gap in the sequence numbers means that
+// an event was never published or is no longer kept.
 type CacheEvent struct {
-	Seq    uint64
-	At     time.Duration
+	// Seq is the sequence number, counted from 1.
+	Seq uint64
+	// At is the time of the change since the engine's start.
+	At time.Duration
+	// Prefix is the hash of the prefix.
 	Prefix uint64
-	Kind   CacheEventKind
+	// Kind says what happened to the prefix.
+	Kind CacheEventKind
 }
 
-// cacheLog publishes cache events late and with gaps.
+// cacheLog publishes cache events with a delay and with gaps.
 type cacheLog struct {
-	delay time.Duration
-	gaps  uint64
-	seed  uint64
-	last  uint64
-	ring  []CacheEvent
+	delay        time.Duration
+	gapsPerMille uint64
+	seed         uint64
+	lastSeq      uint64
+	ring         []CacheEvent
 }
 
 func newCacheLog(cfg Config) cacheLog {
-	return cacheLog{delay: cfg.CacheEventDelay, gaps: uint64(cfg.CacheEventGaps), seed: cfg.Seed}
+	return cacheLog{delay: cfg.CacheEventDelay, gapsPerMille: uint64(cfg.CacheEventGaps), seed: cfg.Seed}
 }
 
 func (l *cacheLog) add(at time.Duration, kind CacheEventKind, prefix uint64) {
-	l.last++
-	ev := CacheEvent{Seq: l.last, At: at, Prefix: prefix, Kind: kind}
+	l.lastSeq++
+	ev := CacheEvent{Seq: l.lastSeq, At: at, Prefix: prefix, Kind: kind}
 	if len(l.ring) < cacheLogSize {
 		l.ring = append(l.ring, ev)
 		return
 	}
-	l.ring[(l.last-1)%cacheLogSize] = ev
+	l.ring[(l.lastSeq-1)%cacheLogSize] = ev
 }
 
-// after appends the published events that follow seq.
+// after appends the events after seq that are published at now.
 func (l *cacheLog) after(now time.Duration, seq uint64, out []CacheEvent) []CacheEvent {
-	first := l.last - uint64(len(l.ring)) + 1
-	for n := max(seq+1, first); n <= l.last; n++ {
+	first := l.lastSeq - uint64(len(l.ring)) + 1
+	for n := max(seq+1, first); n <= l.lastSeq; n++ {
 		ev := l.ring[(n-1)%cacheLogSize]
 		if ev.At+l.delay > now {
 			break
 		}
-		if !l.gap(n) {
+		if !l.isGap(n) {
 			out = append(out, ev)
 		}
 	}
 	return out
 }
 
-func (l *cacheLog) gap(seq uint64) bool { return Draw(l.seed, seq)%perMille < l.gaps }
+// isGap reports whether the event with a sequence number is never published.
+func (l *cacheLog) isGap(seq uint64) bool { return Draw(l.seed, seq)%perMille < l.gapsPerMille }
--- a/internal/standin/engine/model/control.go
+++ b/internal/standin/engine/model/control.go
@@ -6,62 +6,65 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// Control is what an engine does with orders: which versions it has, which it
-// is loading, its role, and the highest fencing number it has seen.
+// Control is the state of an engine that orders change: its loaded and loading versions,
+// its role, and the highest fencing number of any order. It is not safe for concurrent
+// use.
 type Control struct {
-	honour  bool
-	fence   uint64
-	role    string
-	loaded  []string
-	loading []string
+	honourFence bool
+	fence       uint64
+	role        string
+	loaded      []string
+	loading     []string
 }
 
-// Verdict is what became of an order.
+// Verdict is the result of an order.
 type Verdict uint8
 
-// The verdicts.
 const (
-	// Taken: the order is done, or has been done before.
+	// Taken means that the order is carried out, now or by an earlier order.
 	Taken Verdict = iota
-	// Fetch: the version's weights have to be fetched; then call Fetched.
+	// Fetch means that the caller must fetch the version's weights and then call
+	// Fetched or Abandon.
 	Fetch
-	// Stale: refused, because a higher fencing number was seen.
+	// Stale means that the order is refused, because an earlier order had a higher
+	// fencing number.
 	Stale
-	// Invalid: the order says nothing that an engine can do.
+	// Invalid means that the order has an unknown action or lacks a version or role.
 	Invalid
 )
 
 // NewControl returns the control of an engine with these versions. With
 // honour it refuses orders with an old fencing number; without, it ignores
 // the number.
-func NewControl(versions []string, honour bool) *Control {
-	return &Control{honour: honour, loaded: slices.Clone(versions)}
+func NewControl(versions []string, honourFence bool) *Control {
+	return &Control{honourFence: honourFence, loaded: slices.Clone(versions)}
 }
 
-// Take carries out an order.
+// Take carries out an order and returns the result.
 func (c *Control) Take(o upstream.Order) Verdict {
-	if !valid(o) {
+	if !validOrder(o) {
 		return Invalid
 	}
-	if c.honour && o.Fence < c.fence {
+	if c.honourFence && o.Fence < c.fence {
 		return Stale
 	}
-	if c.honour {
+	if c.honourFence {
 		c.fence = o.Fence
 	}
 	switch o.Action {
 	case upstream.LoadVersion:
 		return c.load(o.Version)
 	case upstream.UnloadVersion:
-		c.loaded = without(c.loaded, o.Version)
-		c.loading = without(c.loading, o.Version)
+		c.loaded = remove(c.loaded, o.Version)
+		c.loading = remove(c.loading, o.Version)
 	case upstream.SetRole:
 		c.role = o.Role
 	}
 	return Taken
 }
 
-func valid(o upstream.Order) bool {
+// validOrder reports whether the action is known and has its version or role.
+func validOrder(o upstream.Order) bool {
 	switch o.Action {
 	case upstream.LoadVersion, upstream.UnloadVersion:
 		return o.Version != ""
@@ -79,8 +82,8 @@
 	return Fetch
 }
 
-// Fetched says that the version's weights are here. It reports false when an
-// unload order came meanwhile.
+// Fetched makes a loading version loaded, once its weights are fetched. It reports false
+// when an unload order has cancelled the load.
 func (c *Control) Fetched(version string) bool {
 	if !c.Abandon(version) {
 		return false
@@ -89,24 +92,24 @@
 	return true
 }
 
-// Abandon ends the loading of a version without it. It reports false when the
-// version was not being loaded.
+// Abandon cancels the loading of a version. It reports false when the version is not
+// loading.
 func (c *Control) Abandon(version string) bool {
 	if !slices.Contains(c.loading, version) {
 		return false
 	}
-	c.loading = without(c.loading, version)
+	c.loading = remove(c.loading, version)
 	return true
 }
 
 // Has reports whether the version is loaded.
 func (c *Control) Has(version string) bool { return slices.Contains(c.loaded, version) }
 
-// Versions returns the loaded versions.
+// Versions returns a copy of the list of loaded versions.
 func (c *Control) Versions() []string { return slices.Clone(c.loaded) }
 
-// State returns what the engine says it has. An engine that ignores fencing
-// numbers remembers none.
+// State returns the state that the engine reports. The fencing number is 0 for an engine
+// that ignores fencing numbers.
 func (c *Control) State() upstream.EngineState {
 	return upstream.EngineState{
 		Fence:    c.fence,
@@ -116,6 +119,6 @@
 	}
 }
 
-func without(list []string, version string) []string {
+func remove(list []string, version string) []string {
 	return slices.DeleteFunc(list, func(v string) bool { return v == version })
 }
--- a/internal/standin/engine/model/datadriven_test.go
+++ b/internal/standin/engine/model/datadriven_test.go
@@ -12,7 +12,7 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// script drives one engine through a scripted scenario in virtual time.
+// script runs one scripted scenario with one engine in virtual time.
 type script struct {
 	engine  *Engine
 	control *Control
@@ -71,11 +71,11 @@
 	cfg := Config{
 		BatchLimit:      int(number(t, d, "batch")),
 		QueueLimit:      int(number(t, d, "queue")),
-		StepBase:        span(t, d, "base"),
-		StepSlope:       span(t, d, "slope"),
+		StepBase:        duration(t, d, "base"),
+		StepSlope:       duration(t, d, "slope"),
 		CacheEntries:    int(number(t, d, "cache")),
-		LoadLag:         span(t, d, "lag"),
-		CacheEventDelay: span(t, d, "delay"),
+		LoadLag:         duration(t, d, "lag"),
+		CacheEventDelay: duration(t, d, "delay"),
 		CacheEventGaps:  int(number(t, d, "gaps")),
 		EveryToken:      d.HasArg("every-token"),
 		Seed:            1,
@@ -91,7 +91,7 @@
 
 func (s *script) advance(t *testing.T, d *datadriven.TestData) string {
 	if d.HasArg("at") {
-		s.now = span(t, d, "at")
+		s.now = duration(t, d, "at")
 	}
 	var b strings.Builder
 	for _, ev := range s.engine.Advance(s.now, nil) {
@@ -109,7 +109,7 @@
 		ID:       uint64(number(t, d, "id")),
 		Priority: int(number(t, d, "priority")),
 		Prefix:   uint64(number(t, d, "prefix")),
-		Prefill:  span(t, d, "prefill"),
+		Prefill:  duration(t, d, "prefill"),
 		Tokens:   int(number(t, d, "tokens")),
 	}
 	ticket, ok := s.engine.Submit(s.now, r)
@@ -144,7 +144,7 @@
 	return text
 }
 
-func span(t *testing.T, d *datadriven.TestData, key string) time.Duration {
+func duration(t *testing.T, d *datadriven.TestData, key string) time.Duration {
 	text := word(t, d, key)
 	if text == "" {
 		return 0
--- a/internal/standin/engine/model/engine.go
+++ b/internal/standin/engine/model/engine.go
@@ -2,58 +2,58 @@
 
 import "time"
 
-// Engine is the batching and caching of one model engine. It is not safe for
+// Engine simulates the batching and caching of one model engine. It is not safe for
 // concurrent use.
 type Engine struct {
 	cfg   Config
-	jobs  jobs
+	jobs  jobSlab
 	queue slotHeap
 	batch slotHeap
 	// weight is the sum of the weights of the batch.
 	weight int
-	// decoders is how many jobs of the batch produce tokens.
+	// decoders is the number of decoding jobs in the batch.
 	decoders int
 	arrivals uint64
 
-	// step counts the steps that have ended; the present one began at
-	// stepStart and takes stepTime, which is 0 when the engine is idle.
+	// step is the number of steps that have ended. The current one started at stepStart
+	// and takes stepTime, which is 0 when the engine is idle.
 	step      uint64
 	stepStart time.Duration
 	stepTime  time.Duration
-	// changed asks for the end of the present step, because the batch or the
-	// pace changed within it.
-	changed bool
-	slow    float64
+	// changed means that the batch or the slow factor changed during the current step,
+	// so that its end must not be skipped.
+	changed    bool
+	slowFactor float64
 
 	cache   prefixCache
 	log     cacheLog
 	history LoadHistory
 }
 
-// New returns an idle engine.
+// New returns an idle engine, or an error for an invalid configuration.
 func New(cfg Config) (*Engine, error) {
 	if err := cfg.Validate(); err != nil {
 		return nil, err
 	}
 	return &Engine{
-		cfg:     cfg,
-		queue:   slotHeap{less: byPriority},
-		batch:   slotHeap{less: byDue},
-		slow:    1,
-		cache:   newPrefixCache(cfg.CacheEntries),
-		log:     newCacheLog(cfg),
-		history: NewLoadHistory(cfg.LoadLag),
+		cfg:        cfg,
+		queue:      slotHeap{less: byPriority},
+		batch:      slotHeap{less: byDue},
+		slowFactor: 1,
+		cache:      newPrefixCache(cfg.CacheEntries),
+		log:        newCacheLog(cfg),
+		history:    NewLoadHistory(cfg.LoadLag),
 	}, nil
 }
 
-// Running is how many requests share the present step.
+// Running returns the number of requests in the batch.
 func (e *Engine) Running() int { return e.batch.len() }
 
-// Queued is how many requests wait for the batch.
+// Queued returns the number of requests that wait for the batch.
 func (e *Engine) Queued() int { return e.queue.len() }
 
-// Submit takes a request at the time of the last Advance. It reports false
-// when the queue is full; the request has not run then and never will.
+// Submit queues a request. now must be the time of the last Advance. It reports false
+// when the queue is full; the request then never runs.
 func (e *Engine) Submit(now time.Duration, r Request) (Ticket, bool) {
 	full := e.batch.len() >= e.cfg.BatchLimit
 	if full && e.cfg.QueueLimit > 0 && e.queue.len() >= e.cfg.QueueLimit {
@@ -61,19 +61,19 @@
 	}
 	r.Tokens = max(r.Tokens, 1)
 	e.arrivals++
-	slot := e.jobs.take(r, e.arrivals)
+	slot := e.jobs.allocate(r, e.arrivals)
 	e.queue.push(e.jobs.slab, slot)
 	if e.idle() {
-		// Steps begin when there is work: the next Advance starts the first.
+		// The next Advance starts the first step at this time.
 		e.stepStart = now
 		e.changed = true
 	}
-	e.note(now)
-	return ticketOf(slot, e.jobs.slab[slot].round), true
+	e.recordLoad(now)
+	return ticketOf(slot, e.jobs.slab[slot].reuses), true
 }
 
-// Cancel gives up a request, queued or running. It reports false when the
-// request has gone already.
+// Cancel removes a queued or running request. It reports false when the engine no longer
+// has the request.
 func (e *Engine) Cancel(now time.Duration, t Ticket) bool {
 	j := e.jobs.find(t)
 	if j == nil {
@@ -82,26 +82,26 @@
 	if j.state == queued {
 		e.queue.remove(e.jobs.slab, t.slot())
 	} else {
-		e.leave(t.slot())
+		e.removeFromBatch(t.slot())
 		e.changed = true
 	}
 	e.jobs.release(t.slot())
-	e.rest()
-	e.note(now)
+	e.stopIfEmpty()
+	e.recordLoad(now)
 	return true
 }
 
-// SetSlow makes every step from the next one on factor times as long.
+// SetSlow multiplies the time of every step by factor, starting with the next step.
 func (e *Engine) SetSlow(factor float64) {
-	e.slow = factor
+	e.slowFactor = factor
 	e.changed = true
 }
 
-// Reset drops all work and forgets the cache, as a restart does.
+// Reset drops all requests and clears the cache, as a restart does.
 func (e *Engine) Reset(now time.Duration) {
 	for e.batch.len() > 0 {
 		slot := e.batch.top()
-		e.leave(slot)
+		e.removeFromBatch(slot)
 		e.jobs.release(slot)
 	}
 	for e.queue.len() > 0 {
@@ -111,21 +111,23 @@
 	}
 	e.cache = newPrefixCache(e.cfg.CacheEntries)
 	e.log = newCacheLog(e.cfg)
-	e.rest()
-	e.note(now)
+	e.stopIfEmpty()
+	e.recordLoad(now)
 }
 
 func (e *Engine) idle() bool { return e.stepTime == 0 }
 
-// rest ends the step at once when no work is left.
-func (e *Engine) rest() {
+// stopIfEmpty makes the engine idle when no work is left, without waiting for the end of
+// the step.
+func (e *Engine) stopIfEmpty() {
 	if e.batch.len() == 0 && e.queue.len() == 0 {
 		e.stepTime = 0
 		e.changed = false
 	}
 }
 
-func (e *Engine) leave(slot int32) {
+// removeFromBatch removes the job in a slot from the batch.
+func (e *Engine) removeFromBatch(slot int32) {
 	j := &e.jobs.slab[slot]
 	e.batch.remove(e.jobs.slab, slot)
 	e.weight -= j.weight()
@@ -134,6 +136,6 @@
 	}
 }
 
-func (e *Engine) note(now time.Duration) {
+func (e *Engine) recordLoad(now time.Duration) {
 	e.history.Note(now, e.batch.len(), e.queue.len())
 }
--- a/internal/standin/engine/model/engine_test.go
+++ b/internal/standin/engine/model/engine_test.go
@@ -8,24 +8,24 @@
 	"pgregory.net/rapid"
 )
 
-// outcome is what became of one request.
+// outcome is the result of one request.
 type outcome struct {
 	first, finished time.Duration
 	tokens          int32
 }
 
-// TestModesAgree: jumping over steps must give the same times as going through
-// each of them, whatever comes in between.
-func TestModesAgree(t *testing.T) {
+// Skipping steps must give the same event times as executing each step, for any
+// submissions and cancellations.
+func TestSkippedStepsKeepEventTimes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := Config{BatchLimit: rapid.IntRange(1, 4).Draw(t, "batch"), CacheEntries: 2}
 		cfg.StepBase, cfg.StepSlope = Steps(10 * time.Millisecond)
-		jump, err := New(cfg)
+		skipping, err := New(cfg)
 		if err != nil {
 			t.Fatal(err)
 		}
 		cfg.EveryToken = true
-		walk, err := New(cfg)
+		stepping, err := New(cfg)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -34,24 +34,24 @@
 		var now time.Duration
 		for id := range uint64(n) {
 			now += time.Duration(rapid.IntRange(0, 60_000_000).Draw(t, "gap"))
-			collect(t, a, jump.Advance(now, nil))
-			collect(t, b, walk.Advance(now, nil))
+			collect(t, a, skipping.Advance(now, nil))
+			collect(t, b, stepping.Advance(now, nil))
 			r := drawRequest(t, id)
-			ja, _ := jump.Submit(now, r)
-			jb, _ := walk.Submit(now, r)
+			ja, _ := skipping.Submit(now, r)
+			jb, _ := stepping.Submit(now, r)
 			if rapid.IntRange(0, 9).Draw(t, "cancel") == 0 {
 				now += time.Millisecond
-				collect(t, a, jump.Advance(now, nil))
-				collect(t, b, walk.Advance(now, nil))
-				if jump.Cancel(now, ja) != walk.Cancel(now, jb) {
+				collect(t, a, skipping.Advance(now, nil))
+				collect(t, b, stepping.Advance(now, nil))
+				if skipping.Cancel(now, ja) != stepping.Cancel(now, jb) {
 					t.Fatal("cancel differs")
 				}
 			}
 		}
-		collect(t, a, jump.Advance(time.Hour, nil))
-		collect(t, b, walk.Advance(time.Hour, nil))
+		collect(t, a, skipping.Advance(time.Hour, nil))
+		collect(t, b, stepping.Advance(time.Hour, nil))
 		compare(t, a, b)
-		if jump.Running()+jump.Queued()+walk.Running()+walk.Queued() != 0 {
+		if skipping.Running()+skipping.Queued()+stepping.Running()+stepping.Queued() != 0 {
 			t.Fatal("work is left after an hour")
 		}
 	})
@@ -102,7 +102,7 @@
 	}
 }
 
-func TestConfigIsChecked(t *testing.T) {
+func TestConfigValidate(t *testing.T) {
 	is := is.New(t)
 	good := Config{BatchLimit: 1, StepBase: 1}
 	is.NoErr(good.Validate())
@@ -120,8 +120,8 @@
 	}
 }
 
-// TestCacheKeepsItsLimit compares the cache with a plain list.
-func TestCacheKeepsItsLimit(t *testing.T) {
+// The cache must evict the same prefixes as a list in the order of last use.
+func TestPrefixCacheMatchesListModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.IntRange(1, 5).Draw(t, "limit")
 		c := newPrefixCache(limit)
@@ -158,8 +158,8 @@
 	return -1
 }
 
-// BenchmarkRequest measures one request from Submit to Finished on a full
-// engine, and how many model steps that passes.
+// BenchmarkRequest measures one request from Submit to Finished on an engine with a full
+// batch, and the simulated steps per second.
 func BenchmarkRequest(b *testing.B) {
 	cfg := Config{BatchLimit: 64, CacheEntries: 64, LoadLag: time.Second}
 	cfg.StepBase, cfg.StepSlope = Steps(10 * time.Millisecond)
@@ -186,8 +186,8 @@
 	b.ReportMetric(float64(e.step)/b.Elapsed().Seconds(), "steps/s")
 }
 
-// BenchmarkStepEveryToken measures one step of a full batch with an event for
-// each token.
+// BenchmarkStepEveryToken measures one step of a full batch with an event for every
+// token.
 func BenchmarkStepEveryToken(b *testing.B) {
 	cfg := Config{BatchLimit: 64, EveryToken: true}
 	cfg.StepBase, cfg.StepSlope = Steps(10 * time.Millisecond)
--- a/internal/standin/engine/model/event.go
+++ b/internal/standin/engine/model/event.go
@@ -2,34 +2,39 @@
 
 import "time"
 
-// EventKind says what happened to a request.
+// EventKind is the kind of an [Event].
 type EventKind uint8
 
 // The kinds of events, in the order in which a request has them.
 const (
-	// Started: the request joined the batch; its execution began.
+	// Started means that the request joined the batch and its execution started.
 	Started EventKind = iota
-	// First: the first token came.
+	// First means that the first token was produced.
 	First
-	// Token: a later token came; only with Config.EveryToken.
+	// Token means that a later token was produced. It requires Config.EveryToken.
 	Token
-	// Finished: the last token came, and the request left the batch. It
-	// follows the event of that token.
+	// Finished means that the last token was produced and the request left the batch.
+	// It follows the event of that token.
 	Finished
 )
 
 var eventNames = [...]string{"started", "first", "token", "finished"}
 
-// String returns the kind's name.
+// String returns the name of the kind in lower case.
 func (k EventKind) String() string { return eventNames[k] }
 
-// Event is one decision of the engine.
+// Event is one step in the execution of a request.
 type Event struct {
-	At     time.Duration
-	ID     uint64
+	// At is the time of the event since the engine's start.
+	At time.Duration
+	// ID is the request's ID.
+	ID uint64
+	// Ticket is the request's ticket.
 	Ticket Ticket
-	// Count is how many tokens the request has by now.
-	Count  int32
-	Kind   EventKind
+	// Count is the number of tokens that the request has produced.
+	Count int32
+	// Kind says what happened to the request.
+	Kind EventKind
+	// Cached reports whether the request's prefix was cached when it joined the batch.
 	Cached bool
 }
--- a/internal/standin/engine/model/heap.go
+++ b/internal/standin/engine/model/heap.go
@@ -1,27 +1,27 @@
 package model
 
-// slotHeap is a binary heap of slots of the slab. It knows where each slot
-// stands, so that one can be taken out of the middle. container/heap is not
-// used because its interface calls cost more than the steps themselves.
+// slotHeap is a binary heap of slab slots. Each job stores its index in the heap, so that
+// any slot can be removed. container/heap is not used, because its interface calls cost
+// more than the steps themselves.
 type slotHeap struct {
 	slots []int32
 	less  func(a, b *job) bool
 }
 
-// byDue puts the job first to which something happens next.
+// byDue orders jobs by the step of their next event, then by arrival.
 func byDue(a, b *job) bool {
-	if a.due != b.due {
-		return a.due < b.due
+	if a.dueStep != b.dueStep {
+		return a.dueStep < b.dueStep
 	}
-	return a.order < b.order
+	return a.arrival < b.arrival
 }
 
-// byPriority puts the job first that joins the batch next.
+// byPriority orders jobs by priority, lower numbers first, then by arrival.
 func byPriority(a, b *job) bool {
 	if a.req.Priority != b.req.Priority {
 		return a.req.Priority < b.req.Priority
 	}
-	return a.order < b.order
+	return a.arrival < b.arrival
 }
 
 func (h *slotHeap) len() int { return len(h.slots) }
@@ -33,9 +33,9 @@
 	h.up(slab, len(h.slots)-1)
 }
 
-// remove takes the slot out, wherever it stands.
+// remove removes a slot at any position.
 func (h *slotHeap) remove(slab []job, slot int32) {
-	i := int(slab[slot].place)
+	i := int(slab[slot].heapIndex)
 	last := len(h.slots) - 1
 	moved := h.slots[last]
 	h.slots = h.slots[:last]
@@ -43,12 +43,12 @@
 		return
 	}
 	h.slots[i] = moved
-	slab[moved].place = int32(i)
+	slab[moved].heapIndex = int32(i)
 	h.down(slab, i)
-	h.up(slab, int(slab[moved].place))
+	h.up(slab, int(slab[moved].heapIndex))
 }
 
-// fix restores the order after the top's key has grown.
+// fix restores the order after the key of the top slot has increased.
 func (h *slotHeap) fix(slab []job) { h.down(slab, 0) }
 
 func (h *slotHeap) up(slab []job, i int) {
@@ -85,5 +85,5 @@
 
 func (h *slotHeap) set(slab []job, i int, slot int32) {
 	h.slots[i] = slot
-	slab[slot].place = int32(i)
+	slab[slot].heapIndex = int32(i)
 }
--- a/internal/standin/engine/model/job.go
+++ b/internal/standin/engine/model/job.go
@@ -1,6 +1,6 @@
 package model
 
-// jobState is where a request stands.
+// jobState is the phase of a job.
 type jobState uint8
 
 const (
@@ -10,22 +10,25 @@
 	decoding
 )
 
-// job is a request that the engine holds.
+// job is a request that is queued or running.
 type job struct {
 	req Request
-	// order is the request's place in the order of arrival.
-	order uint64
-	// due is the step at whose end the next thing happens to a job in the
-	// batch: its first token or its last one.
-	due uint64
-	// first is the step at whose end the first token came.
-	first  uint64
-	round  uint32
-	place  int32
-	state  jobState
-	cached bool
+	// arrival is the number of the request in the order of arrival.
+	arrival uint64
+	// dueStep is the step at whose end a job in the batch has its next event: its first
+	// token or its last one.
+	dueStep uint64
+	// firstTokenStep is the step at whose end the first token was produced.
+	firstTokenStep uint64
+	// reuses counts the jobs that the slot has held, this one included.
+	reuses uint32
+	// heapIndex is the position in the queue or the batch.
+	heapIndex int32
+	state     jobState
+	cached    bool
 }
 
+// weight returns the job's share in the weight of the batch.
 func (j *job) weight() int {
 	if j.state == prefilling {
 		return PrefillWeight
@@ -33,13 +36,13 @@
 	return 1
 }
 
-// jobs is a slab of jobs; slots are reused.
-type jobs struct {
+// jobSlab is a slab of jobs whose slots are reused.
+type jobSlab struct {
 	slab []job
 	free []int32
 }
 
-func (s *jobs) take(r Request, order uint64) int32 {
+func (s *jobSlab) allocate(r Request, arrival uint64) int32 {
 	var slot int32
 	if n := len(s.free); n > 0 {
 		slot = s.free[n-1]
@@ -48,24 +51,24 @@
 		slot = int32(len(s.slab))
 		s.slab = append(s.slab, job{})
 	}
-	round := s.slab[slot].round + 1
-	s.slab[slot] = job{req: r, order: order, round: round, state: queued}
+	reuses := s.slab[slot].reuses + 1
+	s.slab[slot] = job{req: r, arrival: arrival, reuses: reuses, state: queued}
 	return slot
 }
 
-func (s *jobs) release(slot int32) {
+func (s *jobSlab) release(slot int32) {
 	s.slab[slot].state = free
 	s.free = append(s.free, slot)
 }
 
-// find returns the job of a ticket, or nil when it has gone.
-func (s *jobs) find(t Ticket) *job {
+// find returns the job of a ticket, or nil if its slot has been released.
+func (s *jobSlab) find(t Ticket) *job {
 	slot := t.slot()
 	if slot < 0 || int(slot) >= len(s.slab) {
 		return nil
 	}
 	j := &s.slab[slot]
-	if j.state == free || j.round != t.round() {
+	if j.state == free || j.reuses != t.reuses() {
 		return nil
 	}
 	return j
--- a/internal/standin/engine/model/loadhistory.go
+++ b/internal/standin/engine/model/loadhistory.go
@@ -3,18 +3,18 @@
 import "time"
 
 const (
-	// historyGrain is how many samples cover the lag.
-	historyGrain = 16
-	historySize  = historyGrain + 2
+	// samplesPerLag is the number of samples that cover the lag.
+	samplesPerLag = 16
+	historySize   = samplesPerLag + 2
 )
 
-// LoadHistory remembers just enough of the load to report it with a lag. A
-// report is as old as the lag, to within a sixteenth of it.
+// LoadHistory keeps samples of the load to report it with a lag. The age of a report
+// deviates from the lag by at most 1/16 of the lag. It is not safe for concurrent use.
 type LoadHistory struct {
-	lag     time.Duration
-	grain   time.Duration
-	samples [historySize]loadSample
-	count   int
+	lag        time.Duration
+	resolution time.Duration
+	samples    [historySize]loadSample
+	count      int
 }
 
 type loadSample struct {
@@ -23,22 +23,24 @@
 	queued  int32
 }
 
-// Load is how much work an engine had.
+// Load is the amount of work of an engine or service at one time.
 type Load struct {
+	// Running is the number of requests that run.
 	Running int
-	Queued  int
+	// Queued is the number of requests that wait.
+	Queued int
 }
 
-// NewLoadHistory returns a history whose reports are as old as lag.
+// NewLoadHistory returns an empty history whose reports have the age lag.
 func NewLoadHistory(lag time.Duration) LoadHistory {
-	return LoadHistory{lag: lag, grain: max(lag/historyGrain, 1)}
+	return LoadHistory{lag: lag, resolution: max(lag/samplesPerLag, 1)}
 }
 
-// Note records the load from now on. Notes in the same grain replace each
-// other.
+// Note records the load from now on. Within 1/16 of the lag, a later load replaces an
+// earlier one.
 func (h *LoadHistory) Note(now time.Duration, running, queued int) {
 	s := loadSample{at: now, running: int32(running), queued: int32(queued)}
-	if h.count > 0 && (h.lag == 0 || h.samples[h.count-1].at/h.grain == now/h.grain) {
+	if h.count > 0 && (h.lag == 0 || h.samples[h.count-1].at/h.resolution == now/h.resolution) {
 		h.samples[h.count-1] = s
 		return
 	}
@@ -50,7 +52,8 @@
 	h.count++
 }
 
-// At returns the load as it is reported at now.
+// At returns the load that is reported at now. It is zero before the first recorded load
+// is as old as the lag.
 func (h *LoadHistory) At(now time.Duration) Load {
 	for i := h.count - 1; i >= 0; i-- {
 		if h.samples[i].at+h.lag <= now {
@@ -60,14 +63,14 @@
 	return Load{}
 }
 
-// Lag is how old reports are.
+// Lag returns the age of the reports.
 func (h *LoadHistory) Lag() time.Duration { return h.lag }
 
-// Load returns the load as the engine reports it at now.
+// Load returns the load that the engine reports at now.
 func (e *Engine) Load(now time.Duration) Load { return e.history.At(now) }
 
-// SetLoadLag changes how old reports are; the history starts anew.
+// SetLoadLag changes the age of load reports and clears the history.
 func (e *Engine) SetLoadLag(now, lag time.Duration) {
 	e.history = NewLoadHistory(lag)
-	e.note(now)
+	e.recordLoad(now)
 }
--- a/internal/standin/engine/model/prefixcache.go
+++ b/internal/standin/engine/model/prefixcache.go
@@ -1,10 +1,9 @@
 package model
 
-// none marks the end of the chain of cache entries.
-const none = -1
+// noEntry marks the end of the list of cache entries.
+const noEntry = -1
 
-// prefixCache holds prefixes in limited memory; the one that was not used for
-// longest goes first.
+// prefixCache is an LRU cache of prefixes.
 type prefixCache struct {
 	limit   int
 	index   map[uint64]int32
@@ -13,6 +12,7 @@
 	oldest  int32
 }
 
+// cacheEntry is an element of the list of prefixes in the order of their last use.
 type cacheEntry struct {
 	prefix uint64
 	newer  int32
@@ -20,7 +20,7 @@
 }
 
 func newPrefixCache(limit int) prefixCache {
-	c := prefixCache{limit: limit, newest: none, oldest: none}
+	c := prefixCache{limit: limit, newest: noEntry, oldest: noEntry}
 	if limit > 0 {
 		c.index = make(map[uint64]int32)
 	}
@@ -32,7 +32,7 @@
 	return ok
 }
 
-// touch reports whether the prefix is cached, and makes it the newest.
+// touch reports whether the prefix is cached, and makes it the most recently used.
 func (c *prefixCache) touch(prefix uint64) bool {
 	i, ok := c.index[prefix]
 	if !ok {
@@ -43,9 +43,9 @@
 	return true
 }
 
-// store caches the prefix as the newest. It reports whether it was new, and
-// which prefix had to go for it.
-func (c *prefixCache) store(prefix uint64) (stored, evicted bool, gone uint64) {
+// store caches the prefix as the most recently used. It reports whether the prefix was
+// added and which prefix was evicted for it.
+func (c *prefixCache) store(prefix uint64) (stored, evicted bool, victim uint64) {
 	if c.limit == 0 || prefix == 0 || c.touch(prefix) {
 		return false, false, 0
 	}
@@ -55,11 +55,11 @@
 		return true, false, 0
 	}
 	i := c.oldest
-	gone = c.entries[i].prefix
-	delete(c.index, gone)
+	victim = c.entries[i].prefix
+	delete(c.index, victim)
 	c.unlink(i)
 	c.add(i, prefix)
-	return true, true, gone
+	return true, true, victim
 }
 
 func (c *prefixCache) add(i int32, prefix uint64) {
@@ -69,25 +69,25 @@
 }
 
 func (c *prefixCache) link(i int32) {
-	c.entries[i].newer = none
+	c.entries[i].newer = noEntry
 	c.entries[i].older = c.newest
-	if c.newest != none {
+	if c.newest != noEntry {
 		c.entries[c.newest].newer = i
 	}
 	c.newest = i
-	if c.oldest == none {
+	if c.oldest == noEntry {
 		c.oldest = i
 	}
 }
 
 func (c *prefixCache) unlink(i int32) {
 	e := c.entries[i]
-	if e.newer == none {
+	if e.newer == noEntry {
 		c.newest = e.older
 	} else {
 		c.entries[e.newer].older = e.older
 	}
-	if e.older == none {
+	if e.older == noEntry {
 		c.oldest = e.newer
 	} else {
 		c.entries[e.older].newer = e.newer
