--- a/internal/standin/engine/bench_test.go
+++ b/internal/standin/engine/bench_test.go
@@ -8,8 +8,7 @@
 	"github.com/hickorybank/hickorybank/internal/standin/engine"
 )
 
-// BenchmarkAnswer measures a whole answer of 16 pieces over loopback, many at
-// a time.
+// BenchmarkAnswer measures complete answers of 16 chunks over loopback, in parallel.
 func BenchmarkAnswer(b *testing.B) {
 	r := newRig(b, engine.Settings{BatchLimit: 256, TokensPerAnswer: 16})
 	b.ReportAllocs()
--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -11,7 +11,7 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// kvBlob stands in for a prefix's KV cache on its way between engines.
+// kvBlob represents the KV cache of a prefix in a transfer between engines.
 type kvBlob struct {
 	Prefix uint64 `json:"prefix"`
 	From   string `json:"from"`
--- a/internal/standin/engine/clock.go
+++ b/internal/standin/engine/clock.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// clock counts the time that the engine has lived. It stands still while the
-// engine is frozen.
+// clock measures the time since the engine's start. It stops while the engine is
+// frozen.
 type clock struct {
-	base   time.Time
-	lost   time.Duration
-	frozen bool
-	since  time.Duration
+	start       time.Time
+	frozenTotal time.Duration
+	frozen      bool
+	frozenAt    time.Duration
 }
 
-func newClock() clock { return clock{base: time.Now()} }
+func newClock() clock { return clock{start: time.Now()} }
 
 func (c *clock) now() time.Duration {
 	if c.frozen {
-		return c.since
+		return c.frozenAt
 	}
-	return time.Since(c.base) - c.lost
+	return time.Since(c.start) - c.frozenTotal
 }
 
 func (c *clock) freeze() {
-	c.since = c.now()
+	c.frozenAt = c.now()
 	c.frozen = true
 }
 
@@ -30,5 +30,5 @@
 		return
 	}
 	c.frozen = false
-	c.lost = time.Since(c.base) - c.since
+	c.frozenTotal = time.Since(c.start) - c.frozenAt
 }
--- a/internal/standin/engine/complete.go
+++ b/internal/standin/engine/complete.go
@@ -11,12 +11,13 @@
 	"github.com/hickorybank/hickorybank/internal/standin/engine/model"
 )
 
-// refusal is why a request does not run; nil means that it was taken.
+// refusal is the reason why a request does not run. Nil means that it was accepted.
 type refusal struct {
 	status int
 	reason string
 }
 
+// complete handles a chat completion: it submits the request and streams the answer.
 func (s *Server) complete(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	body, err := host.ReadBody(w, r)
 	if err != nil {
@@ -28,28 +29,30 @@
 		s.decline(w, &refusal{http.StatusBadRequest, err.Error()})
 		return
 	}
-	g, prio, prefix, no := s.generationOf(r.Header, req)
-	if no != nil {
-		s.decline(w, no)
+	g, prio, prefix, refused := s.generationOf(r.Header, req)
+	if refused != nil {
+		s.decline(w, refused)
 		return
 	}
-	sf, no := s.submit(g, prio, prefix, string(body))
-	if no != nil {
-		s.decline(w, no)
+	sf, refused := s.submit(g, prio, prefix, string(body))
+	if refused != nil {
+		s.decline(w, refused)
 		return
 	}
 	s.send(w, r, g, 0, sf)
 }
 
-func (s *Server) decline(w http.ResponseWriter, no *refusal) {
+// decline counts a request that does not run, and answers it.
+func (s *Server) decline(w http.ResponseWriter, refused *refusal) {
 	s.mu.Lock()
 	s.runs.counts.Declined++
 	s.mu.Unlock()
-	host.Decline(w, no.status, no.reason)
+	host.Decline(w, refused.status, refused.reason)
 }
 
-// generationOf reads the headers of an attempt.
-func (s *Server) generationOf(h http.Header, req chatRequest) (g *generation, priority int, prefix uint64, no *refusal) {
+// generationOf returns the generation, priority and prefix hash that the headers and
+// the body of an attempt describe.
+func (s *Server) generationOf(h http.Header, req chatRequest) (g *generation, priority int, prefix uint64, refused *refusal) {
 	attempt := h.Get("X-Attempt-Id")
 	if attempt == "" {
 		return nil, 0, 0, &refusal{http.StatusBadRequest, "X-Attempt-Id is missing"}
@@ -69,7 +72,7 @@
 		digest:  Digest(req.lastUser()),
 		tokens:  s.settings.TokensPerAnswer,
 		input:   req.inputTokens(),
-		run:     none,
+		run:     noRun,
 	}
 	if req.MaxTokens > 0 && req.MaxTokens < g.tokens {
 		g.tokens = req.MaxTokens
@@ -89,7 +92,8 @@
 
 func parsePrefix(text string) (uint64, error) { return strconv.ParseUint(text, 16, 64) }
 
-// submit hands the generation to the core, or says why it does not run.
+// submit submits the generation to the model engine. It returns the faults of its
+// stream, or the reason why it does not run.
 func (s *Server) submit(g *generation, priority int, prefix uint64, body string) (streamFaults, *refusal) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -99,12 +103,12 @@
 	if !s.control.Has(g.version) {
 		return streamFaults{}, &refusal{http.StatusNotFound, "version is not loaded"}
 	}
-	s.catchUp()
+	s.advanceModel()
 	s.abortIfCrashed()
 	s.lastID++
 	g.id = s.lastID
 	g.crashes = s.faults.CrashMarker != "" && strings.Contains(body, s.faults.CrashMarker)
-	g.failAt = s.failAt(g)
+	g.failAfter = s.drawFailure(g)
 	ticket, ok := s.engine.Submit(s.clock.now(), model.Request{
 		ID: g.id, Priority: priority, Prefix: prefix, Prefill: s.settings.TimeToFirstToken, Tokens: g.tokens,
 	})
@@ -115,12 +119,13 @@
 	g.idleSince = s.clock.now()
 	s.streams[g.attempt] = g
 	s.running[g.id] = g
-	s.nudge()
+	s.wakeDriver()
 	return s.faults.takeStream(), nil
 }
 
-// failAt draws whether the version fails in this answer, and after which piece.
-func (s *Server) failAt(g *generation) int {
+// drawFailure draws whether the version fails in this answer. It returns the number of
+// the chunk after which it fails, or 0.
+func (s *Server) drawFailure(g *generation) int {
 	rate := s.faults.errorRate(g.version)
 	draw := model.Draw(s.settings.Seed, g.id)
 	if float64(draw>>11)/(1<<53) >= rate {
--- a/internal/standin/engine/crash.go
+++ b/internal/standin/engine/crash.go
@@ -8,7 +8,8 @@
 	"github.com/hickorybank/hickorybank/internal/event"
 )
 
-// crash breaks all connections and loses all that a process loses.
+// crash closes all connections and discards the state that a process loses when it
+// crashes. by is the generation that causes the crash.
 func (s *Server) crash(by *generation) {
 	event.StandinCrashed.Log(s.log, slog.String("id", s.settings.ID), slog.String("attempt", by.attempt))
 	s.runs.counts.Crashes++
@@ -19,34 +20,36 @@
 	s.restartAt = restartTime(s.faults)
 	s.host.Down()
 	if err := s.boot(); err != nil {
-		panic(err) // the same settings were good at the start
+		panic(err) // New succeeded with the same settings
 	}
 }
 
+// restartTime returns the time at which an engine that crashes now restarts.
 func restartTime(f Faults) time.Time {
 	return time.Now().Add(time.Duration(f.RestartMillis) * time.Millisecond)
 }
 
-// abortIfCrashed ends a request whose connection a crash has broken: a process
-// that is no more takes no requests.
+// abortIfCrashed aborts a request that is being handled while the engine is crashed. A
+// crashed process must not accept requests.
 func (s *Server) abortIfCrashed() {
 	if !s.restartAt.IsZero() {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// comeBack ends a crash when its time has passed.
-func (s *Server) comeBack() {
+// restartIfDue restarts a crashed engine once its restart time has passed.
+func (s *Server) restartIfDue() {
 	if s.restartAt.IsZero() || time.Now().Before(s.restartAt) {
 		return
 	}
 	s.restartAt = time.Time{}
 	event.StandinRestarted.Log(s.log, slog.String("id", s.settings.ID))
-	s.openPort()
+	s.updatePort()
 }
 
-// openPort opens or closes the port as faults and crash demand.
-func (s *Server) openPort() {
+// updatePort closes the port while the engine is down or crashed, and opens it
+// otherwise.
+func (s *Server) updatePort() {
 	if s.faults.Down || !s.restartAt.IsZero() {
 		s.host.Down()
 		return
@@ -56,11 +59,12 @@
 	}
 }
 
+// thaw ends the frozen fault.
 func (s *Server) thaw() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults.Frozen = false
 	s.clock.thaw()
 	s.host.Thaw()
-	s.nudge()
+	s.wakeDriver()
 }
--- a/internal/standin/engine/cross.go
+++ b/internal/standin/engine/cross.go
@@ -6,19 +6,20 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// foreignPiece returns a piece that belongs to another attempt than g: of the
-// generation that began last, or of one that never was.
-func (s *Server) foreignPiece(g *generation) upstream.Chunk {
+// foreignChunk returns a chunk of another attempt than g's. Without another stream, it
+// returns a chunk of an attempt that does not exist.
+func (s *Server) foreignChunk(g *generation) upstream.Chunk {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, other := range s.streams {
 		if other != g {
-			return other.piece(min(crossBefore, other.tokens))
+			return other.chunk(min(crossedSeq, other.tokens))
 		}
 	}
-	return upstream.Chunk{Attempt: "not-" + g.attempt, Seq: crossBefore, Text: "crossed "}
+	return upstream.Chunk{Attempt: "not-" + g.attempt, Seq: crossedSeq, Text: "crossed "}
 }
 
+// now returns the time on the engine's clock.
 func (s *Server) now() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/engine/doc.go
+++ b/internal/standin/engine/doc.go
@@ -1,5 +1,5 @@
-// Package engine is a small stand-in for a model engine. It speaks HTTP: chat
-// completions as a stream of server-sent events, resume and cancel of streams,
-// load reports, orders, prefix export and import, and cache events. The policy
-// of batching and caching is in package model; here is the shell around it.
+// Package engine is a small stand-in for a model engine with an HTTP interface: chat
+// completions as streams of server-sent events, resume and cancellation of streams,
+// load reports, orders, prefix export and import, and cache events. Package model
+// simulates batching and caching; this package serves it and injects faults.
 package engine
--- a/internal/standin/engine/driver.go
+++ b/internal/standin/engine/driver.go
@@ -6,39 +6,39 @@
 	"github.com/hickorybank/hickorybank/internal/standin/engine/model"
 )
 
-// sweepGap is how often forgotten streams are looked for.
-const sweepGap = time.Second
+// sweepInterval is the longest time between two sweeps of unread streams.
+const sweepInterval = time.Second
 
-// drive is the engine's own duty: it carries the core along with the clock.
-func (s *Server) drive() {
+// runDriver advances the model engine with the clock until the server closes.
+func (s *Server) runDriver() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		select {
 		case <-timer.C:
-		case <-s.kick:
-		case <-s.stop.Done():
+		case <-s.wake:
+		case <-s.baseCtx.Done():
 			return
 		}
-		timer.Reset(s.work())
+		timer.Reset(s.runDue())
 	}
 }
 
-// work does what is due and returns how long nothing more is.
-func (s *Server) work() time.Duration {
+// runDue does the work that is due, and returns the time until more is due.
+func (s *Server) runDue() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.comeBack()
-	s.catchUp()
+	s.restartIfDue()
+	s.advanceModel()
 	if s.clock.frozen {
-		return sweepGap
+		return sweepInterval
 	}
 	s.sweep()
 	return s.untilNext()
 }
 
 func (s *Server) untilNext() time.Duration {
-	wait := min(sweepGap, s.settings.ResumeGrace)
+	wait := min(sweepInterval, s.settings.ResumeGrace)
 	if at, ok := s.engine.Next(); ok {
 		wait = min(wait, at-s.clock.now())
 	}
@@ -48,8 +48,8 @@
 	return max(wait, 0)
 }
 
-// catchUp carries the core to the present and applies what happened.
-func (s *Server) catchUp() {
+// advanceModel advances the model engine to the current time and applies its events.
+func (s *Server) advanceModel() {
 	s.events = s.engine.Advance(s.clock.now(), s.events[:0])
 	for _, ev := range s.events {
 		g := s.running[ev.ID]
@@ -70,8 +70,8 @@
 	case model.Started:
 		s.startRun(g)
 	case model.First, model.Token:
-		g.produce(int(ev.Count), ev.Cached)
-		if g.failAt > 0 && int(ev.Count) >= g.failAt {
+		g.setProduced(int(ev.Count), ev.Cached)
+		if g.failAfter > 0 && int(ev.Count) >= g.failAfter {
 			s.engine.Cancel(ev.At, ev.Ticket)
 			s.finish(g, genFailed, RunFailed)
 		}
@@ -92,28 +92,28 @@
 	g.run = s.runs.start(Run{Attempt: g.attempt, Key: g.key, Version: g.version, Digest: g.digest})
 }
 
-// sweep gives up generations that nobody has read for the grace time, and
-// forgets streams that ended that long ago.
+// sweep cancels generations that have had no reader for the resume grace time, and
+// deletes ended streams that have had none for that time.
 func (s *Server) sweep() {
 	now := s.clock.now()
-	if now-s.swept < min(sweepGap, s.settings.ResumeGrace) {
+	if now-s.lastSweep < min(sweepInterval, s.settings.ResumeGrace) {
 		return
 	}
-	s.swept = now
+	s.lastSweep = now
 	for attempt, g := range s.streams {
-		idle, running := g.unread(now)
+		idle, running := g.idleTime(now)
 		if idle < s.settings.ResumeGrace {
 			continue
 		}
 		if running {
-			s.giveUp(g)
+			s.cancelGeneration(g)
 		}
 		delete(s.streams, attempt)
 	}
 }
 
-// giveUp cancels a generation.
-func (s *Server) giveUp(g *generation) {
+// cancelGeneration cancels a generation in the model engine and ends its run.
+func (s *Server) cancelGeneration(g *generation) {
 	s.engine.Cancel(s.clock.now(), g.ticket)
 	s.finish(g, genCancelled, RunCancelled)
 }
--- a/internal/standin/engine/fault_test.go
+++ b/internal/standin/engine/fault_test.go
@@ -13,17 +13,17 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// One request crashes the engine that runs it: every stream breaks, the port
-// refuses, and the engine comes back with nothing but what it started with.
-func TestMarkedRequestCrashes(t *testing.T) {
+// A request with the crash marker crashes the engine. Every stream must break, the port
+// must refuse connections, and the engine must restart in its initial state.
+func TestCrashMarkerCrashesEngine(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	r := newRig(t, engine.Settings{TokenGap: never, TokensPerAnswer: 1_000_000, BatchLimit: 4, HonourFence: true})
+	r := newRig(t, engine.Settings{TokenGap: longDuration, TokensPerAnswer: 1_000_000, BatchLimit: 4, HonourFence: true})
 	is.NoErr(r.client.Order(ctx, r.server.Addr(), order(9, upstream.LoadVersion, "v2")))
 	r.faults(t, func(f *engine.Faults) {
 		f.CrashMarker = "poison"
-		f.RestartMillis = never.Milliseconds()
-		f.SlowFactor = 1e-6 // steps short enough for the marked request to join
+		f.RestartMillis = longDuration.Milliseconds()
+		f.SlowFactor = 1e-6 // makes steps short enough for the marked request to join
 	})
 	before, err := r.client.Load(ctx, r.server.Addr())
 	is.NoErr(err)
@@ -56,14 +56,14 @@
 	is.True(errors.Is(err, upstream.ErrUnknownStream))
 }
 
-// A caller gives up on a frozen engine; the engine runs the request after the
-// thaw all the same.
-func TestFrozenEngineRunsLate(t *testing.T) {
+// A caller gives up on a frozen engine. The engine must still run the request after the
+// thaw.
+func TestFrozenEngineRunsRequestAfterThaw(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, engine.Settings{})
 	r.faults(t, func(f *engine.Faults) { f.Frozen = true })
 	reach := upstream.NotSent
-	// On a busy machine a short limit may pass before the request is sent.
+	// On a busy machine a short timeout can expire before the request is sent.
 	for limit := 20 * time.Millisecond; reach == upstream.NotSent; limit *= 2 {
 		ctx, cancel := context.WithTimeout(context.Background(), limit)
 		_, err := r.client.Start(ctx, r.server.Addr(), attempt("a", "v1", "x"))
@@ -76,8 +76,8 @@
 	waitFor(t, "the run is done", func() bool { return r.server.Counts().Completed == 1 })
 }
 
-// An engine that cannot be reached goes on with what it runs.
-func TestDownEngineGoesOn(t *testing.T) {
+// An engine that cannot be reached must continue its generations.
+func TestDownEngineContinuesGenerations(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	r := newRig(t, engine.Settings{TokensPerAnswer: 3})
@@ -91,12 +91,12 @@
 	r.faults(t, func(f *engine.Faults) { f.Down, f.SlowFactor = false, 1 })
 	st, err = r.client.Resume(ctx, r.server.Addr(), "a", 0)
 	is.NoErr(err)
-	pieces, err := readAll(st)
+	chunks, err := readAll(st)
 	is.NoErr(err)
-	is.Equal(len(pieces), 3)
+	is.Equal(len(chunks), 3)
 }
 
-// Closing an engine that streams: the stream ends whole.
+// Close during a stream must wait until the stream is complete.
 func TestCloseFinishesStreams(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, engine.Settings{TokensPerAnswer: 50, TokenGap: time.Millisecond})
@@ -105,9 +105,9 @@
 	is.NoErr(err)
 	closed := make(chan error)
 	go func() { closed <- r.server.Close(context.Background()) }()
-	pieces, err := readAll(st)
+	chunks, err := readAll(st)
 	is.NoErr(err)
-	is.Equal(len(pieces), 49)
+	is.Equal(len(chunks), 49)
 	is.NoErr(<-closed)
 }
 
@@ -119,7 +119,7 @@
 	is.NoErr(port.Change(ctx, json.RawMessage(`{"crash_marker":"poison","bad_versions":[{"version":"v1","error_rate":1}]}`), nil))
 	var f engine.Faults
 	is.NoErr(port.Change(ctx, json.RawMessage(`{"cut_streams":2}`), &f))
-	is.Equal(f.CrashMarker, "poison") // what a change does not name stays
+	is.Equal(f.CrashMarker, "poison") // not in the change, so unchanged
 	is.Equal(f.CutStreams, 2)
 	is.Equal(f.LoadLagMillis, int64(250))
 	is.Equal(len(f.BadVersions), 1)
@@ -141,7 +141,8 @@
 	is.True(port.Get(ctx, "/runs?after=x", &page) != nil)
 }
 
-// The engine does not hide it when a router sends an attempt twice.
+// An attempt that is sent twice must have two runs, so that tests can detect the
+// duplicate.
 func TestAttemptSentTwiceRunsTwice(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, engine.Settings{})
--- a/internal/standin/engine/faultport.go
+++ b/internal/standin/engine/faultport.go
@@ -20,7 +20,7 @@
 	}.Routes()
 }
 
-// Faults returns the present faults.
+// Faults returns a copy of the current faults.
 func (s *Server) Faults() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -29,8 +29,8 @@
 	return f
 }
 
-// ChangeFaults lets change edit the faults, and puts the result into effect
-// unless change or the check of the result fails.
+// ChangeFaults calls change with a copy of the current faults and applies the result. It
+// applies nothing and returns the error if change or the validation fails.
 func (s *Server) ChangeFaults(change func(*Faults) error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -42,13 +42,13 @@
 	if err := f.Validate(); err != nil {
 		return err
 	}
-	s.catchUp()
-	s.putFaults(f)
+	s.advanceModel()
+	s.applyFaults(f)
 	event.StandinFaults.Log(s.log, slog.String("id", s.settings.ID), slog.Any("faults", f))
 	return nil
 }
 
-func (s *Server) putFaults(f Faults) {
+func (s *Server) applyFaults(f Faults) {
 	if f.SlowFactor != s.faults.SlowFactor {
 		s.engine.SetSlow(f.SlowFactor)
 	}
@@ -60,8 +60,8 @@
 	}
 	s.setFrozen(f.Frozen)
 	s.faults = f
-	s.openPort()
-	s.nudge()
+	s.updatePort()
+	s.wakeDriver()
 }
 
 func (s *Server) setFrozen(frozen bool) {
@@ -77,14 +77,14 @@
 	s.host.Thaw()
 }
 
-// Runs returns the runs from number after on.
+// Runs returns the runs from the index after, counted from 0.
 func (s *Server) Runs(after int) RunPage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.runs.page(after)
 }
 
-// Counts returns what the engine has done so far.
+// Counts returns the engine's counters since its start.
 func (s *Server) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/engine/faults.go
+++ b/internal/standin/engine/faults.go
@@ -11,47 +11,50 @@
 
 const (
 	defaultRestart = time.Second
-	maxSlow        = 10_000
+	maxSlowFactor  = 10_000
 )
 
-// Faults is what goes wrong with the engine. The fault port reads and changes
-// it.
+// Faults configures the faults of the engine. The fault port reads and changes them.
 type Faults struct {
-	// SlowFactor makes every step so many times as long; 1 is no fault.
+	// SlowFactor multiplies the time of every step; 1 means no fault. It must be above
+	// 0 and at most 10,000.
 	SlowFactor float64 `json:"slow_factor"`
-	// Down refuses connections and breaks the present ones; generations go on.
+	// Down refuses connections and closes the open ones. Generations continue.
 	Down bool `json:"down"`
-	// Frozen accepts connections and does nothing; what came meanwhile runs
-	// after the thaw.
+	// Frozen accepts connections but processes nothing. Requests that arrive meanwhile
+	// run after the thaw.
 	Frozen bool `json:"frozen"`
-	// Leaving takes no new work and says so; what runs is finished.
+	// Leaving refuses new requests and announces that the engine leaves. Running
+	// requests are finished.
 	Leaving bool `json:"leaving"`
-	// Said is what it says of itself beside that.
+	// Said is the other status that the engine announces in its answers.
 	host.Said
-	// CrashMarker crashes the engine when it runs a request whose body
-	// contains it; empty is no fault.
+	// CrashMarker crashes the engine when it starts a request whose body contains the
+	// marker. Empty means no fault.
 	CrashMarker string `json:"crash_marker"`
-	// RestartMillis is how long the engine is away after a crash. It comes
-	// back as at its start: without streams, cache, fencing number or orders.
-	// A change during a crash counts from then.
+	// RestartMillis is the time from a crash to the restart, in milliseconds. The engine
+	// restarts in its initial state: without streams, cache and fencing number, and with
+	// the configured versions. A change during a crash restarts the time.
 	RestartMillis int64 `json:"restart_ms"`
-	// BadVersions fail in the middle of some of their answers.
+	// BadVersions are versions that fail in the middle of some of their answers.
 	BadVersions []BadVersion `json:"bad_versions"`
-	// CutStreams is how many of the next streams are cut after CutAfter
-	// pieces; the generation goes on and can be resumed. It counts down.
+	// CutStreams is how many of the next streams are cut after CutAfter chunks. The
+	// generation continues and its stream can be resumed. Each cut decrements it.
 	CutStreams int `json:"cut_streams"`
-	CutAfter   int `json:"cut_after"`
-	// CrossStreams is how many of the next streams carry a piece of another
-	// attempt before their second piece. It counts down.
+	// CutAfter is the number of chunks that a cut stream sends.
+	CutAfter int `json:"cut_after"`
+	// CrossStreams is how many of the next streams contain a chunk of another attempt
+	// before their second chunk. Each such stream decrements it.
 	CrossStreams int `json:"cross_streams"`
-	// LoadLagMillis is how old load reports are.
+	// LoadLagMillis is the age of load reports, in milliseconds.
 	LoadLagMillis int64 `json:"load_lag_ms"`
 }
 
-// BadVersion is a version that has gone bad.
+// BadVersion is a version that fails in some of its answers.
 type BadVersion struct {
+	// Version is the name of the version.
 	Version string `json:"version"`
-	// ErrorRate in [0,1] is the share of its answers that fail.
+	// ErrorRate is the fraction of the version's answers that fail, 0 to 1.
 	ErrorRate float64 `json:"error_rate"`
 }
 
@@ -64,14 +67,14 @@
 	}
 }
 
-// Validate reports the first value that cannot be used.
+// Validate returns an error that names the first invalid field.
 func (f Faults) Validate() error {
 	if err := f.Said.Validate(); err != nil {
 		return err
 	}
 	switch {
-	case !(f.SlowFactor > 0 && f.SlowFactor <= maxSlow):
-		return eris.Errorf("slow_factor: %v is not in (0, %d]", f.SlowFactor, maxSlow)
+	case !(f.SlowFactor > 0 && f.SlowFactor <= maxSlowFactor):
+		return eris.Errorf("slow_factor: %v is not in (0, %d]", f.SlowFactor, maxSlowFactor)
 	case f.RestartMillis < 0:
 		return eris.New("restart_ms: is negative")
 	case f.CutStreams < 0, f.CutAfter < 0, f.CrossStreams < 0:
@@ -87,10 +90,10 @@
 	return nil
 }
 
-// merge reads JSON over the faults; fields that it does not name stay.
+// merge decodes JSON into the faults. Fields that are not in the body keep their values.
 func (f *Faults) merge(body []byte) error {
 	versions := f.BadVersions
-	f.BadVersions = nil // JSON would merge its elements into the old ones
+	f.BadVersions = nil // otherwise the decoder would reuse the old elements
 	if err := host.Decode(bytes.NewReader(body), f); err != nil {
 		return err
 	}
@@ -100,7 +103,7 @@
 	return nil
 }
 
-// errorRate is the share of the version's answers that fail.
+// errorRate returns the fraction of the version's answers that fail.
 func (f Faults) errorRate(version string) float64 {
 	for _, b := range f.BadVersions {
 		if b.Version == version {
@@ -110,14 +113,14 @@
 	return 0
 }
 
-// streamFaults is what goes wrong with one stream.
+// streamFaults are the faults of one stream.
 type streamFaults struct {
 	cut      bool
 	cutAfter int
 	cross    bool
 }
 
-// takeStream counts the faults of the next streams down.
+// takeStream returns the faults of the next stream and decrements their counts.
 func (f *Faults) takeStream() streamFaults {
 	var s streamFaults
 	if f.CutStreams > 0 {
--- a/internal/standin/engine/generation.go
+++ b/internal/standin/engine/generation.go
@@ -9,21 +9,21 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// genState is where a generation stands.
+// genState is the state of a generation.
 type genState uint8
 
 const (
 	genRunning genState = iota
 	genDone
 	genCancelled
-	// genFailed: the version went bad in the middle of the answer.
+	// genFailed means that the version failed in the middle of the answer.
 	genFailed
-	// genLost: the engine crashed.
+	// genLost means that the engine crashed.
 	genLost
 )
 
-// generation is one attempt. Its pieces follow from its fields, so that it
-// keeps only how many there are.
+// generation is the execution of one attempt. Its chunks are computed from its fields,
+// so it stores only their number.
 type generation struct {
 	id      uint64
 	attempt string
@@ -32,14 +32,14 @@
 	digest  string
 	tokens  int
 	input   int
-	// cutShort says that the request asked for fewer tokens than the answer has.
+	// cutShort is true if the request limits the answer to fewer tokens than it has.
 	cutShort bool
-	// crashes says that running it crashes the engine.
+	// crashes is true if the engine crashes when it starts the generation.
 	crashes bool
-	// failAt is the piece after which the version fails; 0 is never.
-	failAt int
-	ticket model.Ticket
-	// run is the number of its run, or none before it has started.
+	// failAfter is the number of the chunk after which the version fails; 0 means never.
+	failAfter int
+	ticket    model.Ticket
+	// run is the index of its run, or noRun before the start.
 	run int
 
 	mu       sync.Mutex
@@ -51,19 +51,19 @@
 	idleSince time.Duration
 }
 
-// none is the run number of a generation that has not started.
-const none = -1
+// noRun is the run index of a generation that has not started.
+const noRun = -1
 
-// produce says that so many pieces exist by now.
-func (g *generation) produce(count int, cached bool) {
+// setProduced sets the number of chunks that exist.
+func (g *generation) setProduced(count int, cached bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.produced = count
 	g.cached = cached
-	g.wake()
+	g.wakeReaders()
 }
 
-// end ends the generation, unless it has ended before.
+// end ends the generation. It reports false if the generation has already ended.
 func (g *generation) end(now time.Duration, state genState) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -72,11 +72,11 @@
 	}
 	g.state = state
 	g.idleSince = now
-	g.wake()
+	g.wakeReaders()
 	return true
 }
 
-func (g *generation) wake() {
+func (g *generation) wakeReaders() {
 	for _, r := range g.readers {
 		select {
 		case r <- struct{}{}:
@@ -85,8 +85,9 @@
 	}
 }
 
-// follow returns a channel that has a token when there may be more to read.
-func (g *generation) follow() chan struct{} {
+// subscribe adds a reader. The returned channel receives a value when chunks or the
+// state may have changed.
+func (g *generation) subscribe() chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	r := make(chan struct{}, 1)
@@ -94,7 +95,7 @@
 	return r
 }
 
-func (g *generation) unfollow(now time.Duration, r chan struct{}) {
+func (g *generation) unsubscribe(now time.Duration, r chan struct{}) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for i, other := range g.readers {
@@ -106,9 +107,9 @@
 	g.idleSince = max(g.idleSince, now)
 }
 
-// view returns how many pieces there are and where the generation stands. The
-// last piece counts only once the generation is done.
-func (g *generation) view() (produced int, state genState) {
+// progress returns the number of chunks and the state of the generation. The last chunk
+// counts only once the generation is done.
+func (g *generation) progress() (produced int, state genState) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	produced = g.produced
@@ -118,8 +119,8 @@
 	return produced, g.state
 }
 
-// unread reports for how long nobody has read, and whether it still runs.
-func (g *generation) unread(now time.Duration) (idle time.Duration, running bool) {
+// idleTime returns how long the generation has had no reader, and whether it is running.
+func (g *generation) idleTime(now time.Duration) (idle time.Duration, running bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if len(g.readers) > 0 {
@@ -128,8 +129,8 @@
 	return now - g.idleSince, g.state == genRunning
 }
 
-// piece returns the piece with this number, counted from 1.
-func (g *generation) piece(seq int) upstream.Chunk {
+// chunk returns the chunk with a sequence number, counted from 1.
+func (g *generation) chunk(seq int) upstream.Chunk {
 	c := upstream.Chunk{Attempt: g.attempt, Seq: seq}
 	if seq == 1 {
 		c.Text = FirstText(g.version, g.digest, g.attempt)
--- a/internal/standin/engine/notrun_test.go
+++ b/internal/standin/engine/notrun_test.go
@@ -16,14 +16,15 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// verdicts collects what the client said of each attempt.
-type verdicts struct {
+// results collects the result that the client returns for each attempt: complete answers
+// in whole, errors in reach.
+type results struct {
 	mu    sync.Mutex
 	whole map[string]bool
 	reach map[string]upstream.Reach
 }
 
-func (v *verdicts) note(id string, err error) {
+func (v *results) record(id string, err error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	var e *upstream.Error
@@ -34,28 +35,28 @@
 	}
 }
 
-// A request is called "not run" and has run. The engine goes down, crashes,
-// leaves, freezes and cuts streams under many requests at a time, so that some
-// fail at every point of their way. None that is called not sent or declined
-// may have a run, a whole answer has one, and none has two.
-func TestNotRunIsTrueUnderFaults(t *testing.T) {
+// The client reports a request as not run although it has run. The engine goes down,
+// crashes, leaves, freezes and cuts streams under many concurrent requests, so that
+// requests fail at every stage. An attempt reported as not sent or declined must have no
+// run, a complete answer must have one, and no attempt may have two.
+func TestNotRunErrorsHoldUnderFaults(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, engine.Settings{BatchLimit: 8, TokensPerAnswer: 4, TokenGap: 100 * time.Microsecond})
-	v := &verdicts{whole: make(map[string]bool), reach: make(map[string]upstream.Reach)}
+	v := &results{whole: make(map[string]bool), reach: make(map[string]upstream.Reach)}
 	var wg conc.WaitGroup
 	done := make(chan struct{})
 	for w := range 8 {
 		wg.Go(func() {
 			for n := range 250 {
-				r.one(v, fmt.Sprintf("%d-%d", w, n), n%50 == 49)
+				r.sendAttempt(v, fmt.Sprintf("%d-%d", w, n), n%50 == 49)
 			}
 		})
 	}
-	var faulty conc.WaitGroup
-	faulty.Go(func() { r.misbehave(t, done) })
+	var injector conc.WaitGroup
+	injector.Go(func() { r.injectFaults(t, done) })
 	wg.Wait()
 	close(done)
-	faulty.Wait()
+	injector.Wait()
 	runs := make(map[string]int)
 	for _, run := range r.server.Runs(0).Runs {
 		runs[run.Attempt]++
@@ -72,8 +73,8 @@
 	t.Logf("whole %d, failed %d, %+v", len(v.whole), len(v.reach), r.server.Counts())
 }
 
-// one sends an attempt; a caller gives up on a frozen engine.
-func (r *rig) one(v *verdicts, id string, poison bool) {
+// sendAttempt sends an attempt and records its result. It times out on a frozen engine.
+func (r *rig) sendAttempt(v *results, id string, poison bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
 	prompt := "x"
@@ -84,11 +85,11 @@
 	if err == nil {
 		_, err = readAll(st)
 	}
-	v.note(id, err)
+	v.record(id, err)
 }
 
-// misbehave changes the engine's faults by a fixed series until done.
-func (r *rig) misbehave(t *testing.T, done <-chan struct{}) {
+// injectFaults changes the engine's faults in a fixed pseudo-random sequence until done.
+func (r *rig) injectFaults(t *testing.T, done <-chan struct{}) {
 	for n := uint64(0); ; n++ {
 		select {
 		case <-done:
--- a/internal/standin/engine/order_test.go
+++ b/internal/standin/engine/order_test.go
@@ -17,10 +17,10 @@
 	return upstream.Order{Fence: fence, Action: action, Version: version}
 }
 
-// A version that was rolled out disappears: a roll-out driver that was paused
-// past its lease wakes and sends its old order. An engine that honours fencing
-// numbers refuses it; one that ignores them does it.
-func TestLateOrder(t *testing.T) {
+// A roll-out driver that was paused past its lease resumes and sends an outdated order,
+// which would unload a version that was rolled out meanwhile. An engine that honours
+// fencing numbers must refuse the order; one that ignores them carries it out.
+func TestOrderWithOldFence(t *testing.T) {
 	for _, honour := range []bool{true, false} {
 		is := is.New(t)
 		ctx := context.Background()
@@ -40,9 +40,9 @@
 	}
 }
 
-// A version is unloaded under traffic: what runs is finished, new work is
+// A version is unloaded under traffic. Running requests must be finished and new ones
 // declined.
-func TestUnloadedVersionFinishesItsWork(t *testing.T) {
+func TestUnloadFinishesRunningRequests(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	r := newRig(t, engine.Settings{TokensPerAnswer: 3})
@@ -52,14 +52,14 @@
 	_, err := r.client.Start(ctx, r.server.Addr(), attempt("b", "v1", "x"))
 	is.True(errors.Is(err, upstream.ErrUnknownVersion))
 	r.faults(t, func(f *engine.Faults) { f.SlowFactor = 1 })
-	pieces, err := readAll(st)
+	chunks, err := readAll(st)
 	is.NoErr(err)
-	is.Equal(len(pieces), 3)
+	is.Equal(len(chunks), 3)
 }
 
-// A load takes as long as the weight store needs; until then the engine says
-// that it is loading and declines the version.
-func TestLoadIsPacedByTheWeightStore(t *testing.T) {
+// Until the weight store has delivered the weights, the engine must report the version as
+// loading and decline its requests. A failed download must end the load.
+func TestLoadWaitsForWeights(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	release := make(chan struct{})
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -18,7 +18,7 @@
 		host.Decline(w, http.StatusBadRequest, "order: "+err.Error())
 		return
 	}
-	control, verdict := s.take(o)
+	control, verdict := s.applyOrder(o)
 	attrs := []slog.Attr{slog.String("id", s.settings.ID), slog.Any("order", o)}
 	switch verdict {
 	case model.Stale:
@@ -36,15 +36,16 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (s *Server) take(o upstream.Order) (*model.Control, model.Verdict) {
+func (s *Server) applyOrder(o upstream.Order) (*model.Control, model.Verdict) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.abortIfCrashed()
 	return s.control, s.control.Take(o)
 }
 
-// fetch gets the version's weights. A crash in between replaces the control,
-// and the weights are of no use then.
+// fetch downloads the version's weights in the background and reports the result to
+// control. If the engine crashes meanwhile, control is no longer in use and the result
+// has no effect.
 func (s *Server) fetch(control *model.Control, version string) {
 	if s.weights.instant() {
 		s.mu.Lock()
@@ -53,7 +54,7 @@
 		return
 	}
 	s.tasks.Go(func() {
-		err := s.weights.fetch(s.stop, version)
+		err := s.weights.fetch(s.baseCtx, version)
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if err == nil {
--- a/internal/standin/engine/prompt.go
+++ b/internal/standin/engine/prompt.go
@@ -9,10 +9,10 @@
 	"github.com/rotisserie/eris"
 )
 
-// digestLength is how many hex digits of the SHA-256 an answer carries.
+// digestLength is the number of hex digits in a digest.
 const digestLength = 16
 
-// chatRequest is the part of a chat completion request that the stand-in reads.
+// chatRequest holds the fields of a chat completion request that the stand-in uses.
 type chatRequest struct {
 	Model     string        `json:"model"`
 	Messages  []chatMessage `json:"messages"`
@@ -28,23 +28,23 @@
 	Text string `json:"text"`
 }
 
-// Digest returns the digits by which an answer names the prompt it belongs to:
-// the start of the SHA-256 of the last user message's text.
+// Digest returns the identifier of a prompt in answers and runs: the first 16 hex digits
+// of the SHA-256 of content, the text of the last user message.
 func Digest(content string) string {
 	sum := sha256.Sum256([]byte(content))
 	return hex.EncodeToString(sum[:])[:digestLength]
 }
 
-// FirstText returns the first piece of the answer of version, as attempt, to a
-// prompt with the given digest.
+// FirstText returns the text of the first chunk of an answer. It contains the version,
+// the digest of the prompt and the attempt ID.
 func FirstText(version, digest, attempt string) string {
 	return fmt.Sprintf("[%s %s %s] ", version, digest, attempt)
 }
 
-// charsPerToken is the usual rule of thumb for English text.
+// charsPerToken is the common estimate for English text.
 const charsPerToken = 4
 
-// inputTokens estimates the length of the prompt.
+// inputTokens estimates the length of the prompt in tokens.
 func (r chatRequest) inputTokens() int {
 	n := 0
 	for _, m := range r.Messages {
@@ -67,7 +67,8 @@
 	return req, nil
 }
 
-// lastUser returns the text of the last user message, or of the last message.
+// lastUser returns the text of the last user message, or of the last message if there is
+// no user message.
 func (r chatRequest) lastUser() string {
 	for i := len(r.Messages) - 1; i >= 0; i-- {
 		if r.Messages[i].Role == "user" {
@@ -77,7 +78,8 @@
 	return r.Messages[len(r.Messages)-1].text()
 }
 
-// text joins the parts of a content that is a string or a list of parts.
+// text returns the content as one string. A list of parts is concatenated; any other
+// content is returned as raw JSON.
 func (m chatMessage) text() string {
 	var s string
 	if json.Unmarshal(m.Content, &s) == nil {
--- a/internal/standin/engine/refuse_test.go
+++ b/internal/standin/engine/refuse_test.go
@@ -12,9 +12,9 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// A leaving engine takes no new work, says so in its load report, and finishes
-// what it runs.
-func TestLeavingFinishesItsWork(t *testing.T) {
+// A leaving engine must decline new requests, report that it leaves, and finish running
+// requests.
+func TestLeavingEngineFinishesRunningRequests(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	r := newRig(t, engine.Settings{TokensPerAnswer: 3})
@@ -37,8 +37,8 @@
 
 func TestFullQueueDeclines(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, engine.Settings{TokenGap: never})
-	for i := range 17 { // one runs and sixteen wait
+	r := newRig(t, engine.Settings{TokenGap: longDuration})
+	for i := range 17 { // 1 in the batch and 16 in the queue
 		r.start(t, attempt(fmt.Sprint("a", i), "v1", "x"))
 	}
 	waitFor(t, "all but one wait", func() bool {
@@ -51,7 +51,7 @@
 	is.Equal(r.server.Counts().Started, 1)
 }
 
-// A malformed attempt does not run, and the engine says so.
+// A malformed attempt must not run, and its answer must say so.
 func TestMalformedAttemptsAreDeclined(t *testing.T) {
 	r := newRig(t, engine.Settings{})
 	cases := map[string]upstream.Attempt{
@@ -76,15 +76,15 @@
 	is := is.New(t)
 	r := newRig(t, engine.Settings{TokensPerAnswer: 4})
 	body := `{"model":"v1","max_tokens":2,"messages":[{"role":"user","content":[{"type":"text","text":"hel"},{"type":"text","text":"lo"}]},{"role":"assistant","content":"x"}]}`
-	pieces, err := readAll(r.start(t, upstream.Attempt{ID: "a", Body: []byte(body)}))
+	chunks, err := readAll(r.start(t, upstream.Attempt{ID: "a", Body: []byte(body)}))
 	is.NoErr(err)
-	is.Equal(len(pieces), 2)
-	is.Equal(pieces[0].Text, engine.FirstText("v1", engine.Digest("hello"), "a"))
-	is.Equal(pieces[1].FinishReason, "length")
-	is.Equal(pieces[1].Usage.OutputTokens, 2)
+	is.Equal(len(chunks), 2)
+	is.Equal(chunks[0].Text, engine.FirstText("v1", engine.Digest("hello"), "a"))
+	is.Equal(chunks[1].FinishReason, "length")
+	is.Equal(chunks[1].Usage.OutputTokens, 2)
 }
 
-func TestSettingsAreChecked(t *testing.T) {
+func TestSettingsValidate(t *testing.T) {
 	is := is.New(t)
 	good := engine.Settings{Listen: "127.0.0.1:0", BatchLimit: 1, TokensPerAnswer: 1}
 	is.NoErr(good.Validate())
--- a/internal/standin/engine/rig_test.go
+++ b/internal/standin/engine/rig_test.go
@@ -16,11 +16,11 @@
 	"github.com/hickorybank/hickorybank/internal/upstream/client"
 )
 
-// ample is longer than anything a test waits for.
-const ample = 30 * time.Second
+// waitTimeout bounds every wait of a test.
+const waitTimeout = 30 * time.Second
 
-// never is a time that no test lives to see.
-const never = time.Hour
+// longDuration is longer than any test runs.
+const longDuration = time.Hour
 
 // rig is one engine with a client.
 type rig struct {
@@ -50,7 +50,7 @@
 	return r
 }
 
-// close cuts whatever still runs.
+// close closes the engine and the client, and cuts open streams.
 func (r *rig) close() {
 	cut, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -73,19 +73,19 @@
 	return st
 }
 
-// readAll returns the pieces until the last one or an error, and closes.
+// readAll returns the chunks up to the last one or an error, and closes the stream.
 func readAll(st upstream.Stream) ([]upstream.Chunk, error) {
 	defer func() { _ = st.Close() }()
-	var pieces []upstream.Chunk
+	var chunks []upstream.Chunk
 	for {
 		c, err := st.Next()
 		if err == io.EOF {
-			return pieces, nil
+			return chunks, nil
 		}
 		if err != nil {
-			return pieces, err
+			return chunks, err
 		}
-		pieces = append(pieces, c)
+		chunks = append(chunks, c)
 	}
 }
 
@@ -100,15 +100,15 @@
 	}
 }
 
-// waitFor waits until the condition holds.
-func waitFor(t testing.TB, what string, holds func() bool) {
+// waitFor polls until holds returns true. The test fails after waitTimeout.
+func waitFor(t testing.TB, condition string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(ample); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if holds() {
 			return
 		}
 	}
-	t.Fatal("in vain: " + what)
+	t.Fatal("timed out waiting for: " + condition)
 }
 
 func reachOf(t testing.TB, err error) upstream.Reach {
--- a/internal/standin/engine/routes.go
+++ b/internal/standin/engine/routes.go
@@ -27,7 +27,7 @@
 	return host.Saying(r, s.said, isWork, refuse)
 }
 
-// said is what the engine says of itself in its answers now.
+// said returns the status that the engine currently announces in its answers.
 func (s *Server) said() (said host.Said, leaving bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/engine/run.go
+++ b/internal/standin/engine/run.go
@@ -1,48 +1,62 @@
 package engine
 
-// RunState is what became of a run.
+// RunState is the state of a [Run].
 type RunState string
 
-// The states of a run.
 const (
-	RunRunning   RunState = "running"
+	// RunRunning means that the run has not ended.
+	RunRunning RunState = "running"
+	// RunCompleted means that the whole answer was produced.
 	RunCompleted RunState = "completed"
+	// RunCancelled means that the run was cancelled by a request or for lack of readers.
 	RunCancelled RunState = "cancelled"
-	// RunFailed: the version went bad in the middle of the answer.
+	// RunFailed means that the version failed in the middle of the answer.
 	RunFailed RunState = "failed"
-	// RunLost: the engine crashed.
+	// RunLost means that the engine crashed during the run.
 	RunLost RunState = "lost"
 )
 
-// Run is one execution that the engine has begun. The engine never
-// deduplicates: an attempt that came twice has two runs.
+// Run is one execution that the engine has started. The engine does not deduplicate: an
+// attempt that arrives twice has two runs.
 type Run struct {
+	// Attempt is the attempt ID.
 	Attempt string `json:"attempt"`
-	// Key is the request's Idempotency-Key, if it bore one.
-	Key     string `json:"key,omitempty"`
+	// Key is the request's Idempotency-Key, or empty.
+	Key string `json:"key,omitempty"`
+	// Version is the version that runs the request.
 	Version string `json:"version"`
-	// Digest is that of the prompt; it does not depend on the organisation.
-	Digest string   `json:"digest"`
-	State  RunState `json:"state"`
+	// Digest is the [Digest] of the prompt. It does not depend on the organisation.
+	Digest string `json:"digest"`
+	// State is the current state.
+	State RunState `json:"state"`
 }
 
-// RunPage is a part of the list of runs. Start the next part at After + len(Runs).
+// RunPage is a part of the list of runs. The next part starts at After + len(Runs).
 type RunPage struct {
-	After int   `json:"after"`
-	Total int   `json:"total"`
-	Runs  []Run `json:"runs"`
+	// After is the index of the first run in Runs.
+	After int `json:"after"`
+	// Total is the number of all runs.
+	Total int `json:"total"`
+	// Runs are the runs in the order of their starts.
+	Runs []Run `json:"runs"`
 }
 
-// Counts counts what an engine has done since its start, over all crashes.
+// Counts are the counters of an engine since its start. Crashes do not reset them.
 type Counts struct {
-	Started   int `json:"started"`
+	// Started counts all runs.
+	Started int `json:"started"`
+	// Completed counts runs in state [RunCompleted].
 	Completed int `json:"completed"`
+	// Cancelled counts runs in state [RunCancelled].
 	Cancelled int `json:"cancelled"`
-	Failed    int `json:"failed"`
-	Lost      int `json:"lost"`
-	// Declined counts requests that were turned away and did not run.
+	// Failed counts runs in state [RunFailed].
+	Failed int `json:"failed"`
+	// Lost counts runs in state [RunLost].
+	Lost int `json:"lost"`
+	// Declined counts requests that were refused and did not run.
 	Declined int `json:"declined"`
-	Crashes  int `json:"crashes"`
+	// Crashes counts crashes.
+	Crashes int `json:"crashes"`
 }
 
 func (c *Counts) add(state RunState) {
@@ -60,8 +74,8 @@
 	}
 }
 
-// runLog keeps every run. It outlives crashes, since it is the test's record
-// and not the engine's.
+// runLog records every run. It survives crashes, because it is a record for tests and
+// not part of the simulated engine.
 type runLog struct {
 	runs   []Run
 	counts Counts
@@ -75,7 +89,7 @@
 }
 
 func (l *runLog) end(n int, state RunState) {
-	if n == none || l.runs[n].State != RunRunning {
+	if n == noRun || l.runs[n].State != RunRunning {
 		return
 	}
 	l.runs[n].State = state
--- a/internal/standin/engine/send.go
+++ b/internal/standin/engine/send.go
@@ -11,8 +11,9 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// crossBefore is the piece before which a crossed answer's piece is sent.
-const crossBefore = 2
+// crossedSeq is the sequence number of the chunk before which the cross fault sends a
+// chunk of another attempt.
+const crossedSeq = 2
 
 func (s *Server) resume(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 	seq, err := strconv.Atoi(r.URL.Query().Get("after"))
@@ -42,17 +43,17 @@
 		http.Error(w, "stream is unknown", http.StatusNotFound)
 		return
 	}
-	s.giveUp(g)
-	s.nudge()
+	s.cancelGeneration(g)
+	s.wakeDriver()
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// send follows the generation from the piece after seq to its end.
+// send streams the generation's chunks after seq until its end.
 func (s *Server) send(w http.ResponseWriter, r *http.Request, g *generation, seq int, sf streamFaults) {
-	more := g.follow()
-	defer func() { g.unfollow(s.now(), more) }()
+	more := g.subscribe()
+	defer func() { g.unsubscribe(s.now(), more) }()
 	out := newSender(w, s, g, seq, sf)
-	for out.upTo(g.view()) {
+	for out.sendUpTo(g.progress()) {
 		select {
 		case <-more:
 		case <-r.Context().Done():
@@ -64,7 +65,7 @@
 	}
 }
 
-// sender writes the pieces of a generation as server-sent events.
+// sender writes the chunks of a generation as server-sent events.
 type sender struct {
 	server *Server
 	w      http.ResponseWriter
@@ -86,19 +87,19 @@
 	return out
 }
 
-// upTo writes the pieces up to the one numbered produced. It reports whether
-// more may come on this stream.
-func (o *sender) upTo(produced int, state genState) bool {
+// sendUpTo writes the chunks up to the number produced. It reports whether the stream
+// may continue.
+func (o *sender) sendUpTo(produced int, state genState) bool {
 	o.buf.Reset()
 	for o.seq < produced {
 		o.cutIfDue()
-		if o.faults.cross && o.seq+1 >= crossBefore {
+		if o.faults.cross && o.seq+1 >= crossedSeq {
 			o.faults.cross = false
-			o.add(o.server.foreignPiece(o.gen))
+			o.add(o.server.foreignChunk(o.gen))
 		}
 		o.seq++
 		o.sent++
-		o.add(o.gen.piece(o.seq))
+		o.add(o.gen.chunk(o.seq))
 	}
 	o.cutIfDue()
 	if state == genFailed {
@@ -114,7 +115,8 @@
 	return state == genRunning
 }
 
-// cutIfDue breaks the connection once the stream's share of pieces is sent.
+// cutIfDue breaks the connection of a stream with the cut fault once it has sent its
+// number of chunks.
 func (o *sender) cutIfDue() {
 	if !o.faults.cut || o.sent < o.faults.cutAfter {
 		return
@@ -129,7 +131,7 @@
 	o.buf.WriteString(strconv.Itoa(c.Seq))
 	o.buf.WriteString("\ndata: ")
 	if err := o.enc.Encode(c); err != nil { // ends the line
-		panic(err) // a piece is plain strings and numbers
+		panic(err) // cannot happen: a chunk has only strings and numbers
 	}
 	o.buf.WriteByte('\n')
 }
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -12,18 +12,18 @@
 	"github.com/hickorybank/hickorybank/internal/standin/engine/model"
 )
 
-// Server is one stand-in engine.
+// Server is one stand-in engine with its request port and its fault port.
 type Server struct {
 	settings Settings
 	log      *slog.Logger
 	host     *host.Host
 	weights  weightStore
 	tasks    conc.WaitGroup
-	// stop ends the driver and downloads when the server closes.
-	stop context.Context
-	end  context.CancelFunc
-	// kick wakes the driver when there may be something earlier to do.
-	kick chan struct{}
+	// baseCtx is cancelled when the server closes, which ends the driver and downloads.
+	baseCtx    context.Context
+	cancelBase context.CancelFunc
+	// wake wakes the driver when work may be due earlier than it expects.
+	wake chan struct{}
 
 	mu      sync.Mutex
 	clock   clock
@@ -33,41 +33,41 @@
 	streams map[string]*generation
 	running map[uint64]*generation
 	lastID  uint64
-	// epoch tells the engine\'s lives apart.
+	// epoch identifies the time between two restarts in load reports.
 	epoch uint64
 	runs  runLog
-	// restartAt is when a crashed engine comes back; 0 is not crashed.
+	// restartAt is when a crashed engine restarts; zero means that it is not crashed.
 	restartAt time.Time
-	swept     time.Duration
+	lastSweep time.Duration
 	events    []model.Event
 }
 
-// New checks the settings and returns an engine that is not yet listening.
+// New returns an engine that is not yet listening, or an error for invalid settings.
 func New(s Settings, log *slog.Logger) (*Server, error) {
 	if err := s.Validate(); err != nil {
 		return nil, err
 	}
 	s = s.withDefaults()
-	stop, end := context.WithCancel(context.Background())
+	baseCtx, cancelBase := context.WithCancel(context.Background())
 	srv := &Server{
-		settings: s,
-		log:      log,
-		host:     host.New(s.ID, log),
-		weights:  newWeightStore(s.WeightsURL),
-		stop:     stop,
-		end:      end,
-		kick:     make(chan struct{}, 1),
-		clock:    newClock(),
-		faults:   newFaults(s.LoadLag),
+		settings:   s,
+		log:        log,
+		host:       host.New(s.ID, log),
+		weights:    newWeightStore(s.WeightsURL),
+		baseCtx:    baseCtx,
+		cancelBase: cancelBase,
+		wake:       make(chan struct{}, 1),
+		clock:      newClock(),
+		faults:     newFaults(s.LoadLag),
 	}
 	if err := srv.boot(); err != nil {
-		end()
+		cancelBase()
 		return nil, err
 	}
 	return srv, nil
 }
 
-// boot sets up what a fresh process has.
+// boot sets the initial state of a process.
 func (s *Server) boot() error {
 	lag := time.Duration(s.faults.LoadLagMillis) * time.Millisecond
 	e, err := model.New(s.settings.model(lag))
@@ -84,37 +84,37 @@
 	return nil
 }
 
-// Start listens and serves until Close.
+// Start listens and serves until Close. It returns an error if a port cannot be bound.
 func (s *Server) Start() error {
 	if err := s.host.Start(s.settings.Listen, s.routes(), s.settings.FaultListen, s.faultRoutes()); err != nil {
-		s.end()
+		s.cancelBase()
 		return err
 	}
-	s.tasks.Go(s.drive)
+	s.tasks.Go(s.runDriver)
 	return nil
 }
 
 // Addr returns the IP and port for requests.
 func (s *Server) Addr() string { return s.host.Addr() }
 
-// FaultAddr returns the IP and port of the fault port, or "".
+// FaultAddr returns the IP and port of the fault port, or "" without one.
 func (s *Server) FaultAddr() string { return s.host.FaultAddr() }
 
-// Close waits for streams until ctx is done, then cuts them, and releases
-// everything.
+// Close waits for streams until ctx is done, then cuts them, and releases all resources.
+// It returns an error if streams were cut.
 func (s *Server) Close(ctx context.Context) error {
 	s.thaw()
 	err := s.host.Close(ctx)
-	s.end()
+	s.cancelBase()
 	s.tasks.Wait()
 	s.weights.close()
 	return err
 }
 
-// nudge wakes the driver.
-func (s *Server) nudge() {
+// wakeDriver makes the driver check for due work. It does not block.
+func (s *Server) wakeDriver() {
 	select {
-	case s.kick <- struct{}{}:
+	case s.wake <- struct{}{}:
 	default:
 	}
 }
--- a/internal/standin/engine/stream_test.go
+++ b/internal/standin/engine/stream_test.go
@@ -14,36 +14,35 @@
 	"github.com/hickorybank/hickorybank/internal/upstream/client"
 )
 
-// A draft stops in the middle because the connection to the engine breaks. The
-// engine goes on; the stream is resumed from the last piece and ends whole,
-// with one run.
+// The connection to the engine breaks in the middle of an answer. The generation must
+// continue, and the stream resumed after the last chunk must complete it with one run.
 func TestCutStreamIsResumed(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, engine.Settings{TokensPerAnswer: 5})
 	r.faults(t, func(f *engine.Faults) { f.CutStreams, f.CutAfter = 1, 2 })
-	pieces, err := readAll(r.start(t, attempt("a", "v1", "hello")))
+	chunks, err := readAll(r.start(t, attempt("a", "v1", "hello")))
 	is.Equal(reachOf(t, err), upstream.MaybeRun)
-	is.Equal(len(pieces), 2)
+	is.Equal(len(chunks), 2)
 	st, err := r.client.Resume(context.Background(), r.server.Addr(), "a", 2)
 	is.NoErr(err)
 	rest, err := readAll(st)
 	is.NoErr(err)
-	pieces = append(pieces, rest...)
-	is.Equal(len(pieces), 5)
-	for i, c := range pieces {
+	chunks = append(chunks, rest...)
+	is.Equal(len(chunks), 5)
+	for i, c := range chunks {
 		is.Equal(c.Seq, i+1)
 		is.Equal(c.Attempt, "a")
 		is.Equal(c.Done, i == 4)
 	}
-	is.Equal(pieces[0].Text, engine.FirstText("v1", engine.Digest("hello"), "a"))
+	is.Equal(chunks[0].Text, engine.FirstText("v1", engine.Digest("hello"), "a"))
 	is.Equal(r.server.Counts().Started, 1)
 }
 
-// An engine is full of answers that nobody reads: their callers have gone. It
-// gives them up after the grace time, and knows no stream then.
-func TestUnreadGenerationIsGivenUp(t *testing.T) {
+// Callers have disconnected, and the engine would stay full of answers without readers.
+// It must cancel such generations after the grace time and delete their streams.
+func TestUnreadGenerationIsCancelled(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, engine.Settings{TokenGap: never, TokensPerAnswer: 2, ResumeGrace: 10 * time.Millisecond})
+	r := newRig(t, engine.Settings{TokenGap: longDuration, TokensPerAnswer: 2, ResumeGrace: 10 * time.Millisecond})
 	st := r.start(t, attempt("a", "v1", "hello"))
 	waitFor(t, "the run begins", func() bool { return r.server.Counts().Started == 1 })
 	is.NoErr(st.Close())
@@ -52,9 +51,9 @@
 	is.True(errors.Is(err, upstream.ErrUnknownStream))
 }
 
-func TestCancelledStreamNeverEndsWell(t *testing.T) {
+func TestCancelledStreamReturnsError(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, engine.Settings{TokenGap: never, TokensPerAnswer: 2})
+	r := newRig(t, engine.Settings{TokenGap: longDuration, TokensPerAnswer: 2})
 	st := r.start(t, attempt("a", "v1", "hello"))
 	waitFor(t, "the run begins", func() bool { return r.server.Counts().Started == 1 })
 	is.NoErr(r.client.Cancel(context.Background(), r.server.Addr(), "a"))
@@ -65,9 +64,9 @@
 	is.True(errors.Is(err, upstream.ErrUnknownStream))
 }
 
-// A caller reads a piece of somebody else's answer. The client hands it on as
-// it came, so that the router can tell by the attempt.
-func TestCrossedPieceNamesItsAttempt(t *testing.T) {
+// A stream contains a chunk of another attempt. The client must return it unchanged, so
+// that the router can detect it by the attempt ID.
+func TestCrossedChunkKeepsItsAttempt(t *testing.T) {
 	for _, other := range []string{"", "b"} {
 		t.Run("other "+other, func(t *testing.T) {
 			is := is.New(t)
@@ -79,10 +78,10 @@
 				want = other
 			}
 			r.faults(t, func(f *engine.Faults) { f.CrossStreams = 1 })
-			pieces, err := readAll(r.start(t, attempt("a", "v1", "mine")))
+			chunks, err := readAll(r.start(t, attempt("a", "v1", "mine")))
 			is.NoErr(err)
 			var attempts []string
-			for _, c := range pieces {
+			for _, c := range chunks {
 				attempts = append(attempts, c.Attempt)
 			}
 			is.Equal(attempts, []string{"a", want, "a", "a"})
@@ -90,17 +89,17 @@
 	}
 }
 
-// A version goes bad while it serves: its answers break off with an error.
-func TestBadVersionFailsInTheMiddle(t *testing.T) {
+// A version fails while it serves. Its answers must end early with an error.
+func TestBadVersionFailsDuringAnswer(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, engine.Settings{TokensPerAnswer: 8, Versions: []string{"good", "bad"}, BatchLimit: 8})
 	r.faults(t, func(f *engine.Faults) { f.BadVersions = []engine.BadVersion{{Version: "bad", ErrorRate: 1}} })
 	_, err := readAll(r.start(t, attempt("a", "good", "x")))
 	is.NoErr(err)
-	pieces, err := readAll(r.start(t, attempt("b", "bad", "x")))
+	chunks, err := readAll(r.start(t, attempt("b", "bad", "x")))
 	var reported *client.StreamError
 	is.True(errors.As(err, &reported))
-	is.True(len(pieces) < 8)
+	is.True(len(chunks) < 8)
 	is.Equal(r.server.Counts().Failed, 1)
 	r.faults(t, func(f *engine.Faults) { f.BadVersions[0].ErrorRate = 0.5 })
 	failed := 0
@@ -109,10 +108,10 @@
 			failed++
 		}
 	}
-	is.True(failed > 50 && failed < 150) // a fixed series of the seed
+	is.True(failed > 50 && failed < 150) // the sequence is fixed by the seed
 }
 
-// A fresh prompt and one whose prefix came from another engine.
+// A prefix exported by one engine and imported by another must count as cached there.
 func TestPrefixMovesBetweenEngines(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
@@ -120,18 +119,18 @@
 	to := newRig(t, engine.Settings{})
 	a := attempt("a", "v1", "a long prefix with a short end")
 	a.PrefixHash = 0xabc
-	pieces, err := readAll(from.start(t, a))
+	chunks, err := readAll(from.start(t, a))
 	is.NoErr(err)
-	is.Equal(pieces[0].Usage.CachedTokens, 0)
+	is.Equal(chunks[0].Usage.CachedTokens, 0)
 	_, err = to.client.ExportPrefix(ctx, to.server.Addr(), 0xabc)
 	is.True(errors.Is(err, upstream.ErrNotCached))
 	kv, err := from.client.ExportPrefix(ctx, from.server.Addr(), 0xabc)
 	is.NoErr(err)
 	is.NoErr(to.client.ImportPrefix(ctx, to.server.Addr(), 0xabc, kv))
-	is.True(to.client.ImportPrefix(ctx, to.server.Addr(), 0xabd, kv) != nil) // another prefix's
-	pieces, err = readAll(to.start(t, a))
+	is.True(to.client.ImportPrefix(ctx, to.server.Addr(), 0xabd, kv) != nil) // kv is for another prefix
+	chunks, err = readAll(to.start(t, a))
 	is.NoErr(err)
-	is.True(pieces[0].Usage.CachedTokens > 0)
+	is.True(chunks[0].Usage.CachedTokens > 0)
 	waitFor(t, "the cache event is published", func() bool {
 		events, err := to.client.CacheEvents(ctx, to.server.Addr(), 0)
 		is.NoErr(err)
--- a/internal/standin/engine/weights.go
+++ b/internal/standin/engine/weights.go
@@ -6,7 +6,7 @@
 	platformclient "github.com/hickorybank/hickorybank/internal/platform/client"
 )
 
-// weightStore fetches weights from the platform, or takes them as given.
+// weightStore downloads weights from the platform. Its zero value has no platform.
 type weightStore struct{ client *platformclient.Client }
 
 func newWeightStore(baseURL string) weightStore {
@@ -16,7 +16,7 @@
 	return weightStore{client: platformclient.New(baseURL)}
 }
 
-// instant reports that there is nothing to fetch.
+// instant reports whether versions load without a download.
 func (w weightStore) instant() bool { return w.client == nil }
 
 func (w weightStore) fetch(ctx context.Context, version string) error {
