--- a/internal/standin/service/answer.go
+++ b/internal/standin/service/answer.go
@@ -1,12 +1,16 @@
 package service
 
-// Answer is the body of each answer of the stand-in.
+// Answer is the body of the answer to a call that has run.
 type Answer struct {
+	// Service is the configured name of the service.
 	Service string `json:"service"`
-	Path    string `json:"path"`
-	Key     string `json:"key,omitempty"`
-	// Count is how often this key has run on this path, this run included.
+	// Path is the call's path.
+	Path string `json:"path"`
+	// Key is the call's Idempotency-Key, or empty.
+	Key string `json:"key,omitempty"`
+	// Count is the number of runs of calls with the same method, path and key, this run
+	// included.
 	Count int `json:"count"`
-	// Echo is the start of the call's body.
+	// Echo is the start of the call's body, at most 256 bytes.
 	Echo string `json:"echo,omitempty"`
 }
--- a/internal/standin/service/faultport.go
+++ b/internal/standin/service/faultport.go
@@ -10,6 +10,7 @@
 	"github.com/hickorybank/hickorybank/internal/standin/engine/model"
 )
 
+// faultRoutes returns the handler of the fault port.
 func (s *Server) faultRoutes() http.Handler {
 	r := host.FaultPort{
 		Faults: func() any { return s.Faults() },
@@ -23,15 +24,15 @@
 	return r
 }
 
-// Faults returns the present faults.
+// Faults returns the current faults.
 func (s *Server) Faults() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults
 }
 
-// ChangeFaults lets change edit the faults, and puts the result into effect
-// unless change or the check of the result fails.
+// ChangeFaults calls change with a copy of the current faults and applies the result. It
+// applies nothing and returns the error if change or the validation fails.
 func (s *Server) ChangeFaults(change func(*Faults) error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -42,17 +43,17 @@
 	if err := f.Validate(); err != nil {
 		return err
 	}
-	s.putFaults(f)
+	s.applyFaults(f)
 	event.StandinFaults.Log(s.log, slog.String("id", s.settings.ID), slog.Any("faults", f))
 	return nil
 }
 
-func (s *Server) putFaults(f Faults) {
+func (s *Server) applyFaults(f Faults) {
 	old := s.faults
 	s.faults = f
 	if f.LoadLagMillis != old.LoadLagMillis {
 		s.history = model.NewLoadHistory(millis(f.LoadLagMillis))
-		s.note()
+		s.recordLoad()
 	}
 	if f.Frozen {
 		s.host.Freeze()
@@ -60,33 +61,35 @@
 		s.host.Thaw()
 	}
 	if s.crashed && f.RestartMillis != old.RestartMillis {
-		s.wakeRestart()
+		s.notifyRestart()
 	}
-	s.openPort()
+	s.updatePort()
 }
 
-func (s *Server) wakeRestart() {
+// notifyRestart makes restartAfterCrash read the changed restart time. It does not block.
+func (s *Server) notifyRestart() {
 	select {
-	case s.restart <- struct{}{}:
+	case s.restartChanged <- struct{}{}:
 	default:
 	}
 }
 
-// Runs returns the runs from number after on.
+// Runs returns the runs from the index after, counted from 0.
 func (s *Server) Runs(after int) RunPage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.runs.page(after)
 }
 
-// Doubles returns the calls with a key that ran more than once.
+// Doubles returns the calls with an Idempotency-Key that ran more than once, in the order
+// of their first runs.
 func (s *Server) Doubles() []Double {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.runs.doubles()
 }
 
-// Counts returns what the service has done so far.
+// Counts returns the service's counters since its start.
 func (s *Server) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/service/faults.go
+++ b/internal/standin/service/faults.go
@@ -10,30 +10,30 @@
 
 const defaultRestart = time.Second
 
-// Faults is what goes wrong with the service. The fault port reads and changes
-// it.
+// Faults configures the faults of the service. The fault port reads and changes them.
 type Faults struct {
-	// DelayMillis is added to the time that a call takes.
+	// DelayMillis is added to the latency of a call, in milliseconds.
 	DelayMillis int64 `json:"delay_ms"`
-	// Down refuses connections and breaks the present ones; calls go on.
+	// Down refuses connections and closes the open ones. Running calls continue.
 	Down bool `json:"down"`
-	// Frozen accepts connections and does nothing; what came meanwhile runs
+	// Frozen accepts connections but processes nothing. Calls that arrive meanwhile run
 	// after the thaw.
 	Frozen bool `json:"frozen"`
-	// Leaving takes no new calls and says so; what runs is finished.
+	// Leaving refuses new calls and announces that the service leaves. Running calls are
+	// finished.
 	Leaving bool `json:"leaving"`
-	// Said is what it says of itself beside that.
+	// Said is the other status that the service announces in its answers.
 	host.Said
-	// CrashMarker crashes the service when it runs a call whose body contains
-	// it; empty is no fault. The call counts as run.
+	// CrashMarker crashes the service when it starts a call whose body contains the
+	// marker. The call counts as started. Empty means no fault.
 	CrashMarker string `json:"crash_marker"`
-	// RestartMillis is how long the service is away after a crash. A change
-	// during a crash counts from then.
+	// RestartMillis is the time from a crash to the restart, in milliseconds. A change
+	// during a crash restarts the time.
 	RestartMillis int64 `json:"restart_ms"`
-	// LoseAnswers is how many of the next calls run whole and then break the
-	// connection in place of an answer. It counts down.
+	// LoseAnswers is how many of the next calls complete and then break the connection
+	// without an answer. Each lost answer decrements it.
 	LoseAnswers int `json:"lose_answers"`
-	// LoadLagMillis is how old load reports are.
+	// LoadLagMillis is the age of load reports, in milliseconds.
 	LoadLagMillis int64 `json:"load_lag_ms"`
 }
 
@@ -41,7 +41,7 @@
 	return Faults{RestartMillis: defaultRestart.Milliseconds(), LoadLagMillis: lag.Milliseconds()}
 }
 
-// Validate reports the first value that cannot be used.
+// Validate returns an error that names the first invalid field.
 func (f Faults) Validate() error {
 	if err := f.Said.Validate(); err != nil {
 		return err
--- a/internal/standin/service/handle.go
+++ b/internal/standin/service/handle.go
@@ -12,7 +12,7 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// maxEcho bounds how much of a call's body comes back, in bytes.
+// maxEcho is the maximum length of [Answer.Echo], in bytes.
 const maxEcho = 256
 
 func (s *Server) routes() http.Handler {
@@ -27,7 +27,7 @@
 	return host.Saying(r, s.said, isWork, s.decline)
 }
 
-// said is what the service says of itself in its answers now.
+// said returns the status that the service currently announces in its answers.
 func (s *Server) said() (said host.Said, leaving bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -48,15 +48,15 @@
 	host.WriteJSON(w, report)
 }
 
-// call runs one call. It runs to its end also when the caller has gone, as a
-// service does that has begun to write.
+// call runs one call. The run continues when the caller disconnects, as in a service that
+// has started to write.
 func (s *Server) call(w http.ResponseWriter, r *http.Request) {
 	body, err := host.ReadBody(w, r)
 	if err != nil {
 		s.decline(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	if !s.known(r.Method, r.URL.Path) {
+	if !s.isKnown(r.Method, r.URL.Path) {
 		s.decline(w, http.StatusNotFound, "call is unknown")
 		return
 	}
@@ -66,8 +66,8 @@
 		s.decline(w, http.StatusServiceUnavailable, "service is leaving")
 		return
 	}
-	if !s.take() {
-		s.lose(n)
+	if !s.waitLatency() {
+		s.endLost(n)
 		panic(http.ErrAbortHandler)
 	}
 	if !s.finish(n) {
@@ -82,6 +82,7 @@
 	})
 }
 
+// decline counts a call that does not run, and answers it.
 func (s *Server) decline(w http.ResponseWriter, status int, reason string) {
 	s.mu.Lock()
 	s.runs.total.Declined++
@@ -89,7 +90,9 @@
 	host.Decline(w, status, reason)
 }
 
-func (s *Server) known(method, path string) bool {
+// isKnown reports whether the settings include a call with the method and a prefix of the
+// path. Without configured calls, every call is known.
+func (s *Server) isKnown(method, path string) bool {
 	if len(s.settings.Calls) == 0 {
 		return true
 	}
@@ -101,19 +104,20 @@
 	return false
 }
 
-// begin notes the run; ok is false when the service takes no calls. A crash
-// ends the request.
+// begin records the start of a run. It returns the run's index and how often its call has
+// run; ok is false when the service is leaving. It aborts the request if the service is
+// crashed or the body has the crash marker.
 func (s *Server) begin(run Run, body []byte) (n, count int, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.crashed {
-		panic(http.ErrAbortHandler) // the connection is broken already
+		panic(http.ErrAbortHandler) // the crash has closed the connection
 	}
 	if s.faults.Leaving {
 		return 0, 0, false
 	}
 	n, count = s.runs.start(run)
-	s.note()
+	s.recordLoad()
 	if s.faults.CrashMarker != "" && bytes.Contains(body, []byte(s.faults.CrashMarker)) {
 		s.crash()
 		panic(http.ErrAbortHandler)
@@ -121,9 +125,9 @@
 	return n, count, true
 }
 
-// take lets the call's time pass. It reports false when the service is closed
-// before.
-func (s *Server) take() bool {
+// waitLatency waits for the latency of the call and the delay fault. It reports false if
+// the service is closed before.
+func (s *Server) waitLatency() bool {
 	s.mu.Lock()
 	d := s.settings.Latency + millis(s.faults.DelayMillis)
 	s.mu.Unlock()
@@ -141,22 +145,23 @@
 	}
 }
 
-func (s *Server) lose(n int) {
+// endLost ends a run that the closing of the service interrupts.
+func (s *Server) endLost(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.runs.end(n, RunLost)
-	s.note()
+	s.recordLoad()
 }
 
-// finish notes the end of the run. It reports false when no answer may be sent:
-// the service has crashed meanwhile, or the answer is to be lost.
+// finish completes a run. It reports false when no answer must be sent: the service has
+// crashed meanwhile, or a fault loses the answer.
 func (s *Server) finish(n int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.runs.end(n, RunCompleted) {
 		return false
 	}
-	s.note()
+	s.recordLoad()
 	if s.faults.LoseAnswers > 0 {
 		s.faults.LoseAnswers--
 		s.runs.total.LostAnswers++
--- a/internal/standin/service/run.go
+++ b/internal/standin/service/run.go
@@ -1,48 +1,63 @@
 package service
 
-// RunState is what became of a run.
+// RunState is the state of a [Run].
 type RunState string
 
-// The states of a run.
 const (
-	RunRunning   RunState = "running"
+	// RunRunning means that the run has not ended.
+	RunRunning RunState = "running"
+	// RunCompleted means that the run ended normally.
 	RunCompleted RunState = "completed"
-	// RunLost: the service crashed or was closed in the middle.
+	// RunLost means that the service crashed or was closed during the run.
 	RunLost RunState = "lost"
 )
 
-// Run is one execution that the service has begun.
+// Run is one execution that the service has started.
 type Run struct {
+	// Method is the call's HTTP method.
 	Method string `json:"method"`
-	Path   string `json:"path"`
-	// Key is the call's Idempotency-Key, if it bore one.
-	Key   string   `json:"key,omitempty"`
+	// Path is the call's path.
+	Path string `json:"path"`
+	// Key is the call's Idempotency-Key, or empty.
+	Key string `json:"key,omitempty"`
+	// State is the current state.
 	State RunState `json:"state"`
 }
 
-// RunPage is a part of the list of runs. Start the next part at After + len(Runs).
+// RunPage is a part of the list of runs. The next part starts at After + len(Runs).
 type RunPage struct {
-	After int   `json:"after"`
-	Total int   `json:"total"`
-	Runs  []Run `json:"runs"`
+	// After is the index of the first run in Runs.
+	After int `json:"after"`
+	// Total is the number of all runs.
+	Total int `json:"total"`
+	// Runs are the runs in the order of their starts.
+	Runs []Run `json:"runs"`
 }
 
-// Double is a call with a key that ran more than once.
+// Double is a call with an Idempotency-Key that ran more than once.
 type Double struct {
+	// Method is the call's HTTP method.
 	Method string `json:"method"`
-	Path   string `json:"path"`
-	Key    string `json:"key"`
-	Count  int    `json:"count"`
+	// Path is the call's path.
+	Path string `json:"path"`
+	// Key is the call's Idempotency-Key.
+	Key string `json:"key"`
+	// Count is the number of its runs, at least 2.
+	Count int `json:"count"`
 }
 
-// Counts counts what a service has done since its start, over all crashes.
+// Counts are the counters of a service since its start. Crashes do not reset them.
 type Counts struct {
-	Started   int `json:"started"`
+	// Started counts all runs.
+	Started int `json:"started"`
+	// Completed counts runs in state [RunCompleted].
 	Completed int `json:"completed"`
-	Lost      int `json:"lost"`
-	// LostAnswers counts completed runs whose answer was not sent.
+	// Lost counts runs in state [RunLost].
+	Lost int `json:"lost"`
+	// LostAnswers counts completed runs whose answer a fault lost.
 	LostAnswers int `json:"lost_answers"`
-	// Declined counts calls that were turned away and did not run.
+	// Declined counts calls that were refused and did not run.
 	Declined int `json:"declined"`
-	Crashes  int `json:"crashes"`
+	// Crashes counts crashes.
+	Crashes int `json:"crashes"`
 }
--- a/internal/standin/service/runlog.go
+++ b/internal/standin/service/runlog.go
@@ -1,18 +1,18 @@
 package service
 
-// callKey is what makes two runs the same call.
+// callKey identifies a call: runs with the same callKey are repetitions of it.
 type callKey struct {
 	method string
 	path   string
 	key    string
 }
 
-// runLog keeps every run. It outlives crashes, since it is the test's record
-// and not the service's.
+// runLog records every run. It survives crashes, because it is a record for tests and
+// not part of the simulated service.
 type runLog struct {
 	runs   []Run
 	counts map[callKey]int
-	// open are the numbers of the runs that have not ended.
+	// open holds the indexes of the runs that have not ended.
 	open  map[int]struct{}
 	total Counts
 }
@@ -21,7 +21,7 @@
 	return runLog{counts: make(map[callKey]int), open: make(map[int]struct{})}
 }
 
-// start notes a run and returns its number, and how often its call has run.
+// start records a run. It returns the run's index and how often its call has run.
 func (l *runLog) start(r Run) (n, count int) {
 	r.State = RunRunning
 	l.runs = append(l.runs, r)
@@ -33,7 +33,7 @@
 	return n, l.counts[k]
 }
 
-// end notes what became of a run. It reports false when it had ended before.
+// end records the final state of a run. It reports false if the run has already ended.
 func (l *runLog) end(n int, state RunState) bool {
 	if _, ok := l.open[n]; !ok {
 		return false
@@ -48,7 +48,7 @@
 	return true
 }
 
-// loseAll ends all open runs.
+// loseAll ends all open runs as lost.
 func (l *runLog) loseAll() {
 	for n := range l.open {
 		l.end(n, RunLost)
@@ -60,8 +60,8 @@
 	return RunPage{After: after, Total: len(l.runs), Runs: append([]Run{}, l.runs[after:]...)}
 }
 
-// doubles returns the calls with a key that ran more than once, in the order
-// of their first runs.
+// doubles returns the calls with a key that ran more than once, in the order of their
+// first runs.
 func (l *runLog) doubles() []Double {
 	out := []Double{}
 	seen := make(map[callKey]bool)
--- a/internal/standin/service/server.go
+++ b/internal/standin/service/server.go
@@ -13,45 +13,45 @@
 	"github.com/hickorybank/hickorybank/internal/standin/engine/model"
 )
 
-// Server is one stand-in service.
+// Server is one stand-in service with its request port and its fault port.
 type Server struct {
-	settings Settings
-	log      *slog.Logger
-	host     *host.Host
-	tasks    conc.WaitGroup
-	began    time.Time
+	settings  Settings
+	log       *slog.Logger
+	host      *host.Host
+	tasks     conc.WaitGroup
+	startedAt time.Time
 
 	mu      sync.Mutex
 	faults  Faults
 	runs    runLog
 	history model.LoadHistory
-	// epoch tells the service's lives apart.
+	// epoch identifies the time between two restarts in load reports.
 	epoch uint64
-	// crashed says that a crash is not over.
+	// crashed is true from a crash to the restart.
 	crashed bool
-	// restart is sent to when a crash's length has changed.
-	restart chan struct{}
+	// restartChanged receives a value when the restart time changes during a crash.
+	restartChanged chan struct{}
 }
 
-// New checks the settings and returns a service that is not yet listening.
+// New returns a service that is not yet listening, or an error for invalid settings.
 func New(s Settings, log *slog.Logger) (*Server, error) {
 	if err := s.Validate(); err != nil {
 		return nil, err
 	}
 	return &Server{
-		settings: s,
-		log:      log,
-		host:     host.New(s.ID, log),
-		began:    time.Now(),
-		epoch:    host.NewEpoch(),
-		faults:   newFaults(s.LoadLag),
-		runs:     newRunLog(),
-		history:  model.NewLoadHistory(s.LoadLag),
-		restart:  make(chan struct{}, 1),
+		settings:       s,
+		log:            log,
+		host:           host.New(s.ID, log),
+		startedAt:      time.Now(),
+		epoch:          host.NewEpoch(),
+		faults:         newFaults(s.LoadLag),
+		runs:           newRunLog(),
+		history:        model.NewLoadHistory(s.LoadLag),
+		restartChanged: make(chan struct{}, 1),
 	}, nil
 }
 
-// Start listens and serves until Close.
+// Start listens and serves until Close. It returns an error if a port cannot be bound.
 func (s *Server) Start() error {
 	return s.host.Start(s.settings.Listen, s.routes(), s.settings.FaultListen, s.faultRoutes())
 }
@@ -59,36 +59,38 @@
 // Addr returns the IP and port for calls.
 func (s *Server) Addr() string { return s.host.Addr() }
 
-// FaultAddr returns the IP and port of the fault port, or "".
+// FaultAddr returns the IP and port of the fault port, or "" without one.
 func (s *Server) FaultAddr() string { return s.host.FaultAddr() }
 
-// Close waits for running calls until ctx is done, then cuts them.
+// Close waits for running calls until ctx is done, then cuts them. It returns an error if
+// calls were cut.
 func (s *Server) Close(ctx context.Context) error {
 	err := s.host.Close(ctx)
 	s.tasks.Wait()
 	return err
 }
 
-func (s *Server) now() time.Duration { return time.Since(s.began) }
+func (s *Server) now() time.Duration { return time.Since(s.startedAt) }
 
-func (s *Server) note() { s.history.Note(s.now(), len(s.runs.open), 0) }
+func (s *Server) recordLoad() { s.history.Note(s.now(), len(s.runs.open), 0) }
 
-// crash breaks all connections and loses all running calls.
+// crash closes all connections and ends all running calls as lost.
 func (s *Server) crash() {
 	event.StandinCrashed.Log(s.log, slog.String("id", s.settings.ID))
 	s.runs.total.Crashes++
 	s.runs.loseAll()
-	s.note()
+	s.recordLoad()
 	s.host.Down()
 	if s.crashed {
 		return
 	}
 	s.crashed = true
-	s.tasks.Go(s.comeBack)
+	s.tasks.Go(s.restartAfterCrash)
 }
 
-// comeBack ends a crash when its time has passed.
-func (s *Server) comeBack() {
+// restartAfterCrash restarts the service once the restart time has passed. A change of
+// the restart time starts the wait again.
+func (s *Server) restartAfterCrash() {
 	for {
 		s.mu.Lock()
 		wait := millis(s.faults.RestartMillis)
@@ -98,7 +100,7 @@
 		case <-timer.C:
 			s.endCrash()
 			return
-		case <-s.restart:
+		case <-s.restartChanged:
 			timer.Stop()
 		case <-s.host.Cut():
 			timer.Stop()
@@ -113,11 +115,12 @@
 	s.crashed = false
 	s.epoch = host.NewEpoch()
 	event.StandinRestarted.Log(s.log, slog.String("id", s.settings.ID))
-	s.openPort()
+	s.updatePort()
 }
 
-// openPort opens or closes the port as faults and crash demand.
-func (s *Server) openPort() {
+// updatePort closes the port while the service is down or crashed, and opens it
+// otherwise.
+func (s *Server) updatePort() {
 	if s.faults.Down || s.crashed {
 		s.host.Down()
 		return
--- a/internal/standin/service/service_test.go
+++ b/internal/standin/service/service_test.go
@@ -24,11 +24,11 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// ample is longer than anything a test waits for.
-const ample = 30 * time.Second
+// waitTimeout bounds every wait of a test.
+const waitTimeout = 30 * time.Second
 
-// never is a time that no test lives to see.
-const never = time.Hour
+// longDuration is longer than any test runs.
+const longDuration = time.Hour
 
 // rig is one service with a client.
 type rig struct {
@@ -83,14 +83,14 @@
 	}
 }
 
-func waitFor(t testing.TB, what string, holds func() bool) {
+func waitFor(t testing.TB, condition string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(ample); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if holds() {
 			return
 		}
 	}
-	t.Fatal("in vain: " + what)
+	t.Fatal("timed out waiting for: " + condition)
 }
 
 func reachOf(t testing.TB, err error) upstream.Reach {
@@ -102,8 +102,9 @@
 	return e.Reach
 }
 
-// The service hides nothing: a call that comes twice runs twice and is listed.
-func TestDoublesAreCounted(t *testing.T) {
+// A call that arrives twice must run twice and be listed, so that tests can detect the
+// duplicate.
+func TestRepeatedCallsAreCounted(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, service.Settings{})
 	for n := range 2 {
@@ -133,9 +134,9 @@
 	is.Equal(r.server.Counts(), service.Counts{Started: 1, Completed: 1, Declined: 2})
 }
 
-// A bill is charged, and the caller hears nothing: the service dies between
-// the effect and the answer.
-func TestAnswerIsLostAfterTheEffect(t *testing.T) {
+// The connection breaks after a call has taken effect and before its answer. The caller
+// must get MaybeRun, and a retry must count as the second run.
+func TestLostAnswerAfterRun(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, service.Settings{})
 	r.faults(t, func(f *service.Faults) { f.LoseAnswers = 1 })
@@ -147,24 +148,24 @@
 	is.Equal(a.Count, 2)
 }
 
-// One call crashes the service that runs it, with the calls beside it. Both
-// have begun, so both are in doubt; until the restart nothing is reached.
-func TestMarkedCallCrashes(t *testing.T) {
+// A call with the crash marker crashes the service during another call. Both have started,
+// so both must return MaybeRun; until the restart, calls must return NotSent.
+func TestCrashMarkerCrashesService(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, service.Settings{})
 	r.faults(t, func(f *service.Faults) {
 		f.CrashMarker = "poison"
-		f.RestartMillis = never.Milliseconds()
-		f.DelayMillis = never.Milliseconds()
+		f.RestartMillis = longDuration.Milliseconds()
+		f.DelayMillis = longDuration.Milliseconds()
 	})
-	var beside error
+	var concurrentErr error
 	var wg conc.WaitGroup
-	wg.Go(func() { _, beside = r.do(charge("k1", "x")) })
+	wg.Go(func() { _, concurrentErr = r.do(charge("k1", "x")) })
 	waitFor(t, "the first call runs", func() bool { return r.server.Counts().Started == 1 })
 	_, err := r.do(charge("k2", "some poison"))
 	is.Equal(reachOf(t, err), upstream.MaybeRun)
 	wg.Wait()
-	is.Equal(reachOf(t, beside), upstream.MaybeRun)
+	is.Equal(reachOf(t, concurrentErr), upstream.MaybeRun)
 	_, err = r.do(charge("k3", "x"))
 	is.Equal(reachOf(t, err), upstream.NotSent)
 	is.Equal(r.server.Counts(), service.Counts{Started: 2, Lost: 2, Crashes: 1})
@@ -175,8 +176,9 @@
 	})
 }
 
-// A caller gives up on a frozen service; the call runs after the thaw.
-func TestFrozenServiceRunsLate(t *testing.T) {
+// A caller gives up on a frozen service. The service must still run the call after the
+// thaw.
+func TestFrozenServiceRunsCallAfterThaw(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, service.Settings{})
 	r.faults(t, func(f *service.Faults) { f.Frozen = true })
@@ -207,10 +209,10 @@
 	is.Equal(r.server.Counts().Started, 0)
 }
 
-// A load report shows what was there a while ago.
-func TestLoadLags(t *testing.T) {
+// A load report must show a running call once the lag has passed.
+func TestLoadReportLags(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, service.Settings{Latency: never, LoadLag: 50 * time.Millisecond})
+	r := newRig(t, service.Settings{Latency: longDuration, LoadLag: 50 * time.Millisecond})
 	var wg conc.WaitGroup
 	ctx, cancel := context.WithCancel(context.Background())
 	wg.Go(func() { _, _ = r.client.Do(ctx, r.server.Addr(), charge("k", "x")) })
@@ -246,7 +248,7 @@
 	is.Equal(status, http.StatusOK)
 	status, _ = ask("/faults", `{"delay_ms":1}`)
 	is.Equal(status, http.StatusOK)
-	is.Equal(r.server.Faults().LoseAnswers, 1) // what a change does not name stays
+	is.Equal(r.server.Faults().LoseAnswers, 1) // not in the change, so unchanged
 	for _, bad := range []string{`{`, `{"unknown":1}`, `{"delay_ms":-1}`, `{"lose_answers":-1}`} {
 		status, _ = ask("/faults", bad)
 		is.Equal(status, http.StatusBadRequest)
--- a/internal/standin/service/settings.go
+++ b/internal/standin/service/settings.go
@@ -10,35 +10,36 @@
 
 // Settings configures one stand-in service.
 type Settings struct {
+	// ID identifies the service in events.
 	ID string
 	// Service is the name of the service, for example "billing".
 	Service string
-	// Listen is the IP and port for calls; port 0 takes a free one.
+	// Listen is the IP and port for calls. Port 0 selects a free port.
 	Listen string
-	// FaultListen is the IP and port of the fault port; empty means none.
-	FaultListen   string
+	// FaultListen is the IP and port of the fault port. Empty means no fault port.
+	FaultListen string
+	// FailureDomain is the service's failure domain.
 	FailureDomain string
-	// Calls are the calls that the service knows; an unknown call is declined.
-	// Without any, every call is known.
+	// Calls are the calls that the service accepts, by method and path prefix; it
+	// declines all others. If empty, it accepts every call.
 	Calls []config.Call
 	// Latency is the time that a call takes.
 	Latency time.Duration
-	// Limit is how many calls run at a time, as the load report says it; the
-	// stand-in does not enforce it.
+	// Limit is the limit of concurrent calls in load reports. It is not enforced.
 	Limit int
-	// LoadLag is how old a load report is when it is given out.
+	// LoadLag is the age of a load report.
 	LoadLag time.Duration
 }
 
-// Validate reports the first setting that cannot be used.
+// Validate returns an error for the first invalid setting.
 func (s Settings) Validate() error {
 	switch {
 	case s.Listen == "":
 		return eris.New("service: Listen is empty")
 	case s.Latency < 0, s.LoadLag < 0:
-		return eris.New("service: a duration is negative")
+		return eris.Errorf("service: Latency %s or LoadLag %s is negative", s.Latency, s.LoadLag)
 	case s.Limit < 0:
-		return eris.New("service: Limit is negative")
+		return eris.Errorf("service: Limit is %d, negative", s.Limit)
 	}
 	return nil
 }
