--- a/internal/standin/engine/routes.go
+++ b/internal/standin/engine/routes.go
@@ -24,11 +24,11 @@
 	refuse := func(w http.ResponseWriter, status int, reason string) {
 		s.decline(w, &refusal{status: status, reason: reason})
 	}
-	return host.Saying(r, s.said, isWork, refuse)
+	return host.Saying(r, s.announcedStatus, isWork, refuse)
 }
 
-// said returns the status that the engine currently announces in its answers.
-func (s *Server) said() (said host.Said, leaving bool) {
+// announcedStatus returns the status that the engine currently announces in its answers.
+func (s *Server) announcedStatus() (said host.Said, leaving bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults.Said, s.faults.Leaving
--- a/internal/standin/platform/memory/meter.go
+++ b/internal/standin/platform/memory/meter.go
@@ -11,7 +11,7 @@
 // calls.
 type meter struct {
 	bucket  *limit.Bucket
-	peak    limit.Peak
+	calls   limit.Peak
 	refused uint64
 }
 
@@ -28,7 +28,7 @@
 			RetryAfterMS: roundUp(wait),
 		}
 	}
-	m.peak.Add(now)
+	m.calls.Add(now)
 	return nil
 }
 
--- a/internal/standin/platform/memory/stats.go
+++ b/internal/standin/platform/memory/stats.go
@@ -44,10 +44,10 @@
 	defer p.mu.Unlock()
 	p.applyDueWrites()
 	return Stats{
-		Reads:         p.reads.peak.Total(),
-		Writes:        p.writes.peak.Total(),
-		PeakReads:     p.reads.peak.Peak(),
-		PeakWrites:    p.writes.peak.Peak(),
+		Reads:         p.reads.calls.Total(),
+		Writes:        p.writes.calls.Total(),
+		PeakReads:     p.reads.calls.Peak(),
+		PeakWrites:    p.writes.calls.Peak(),
 		LimitedReads:  p.reads.refused,
 		LimitedWrites: p.writes.refused,
 		Faulted:       p.faulted,
@@ -57,9 +57,9 @@
 		LateWrites:    len(p.late.queue),
 		Rows:          p.table.Len(),
 		Objects:       len(p.objects),
-		VMLists:       p.vmLists.peak.Total(),
-		Ratings:       p.ratings.peak.Total(),
-		Downloads:     p.weights.peak.Total(),
+		VMLists:       p.vmLists.calls.Total(),
+		Ratings:       p.ratings.calls.Total(),
+		Downloads:     p.weights.calls.Total(),
 		WeightBytes:   p.weightBytes,
 	}
 }
--- a/internal/standin/service/faultport.go
+++ b/internal/standin/service/faultport.go
@@ -20,7 +20,7 @@
 		Runs:   func(after int) any { return s.Runs(after) },
 		Counts: func() any { return s.Counts() },
 	}.Routes()
-	r.GET("/doubles", host.Tell(func() any { return s.Doubles() }))
+	r.GET("/doubles", host.Tell(func() any { return s.RepeatedCalls() }))
 	return r
 }
 
@@ -81,12 +81,12 @@
 	return s.runs.page(after)
 }
 
-// Doubles returns the calls with an Idempotency-Key that ran more than once, in the order
-// of their first runs.
-func (s *Server) Doubles() []Double {
+// RepeatedCalls returns the calls with an Idempotency-Key that ran more than once, in the
+// order of their first runs.
+func (s *Server) RepeatedCalls() []RepeatedCall {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.runs.doubles()
+	return s.runs.repeatedCalls()
 }
 
 // Counts returns the service's counters since its start.
--- a/internal/standin/service/handle.go
+++ b/internal/standin/service/handle.go
@@ -24,11 +24,11 @@
 	r.GET("/load", s.load)
 	r.NotFound = http.HandlerFunc(s.call)
 	isWork := func(r *http.Request) bool { return r.URL.Path != "/load" }
-	return host.Saying(r, s.said, isWork, s.decline)
+	return host.Saying(r, s.announcedStatus, isWork, s.decline)
 }
 
-// said returns the status that the service currently announces in its answers.
-func (s *Server) said() (said host.Said, leaving bool) {
+// announcedStatus returns the status that the service currently announces in its answers.
+func (s *Server) announcedStatus() (said host.Said, leaving bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults.Said, s.faults.Leaving
--- a/internal/standin/service/run.go
+++ b/internal/standin/service/run.go
@@ -34,8 +34,8 @@
 	Runs []Run `json:"runs"`
 }
 
-// Double is a call with an Idempotency-Key that ran more than once.
-type Double struct {
+// RepeatedCall is a call with an Idempotency-Key that ran more than once.
+type RepeatedCall struct {
 	// Method is the call's HTTP method.
 	Method string `json:"method"`
 	// Path is the call's path.
--- a/internal/standin/service/runlog.go
+++ b/internal/standin/service/runlog.go
@@ -60,10 +60,10 @@
 	return RunPage{After: after, Total: len(l.runs), Runs: append([]Run{}, l.runs[after:]...)}
 }
 
-// doubles returns the calls with a key that ran more than once, in the order of their
-// first runs.
-func (l *runLog) doubles() []Double {
-	out := []Double{}
+// repeatedCalls returns the calls with a key that ran more than once, in the order of
+// their first runs.
+func (l *runLog) repeatedCalls() []RepeatedCall {
+	out := []RepeatedCall{}
 	seen := make(map[callKey]bool)
 	for _, r := range l.runs {
 		k := callKey{r.Method, r.Path, r.Key}
@@ -71,7 +71,7 @@
 			continue
 		}
 		seen[k] = true
-		out = append(out, Double{Method: r.Method, Path: r.Path, Key: r.Key, Count: l.counts[k]})
+		out = append(out, RepeatedCall{Method: r.Method, Path: r.Path, Key: r.Key, Count: l.counts[k]})
 	}
 	return out
 }
--- a/internal/standin/service/service_test.go
+++ b/internal/standin/service/service_test.go
@@ -118,7 +118,7 @@
 	}
 	_, err := r.do(charge("k2", "x"))
 	is.NoErr(err)
-	is.Equal(r.server.Doubles(), []service.Double{{Method: "POST", Path: "/charges/1", Key: "k1", Count: 2}})
+	is.Equal(r.server.RepeatedCalls(), []service.RepeatedCall{{Method: "POST", Path: "/charges/1", Key: "k1", Count: 2}})
 	is.Equal(r.server.Counts(), service.Counts{Started: 5, Completed: 5})
 }
 
