--- a/internal/standin/engine/host/faultroutes.go
+++ b/internal/standin/engine/host/faultroutes.go
@@ -24,15 +24,15 @@
 // Routes returns a router with the routes of the port. A stand-in may add routes.
 func (p FaultPort) Routes() *httprouter.Router {
 	r := httprouter.New()
-	r.GET("/faults", Tell(p.Faults))
+	r.GET("/faults", ServeJSON(p.Faults))
 	r.POST("/faults", p.postFaults)
 	r.GET("/runs", p.getRuns)
-	r.GET("/counts", Tell(p.Counts))
+	r.GET("/counts", ServeJSON(p.Counts))
 	return r
 }
 
-// Tell returns a handler that answers with the function's result as JSON.
-func Tell(value func() any) httprouter.Handle {
+// ServeJSON returns a handler that answers with the function's result as JSON.
+func ServeJSON(value func() any) httprouter.Handle {
 	return func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) { WriteJSON(w, value()) }
 }
 
--- a/internal/standin/service/faultport.go
+++ b/internal/standin/service/faultport.go
@@ -20,7 +20,7 @@
 		Runs:   func(after int) any { return s.Runs(after) },
 		Counts: func() any { return s.Counts() },
 	}.Routes()
-	r.GET("/doubles", host.Tell(func() any { return s.RepeatedCalls() }))
+	r.GET("/doubles", host.ServeJSON(func() any { return s.RepeatedCalls() }))
 	return r
 }
 
