--- a/internal/standin/engine/host/said.go
+++ b/internal/standin/engine/host/said.go
@@ -31,10 +31,10 @@
 // Refuse answers a request that does not run, with a status and a reason.
 type Refuse func(w http.ResponseWriter, status int, reason string)
 
-// Saying returns a handler that adds the headers of the current status to every answer.
+// WithStatusHeaders returns a handler that adds the headers of the current status to every answer.
 // While RestMillis is not 0, it refuses the requests for which isWork is true; all
 // others go to next.
-func Saying(next http.Handler, current func() (s Said, leaving bool), isWork func(r *http.Request) bool, refuse Refuse) http.Handler {
+func WithStatusHeaders(next http.Handler, current func() (s Said, leaving bool), isWork func(r *http.Request) bool, refuse Refuse) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s, leaving := current()
 		if s.RateLimit > 0 {
--- a/internal/standin/engine/routes.go
+++ b/internal/standin/engine/routes.go
@@ -24,7 +24,7 @@
 	refuse := func(w http.ResponseWriter, status int, reason string) {
 		s.decline(w, &refusal{status: status, reason: reason})
 	}
-	return host.Saying(r, s.announcedStatus, isWork, refuse)
+	return host.WithStatusHeaders(r, s.announcedStatus, isWork, refuse)
 }
 
 // announcedStatus returns the status that the engine currently announces in its answers.
--- a/internal/standin/service/handle.go
+++ b/internal/standin/service/handle.go
@@ -24,7 +24,7 @@
 	r.GET("/load", s.load)
 	r.NotFound = http.HandlerFunc(s.call)
 	isWork := func(r *http.Request) bool { return r.URL.Path != "/load" }
-	return host.Saying(r, s.announcedStatus, isWork, s.decline)
+	return host.WithStatusHeaders(r, s.announcedStatus, isWork, s.decline)
 }
 
 // announcedStatus returns the status that the service currently announces in its answers.
