--- a/internal/standin/engine/model/engine.go
+++ b/internal/standin/engine/model/engine.go
@@ -137,5 +137,5 @@
 }
 
 func (e *Engine) recordLoad(now time.Duration) {
-	e.history.Note(now, e.batch.len(), e.queue.len())
+	e.history.Record(now, e.batch.len(), e.queue.len())
 }
--- a/internal/standin/engine/model/loadhistory.go
+++ b/internal/standin/engine/model/loadhistory.go
@@ -36,9 +36,9 @@
 	return LoadHistory{lag: lag, resolution: max(lag/samplesPerLag, 1)}
 }
 
-// Note records the load from now on. Within 1/16 of the lag, a later load replaces an
+// Record records the load from now on. Within 1/16 of the lag, a later load replaces an
 // earlier one.
-func (h *LoadHistory) Note(now time.Duration, running, queued int) {
+func (h *LoadHistory) Record(now time.Duration, running, queued int) {
 	s := loadSample{at: now, running: int32(running), queued: int32(queued)}
 	if h.count > 0 && (h.lag == 0 || h.samples[h.count-1].at/h.resolution == now/h.resolution) {
 		h.samples[h.count-1] = s
--- a/internal/standin/service/server.go
+++ b/internal/standin/service/server.go
@@ -72,7 +72,7 @@
 
 func (s *Server) now() time.Duration { return time.Since(s.startedAt) }
 
-func (s *Server) recordLoad() { s.history.Note(s.now(), len(s.runs.open), 0) }
+func (s *Server) recordLoad() { s.history.Record(s.now(), len(s.runs.open), 0) }
 
 // crash closes all connections and ends all running calls as lost.
 func (s *Server) crash() {
