--- a/internal/rollout/world_engine_test.go
+++ b/internal/rollout/world_engine_test.go
@@ -154,7 +154,7 @@
 		e.w.checkLoadIsNeeded(e, o, run, r)
 	}
 	hadVersion := e.control.Has(o.Version)
-	switch e.control.Take(o) {
+	switch e.control.Apply(o) {
 	case model.Stale:
 		e.w.logf("%s refuses %s %s of term %d", e.id, o.Action, o.Version, o.Fence)
 		return OrderStale
--- a/internal/standin/engine/model/control.go
+++ b/internal/standin/engine/model/control.go
@@ -40,8 +40,8 @@
 	return &Control{honourFence: honourFence, loaded: slices.Clone(versions)}
 }
 
-// Take carries out an order and returns the result.
-func (c *Control) Take(o upstream.Order) Verdict {
+// Apply carries out an order and returns the result.
+func (c *Control) Apply(o upstream.Order) Verdict {
 	if !validOrder(o) {
 		return Invalid
 	}
--- a/internal/standin/engine/model/datadriven_test.go
+++ b/internal/standin/engine/model/datadriven_test.go
@@ -127,7 +127,7 @@
 		Version: word(t, d, "version"),
 		Role:    word(t, d, "role"),
 	}
-	verdict := [...]string{"taken", "fetch", "stale", "invalid"}[s.control.Take(o)]
+	verdict := [...]string{"taken", "fetch", "stale", "invalid"}[s.control.Apply(o)]
 	return verdict + "\n" + s.state()
 }
 
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -40,7 +40,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.abortIfCrashed()
-	return s.control, s.control.Take(o)
+	return s.control, s.control.Apply(o)
 }
 
 // fetch downloads the version's weights in the background and reports the result to
