--- a/internal/rollout/world_engine_test.go
+++ b/internal/rollout/world_engine_test.go
@@ -162,7 +162,7 @@
 		e.w.logf("%s loads %s", e.id, o.Version)
 		e.exempt[o.Version] = late || !e.w.isPending(e.id, o)
 		e.fetch(o.Version)
-	case model.Taken:
+	case model.Applied:
 		if hadVersion && !e.control.Has(o.Version) {
 			e.w.logf("%s unloads %s", e.id, o.Version)
 		}
--- a/internal/standin/engine/model/control.go
+++ b/internal/standin/engine/model/control.go
@@ -21,8 +21,8 @@
 type Verdict uint8
 
 const (
-	// Taken means that the order is carried out, now or by an earlier order.
-	Taken Verdict = iota
+	// Applied means that the order is carried out, now or by an earlier order.
+	Applied Verdict = iota
 	// Fetch means that the caller must fetch the version's weights and then call
 	// Fetched or Abandon.
 	Fetch
@@ -60,7 +60,7 @@
 	case upstream.SetRole:
 		c.role = o.Role
 	}
-	return Taken
+	return Applied
 }
 
 // validOrder reports whether the action is known and has its version or role.
@@ -76,7 +76,7 @@
 
 func (c *Control) load(version string) Verdict {
 	if slices.Contains(c.loaded, version) || slices.Contains(c.loading, version) {
-		return Taken
+		return Applied
 	}
 	c.loading = append(c.loading, version)
 	return Fetch
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -30,7 +30,7 @@
 		return
 	case model.Fetch:
 		s.fetch(control, o.Version)
-	case model.Taken:
+	case model.Applied:
 	}
 	event.StandinOrder.Log(s.log, attrs...)
 	w.WriteHeader(http.StatusNoContent)
