--- a/internal/standin/platform/limit/limit_test.go
+++ b/internal/standin/platform/limit/limit_test.go
@@ -111,7 +111,7 @@
 
 func TestPeakCountsCallsPerClockSecond(t *testing.T) {
 	is := is.New(t)
-	var p Peak
+	var p CallCounter
 	for _, ms := range []int{0, 400, 999, 1000, 1500, 3000} {
 		p.Add(epoch.Add(time.Duration(ms) * time.Millisecond))
 	}
--- a/internal/standin/platform/limit/peak.go
+++ b/internal/standin/platform/limit/peak.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Peak counts calls in total and the highest count within one clock second. It is not
+// CallCounter counts calls in total and the highest count within one clock second. It is not
 // safe for concurrent use.
-type Peak struct {
+type CallCounter struct {
 	second int64
 	count  uint64
 	peak   uint64
@@ -12,7 +12,7 @@
 }
 
 // Add counts one call.
-func (p *Peak) Add(now time.Time) {
+func (p *CallCounter) Add(now time.Time) {
 	if second := now.Unix(); second != p.second {
 		p.second = second
 		p.count = 0
@@ -23,7 +23,7 @@
 }
 
 // Total returns the number of calls since the start.
-func (p *Peak) Total() uint64 { return p.total }
+func (p *CallCounter) Total() uint64 { return p.total }
 
 // Peak returns the highest number of calls within one clock second.
-func (p *Peak) Peak() uint64 { return p.peak }
+func (p *CallCounter) Peak() uint64 { return p.peak }
--- a/internal/standin/platform/memory/meter.go
+++ b/internal/standin/platform/memory/meter.go
@@ -11,7 +11,7 @@
 // calls.
 type meter struct {
 	bucket  *limit.Bucket
-	calls   limit.Peak
+	calls   limit.CallCounter
 	refused uint64
 }
 
