--- a/internal/standin/engine/host/said.go
+++ b/internal/standin/engine/host/said.go
@@ -31,9 +31,9 @@
 // Refuse answers a request that does not run, with a status and a reason.
 type Refuse func(w http.ResponseWriter, status int, reason string)
 
-// WithStatusHeaders returns a handler that adds the headers of the current status to every answer.
-// While RestMillis is not 0, it refuses the requests for which isWork is true; all
-// others go to next.
+// WithStatusHeaders returns a handler that adds the headers of the current status to
+// every answer. While RestMillis is not 0, it refuses the requests for which isWork is
+// true; all others go to next.
 func WithStatusHeaders(next http.Handler, current func() (s Said, leaving bool), isWork func(r *http.Request) bool, refuse Refuse) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s, leaving := current()
