--- a/scenario/addresses_test.go
+++ b/scenario/addresses_test.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// addresses are where a process listens, from its ready line.
+// addresses are the listen addresses that a process prints in its ready line.
 type addresses struct {
 	Main   string
 	Faults string
@@ -13,8 +13,8 @@
 	Peer   string
 }
 
-// parseReady reads a line such as "ready platform IP:PORT faults IP:PORT": an
-// address belongs to the word before it.
+// parseReady parses a line such as "ready platform IP:PORT faults IP:PORT". The word
+// before an address names its purpose.
 func parseReady(line string) addresses {
 	var a addresses
 	var before string
--- a/scenario/caller_test.go
+++ b/scenario/caller_test.go
@@ -18,13 +18,13 @@
 )
 
 const (
-	bearerPrefix = "Bearer demo-" // keys of the example configurations
+	bearerPrefix = "Bearer demo-" // API keys of the example configurations
 	streamEnd    = "[DONE]"
-	callLimit    = 2 * time.Minute
+	callTimeout  = 2 * time.Minute
 )
 
-// caller sends calls as an application does, each at most once: net/http may
-// not repeat a call on a new connection.
+// caller sends calls as an application does, each at most once: net/http must not retry a
+// call on a new connection.
 type caller struct {
 	http *http.Client
 }
@@ -33,18 +33,18 @@
 	return &caller{http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}}
 }
 
-// do sends one call and waits for what comes of it.
-func (c *caller) do(o order) result {
-	r := result{order: o, outcome: cutOff}
-	if o.readsOn() {
-		r = *o.began
-		r.order, r.message = o, ""
-	}
-	ctx, cancel := context.WithTimeout(context.Background(), callLimit)
+// do sends one call and returns its result.
+func (c *caller) do(o call) result {
+	r := result{call: o, outcome: cutOff}
+	if o.resumes() {
+		r = *o.resumeFrom
+		r.call, r.message = o, ""
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	req, err := newRequest(ctx, o)
 	if err != nil {
-		r.fault = err
+		r.answerErr = err
 		return r
 	}
 	resp, err := c.http.Do(req)
@@ -75,11 +75,11 @@
 	r.stream = cmp.Or(resp.Header.Get("Hickorybank-Stream"), r.stream)
 }
 
-func newRequest(ctx context.Context, o order) (*http.Request, error) {
+func newRequest(ctx context.Context, o call) (*http.Request, error) {
 	method, url := http.MethodPost, "http://"+o.addr+"/v1/chat/completions"
 	body := []byte(o.body)
-	if o.readsOn() {
-		method, url = http.MethodGet, "http://"+o.addr+"/v1/streams/"+o.began.stream+"?after="+strconv.Itoa(o.began.last)
+	if o.resumes() {
+		method, url = http.MethodGet, "http://"+o.addr+"/v1/streams/"+o.resumeFrom.stream+"?after="+strconv.Itoa(o.resumeFrom.last)
 		body = nil
 	} else if o.chat() {
 		var err error
@@ -90,8 +90,8 @@
 	} else {
 		method, url = o.method, "http://"+o.addr+"/v1/services/"+o.service+o.path
 	}
-	// A body that net/http cannot rewind keeps it from sending twice; without
-	// one it would repeat any request that bears an idempotency key.
+	// A body that net/http cannot rewind prevents retries. With a rewindable body net/http
+	// retries any request that has an idempotency key.
 	req, err := http.NewRequestWithContext(ctx, method, url, io.MultiReader(bytes.NewReader(body)))
 	if err != nil {
 		return nil, err
@@ -122,7 +122,7 @@
 		return
 	}
 	if err := json.Unmarshal(data, &a); err != nil {
-		r.fault = eris.Wrapf(err, "answer %q", data)
+		r.answerErr = eris.Wrapf(err, "parse answer %q", data)
 		return
 	}
 	if a.Error != nil {
@@ -130,7 +130,7 @@
 		return
 	}
 	if len(a.Choices) != 1 || a.Usage == nil {
-		r.fault = eris.Errorf("answer %q", data)
+		r.answerErr = eris.Errorf("answer has %d choices, want 1 and a usage: %q", len(a.Choices), data)
 		return
 	}
 	r.text = a.Choices[0].Message.Content
@@ -143,7 +143,7 @@
 	var number int
 	for scanner.Scan() {
 		if id, ok := strings.CutPrefix(scanner.Text(), "id: "); ok {
-			number, _ = strconv.Atoi(id) // a bad number shows as a missing piece
+			number, _ = strconv.Atoi(id) // checkCount and checkAnswer detect a bad number as a missing piece
 		}
 		data, ok := strings.CutPrefix(scanner.Text(), "data: ")
 		if !ok {
@@ -155,7 +155,7 @@
 		}
 		var a chatAnswer
 		if err := json.Unmarshal([]byte(data), &a); err != nil {
-			r.fault = eris.Wrapf(err, "event %q", data)
+			r.answerErr = eris.Wrapf(err, "parse event %q", data)
 			return
 		}
 		if a.Error != nil {
@@ -167,7 +167,7 @@
 			tokens = a.Usage.CompletionTokens
 		}
 	}
-	r.message = "the stream ended without its end mark"
+	r.message = "stream ended without its end marker"
 }
 
 func (r *result) piece(a chatAnswer, number int) {
@@ -175,8 +175,8 @@
 		r.text += a.Choices[0].Delta.Content
 	}
 	r.last = number
-	if r.order.progress != nil {
-		r.order.progress.Store(int64(number))
+	if r.call.progress != nil {
+		r.call.progress.Store(int64(number))
 	}
 }
 
@@ -196,7 +196,7 @@
 		r.fail(a.Error)
 		return
 	}
-	r.outcome = completed // the service's own answer
+	r.outcome = completed // an error status of the service itself is a complete answer
 }
 
 func (r *result) fail(e *chatError) {
@@ -207,8 +207,8 @@
 
 func (r *result) complete(tokens int) {
 	r.outcome = completed
-	r.fault = checkAnswer(r.order.text, r.text, r.version)
-	if r.fault == nil {
-		r.fault = checkCount(r.text, tokens)
+	r.answerErr = checkAnswer(r.call.text, r.text, r.version)
+	if r.answerErr == nil {
+		r.answerErr = checkCount(r.text, tokens)
 	}
 }
--- a/scenario/cluster_test.go
+++ b/scenario/cluster_test.go
@@ -11,38 +11,39 @@
 
 const platformID = "platform"
 
-// cluster is the processes of one scenario and the calls made to them.
+// cluster holds the processes of one scenario, the network between them and the calls made
+// to them.
 type cluster struct {
 	dir     string
 	network *network
 	relayed bool
-	callers *callers
+	callers *callTracker
 
-	mu     sync.Mutex
-	procs  map[string]*process
-	past   []*process // ended and replaced under the same name
-	frozen map[string]bool
-	closed []func()
+	mu       sync.Mutex
+	procs    map[string]*process
+	replaced []*process // exited processes whose ID was reused
+	frozen   map[string]bool
+	closers  []func()
 
-	pastRuns []run // of upstreams that were killed
-	marks    map[string]mark
-	loads    map[string]*load
+	savedRuns []run // of killed upstreams
+	marks     map[string]mark
+	loads     map[string]*load
 }
 
 func newCluster(dir string) *cluster {
 	return &cluster{
-		dir: dir, network: newNetwork(), callers: newCallers(), procs: map[string]*process{}, frozen: map[string]bool{},
+		dir: dir, network: newNetwork(), callers: newCallTracker(), procs: map[string]*process{}, frozen: map[string]bool{},
 		marks: map[string]mark{}, loads: map[string]*load{},
 	}
 }
 
-// start runs the product under a name.
+// start starts the product as a process with the given ID.
 func (c *cluster) start(id string, args ...string) (*process, error) {
 	c.mu.Lock()
 	old := c.procs[id]
 	c.mu.Unlock()
 	if old != nil && old.running() {
-		return nil, eris.Errorf("%s runs already", id)
+		return nil, eris.Errorf("process %s is already running", id)
 	}
 	p, err := startProcess(c.dir, id, args...)
 	if p == nil {
@@ -51,7 +52,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if old != nil {
-		c.past = append(c.past, old)
+		c.replaced = append(c.replaced, old)
 	}
 	c.procs[id] = p
 	delete(c.frozen, id)
@@ -63,7 +64,7 @@
 	defer c.mu.Unlock()
 	p := c.procs[id]
 	if p == nil {
-		return nil, eris.Errorf("there is no process %s", id)
+		return nil, eris.Errorf("unknown process %s", id)
 	}
 	return p, nil
 }
@@ -71,14 +72,14 @@
 func (c *cluster) all() []*process {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	all := append([]*process(nil), c.past...)
+	all := append([]*process(nil), c.replaced...)
 	for _, p := range c.procs {
 		all = append(all, p)
 	}
 	return all
 }
 
-// platformURL is where the named process reaches the platform.
+// platformURL returns the URL at which the given process reaches the platform.
 func (c *cluster) platformURL(id string) (string, error) {
 	p, err := c.process(platformID)
 	if err != nil {
@@ -89,13 +90,13 @@
 	}
 	proxy := newVMProxy(c.network, id, p.addrs.Main)
 	c.mu.Lock()
-	c.closed = append(c.closed, proxy.Close)
+	c.closers = append(c.closers, proxy.Close)
 	c.mu.Unlock()
 	addr, err := c.network.route(id, platformID, proxy.Listener.Addr().String())
 	return "http://" + addr, err
 }
 
-// entries are the entry nodes that run, by name.
+// entries returns the running entry nodes, sorted by ID.
 func (c *cluster) entries() []*process {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -109,14 +110,14 @@
 	return out
 }
 
-// upstreams are the stand-in upstreams that run.
+// upstreams returns the running stand-in upstreams.
 func (c *cluster) upstreams() []*process {
 	return slices.DeleteFunc(c.all(), func(p *process) bool { return !p.upstream() || !p.running() })
 }
 
-// kill ends a process at once.
+// kill sends SIGKILL to a process, after saving the runs of an upstream.
 func (c *cluster) kill(p *process) error {
-	err := c.keepRuns(p)
+	err := c.saveRuns(p)
 	p.kill()
 	return err
 }
@@ -138,7 +139,7 @@
 	return c.frozen[id]
 }
 
-// close ends everything and returns what broke in a process, if anything.
+// close kills all processes and returns the first data race or panic found in their logs.
 func (c *cluster) close() error {
 	for _, l := range c.loads {
 		l.abandon()
@@ -147,12 +148,12 @@
 	var first error
 	for _, p := range c.all() {
 		p.kill()
-		if err := p.broken(); err != nil && first == nil {
+		if err := p.crashError(); err != nil && first == nil {
 			first = err
 		}
 	}
 	c.network.close()
-	for _, f := range c.closed {
+	for _, f := range c.closers {
 		f()
 	}
 	return first
--- a/scenario/cmd_admin_test.go
+++ b/scenario/cmd_admin_test.go
@@ -14,19 +14,19 @@
 
 const bootstrap = "bootstrap"
 
-// cmdAdmin runs "hickorybank admin": bootstrap against the platform, the rest
-// against an entry's administration interface.
+// cmdAdmin runs "hickorybank admin": bootstrap against the platform, every other command
+// against the administration interface of an entry.
 func cmdAdmin(ts *testscript.TestScript, c *cluster, neg bool, args []string) {
-	needs(ts, false, args, 1, "admin [-at ENTRY] ARG...")
+	requireArgs(ts, false, args, 1, "admin [-at ENTRY] ARG...")
 	at := ""
 	if args[0] == "-at" {
-		needs(ts, false, args, 3, "admin [-at ENTRY] ARG...")
+		requireArgs(ts, false, args, 3, "admin [-at ENTRY] ARG...")
 		at, args = args[1], args[2:]
 	}
 	full := append([]string{"admin"}, args...)
 	env := os.Environ()
 	if args[0] == bootstrap {
-		full = append(full, "--platform", c.platformFor(ts, "operator"))
+		full = append(full, "--platform", c.platformURLOrFail(ts, "operator"))
 	} else {
 		addr, err := c.adminAddr(at)
 		ts.Check(err)
@@ -38,11 +38,12 @@
 	out, err := cmd.CombinedOutput()
 	fmt.Fprintf(ts.Stdout(), "%s", out)
 	if neg == (err == nil) {
-		ts.Fatalf("admin: %v\n%s", err, out)
+		ts.Fatalf("hickorybank admin: %v\n%s", err, out)
 	}
 }
 
-// adminAddr is where operators reach the entry, or any one when it is empty.
+// adminAddr returns the administration address of the entry, or of any running entry that is
+// not frozen if entry is empty.
 func (c *cluster) adminAddr(entry string) (string, error) {
 	if entry == "" {
 		for _, p := range c.entries() {
@@ -50,7 +51,7 @@
 				return p.addrs.Admin, nil
 			}
 		}
-		return "", eris.New("no entry runs")
+		return "", eris.New("no entry is running")
 	}
 	p, err := c.process(entry)
 	if err != nil {
--- a/scenario/cmd_await_test.go
+++ b/scenario/cmd_await_test.go
@@ -10,13 +10,12 @@
 
 const (
 	awaitGap = 50 * time.Millisecond
-	// stopLimit is for the planned stop of an entry. One that misses a peer
-	// waits 15 s more before it refuses anything, then as long as its
-	// requests take.
-	stopLimit = 2 * time.Minute
+	// stopTimeout applies to the planned stop of an entry. An entry that lost contact with a
+	// peer waits 15 s before it refuses requests, and then until its requests end.
+	stopTimeout = 2 * time.Minute
 )
 
-// condition is what a scenario can wait for; nil means that it holds.
+// condition is a check that a scenario can wait for. It returns nil if the condition holds.
 type condition func(c *cluster, args []string) error
 
 var conditions = map[string]condition{
@@ -40,22 +39,24 @@
 }
 
 func cmdAwait(ts *testscript.TestScript, c *cluster, neg bool, args []string) {
-	needs(ts, neg, args, 1, "await CONDITION ARG...")
+	requireArgs(ts, neg, args, 1, "await CONDITION ARG...")
 	check := conditions[args[0]]
 	if check == nil {
-		ts.Fatalf("there is no condition %s", args[0])
+		ts.Fatalf("unknown condition %s", args[0])
 	}
-	most := limit
+	timeout := defaultTimeout
 	if args[0] == "ended" {
-		most = stopLimit
+		timeout = stopTimeout
 	}
-	ts.Check(eris.Wrap(awaitFor(c, most, check, args[1:]), strings.Join(args, " ")))
+	ts.Check(eris.Wrap(awaitFor(c, timeout, check, args[1:]), strings.Join(args, " ")))
 }
 
-func await(c *cluster, check condition, args []string) error { return awaitFor(c, limit, check, args) }
+func await(c *cluster, check condition, args []string) error {
+	return awaitFor(c, defaultTimeout, check, args)
+}
 
-func awaitFor(c *cluster, most time.Duration, check condition, args []string) error {
-	end := time.Now().Add(most)
+func awaitFor(c *cluster, timeout time.Duration, check condition, args []string) error {
+	end := time.Now().Add(timeout)
 	for {
 		err := check(c, args)
 		if err == nil || time.Now().After(end) {
--- a/scenario/cmd_call_test.go
+++ b/scenario/cmd_call_test.go
@@ -14,25 +14,25 @@
 	testService = "billing"
 )
 
-// callOptions are the options of a call in a scenario.
+// callOptions are the parsed options of a call command.
 type callOptions struct {
-	name    string
-	back    bool
-	session string
-	order   order
+	name       string
+	background bool
+	session    string
+	call       call
 }
 
 func (c *cluster) parseCall(args []string) (callOptions, []string, error) {
 	var o callOptions
 	flags := flag.NewFlagSet("call", flag.ContinueOnError)
 	flags.StringVar(&o.name, "as", lastCall, "")
-	flags.BoolVar(&o.back, "bg", false, "")
-	flags.BoolVar(&o.order.stream, "stream", false, "")
-	flags.BoolVar(&o.order.start, "start", false, "")
+	flags.BoolVar(&o.background, "bg", false, "")
+	flags.BoolVar(&o.call.stream, "stream", false, "")
+	flags.BoolVar(&o.call.start, "start", false, "")
 	flags.StringVar(&o.session, "session", "", "")
-	flags.StringVar(&o.order.class, "class", "", "")
-	flags.StringVar(&o.order.timeoutMS, "timeout", "", "")
-	flags.StringVar(&o.order.service, "service", testService, "")
+	flags.StringVar(&o.call.class, "class", "", "")
+	flags.StringVar(&o.call.timeoutMS, "timeout", "", "")
+	flags.StringVar(&o.call.service, "service", testService, "")
 	if err := flags.Parse(args); err != nil {
 		return o, nil, err
 	}
@@ -41,13 +41,13 @@
 		if err != nil {
 			return o, nil, err
 		}
-		o.order.session = earlier.session
+		o.call.session = earlier.session
 	}
 	return o, flags.Args(), nil
 }
 
-// target fills in where the call goes, and for whom.
-func (c *cluster) target(o *order, entry, org, key string) error {
+// target sets the entry, the organisation and the idempotency key of a call.
+func (c *cluster) target(o *call, entry, org, key string) error {
 	p, err := c.process(entry)
 	if err != nil {
 		return err
@@ -65,10 +65,10 @@
 	if len(rest) < 5 {
 		ts.Fatalf("usage: call [OPTION...] ENTRY ORG KEY MODEL TEXT")
 	}
-	ts.Check(c.target(&o.order, rest[0], rest[1], rest[2]))
-	o.order.service = ""
-	o.order.model, o.order.text = rest[3], strings.Join(rest[4:], " ")
-	c.make(ts, neg, o)
+	ts.Check(c.target(&o.call, rest[0], rest[1], rest[2]))
+	o.call.service = ""
+	o.call.model, o.call.text = rest[3], strings.Join(rest[4:], " ")
+	c.runCall(ts, neg, o)
 }
 
 func cmdCallService(ts *testscript.TestScript, c *cluster, neg bool, args []string) {
@@ -77,12 +77,12 @@
 	if len(rest) < 5 {
 		ts.Fatalf("usage: callservice [OPTION...] ENTRY ORG KEY METHOD PATH [BODY]")
 	}
-	ts.Check(c.target(&o.order, rest[0], rest[1], rest[2]))
-	o.order.method, o.order.path, o.order.body = rest[3], rest[4], strings.Join(rest[5:], " ")
-	c.make(ts, neg, o)
+	ts.Check(c.target(&o.call, rest[0], rest[1], rest[2]))
+	o.call.method, o.call.path, o.call.body = rest[3], rest[4], strings.Join(rest[5:], " ")
+	c.runCall(ts, neg, o)
 }
 
-// cmdReadOn reads the rest of a stream that broke, through another entry.
+// cmdReadOn resumes an interrupted stream through another entry.
 func cmdReadOn(ts *testscript.TestScript, c *cluster, neg bool, args []string) {
 	o, rest, err := c.parseCall(args)
 	ts.Check(err)
@@ -91,27 +91,27 @@
 	}
 	began, err := c.callers.result(rest[1])
 	ts.Check(err)
-	name, back := o.name, o.back
-	o = callOptions{name: name, back: back, order: began.order}
-	o.order.began = &began
-	ts.Check(c.target(&o.order, rest[0], began.order.org, began.order.key))
-	c.make(ts, neg, o)
+	name, back := o.name, o.background
+	o = callOptions{name: name, background: back, call: began.call}
+	o.call.resumeFrom = &began
+	ts.Check(c.target(&o.call, rest[0], began.call.org, began.call.key))
+	c.runCall(ts, neg, o)
 }
 
-func (c *cluster) make(ts *testscript.TestScript, neg bool, o callOptions) {
-	ts.Check(c.callers.begin(o.name, o.order))
-	if o.back {
+func (c *cluster) runCall(ts *testscript.TestScript, neg bool, o callOptions) {
+	ts.Check(c.callers.start(o.name, o.call))
+	if o.background {
 		return
 	}
-	c.finish(ts, neg, o.name)
+	c.finishCall(ts, neg, o.name)
 }
 
 func cmdJoin(ts *testscript.TestScript, c *cluster, neg bool, args []string) {
-	needs(ts, false, args, 1, "join NAME")
-	c.finish(ts, neg, args[0])
+	requireArgs(ts, false, args, 1, "join NAME")
+	c.finishCall(ts, neg, args[0])
 }
 
-func (c *cluster) finish(ts *testscript.TestScript, neg bool, name string) {
+func (c *cluster) finishCall(ts *testscript.TestScript, neg bool, name string) {
 	r, err := c.callers.join(name)
 	fmt.Fprint(ts.Stdout(), r)
 	ts.Check(err)
--- a/scenario/cmd_expect_test.go
+++ b/scenario/cmd_expect_test.go
@@ -7,7 +7,7 @@
 	"github.com/rotisserie/eris"
 )
 
-var matters = map[string]condition{
+var expectations = map[string]condition{
 	"outcome":     awaitOutcome,
 	"bills":       expectBills,
 	"runs":        expectRuns,
@@ -17,23 +17,23 @@
 	"version":     expectVersion,
 }
 
-// cmdExpect checks at once; "await" waits until the same holds.
+// cmdExpect evaluates a check once, unlike "await", which repeats it until it holds.
 func cmdExpect(ts *testscript.TestScript, c *cluster, neg bool, args []string) {
-	needs(ts, false, args, 1, "expect MATTER ARG...")
-	check := matters[args[0]]
+	requireArgs(ts, false, args, 1, "expect CHECK ARG...")
+	check := expectations[args[0]]
 	if check == nil {
-		ts.Fatalf("there is no matter %s", args[0])
+		ts.Fatalf("unknown check %s", args[0])
 	}
 	err := check(c, args[1:])
 	if neg && err == nil {
-		ts.Fatalf("%s holds", strings.Join(args, " "))
+		ts.Fatalf("%s holds, but must not", strings.Join(args, " "))
 	}
 	if !neg {
 		ts.Check(eris.Wrap(err, strings.Join(args, " ")))
 	}
 }
 
-// expectSame: NAME NAME: two calls got the same answer, to the byte.
+// expectSame: NAME NAME: two calls have byte-identical answers from the same version.
 func expectSame(c *cluster, args []string) error {
 	if len(args) != 2 {
 		return errUsage
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// expectVersion: NAME VERSION: the call was answered by the version.
+// expectVersion: NAME VERSION: the version answered the call.
 func expectVersion(c *cluster, args []string) error {
 	if len(args) != 2 {
 		return errUsage
@@ -62,7 +62,7 @@
 		return err
 	}
 	if r.version != args[1] {
-		return eris.Errorf("answered by %s, not %s", r.version, args[1])
+		return eris.Errorf("answered by version %s, want %s", r.version, args[1])
 	}
 	return nil
 }
--- a/scenario/cmd_fault_test.go
+++ b/scenario/cmd_fault_test.go
@@ -12,11 +12,11 @@
 const faultsPath = "/faults"
 
 func cmdFault(ts *testscript.TestScript, c *cluster, neg bool, args []string) {
-	needs(ts, neg, args, 2, "fault ID JSON")
+	requireArgs(ts, neg, args, 2, "fault ID JSON")
 	ts.Check(c.fault(args[0], strings.Join(args[1:], " ")))
 }
 
-// fault sends settings to a stand-in's fault port.
+// fault posts fault settings to the fault port of a stand-in.
 func (c *cluster) fault(id, settings string) error {
 	p, err := c.process(id)
 	if err != nil {
@@ -35,7 +35,7 @@
 		return err
 	}
 	if resp.StatusCode >= http.StatusMultipleChoices {
-		return eris.Errorf("%s refused the faults: %s", id, data)
+		return eris.Errorf("%s rejected the fault settings: %s", id, data)
 	}
 	return nil
 }
--- a/scenario/cmd_limits_test.go
+++ b/scenario/cmd_limits_test.go
@@ -12,9 +12,9 @@
 	"github.com/hickorybank/hickorybank/internal/standin/platform/memory"
 )
 
-// cmdLimits changes the platform's limits.
+// cmdLimits changes the platform's rate limits.
 func cmdLimits(ts *testscript.TestScript, c *cluster, neg bool, args []string) {
-	needs(ts, neg, args, 1, "limits JSON")
+	requireArgs(ts, neg, args, 1, "limits JSON")
 	var change memory.LimitsChange
 	ts.Check(eris.Wrap(json.Unmarshal([]byte(strings.Join(args, " ")), &change), "limits"))
 	ts.Check(c.limits(change))
--- a/scenario/conditions_admin_test.go
+++ b/scenario/conditions_admin_test.go
@@ -17,13 +17,13 @@
 )
 
 func init() {
-	conditions["says"] = awaitSays
+	conditions["says"] = awaitAdminOutput
 	conditions["loaded"] = awaitLoaded
 }
 
-// awaitSays: ENTRY PATTERN ARG...: "hickorybank admin ARG..." at the entry
-// prints what the regular expression matches.
-func awaitSays(c *cluster, args []string) error {
+// awaitAdminOutput: ENTRY PATTERN ARG...: the output of "hickorybank admin ARG..." at the
+// entry matches the regular expression.
+func awaitAdminOutput(c *cluster, args []string) error {
 	if len(args) < 3 {
 		return errUsage
 	}
@@ -31,17 +31,17 @@
 	if err != nil {
 		return err
 	}
-	out, err := c.adminSays(args[0], args[2:]...)
+	out, err := c.runAdmin(args[0], args[2:]...)
 	if err != nil {
 		return eris.Wrap(err, out)
 	}
 	if !pattern.MatchString(out) {
-		return eris.Errorf("admin %s says:\n%s", strings.Join(args[2:], " "), out)
+		return eris.Errorf("output of admin %s does not match:\n%s", strings.Join(args[2:], " "), out)
 	}
 	return nil
 }
 
-func (c *cluster) adminSays(entry string, args ...string) (string, error) {
+func (c *cluster) runAdmin(entry string, args ...string) (string, error) {
 	addr, err := c.adminAddr(entry)
 	if err != nil {
 		return "", err
@@ -52,7 +52,7 @@
 	return string(out), err
 }
 
-// awaitLoaded: VERSION N: so many engines have loaded the version.
+// awaitLoaded: VERSION N: exactly N engines have loaded the version.
 func awaitLoaded(c *cluster, args []string) error {
 	if len(args) != 2 {
 		return errUsage
@@ -68,7 +68,7 @@
 		}
 	}
 	if strconv.Itoa(len(have)) != args[1] {
-		return eris.Errorf("%s is loaded at %v, not at %s", args[0], have, args[1])
+		return eris.Errorf("%s is loaded at %v, want %s engines", args[0], have, args[1])
 	}
 	return nil
 }
@@ -80,7 +80,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return nil, nil // a plain service has no state
+		return nil, nil // a plain service has no state endpoint
 	}
 	var state upstream.EngineState
 	return state.Versions, json.NewDecoder(resp.Body).Decode(&state)
--- a/scenario/conditions_lost_test.go
+++ b/scenario/conditions_lost_test.go
@@ -8,12 +8,12 @@
 )
 
 func init() {
-	matters["crashes"] = expectCrashes
-	matters["atmost"] = expectAtMost
+	expectations["crashes"] = expectCrashes
+	expectations["atmost"] = expectAtMost
 	conditions["refused"] = awaitRefused
 }
 
-// expectCrashes: N: at most N upstreams have crashed, and one at least.
+// expectCrashes: N: the upstreams crashed between 1 and N times in total.
 func expectCrashes(c *cluster, args []string) error {
 	if len(args) != 1 {
 		return errUsage
@@ -31,12 +31,12 @@
 		crashes += counts.Crashes
 	}
 	if crashes < 1 || crashes > most {
-		return eris.Errorf("%d crashes, not 1 to %d", crashes, most)
+		return eris.Errorf("%d crashes, want 1 to %d", crashes, most)
 	}
 	return nil
 }
 
-// expectAtMost: WHAT N: WHAT ran N times or fewer.
+// expectAtMost: WHAT N: there were at most N runs of WHAT.
 func expectAtMost(c *cluster, args []string) error {
 	if len(args) != 2 {
 		return errUsage
@@ -50,22 +50,22 @@
 		return err
 	}
 	if n := countRuns(runs, args[0]); n > most {
-		return eris.Errorf("%d runs of %s, more than %d", n, args[0], most)
+		return eris.Errorf("%d runs of %s, want at most %d", n, args[0], most)
 	}
 	return nil
 }
 
-// awaitRefused: ENTRY ORG KEY MODEL TEXT...: the call, repeated, is refused as
-// not run, and the caller is told when to come back.
+// awaitRefused: ENTRY ORG KEY MODEL TEXT...: a repetition of the call is refused as not run,
+// with a Retry-After header.
 func awaitRefused(c *cluster, args []string) error {
 	if len(args) < 5 {
 		return errUsage
 	}
-	o := order{model: args[3], text: strings.Join(args[4:], " ")}
+	o := call{model: args[3], text: strings.Join(args[4:], " ")}
 	if err := c.target(&o, args[0], args[1], args[2]); err != nil {
 		return err
 	}
-	if err := c.callers.begin(lastCall, o); err != nil {
+	if err := c.callers.start(lastCall, o); err != nil {
 		return err
 	}
 	r, err := c.callers.join(lastCall)
--- a/scenario/conditions_test.go
+++ b/scenario/conditions_test.go
@@ -15,7 +15,7 @@
 
 // awaitServing: ENTRY [ORG MODEL]: the entry completes a chat request.
 func awaitServing(c *cluster, args []string) error {
-	o := order{org: "cartagena", model: "dues", text: "probe"}
+	o := call{org: "cartagena", model: "dues", text: "probe"}
 	if len(args) == 0 {
 		return errUsage
 	}
@@ -29,36 +29,36 @@
 	if r.outcome != completed {
 		return eris.New(r.String())
 	}
-	return r.fault
+	return r.answerErr
 }
 
-// awaitCallsOK: ENTRY ORG KEY MODEL TEXT...: the call, repeated, completes.
+// awaitCallsOK: ENTRY ORG KEY MODEL TEXT...: a repetition of the chat request completes.
 func awaitCallsOK(c *cluster, args []string) error {
 	if len(args) < 5 {
 		return errUsage
 	}
-	o := order{model: args[3], text: strings.Join(args[4:], " ")}
+	o := call{model: args[3], text: strings.Join(args[4:], " ")}
 	if err := c.target(&o, args[0], args[1], args[2]); err != nil {
 		return err
 	}
-	return c.again(o)
+	return c.repeatCall(o)
 }
 
-// awaitServicesOK: ENTRY ORG KEY METHOD PATH [BODY]: the service call, repeated,
+// awaitServicesOK: ENTRY ORG KEY METHOD PATH [BODY]: a repetition of the service call
 // completes.
 func awaitServicesOK(c *cluster, args []string) error {
 	if len(args) < 5 {
 		return errUsage
 	}
-	o := order{service: testService, method: args[3], path: args[4], body: strings.Join(args[5:], " ")}
+	o := call{service: testService, method: args[3], path: args[4], body: strings.Join(args[5:], " ")}
 	if err := c.target(&o, args[0], args[1], args[2]); err != nil {
 		return err
 	}
-	return c.again(o)
+	return c.repeatCall(o)
 }
 
-func (c *cluster) again(o order) error {
-	if err := c.callers.begin(lastCall, o); err != nil {
+func (c *cluster) repeatCall(o call) error {
+	if err := c.callers.start(lastCall, o); err != nil {
 		return err
 	}
 	r, err := c.callers.join(lastCall)
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// awaitOutcome: NAME OUTCOME...: a call in the background has ended so.
+// awaitOutcome: NAME OUTCOME...: a background call ended with one of the outcomes.
 func awaitOutcome(c *cluster, args []string) error {
 	if len(args) < 2 {
 		return errUsage
@@ -88,7 +88,7 @@
 	return eris.New(r.String())
 }
 
-// awaitPieces: NAME N: a streamed call in the background has got N pieces.
+// awaitPieces: NAME N: a streamed background call has received N pieces.
 func awaitPieces(c *cluster, args []string) error {
 	if len(args) != 2 {
 		return errUsage
@@ -97,23 +97,23 @@
 	if err != nil {
 		return err
 	}
-	if n := c.callers.came(args[0]); n < want {
-		return eris.Errorf("%d pieces of %d came", n, want)
+	if n := c.callers.lastPiece(args[0]); n < want {
+		return eris.Errorf("%d pieces received, want %d", n, want)
 	}
 	return nil
 }
 
-// awaitEnded: ID [CODE]: the process has ended, with this exit code.
+// awaitEnded: ID [CODE]: the process has exited, with the given exit code.
 func awaitEnded(c *cluster, args []string) error {
 	p, err := c.process(args[0])
 	if err != nil {
 		return err
 	}
 	if p.running() {
-		return eris.Errorf("%s runs", p.id)
+		return eris.Errorf("%s is still running", p.id)
 	}
 	if len(args) > 1 && args[1] != exitText(p) {
-		return eris.Errorf("%s ended with %s:\n%s", p.id, exitText(p), p.tail())
+		return eris.Errorf("%s exited with code %s:\n%s", p.id, exitText(p), p.tail())
 	}
 	return nil
 }
@@ -131,19 +131,20 @@
 	return nil
 }
 
-// awaitAddresses: ENTRY ID...: the entry names these entries to callers.
-func awaitAddresses(c *cluster, args []string) error { return c.namesAddresses(args, true) }
+// awaitAddresses: ENTRY ID...: the address list of the entry contains these entries.
+func awaitAddresses(c *cluster, args []string) error { return c.checkAddresses(args, true) }
 
-// awaitNoAddresses: ENTRY ID...: the entry names none of these to callers.
-func awaitNoAddresses(c *cluster, args []string) error { return c.namesAddresses(args, false) }
+// awaitNoAddresses: ENTRY ID...: the address list of the entry contains none of these
+// entries.
+func awaitNoAddresses(c *cluster, args []string) error { return c.checkAddresses(args, false) }
 
-// addressList is the answer to a caller that asks which entries to use.
+// addressList is the answer of /v1/addresses.
 type addressList struct {
 	Addresses []string `json:"addresses"`
 	TTLMillis int64    `json:"ttl_ms"`
 }
 
-func (c *cluster) namesAddresses(args []string, want bool) error {
+func (c *cluster) checkAddresses(args []string, want bool) error {
 	p, err := c.process(args[0])
 	if err != nil {
 		return err
@@ -158,7 +159,7 @@
 			return err
 		}
 		if contains(list.Addresses, other.addrs.Main) != want {
-			return eris.Errorf("%s at %s: %s names %v", id, other.addrs.Main, p.id, list.Addresses)
+			return eris.Errorf("%s at %s: address list of %s is %v", id, other.addrs.Main, p.id, list.Addresses)
 		}
 	}
 	return nil
--- a/scenario/control_test.go
+++ b/scenario/control_test.go
@@ -6,7 +6,7 @@
 	"github.com/hickorybank/hickorybank/internal/standin/platform/control"
 )
 
-// control asks the platform's control port, past its limits and faults.
+// control calls the platform's control port, which bypasses its limits and faults.
 func (c *cluster) control(ask func(context.Context, *control.Client) error) error {
 	p, err := c.process(platformID)
 	if err != nil {
@@ -14,7 +14,7 @@
 	}
 	client := control.New("http://" + p.addrs.Faults)
 	defer client.Close()
-	ctx, cancel := context.WithTimeout(context.Background(), dumpLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), controlTimeout)
 	defer cancel()
 	return ask(ctx, client)
 }
--- a/scenario/example_test.go
+++ b/scenario/example_test.go
@@ -8,8 +8,7 @@
 	"github.com/hickorybank/hickorybank/internal/example"
 )
 
-// writeExamples puts the example configurations into a scenario's folder, as
-// NAME.json.
+// writeExamples writes the example configurations to a scenario's folder, as NAME.json.
 func writeExamples(dir string) error {
 	for _, name := range example.Names() {
 		doc, err := example.Load(name)
--- a/scenario/gate_test.go
+++ b/scenario/gate_test.go
@@ -5,16 +5,17 @@
 	"time"
 )
 
-// gate lets bytes between two processes pass, slows them or holds them back.
+// gate controls the bytes between two processes: it lets them pass, delays them or blocks
+// them.
 type gate struct {
 	mu    sync.Mutex
-	opens chan struct{} // closed while the gate is open
+	open  chan struct{} // closed while the gate is open
 	delay time.Duration
 }
 
 func newGate() *gate {
-	g := &gate{opens: make(chan struct{})}
-	close(g.opens)
+	g := &gate{open: make(chan struct{})}
+	close(g.open)
 	return g
 }
 
@@ -22,8 +23,8 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	select {
-	case <-g.opens:
-		g.opens = make(chan struct{})
+	case <-g.open:
+		g.open = make(chan struct{})
 	default:
 	}
 }
@@ -32,9 +33,9 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	select {
-	case <-g.opens:
+	case <-g.open:
 	default:
-		close(g.opens)
+		close(g.open)
 	}
 }
 
@@ -44,10 +45,10 @@
 	g.delay = d
 }
 
-// pass waits until bytes may go on; false when done came first.
+// pass waits until bytes may be forwarded. It returns false if done is closed first.
 func (g *gate) pass(done <-chan struct{}) bool {
 	g.mu.Lock()
-	opens, delay := g.opens, g.delay
+	opens, delay := g.open, g.delay
 	g.mu.Unlock()
 	if delay > 0 {
 		select {
--- a/scenario/load_report_test.go
+++ b/scenario/load_report_test.go
@@ -8,30 +8,30 @@
 	"github.com/hickorybank/hickorybank/internal/standin/engine"
 )
 
-// report is the counts of a load held against the upstreams' runs and the
-// bills. Everything from Doubled on must be 0.
+// report compares the requests of a load with the upstreams' runs and the bills. Every count
+// from Doubled on must be 0.
 type report struct {
 	Sent, Arrivals, Completed, NotRun, Unknown, GaveUp, Cuts int
 
-	Doubled    int // non-repeatable calls that ran more than once
-	Foreign    int // answers taken for whole that were foreign or partial
-	Unbilled   int // completed without a bill
-	Overbilled int // with more than one bill
-	FalseNot   int // "not run" that ran, or was billed
-
-	// codes counts the reasons of what did not complete.
-	codes    map[string]int
-	examples []string
-	named    map[string]int // examples of each thing that is wrong
-	notes    []string
+	Doubled     int // non-idempotent calls that ran more than once
+	Foreign     int // answers that ended as complete but were partial or belonged to another request
+	Unbilled    int // completed requests without a bill
+	Overbilled  int // requests with more than one bill
+	FalseNotRun int // requests refused as not run that ran or were billed
+
+	// codes counts the error codes of requests that did not complete.
+	codes         map[string]int
+	examples      []string
+	exampleCounts map[string]int // number of examples by violation
+	notes         []string
 }
 
-// maxExamples is how many requests a report names for each thing that is wrong.
+// maxExamples is the number of requests that a report lists for each violation.
 const maxExamples = 10
 
 type requestKey struct{ org, key string }
 
-// evidence is what upstreams and store say of each request.
+// evidence counts the runs at the upstreams and the bills in the store by request.
 type evidence struct {
 	digests map[string]int
 	keys    map[string]int // of service calls
@@ -53,7 +53,7 @@
 	return e
 }
 
-func (e evidence) runs(o order) int {
+func (e evidence) runs(o call) int {
 	if o.chat() {
 		return e.digests[engine.Digest(o.text)]
 	}
@@ -61,7 +61,7 @@
 }
 
 func newReport(records []record, e evidence) report {
-	p := report{codes: map[string]int{}, named: map[string]int{}}
+	p := report{codes: map[string]int{}, exampleCounts: map[string]int{}}
 	for _, r := range records {
 		p.add(r, e)
 	}
@@ -72,26 +72,26 @@
 	p.Sent++
 	p.Arrivals += r.arrivals
 	p.Cuts += r.cuts
-	p.Foreign += len(r.faults)
+	p.Foreign += len(r.answerErrs)
 	if r.cuts > 0 {
-		p.notes = append(p.notes, fmt.Sprintf("cut: %s %s", r.order.key, r.last))
+		p.notes = append(p.notes, fmt.Sprintf("cut: %s %s", r.call.key, r.last))
 	}
-	if len(r.faults) > 0 {
-		p.example(r, "foreign", r.faults[0].Error())
+	if len(r.answerErrs) > 0 {
+		p.addExample(r, "foreign", r.answerErrs[0].Error())
 	}
-	bills, runs := e.bills[requestKey{r.order.org, r.order.key}], e.runs(r.order)
-	if r.order.method == "POST" && runs > 1 {
+	bills, runs := e.bills[requestKey{r.call.org, r.call.key}], e.runs(r.call)
+	if r.call.method == "POST" && runs > 1 {
 		p.Doubled++
-		p.example(r, "doubled", fmt.Sprintf("ran %d times", runs))
+		p.addExample(r, "doubled", fmt.Sprintf("ran %d times", runs))
 	}
 	if bills > 1 {
 		p.Overbilled++
-		p.example(r, "overbilled", fmt.Sprintf("%d bills", bills))
+		p.addExample(r, "overbilled", fmt.Sprintf("%d bills", bills))
 	}
-	p.outcome(r, bills, runs)
+	p.addOutcome(r, bills, runs)
 }
 
-func (p *report) outcome(r record, bills, runs int) {
+func (p *report) addOutcome(r record, bills, runs int) {
 	if r.last.code != "" {
 		p.codes[string(r.last.outcome)+"/"+r.last.code+": "+r.last.message]++
 	}
@@ -100,46 +100,46 @@
 		p.Completed++
 		if bills == 0 {
 			p.Unbilled++
-			p.example(r, "unbilled", "no bill")
+			p.addExample(r, "unbilled", "no bill")
 		}
 	case notRun:
 		p.NotRun++
-		if r.clean && runs+bills > 0 {
-			p.FalseNot++
-			p.example(r, "falsely not run", fmt.Sprintf("ran %d times, %d bills", runs, bills))
+		if r.neverReached && runs+bills > 0 {
+			p.FalseNotRun++
+			p.addExample(r, "falsely not run", fmt.Sprintf("ran %d times, %d bills", runs, bills))
 		}
 	case unknown:
 		p.Unknown++
 	default:
 		p.GaveUp++
-		p.example(r, "gave up", fmt.Sprintf("no answer after %d arrivals", r.arrivals))
+		p.addExample(r, "gave up", fmt.Sprintf("no answer after %d arrivals", r.arrivals))
 	}
 }
 
-func (p *report) example(r record, wrong, what string) {
-	p.named[wrong]++
-	if p.named[wrong] <= maxExamples {
-		head := fmt.Sprintf("%s: %s %s %s %s: %s: %s", wrong, r.order.org, r.order.key, r.order.model, r.order.path, what, r.last)
+func (p *report) addExample(r record, wrong, what string) {
+	p.exampleCounts[wrong]++
+	if p.exampleCounts[wrong] <= maxExamples {
+		head := fmt.Sprintf("%s: %s %s %s %s: %s: %s", wrong, r.call.org, r.call.key, r.call.model, r.call.path, what, r.last)
 		p.examples = append(p.examples, head+strings.Join(r.history, "\n"))
 	}
 }
 
-// wrong is how many requests break what must always hold.
-func (p report) wrong() int {
-	return p.Doubled + p.Foreign + p.Unbilled + p.Overbilled + p.FalseNot
+// violations returns the number of broken guarantees.
+func (p report) violations() int {
+	return p.Doubled + p.Foreign + p.Unbilled + p.Overbilled + p.FalseNotRun
 }
 
 func (p report) String() string {
 	counts := fmt.Sprintf("sent=%d arrivals=%d completed=%d not_run=%d unknown=%d gave_up=%d cuts=%d "+
 		"doubled=%d foreign=%d unbilled=%d overbilled=%d false_not_run=%d codes=%v",
 		p.Sent, p.Arrivals, p.Completed, p.NotRun, p.Unknown, p.GaveUp, p.Cuts,
-		p.Doubled, p.Foreign, p.Unbilled, p.Overbilled, p.FalseNot, p.codes)
+		p.Doubled, p.Foreign, p.Unbilled, p.Overbilled, p.FalseNotRun, p.codes)
 	lines := append([]string{counts}, p.examples...)
 	return strings.Join(append(lines, p.notes[:min(len(p.notes), maxExamples)]...), "\n") + "\n"
 }
 
-// report holds a load's records against runs and bills. Bills that are still
-// on their way are waited for, as long as for anything.
+// report compares a load's records with runs and bills. It waits up to defaultTimeout for
+// missing bills.
 func (c *cluster) report(records []record) (report, error) {
 	var p report
 	settle := func(c *cluster, _ []string) error {
@@ -159,7 +159,7 @@
 	}
 	err := await(c, settle, nil)
 	if err == errUnbilled {
-		err = nil // the report says so
+		err = nil // the report lists the unbilled requests
 	}
 	return p, err
 }
--- a/scenario/load_request_test.go
+++ b/scenario/load_request_test.go
@@ -11,100 +11,99 @@
 )
 
 const (
-	// patience is how long a caller goes on sending a request again.
-	patience = 20 * time.Second
-	// retryGap is the time before a caller sends again when the answer names
-	// none; a named one is cut to retryMost so that a scenario stays short.
-	retryGap  = 100 * time.Millisecond
-	retryMost = time.Second
-	// mostAgain is how often a caller sends that does not take "unknown" for
-	// an answer.
-	mostAgain = 4
+	// retryTimeout is how long a caller retries a request.
+	retryTimeout = 20 * time.Second
+	// defaultRetryDelay is the delay before a retry if the answer has no Retry-After.
+	// maxRetryDelay caps a Retry-After, so that a scenario stays short.
+	defaultRetryDelay = 100 * time.Millisecond
+	maxRetryDelay     = time.Second
+	// maxUnknownSends is the maximum number of sends of a request whose outcome is unknown,
+	// with the load option retryUnknown.
+	maxUnknownSends = 4
 )
 
-// request sends one request until it has a final answer: again with the same
-// key through another entry after a broken connection or an answer that says
-// when to come back. A first answer "not run" is final here, so that the check
-// can hold it against the upstreams' runs.
-func (l *load) request(o order, addresses *book) record {
-	r := record{order: o, clean: true}
-	end := time.Now().Add(patience)
+// request sends a request until it has a final answer. After a broken connection or an
+// answer with Retry-After it sends the request with the same key through another entry. A
+// first answer "not run" is final, so that it can be checked against the upstreams' runs.
+func (l *load) request(o call, cache *addressCache) record {
+	r := record{call: o, neverReached: true}
+	end := time.Now().Add(retryTimeout)
 	for {
-		o.entry, o.addr = "", addresses.next()
+		o.entry, o.addr = "", cache.next()
 		if o.addr != "" {
 			r.arrivals++
 			r.last = l.caller.do(o)
-			r.remember()
+			r.appendHistory()
 			if r.last.unreached {
-				addresses.lost(o.addr)
+				cache.markUnreachable(o.addr)
 			}
-			if l.final(&r, &o) || l.options.once {
+			if l.handleResult(&r, &o) || l.options.once {
 				return r
 			}
 		}
 		if time.Now().After(end) {
 			return r
 		}
-		time.Sleep(pause(r.last))
+		time.Sleep(retryDelay(r.last))
 	}
 }
 
-// final takes in one answer; it says whether it is final, and turns a
-// stream that broke into an order that reads on.
-func (l *load) final(r *record, o *order) bool {
+// handleResult records one answer and returns whether it is final. After an interrupted
+// stream it turns the call into one that resumes the stream.
+func (l *load) handleResult(r *record, o *call) bool {
 	last := r.last
-	if last.outcome == completed && last.fault == nil && !o.chat() {
-		last.fault = checkService(*o, last.text)
+	if last.outcome == completed && last.answerErr == nil && !o.chat() {
+		last.answerErr = checkService(*o, last.text)
 	}
-	if last.fault != nil {
-		r.faults = append(r.faults, last.fault)
+	if last.answerErr != nil {
+		r.answerErrs = append(r.answerErrs, last.answerErr)
 	}
-	began := o.began
-	o.began = nil
+	began := o.resumeFrom
+	o.resumeFrom = nil
 	switch last.outcome {
 	case completed:
 		return true
 	case notRun:
-		if r.clean && !l.options.insist {
+		if r.neverReached && !l.options.retryNotRun {
 			return true
 		}
-		r.clean = false
+		r.neverReached = false
 		return last.retry == ""
 	case unknown:
-		r.clean = false
-		if l.options.again && r.arrivals < mostAgain {
+		r.neverReached = false
+		if l.options.retryUnknown && r.arrivals < maxUnknownSends {
 			return false
 		}
 		return last.retry == "" && began == nil
 	}
 	if last.unreached {
-		o.began = began
+		o.resumeFrom = began
 		return false
 	}
 	r.cuts++
-	r.clean = false
+	r.neverReached = false
 	if last.stream != "" {
-		o.began = &last
+		o.resumeFrom = &last
 	}
 	return false
 }
 
-func pause(r result) time.Duration {
+func retryDelay(r result) time.Duration {
 	seconds, err := strconv.Atoi(r.retry)
 	if err != nil || seconds <= 0 {
-		return retryGap
+		return defaultRetryDelay
 	}
-	return min(time.Duration(seconds)*time.Second, retryMost)
+	return min(time.Duration(seconds)*time.Second, maxRetryDelay)
 }
 
-// checkService reports an answer of the service that belongs to another call.
-func checkService(o order, text string) error {
-	var a service.Answer
-	if err := json.Unmarshal([]byte(text), &a); err != nil {
-		return eris.Errorf("service answer %q", text)
+// checkService returns an error if the service answer belongs to another call.
+func checkService(o call, text string) error {
+	var answer service.Answer
+	if err := json.Unmarshal([]byte(text), &answer); err != nil {
+		return eris.Errorf("parse service answer %q: %v", text, err)
 	}
-	if a.Path != o.path || a.Key != o.org+"."+o.key || a.Echo != o.body {
-		return eris.Errorf("foreign answer of the service to %s %s: %q", o.key, o.path, text)
+	if answer.Path != o.path || answer.Key != o.org+"."+o.key || answer.Echo != o.body {
+		return eris.Errorf("service answer to %s %s belongs to another call: %q", o.key, o.path, text)
 	}
 	return nil
 }
--- a/scenario/load_test.go
+++ b/scenario/load_test.go
@@ -9,82 +9,81 @@
 	"time"
 )
 
-// loadOptions say how much a load sends, and what.
+// loadOptions configure the requests of a load.
 type loadOptions struct {
 	name string
-	// rate is how many requests begin in a second.
+	// rate is the number of requests started per second.
 	rate float64
-	// most bounds how many there are; 0 is no bound.
-	most int
-	seed uint64
-	// hold: callers keep the first addresses that they got for good.
-	hold bool
-	// insist: callers send again also what was refused with a time to come back.
-	insist bool
-	// once: callers do not send a request again, whatever came of it.
+	// maxRequests is the total number of requests; 0 means no limit.
+	maxRequests int
+	seed        uint64
+	// keepAddresses: callers never refresh their first address list.
+	keepAddresses bool
+	// retryNotRun: callers retry requests refused as not run with a Retry-After.
+	retryNotRun bool
+	// once: callers send each request only once.
 	once bool
-	// again: callers send a request again, a few times, also when they heard
-	// that it is not known what became of it.
-	again bool
-	// org, model and chatOnly narrow what is sent; empty ones are a mix.
+	// retryUnknown: callers retry requests whose outcome is unknown, up to maxUnknownSends
+	// sends.
+	retryUnknown bool
+	// org, model and chatOnly restrict the requests; if empty, requests are mixed.
 	org      string
 	model    string
 	chatOnly bool
 }
 
-// load sends requests through all entries in the background, as applications
-// do, and remembers what came of each.
+// load sends requests through all entries in the background, as applications do, and records
+// the result of each.
 type load struct {
 	cluster *cluster
 	options loadOptions
-	books   []*book
+	caches  []*addressCache
 	caller  *caller
 
 	stop    context.CancelFunc
 	stopped chan struct{}
 	tasks   sync.WaitGroup
-	begun   atomic.Int64
+	started atomic.Int64
 
 	mu      sync.Mutex
 	records []record
 }
 
-// record is one request of a load and its whole history.
+// record is one request of a load with its history.
 type record struct {
-	order order
+	call call
 	// last is the final answer.
 	last result
-	// arrivals is how often it was sent, and cuts how many of these were broken
-	// off without an answer after they had reached an entry.
+	// arrivals counts the sends of the request. cuts counts those that reached an entry but
+	// got no answer.
 	arrivals int
 	cuts     int
-	// history is what each sending came to, and when, for whoever traces it.
+	// history describes the result and time of each send, for debugging.
 	history []string
-	// clean: every earlier sending of it met no entry at all, so that the
-	// final answer speaks for the whole request.
-	clean bool
-	// faults are answers that claimed to be whole and were not.
-	faults []error
+	// neverReached: no earlier send reached an entry, so the final answer covers the whole
+	// request.
+	neverReached bool
+	// answerErrs lists the answers that ended as complete but were invalid.
+	answerErrs []error
 }
 
-// remember notes the last answer.
-func (r *record) remember() {
+// appendHistory adds the last answer to the history.
+func (r *record) appendHistory() {
 	l := r.last
-	r.history = append(r.history, fmt.Sprintf("%s %s %s %d %s %q read on %t",
-		time.Now().Format(clockFormat), l.order.addr, l.outcome, l.status, l.code, l.message, l.order.readsOn()))
+	r.history = append(r.history, fmt.Sprintf("%s %s %s %d %s %q resumed %t",
+		time.Now().Format(clockFormat), l.call.addr, l.outcome, l.status, l.code, l.message, l.call.resumes()))
 }
 
-// clockFormat is the time of day as the processes' logs have it.
+// clockFormat is the time format of the processes' logs.
 const clockFormat = "15:04:05.000"
 
-// loadCallers is how many callers, each with its own list of addresses, a load
-// has.
+// loadCallers is the number of callers in a load, each with its own address list.
 const loadCallers = 8
 
 func newLoad(c *cluster, o loadOptions) *load {
 	l := &load{cluster: c, options: o, caller: newCaller(), stopped: make(chan struct{})}
 	for range loadCallers {
-		l.books = append(l.books, newBook(c, o.hold))
+		l.caches = append(l.caches, newAddressCache(c, o.keepAddresses))
 	}
 	return l
 }
@@ -95,37 +94,37 @@
 	go l.run(ctx)
 }
 
-// run begins requests at the rate, however long each takes.
+// run starts requests at the configured rate, independent of their duration.
 func (l *load) run(ctx context.Context) {
 	defer close(l.stopped)
 	began := time.Now()
 	rng := rand.New(rand.NewPCG(l.options.seed, 1))
-	for n := 0; l.options.most == 0 || n < l.options.most; n++ {
+	for n := 0; l.options.maxRequests == 0 || n < l.options.maxRequests; n++ {
 		due := began.Add(time.Duration(float64(n) / l.options.rate * float64(time.Second)))
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(time.Until(due)):
 		}
-		o := l.order(n, rng)
-		l.begun.Add(1)
-		l.tasks.Go(func() { l.note(l.request(o, l.books[n%len(l.books)])) })
+		o := l.newCall(n, rng)
+		l.started.Add(1)
+		l.tasks.Go(func() { l.addRecord(l.request(o, l.caches[n%len(l.caches)])) })
 	}
 }
 
-func (l *load) note(r record) {
+func (l *load) addRecord(r record) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.records = append(l.records, r)
 }
 
-// finish ends the load, waits for what was sent and returns the records.
+// finish stops the load, waits for the requests under way and returns the records.
 func (l *load) finish() []record {
 	l.stop()
 	return l.wait()
 }
 
-// wait waits until all of a bounded load has been answered.
+// wait waits until every request of a bounded load has ended.
 func (l *load) wait() []record {
 	<-l.stopped
 	l.tasks.Wait()
@@ -135,7 +134,7 @@
 	return l.records
 }
 
-// abandon ends a load of a scenario that is over.
+// abandon stops the load without waiting.
 func (l *load) abandon() { l.stop() }
 
 var (
@@ -143,11 +142,11 @@
 	loadModels = []string{"dues", "lines", "dues@2", "lines@1", "lines@2"}
 )
 
-// order draws the n-th request: a chat request whole or streamed, a receipt
-// that may be fetched again, or a settlement that may not be repeated.
-func (l *load) order(n int, rng *rand.Rand) order {
+// newCall generates the n-th request: a chat request (whole or streamed), an idempotent GET of
+// a receipt, or a settlement that must not run twice.
+func (l *load) newCall(n int, rng *rand.Rand) call {
 	key := fmt.Sprintf("%s-%d-%d", l.options.name, l.options.seed, n)
-	o := order{org: loadOrgs[rng.IntN(len(loadOrgs))], key: key}
+	o := call{org: loadOrgs[rng.IntN(len(loadOrgs))], key: key}
 	if l.options.org != "" {
 		o.org = l.options.org
 	}
--- a/scenario/loopback_test.go
+++ b/scenario/loopback_test.go
@@ -6,16 +6,15 @@
 	"sync/atomic"
 )
 
-// processes counts what this test has started.
+// processes counts the listen addresses that this test has allocated.
 var processes atomic.Uint32
 
-// freshListen is a free port at a loopback address that nothing else of this
-// test listens at, as each VM has an address of its own.
+// uniqueListen returns port 0 on a loopback address that no other process of this test uses,
+// since each VM has its own address.
 //
-// It guards against callers and nodes that know the address of a process which
-// is gone. At a shared address its port may be taken by a relay, another
-// process, or another test of this machine, and these answer.
-func freshListen() string {
+// On a shared address, a relay, another process or another test may reuse the port of a
+// process that has exited. Callers and nodes with the stale address then get answers from it.
+func uniqueListen() string {
 	const lasts, blocks = 250, 200
 	n := processes.Add(1)
 	return fmt.Sprintf("127.%d.%d.%d:0", 2+os.Getpid()%lasts, 2+n/lasts%blocks, 2+n%lasts)
--- a/scenario/mark_test.go
+++ b/scenario/mark_test.go
@@ -7,26 +7,26 @@
 	"github.com/rotisserie/eris"
 )
 
-// mark is how far everything had come at one moment of a scenario.
+// mark is a snapshot of runs, declined requests and started requests.
 type mark struct {
 	runs []run
-	// declined is how many requests each upstream had turned away.
+	// declined is the number of requests that each upstream has declined.
 	declined map[string]int
-	// calls is how many requests each load had begun.
+	// calls is the number of requests that each load has started.
 	calls map[string]int64
 }
 
 func cmdMark(ts *testscript.TestScript, c *cluster, neg bool, args []string) {
-	needs(ts, neg, args, 1, "mark NAME")
-	m, err := c.now()
+	requireArgs(ts, neg, args, 1, "mark NAME")
+	m, err := c.snapshot()
 	ts.Check(err)
 	c.marks[args[0]] = m
 }
 
-func (c *cluster) now() (mark, error) {
+func (c *cluster) snapshot() (mark, error) {
 	m := mark{declined: map[string]int{}, calls: map[string]int64{}}
 	for name, l := range c.loads {
-		m.calls[name] = l.begun.Load()
+		m.calls[name] = l.started.Load()
 	}
 	for _, p := range c.upstreams() {
 		counts, err := fetchCounts(p)
@@ -43,7 +43,7 @@
 func (c *cluster) marked(name string) (mark, error) {
 	m, ok := c.marks[name]
 	if !ok {
-		return m, eris.Errorf("there is no mark %s", name)
+		return m, eris.Errorf("unknown mark %s", name)
 	}
 	return m, nil
 }
@@ -60,8 +60,7 @@
 	return c.compareRuns(args[1], args[2], countRuns(m.runs, args[1]))
 }
 
-// expectNewDeclined: MARK UPSTREAM N: the upstream has turned N requests away
-// since the mark.
+// expectNewDeclined: MARK UPSTREAM N: the upstream has declined N requests since the mark.
 func expectNewDeclined(c *cluster, args []string) error {
 	if len(args) != 3 {
 		return errUsage
@@ -79,12 +78,12 @@
 		return err
 	}
 	if n := counts.Declined - m.declined[p.id]; strconv.Itoa(n) != args[2] {
-		return eris.Errorf("%s has turned away %d requests, not %s", p.id, n, args[2])
+		return eris.Errorf("%s has declined %d requests, want %s", p.id, n, args[2])
 	}
 	return nil
 }
 
-// awaitNewCalls: MARK LOAD N: the load has begun N requests since the mark.
+// awaitNewCalls: MARK LOAD N: the load has started N requests since the mark.
 func awaitNewCalls(c *cluster, args []string) error {
 	if len(args) != 3 {
 		return errUsage
@@ -99,10 +98,10 @@
 	}
 	l := c.loads[args[1]]
 	if l == nil {
-		return eris.Errorf("there is no load %s", args[1])
+		return eris.Errorf("load %s is not running", args[1])
 	}
-	if n := l.begun.Load() - m.calls[args[1]]; n < want {
-		return eris.Errorf("%d requests of %d", n, want)
+	if n := l.started.Load() - m.calls[args[1]]; n < want {
+		return eris.Errorf("%d requests started, want %d", n, want)
 	}
 	return nil
 }
--- a/scenario/network_test.go
+++ b/scenario/network_test.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// pair is two processes in no particular order.
+// pair is an unordered pair of processes.
 type pair struct{ a, b string }
 
 func pairOf(a, b string) pair {
@@ -12,13 +12,12 @@
 	return pair{a, b}
 }
 
-// link is the way from a process to an address of another.
+// link is the route from a process to one address of another process.
 type link struct {
 	from, to, target string
 }
 
-// network holds the relays between processes, one a link, and a gate for each
-// pair of processes.
+// network holds the relays, one for each link, and the gates, one for each pair of processes.
 type network struct {
 	mu     sync.Mutex
 	gates  map[pair]*gate
@@ -44,7 +43,8 @@
 	return g
 }
 
-// route returns the address at which from reaches target, which belongs to.
+// route returns the relay address through which process from reaches address target of
+// process to.
 func (n *network) route(from, to, target string) (string, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -60,8 +60,8 @@
 	return r.addr(), nil
 }
 
-// direct is the address behind a relay, or the address itself: a caller stands
-// beside no entry, so it does not use the relays between them.
+// direct returns the address behind a relay, or addr itself. Callers are not cluster nodes, so
+// they do not use the relays between nodes.
 func (n *network) direct(addr string) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/scenario/process_test.go
+++ b/scenario/process_test.go
@@ -14,25 +14,25 @@
 	"github.com/rotisserie/eris"
 )
 
-// limit is how long a scenario waits for anything; ample, so that a slow
-// machine does not fail it.
-const limit = 30 * time.Second
+// defaultTimeout is how long a scenario waits for a condition. It is generous, so that a slow
+// machine does not fail a scenario.
+const defaultTimeout = 30 * time.Second
 
-// faults of a process that its log shows; none may appear.
-var brokenMarks = [][]byte{[]byte("WARNING: DATA RACE"), []byte("panic: "), []byte("fatal error: ")}
+// crashPatterns are the log texts of a data race or a crash. None may appear in a log.
+var crashPatterns = [][]byte{[]byte("WARNING: DATA RACE"), []byte("panic: "), []byte("fatal error: ")}
 
-// process is one running process of the product.
+// process is one process of the product.
 type process struct {
 	id    string
 	cmd   *exec.Cmd
 	stdin io.Closer
-	log   string // file
+	log   string // path of the log file
 	addrs addresses
-	entry bool // node, not a stand-in
+	entry bool // an entry node, not a stand-in
 	ended chan struct{}
 }
 
-// sessionKey signs the session tokens of every entry node of a scenario.
+// sessionKey sets the key that signs session tokens on every entry node of a scenario.
 const sessionKey = "HICKORYBANK_SESSION_KEY=" +
 	"6b6579206f66207363656e6172696f73206f6e6c79206b657920736365732e2e"
 
@@ -68,13 +68,14 @@
 		p.addrs = parseReady(line)
 		return nil
 	case <-p.ended:
-		return eris.Errorf("%s ended before it was ready:\n%s", p.id, p.tail())
-	case <-time.After(limit):
-		return eris.Errorf("%s is not ready after %s:\n%s", p.id, limit, p.tail())
+		return eris.Errorf("%s exited before it was ready:\n%s", p.id, p.tail())
+	case <-time.After(defaultTimeout):
+		return eris.Errorf("%s is not ready after %s:\n%s", p.id, defaultTimeout, p.tail())
 	}
 }
 
-// follow passes the ready line on, drains the rest and reaps the process.
+// follow sends the ready line to lines, discards the rest of the output and reaps the
+// process.
 func (p *process) follow(out io.Reader, lines chan<- string) {
 	scanner := bufio.NewScanner(out)
 	for scanner.Scan() {
@@ -90,7 +91,7 @@
 
 func (p *process) signal(s syscall.Signal) error { return p.cmd.Process.Signal(s) }
 
-// kill ends the process at once and waits until it is gone.
+// kill sends SIGKILL and waits until the process has exited.
 func (p *process) kill() {
 	_ = p.signal(syscall.SIGKILL)
 	<-p.ended
@@ -106,10 +107,10 @@
 	}
 }
 
-// upstream says whether this is a stand-in upstream.
+// upstream reports whether this is a stand-in upstream.
 func (p *process) upstream() bool { return p.id != platformID && p.addrs.Faults != "" }
 
-// exitCode is that of an ended process; -1 when a signal ended it.
+// exitCode returns the exit code of an exited process, or -1 if a signal ended it.
 func (p *process) exitCode() int { return p.cmd.ProcessState.ExitCode() }
 
 func (p *process) output() []byte {
@@ -126,10 +127,10 @@
 	return string(data[max(0, len(data)-most):])
 }
 
-// broken reports a data race or a panic in the process.
-func (p *process) broken() error {
+// crashError returns an error if the log shows a data race or a crash.
+func (p *process) crashError() error {
 	data := p.output()
-	for _, mark := range brokenMarks {
+	for _, mark := range crashPatterns {
 		if i := bytes.Index(data, mark); i >= 0 {
 			return eris.Errorf("%s: %s", p.id, data[i:min(len(data), i+3000)])
 		}
--- a/scenario/read_json_test.go
+++ b/scenario/read_json_test.go
@@ -7,7 +7,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// readJSON reads what a process of the scenario tells at a URL.
+// readJSON decodes the JSON document at a URL of one of the processes.
 func readJSON(url string, v any) error {
 	resp, err := runsClient.Get(url)
 	if err != nil {
@@ -20,7 +20,7 @@
 	return eris.Wrap(json.NewDecoder(resp.Body).Decode(v), url)
 }
 
-// upstreamCounts are what a stand-in upstream counts.
+// upstreamCounts are the counters of a stand-in upstream.
 type upstreamCounts struct {
 	Crashes  int `json:"crashes"`
 	Declined int `json:"declined"`
--- a/scenario/relay_test.go
+++ b/scenario/relay_test.go
@@ -7,8 +7,8 @@
 
 const relayBuffer = 32 << 10
 
-// relay carries TCP connections to a target through a gate. While the gate is
-// cut, connections stand and no byte passes, as in a partitioned network.
+// relay forwards TCP connections to a target through a gate. While the gate is cut,
+// connections stay open but no byte passes, as in a network partition.
 type relay struct {
 	listener net.Listener
 	target   string
@@ -41,11 +41,11 @@
 		if err != nil {
 			return
 		}
-		r.tasks.Go(func() { r.carry(conn) })
+		r.tasks.Go(func() { r.forward(conn) })
 	}
 }
 
-func (r *relay) carry(from net.Conn) {
+func (r *relay) forward(from net.Conn) {
 	defer from.Close()
 	if !r.gate.pass(r.done) {
 		return
--- a/scenario/result_test.go
+++ b/scenario/result_test.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// outcome is what a caller was told became of its request.
+// outcome is the outcome of a request as reported to the caller.
 type outcome string
 
 const (
@@ -13,26 +13,26 @@
 	cutOff outcome = "cut_off"
 )
 
-// result is what came of one call.
+// result is the result of one call.
 type result struct {
-	order   order
+	call    call
 	outcome outcome
 	status  int
-	code    string // of the error
+	code    string // error code
 	message string
 	retry   string // Retry-After
 	version string
 	session string
 	text    string
-	stream  string // token with which any entry reads on
-	last    int    // number of the last piece that came
-	// unreached: no connection came about, so nothing was sent.
+	stream  string // token to resume the stream at any entry
+	last    int    // number of the last piece received
+	// unreached: the connection could not be established, so nothing was sent.
 	unreached bool
-	// fault says what is wrong with an answer that claims to be whole.
-	fault error
+	// answerErr describes why an answer that ended as complete is invalid, or is nil.
+	answerErr error
 }
 
-// String is the line that a scenario may match with "stdout".
+// String returns the line that a scenario can match with "stdout".
 func (r result) String() string {
 	return fmt.Sprintf("outcome=%s status=%d code=%s version=%s retry=%s message=%q text=%q\n",
 		r.outcome, r.status, r.code, r.version, r.retry, r.message, r.text)
--- a/scenario/runs_test.go
+++ b/scenario/runs_test.go
@@ -12,34 +12,34 @@
 	"github.com/hickorybank/hickorybank/internal/standin/engine"
 )
 
-// run is one execution that a stand-in upstream has begun.
+// run is one execution that a stand-in upstream has started.
 type run struct {
 	upstream string
-	// Key is the idempotency key of a service call, after its organisation.
+	// Key is the organisation and the idempotency key of a service call, joined by a dot.
 	Key  string `json:"key"`
 	Path string `json:"path"`
-	// Digest is that of a chat request's text.
+	// Digest is the digest of the text of a chat request.
 	Digest  string `json:"digest"`
 	Attempt string `json:"attempt"`
 	Version string `json:"version"`
 	State   string `json:"state"`
 }
 
-// runPage is how a fault port lists runs.
+// runPage is the answer of /runs at a fault port.
 type runPage struct {
 	Runs []run `json:"runs"`
 }
 
-// runsLimit bounds the reading of a fault port.
-const runsLimit = 20 * time.Second
+// runsTimeout limits one request to a fault port.
+const runsTimeout = 20 * time.Second
 
-var runsClient = &http.Client{Timeout: runsLimit}
+var runsClient = &http.Client{Timeout: runsTimeout}
 
-// runs returns what every stand-in upstream has run, also those that were
-// killed by the scenario since.
+// runs returns the runs of all stand-in upstreams, including those that the scenario has
+// killed.
 func (c *cluster) runs() ([]run, error) {
 	c.mu.Lock()
-	all := append([]run(nil), c.pastRuns...)
+	all := append([]run(nil), c.savedRuns...)
 	c.mu.Unlock()
 	for _, p := range c.upstreams() {
 		runs, err := fetchRuns(p)
@@ -51,10 +51,9 @@
 	return all, nil
 }
 
-// keepRuns saves the runs of an upstream that is about to be killed: they are
-// the scenario's evidence and live in the process. Its port is closed first,
-// so that no run begins unseen.
-func (c *cluster) keepRuns(p *process) error {
+// saveRuns saves the runs of an upstream before it is killed, because they exist only in its
+// memory. It closes the upstream's port first, so that no run starts unrecorded.
+func (c *cluster) saveRuns(p *process) error {
 	if !p.upstream() || !p.running() || c.isFrozen(p.id) {
 		return nil
 	}
@@ -67,7 +66,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.pastRuns = append(c.pastRuns, runs...)
+	c.savedRuns = append(c.savedRuns, runs...)
 	return nil
 }
 
@@ -82,23 +81,22 @@
 	return page.Runs, nil
 }
 
-// of says whether the run is of a text, a service call's key or path, a
-// version, or an upstream.
-func (r run) of(what string) bool {
+// matches reports whether what is the run's chat text, key, path, version or upstream ID.
+func (r run) matches(what string) bool {
 	return r.Key == what || r.Path == what || r.Digest == engine.Digest(what) || r.Version == what || r.upstream == what
 }
 
 func countRuns(runs []run, what string) int {
 	n := 0
 	for _, r := range runs {
-		if r.of(what) {
+		if r.matches(what) {
 			n++
 		}
 	}
 	return n
 }
 
-// expectRuns: WHAT N: there were N runs of WHAT, as [run.of] reads it.
+// expectRuns: WHAT N: there were N runs that match WHAT, see [run.matches].
 func expectRuns(c *cluster, args []string) error {
 	if len(args) != 2 {
 		return errUsage
@@ -106,13 +104,13 @@
 	return c.compareRuns(args[0], args[1], 0)
 }
 
-// lastRuns are the last few runs of WHAT; an attempt's name begins with the
-// time in which its request arrived.
+// lastRuns returns the last few runs that match WHAT. Attempt IDs sort by the arrival time of
+// their request.
 func lastRuns(runs []run, what string) []run {
 	const most = 8
 	var of []run
 	for _, r := range runs {
-		if r.of(what) {
+		if r.matches(what) {
 			of = append(of, r)
 		}
 	}
@@ -120,7 +118,8 @@
 	return of[max(0, len(of)-most):]
 }
 
-// compareRuns compares with a number, or with "some" for at least one.
+// compareRuns compares the number of runs since before with a number, or with "some" for at
+// least one.
 func (c *cluster) compareRuns(what, want string, before int) error {
 	runs, err := c.runs()
 	if err != nil {
@@ -130,5 +129,5 @@
 	if want == "some" && n > 0 || want == strconv.Itoa(n) {
 		return nil
 	}
-	return eris.Errorf("%d runs of %s, not %s; the last are %+v", n, what, want, lastRuns(runs, what))
+	return eris.Errorf("%d runs of %s, want %s; the last are %+v", n, what, want, lastRuns(runs, what))
 }
--- a/scenario/script_test.go
+++ b/scenario/script_test.go
@@ -8,8 +8,8 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// scripts is the folder of the scenarios to run; those of testdata/pending do
-// not pass yet.
+// scripts is the folder of the scenarios to run. The scenarios in testdata/pending do not
+// pass yet.
 var scripts = flag.String("scripts", "testdata/script", "folder of the scenarios to run")
 
 type command func(*testscript.TestScript, *cluster, bool, []string)
@@ -43,6 +43,8 @@
 	"expect":      cmdExpect,
 }
 
+// TestScripts runs each script of the folder against real processes. The comment at the head
+// of a script names the failure that it guards against.
 func TestScripts(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir:                *scripts,
--- a/scenario/store_test.go
+++ b/scenario/store_test.go
@@ -17,13 +17,14 @@
 )
 
 const (
-	dumpLimit = 5 * time.Second
-	// pageLimit is for reading one page of bills. There may be many: a storm of
-	// 100,000 requests leaves minutes of reading.
-	pageLimit = 15 * time.Second
+	controlTimeout = 5 * time.Second
+	// pageTimeout limits reading one page of bills. Reading the bills of 100,000 requests takes
+	// minutes in total.
+	pageTimeout = 15 * time.Second
 )
 
-// dump reads the platform's store past its limits and faults.
+// dump reads the platform's table through the control port, which bypasses its limits and
+// faults.
 func (c *cluster) dump(prefix string) (memory.Dump, error) {
 	var dump memory.Dump
 	err := c.control(func(ctx context.Context, client *control.Client) error {
@@ -34,8 +35,7 @@
 	return dump, err
 }
 
-// bills reads the bills as operators see them: each key once, wherever the
-// ledger keeps it.
+// bills lists the bills as operators see them: one per key, wherever the ledger stores it.
 func (c *cluster) bills() ([]ledger.Bill, error) {
 	p, err := c.process(platformID)
 	if err != nil {
@@ -44,21 +44,21 @@
 	client := platformclient.New("http://" + p.addrs.Main)
 	defer client.Close()
 	settings := ledger.DefaultSettings()
-	settings.BillReadsPerSecond = 1e6 // the check itself is no part of the scenario
+	settings.BillReadsPerSecond = 1e6 // the check must not be rate limited
 	reader := ledger.New(settings, ledger.Deps{Table: client, Objects: client.Objects(), Log: slog.New(slog.DiscardHandler)})
 	now := time.Now()
-	query := ledger.BillQuery{From: now.Add(-billsBack), To: now.Add(billsBack)}
+	query := ledger.BillQuery{From: now.Add(-billsWindow), To: now.Add(billsWindow)}
 	var all []ledger.Bill
-	until := now.Add(limit)
+	until := now.Add(defaultTimeout)
 	for {
 		page, err := billPage(reader, query)
 		if errors.Is(err, ledger.ErrReading) && time.Now().Before(until) {
-			continue // the reader goes on from where it was
+			continue // the reader continues where it stopped
 		}
 		if err != nil {
 			return nil, err
 		}
-		until = time.Now().Add(limit)
+		until = time.Now().Add(defaultTimeout)
 		all = append(all, page.Bills...)
 		if page.Next == "" {
 			return all, nil
@@ -68,13 +68,13 @@
 }
 
 func billPage(reader *ledger.Ledger, query ledger.BillQuery) (ledger.BillPage, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), pageLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), pageTimeout)
 	defer cancel()
 	return reader.Bills(ctx, query)
 }
 
-// billsBack is how far around now a scenario's bills lie.
-const billsBack = 2 * time.Hour
+// billsWindow is how far before and after the current time a scenario's bills may lie.
+const billsWindow = 2 * time.Hour
 
 // expectBills: ORG KEY N: the store holds N bills of the request.
 func expectBills(c *cluster, args []string) error {
@@ -96,18 +96,17 @@
 		}
 	}
 	if n != want {
-		return eris.Errorf("%d bills of %s %s, not %d", n, args[0], args[1], want)
+		return eris.Errorf("%d bills of %s %s, want %d", n, args[0], args[1], want)
 	}
 	return nil
 }
 
-// awaitObjects: PREFIX N: the object store holds N objects of the prefix, or
-// more.
+// awaitObjects: PREFIX N: the object store holds at least N objects with the prefix.
 func awaitObjects(c *cluster, args []string) error {
 	if len(args) != 2 {
 		return errUsage
 	}
-	least, err := strconv.Atoi(args[1])
+	minimum, err := strconv.Atoi(args[1])
 	if err != nil {
 		return err
 	}
@@ -115,13 +114,13 @@
 	if err != nil {
 		return err
 	}
-	if n := len(dump.Objects); n < least {
-		return eris.Errorf("%d objects of %s, not %d", n, args[0], least)
+	if n := len(dump.Objects); n < minimum {
+		return eris.Errorf("%d objects with prefix %s, want at least %d", n, args[0], minimum)
 	}
 	return nil
 }
 
-// awaitListed: ID...: the platform knows the VMs as live.
+// awaitListed: ID...: the VMs are in the platform's list as live.
 func awaitListed(c *cluster, args []string) error {
 	for _, id := range args {
 		state, err := c.vmState(id)
@@ -129,17 +128,17 @@
 			return err
 		}
 		if state != platform.Live {
-			return eris.Errorf("%s is not live but %q", id, state)
+			return eris.Errorf("%s has state %q, want live", id, state)
 		}
 	}
 	return nil
 }
 
-// awaitUnlisted: ID: the platform does not know the VM.
+// awaitUnlisted: ID: the VM is not in the platform's list.
 func awaitUnlisted(c *cluster, args []string) error {
 	state, err := c.vmState(args[0])
 	if err == nil && state != "" {
-		return eris.Errorf("%s is listed as %s", args[0], state)
+		return eris.Errorf("%s is still listed with state %s", args[0], state)
 	}
 	return err
 }
--- a/scenario/storm_exposed_test.go
+++ b/scenario/storm_exposed_test.go
@@ -11,40 +11,40 @@
 )
 
 const (
-	// mostLosses is how many VMs may be lost while bills are held by peers: a
-	// bill is in the memory of three VMs then, and is lost with the third.
-	mostLosses = 2
-	// handover is the time after which bills whose owner was lost have been
-	// taken over and written by whoever held them, if the store takes them.
-	handover = 12 * time.Second
+	// maxLosses is the number of VMs that may be lost while peers hold bills in memory. A bill
+	// is then in the memory of three VMs and is lost with the third.
+	maxLosses = 2
+	// takeoverTime is the time after which the holders have taken over and written the bills
+	// of a lost owner, provided that the store accepts writes.
+	takeoverTime = 12 * time.Second
 )
 
 const (
 	heldMetric   = "hickorybank_bills_held"
 	metricsLimit = time.Second
-	metricsPath  = "/metrics" // needs no key
+	metricsPath  = "/metrics" // requires no operator key
 )
 
 var metricsClient = &http.Client{Timeout: metricsLimit}
 
-// mayLose says whether another entry may be lost now, and counts it. What was
-// lost before does not matter any more when nothing is held for it.
-func (s *storm) mayLose() bool {
+// allowLoss reports whether another entry may be lost now, and counts the loss. Earlier losses
+// no longer count once takeoverTime has passed or no bills are held.
+func (s *storm) allowLoss() bool {
 	now := time.Now()
-	settled := now.Sub(s.lost) > handover && now.Sub(s.struck) > handover
-	if settled || !s.exposed() {
+	settled := now.Sub(s.lastLoss) > takeoverTime && now.Sub(s.platformFaultAt) > takeoverTime
+	if settled || !s.billsAtRisk() {
 		s.losses = 0
 	}
-	if s.losses >= mostLosses {
+	if s.losses >= maxLosses {
 		return false
 	}
 	s.losses++
-	s.lost = now
+	s.lastLoss = now
 	return true
 }
 
-// exposed says whether some entry holds bills for others, or may.
-func (s *storm) exposed() bool {
+// billsAtRisk reports whether some entry holds bills for others, or cannot be queried.
+func (s *storm) billsAtRisk() bool {
 	for _, e := range s.entries {
 		p, err := s.cluster.process(e.id)
 		if err != nil || s.cluster.isFrozen(e.id) {
@@ -57,7 +57,7 @@
 	return false
 }
 
-// fetchMetric reads one metric without labels; 0 if it is not there.
+// fetchMetric reads one metric without labels; 0 if it is missing.
 func fetchMetric(addr, name string) (float64, error) {
 	resp, err := metricsClient.Get("http://" + addr + metricsPath)
 	if err != nil {
@@ -73,10 +73,10 @@
 	return 0, scanner.Err()
 }
 
-func init() { conditions["unheld"] = awaitUnheld }
+func init() { conditions["unheld"] = awaitNoHeldBills }
 
-// awaitUnheld: no entry holds bills for others any more.
-func awaitUnheld(c *cluster, _ []string) error {
+// awaitNoHeldBills: no entry holds bills for others.
+func awaitNoHeldBills(c *cluster, _ []string) error {
 	for _, p := range c.entries() {
 		held, err := fetchMetric(p.addrs.Admin, heldMetric)
 		if err != nil {
--- a/scenario/storm_kind_test.go
+++ b/scenario/storm_fault_kind_test.go
@@ -2,11 +2,11 @@
 
 import "math/rand/v2"
 
-// strikeKind is a kind of fault.
-type strikeKind int
+// faultKind is a kind of injected fault.
+type faultKind int
 
 const (
-	entryKilled strikeKind = iota
+	entryKilled faultKind = iota
 	entryStopped
 	entryFrozen
 	linkCut
@@ -18,38 +18,38 @@
 	platformFault
 	platformOutage
 	presetChanged
-	strikeKinds
+	faultKinds
 )
 
-var strikeNames = [strikeKinds]string{
+var faultNames = [faultKinds]string{
 	"entry killed", "entry stopped", "entry frozen", "link cut", "link slow", "engine killed", "engine fault",
 	"service fault", "service killed", "platform fault", "platform outage", "preset changed",
 }
 
-// strikeWeights say how often a kind comes, against the others.
-var strikeWeights = [strikeKinds]int{
+// faultWeights are the relative frequencies of the kinds.
+var faultWeights = [faultKinds]int{
 	entryKilled: 5, entryStopped: 1, entryFrozen: 3, linkCut: 2, linkSlow: 1, engineKilled: 2, engineFault: 5,
 	serviceFault: 4, serviceKilled: 2, platformFault: 4, platformOutage: 2, presetChanged: 1,
 }
 
-// drawKind draws a kind by its weight.
-func drawKind(rng *rand.Rand) strikeKind {
+// drawKind draws a kind at random by weight.
+func drawKind(rng *rand.Rand) faultKind {
 	sum := 0
-	for _, w := range strikeWeights {
+	for _, w := range faultWeights {
 		sum += w
 	}
 	n := rng.IntN(sum)
-	for k, w := range strikeWeights {
+	for k, w := range faultWeights {
 		if n -= w; n < 0 {
-			return strikeKind(k)
+			return faultKind(k)
 		}
 	}
-	panic("the weights do not sum up")
+	panic("drawKind: random number exceeds the sum of faultWeights")
 }
 
-func (k strikeKind) String() string { return strikeNames[k] }
+func (k faultKind) String() string { return faultNames[k] }
 
-// jsonFault is a setting of a fault port and the one that ends it.
+// jsonFault is a fault setting of a stand-in and the setting that clears it.
 type jsonFault struct {
 	set, clear string
 }
--- a/scenario/storm_strike_test.go
+++ b/scenario/storm_inject_test.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// fewestEntries serve on while others are frozen or cut off.
-	fewestEntries = 4
-	platformBusy  = "platform"
-	outageBusy    = "outage"
+	// minFreeEntries is the number of undisturbed entries that remain in service.
+	minFreeEntries = 4
+	platformBusy   = "platform"
+	outageBusy     = "outage"
 )
 
-// strike brings a fault about. It returns how to end it, and what was done;
-// nothing, when other faults leave no room for it.
-func (s *storm) strike(kind strikeKind, rng *rand.Rand) (end func() error, what string, err error) {
+// inject injects a fault. It returns a function that ends the fault and a description. Both
+// are empty if other active faults do not allow it.
+func (s *storm) inject(kind faultKind, rng *rand.Rand) (end func() error, what string, err error) {
 	switch kind {
 	case entryKilled:
 		return s.killEntry(rng)
@@ -30,7 +30,7 @@
 	case entryFrozen:
 		return s.freezeEntry(rng)
 	case linkCut, linkSlow:
-		return s.strikeLink(kind, rng)
+		return s.disturbLink(kind, rng)
 	case engineKilled:
 		return s.killUpstream(&s.engines, s.newEngine, rng)
 	case engineFault:
@@ -46,38 +46,38 @@
 	case presetChanged:
 		return s.changePreset(rng)
 	}
-	panic("no such strike")
+	panic("unknown fault kind")
 }
 
-// free draws an entry that nothing has befallen, if enough others are left.
-func (s *storm) free(rng *rand.Rand) (stormEntry, bool) {
-	var fit []stormEntry
+// pickEntry draws an entry without an active fault, if enough others remain.
+func (s *storm) pickEntry(rng *rand.Rand) (stormEntry, bool) {
+	var candidates []stormEntry
 	for _, e := range s.entries {
 		if !s.busy[e.id] {
-			fit = append(fit, e)
+			candidates = append(candidates, e)
 		}
 	}
-	if len(fit) <= fewestEntries {
+	if len(candidates) <= minFreeEntries {
 		return stormEntry{}, false
 	}
-	return fit[rng.IntN(len(fit))], true
+	return candidates[rng.IntN(len(candidates))], true
 }
 
 func (s *storm) remove(e stormEntry) {
 	s.entries = slices.DeleteFunc(s.entries, func(x stormEntry) bool { return x == e })
-	s.gone = append(s.gone, e.id)
+	s.toUnlist = append(s.toUnlist, e.id)
 }
 
-// tryUnlist lets the list lag on while the platform does not answer.
+// tryUnlist calls unlist and ignores the error: the platform may be unavailable.
 func (s *storm) tryUnlist() error {
-	_ = s.unlist() // tried again when the storm is over
+	_ = s.unlist() // verifyRecovery retries
 	return nil
 }
 
-// killEntry loses a VM and puts another in its place.
+// killEntry kills an entry and starts a replacement.
 func (s *storm) killEntry(rng *rand.Rand) (func() error, string, error) {
-	e, ok := s.free(rng)
-	if !ok || !s.mayLose() {
+	e, ok := s.pickEntry(rng)
+	if !ok || !s.allowLoss() {
 		return nil, "", nil
 	}
 	p, err := s.cluster.process(e.id)
@@ -89,9 +89,9 @@
 	return s.tryUnlist, e.id, s.newEntry(e.domain)
 }
 
-// stopEntry replaces a VM as planned.
+// stopEntry replaces an entry by a planned stop.
 func (s *storm) stopEntry(rng *rand.Rand) (func() error, string, error) {
-	e, ok := s.free(rng)
+	e, ok := s.pickEntry(rng)
 	if !ok {
 		return nil, "", nil
 	}
@@ -108,7 +108,7 @@
 }
 
 func (s *storm) freezeEntry(rng *rand.Rand) (func() error, string, error) {
-	e, ok := s.free(rng)
+	e, ok := s.pickEntry(rng)
 	if !ok {
 		return nil, "", nil
 	}
@@ -124,10 +124,9 @@
 	return thaw, e.id, s.cluster.freeze(p, true)
 }
 
-// strikeLink cuts an entry off from the platform or another entry, or slows
-// the way.
-func (s *storm) strikeLink(kind strikeKind, rng *rand.Rand) (func() error, string, error) {
-	e, ok := s.free(rng)
+// disturbLink cuts or slows the link between an entry and the platform or another entry.
+func (s *storm) disturbLink(kind faultKind, rng *rand.Rand) (func() error, string, error) {
+	e, ok := s.pickEntry(rng)
 	if !ok {
 		return nil, "", nil
 	}
@@ -154,7 +153,7 @@
 	return heal, e.id + " and " + other, nil
 }
 
-// killUpstream loses one of the upstreams and puts another in its place.
+// killUpstream kills one of the upstreams and starts a replacement.
 func (s *storm) killUpstream(ids *[]string, replace func() error, rng *rand.Rand) (func() error, string, error) {
 	i := rng.IntN(len(*ids))
 	id := (*ids)[i]
@@ -169,7 +168,7 @@
 		return nil, "", err
 	}
 	*ids = slices.Delete(*ids, i, i+1)
-	s.gone = append(s.gone, id)
+	s.toUnlist = append(s.toUnlist, id)
 	return s.tryUnlist, id, replace()
 }
 
@@ -190,30 +189,30 @@
 		return nil, "", nil
 	}
 	s.busy[why] = true
-	s.struck = time.Now()
+	s.platformFaultAt = time.Now()
 	end := func() error {
-		s.struck = time.Now()
+		s.platformFaultAt = time.Now()
 		delete(s.busy, why)
 		return s.cluster.fault(platformID, platformClear)
 	}
 	return end, settings, s.cluster.fault(platformID, settings)
 }
 
-// changePreset has an operator change the preset; in an outage that may fail.
+// changePreset changes the preset as an operator; during an outage the change may fail.
 func (s *storm) changePreset(rng *rand.Rand) (func() error, string, error) {
 	e := s.entries[rng.IntN(len(s.entries))]
 	if s.busy[e.id] {
 		return nil, "", nil
 	}
 	preset := []string{"ordinary", "peak", "maintenance"}[rng.IntN(3)]
-	out, err := s.cluster.adminSays(e.id, "preset", preset)
+	out, err := s.cluster.runAdmin(e.id, "preset", preset)
 	if err != nil {
 		return nil, preset + " at " + e.id + ": " + strings.TrimSpace(out), nil
 	}
 	if _, after, ok := strings.Cut(out, "accepted revision "); ok {
 		revision, err := strconv.Atoi(strings.Fields(after)[0])
 		if err != nil || revision <= s.accepted {
-			return nil, "", eris.Errorf("revision %q was accepted after %d", after, s.accepted)
+			return nil, "", eris.Errorf("accepted revision %q does not follow revision %d", after, s.accepted)
 		}
 		s.accepted = revision
 	}
--- a/scenario/storm_run_test.go
+++ b/scenario/storm_run_test.go
@@ -12,93 +12,92 @@
 	"github.com/hickorybank/hickorybank/internal/standin/platform/memory"
 )
 
-// storm is a cluster under a load and a schedule of faults.
+// storm is a cluster under load with a schedule of injected faults.
 type storm struct {
 	cluster *cluster
 	load    *load
 	seed    uint64
 	logf    func(string, ...any)
 
-	entries  []stormEntry
-	engines  []string
-	services []string
-	started  int        // of all three so far
-	stopping []*process // told to stop
-	gone     []string   // VMs that the platform still lists
-	busy     map[string]bool
-	losses   int       // of entries while bills may be held
-	lost     time.Time // when the last was lost
-	struck   time.Time // when the store was last struck
-	accepted int       // revisions
-	counts   map[strikeKind]int
+	entries         []stormEntry
+	engines         []string
+	services        []string
+	started         int        // entries, engines and services started so far
+	stopping        []*process // entries that received SIGTERM
+	toUnlist        []string   // exited VMs that the platform still lists
+	busy            map[string]bool
+	losses          int       // entries lost while bills may be held
+	lastLoss        time.Time // time of the last loss
+	platformFaultAt time.Time // time of the last change of a platform fault
+	accepted        int       // last accepted revision
+	counts          map[faultKind]int
 }
 
-// stormEntry is an entry that serves.
+// stormEntry is a running entry and its failure domain.
 type stormEntry struct {
 	id     string
 	domain string
 }
 
 func newStorm(c *cluster, seed uint64, logf func(string, ...any)) *storm {
-	return &storm{cluster: c, seed: seed, logf: logf, busy: map[string]bool{}, counts: map[strikeKind]int{}}
+	return &storm{cluster: c, seed: seed, logf: logf, busy: map[string]bool{}, counts: map[faultKind]int{}}
 }
 
-// rage strikes at the planned moments and ends each fault.
-func (s *storm) rage(plan []strike) error {
+// injectAll injects the planned faults and ends each of them.
+func (s *storm) injectAll(plan []plannedFault) error {
 	ends := make([]func() error, len(plan))
-	for _, turn := range turns(plan) {
+	for _, turn := range faultEdges(plan) {
 		if err := s.awaitRequest(turn.at); err != nil {
 			return err
 		}
-		k := plan[turn.index]
+		fault := plan[turn.index]
 		if turn.begin {
-			end, what, err := s.strike(k.kind, rand.New(rand.NewPCG(s.seed, k.draw)))
+			end, what, err := s.inject(fault.kind, rand.New(rand.NewPCG(s.seed, fault.draw)))
 			if err != nil {
-				return eris.Wrapf(err, "%s at request %d", k.kind, turn.at)
+				return eris.Wrapf(err, "%s at request %d", fault.kind, turn.at)
 			}
 			if what != "" {
-				s.counts[k.kind]++
-				s.logf("request %d to %d: %s: %s", k.from, k.until, k.kind, what)
+				s.counts[fault.kind]++
+				s.logf("request %d to %d: %s: %s", fault.from, fault.until, fault.kind, what)
 			}
 			ends[turn.index] = end
 			continue
 		}
 		if end := ends[turn.index]; end != nil {
 			if err := end(); err != nil {
-				return eris.Wrapf(err, "end of %s at request %d", k.kind, turn.at)
+				return eris.Wrapf(err, "end of %s at request %d", fault.kind, turn.at)
 			}
 		}
 	}
 	return nil
 }
 
-// awaitRequest waits until so many requests have begun.
+// awaitRequest waits until the load has started n requests.
 func (s *storm) awaitRequest(n int) error {
-	last, since := s.load.begun.Load(), time.Now()
+	last, since := s.load.started.Load(), time.Now()
 	for {
-		now := s.load.begun.Load()
+		now := s.load.started.Load()
 		switch {
 		case now >= int64(n):
 			return nil
 		case now > last:
 			last, since = now, time.Now()
-		case time.Since(since) > limit:
-			return eris.Errorf("no request has begun for %s", limit)
+		case time.Since(since) > defaultTimeout:
+			return eris.Errorf("no request started within %s", defaultTimeout)
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// calm checks what must hold when the storm is over: who was told to stop has
-// ended by itself, nobody holds bills any more, and the last accepted revision
-// is in force at every entry.
-func (s *storm) calm() error {
+// verifyRecovery checks the state after the storm: stopped entries have exited, no entry holds
+// bills, and the last accepted revision is in force at every entry.
+func (s *storm) verifyRecovery() error {
 	for _, p := range s.stopping {
 		if err := await(s.cluster, awaitEnded, []string{p.id, "0"}); err != nil {
 			return err
 		}
 	}
-	// What the check itself reads is no part of the storm.
+	// The reads of the check itself must not be rate limited.
 	reads := 1e6
 	if err := s.cluster.limits(memory.LimitsChange{ReadsPerSecond: &reads}); err != nil {
 		return err
@@ -106,7 +105,7 @@
 	if err := s.unlist(); err != nil {
 		return err
 	}
-	if err := await(s.cluster, awaitUnheld, nil); err != nil || s.accepted == 0 {
+	if err := await(s.cluster, awaitNoHeldBills, nil); err != nil || s.accepted == 0 {
 		return err
 	}
 	for _, e := range s.entries {
@@ -117,7 +116,7 @@
 	return nil
 }
 
-// unlist has the platform drop the VMs that are gone from its list.
+// unlist removes the VMs that have exited from the platform's list.
 func (s *storm) unlist() error {
 	p, err := s.cluster.process(platformID)
 	if err != nil {
@@ -125,13 +124,13 @@
 	}
 	client := platformclient.New("http://" + p.addrs.Main)
 	defer client.Close()
-	ctx, cancel := context.WithTimeout(context.Background(), dumpLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), controlTimeout)
 	defer cancel()
-	for len(s.gone) > 0 {
-		if err := client.RemoveVM(ctx, s.gone[0]); err != nil {
+	for len(s.toUnlist) > 0 {
+		if err := client.RemoveVM(ctx, s.toUnlist[0]); err != nil {
 			return err
 		}
-		s.gone = s.gone[1:]
+		s.toUnlist = s.toUnlist[1:]
 	}
 	return nil
 }
@@ -143,8 +142,7 @@
 	return s.cluster.startEntry(e.id, "--failure-domain", domain, "--address-ttl", "500ms")
 }
 
-// newService starts a service that takes its time, so that a strike finds calls
-// under way.
+// newService starts a service with a latency, so that faults hit calls under way.
 func (s *storm) newService() error {
 	s.started++
 	id := fmt.Sprintf("service%d", s.started)
--- a/scenario/storm_test.go
+++ b/scenario/storm_test.go
@@ -10,20 +10,18 @@
 )
 
 var (
-	stormRequests = flag.Int("storm.requests", 1500, "requests of the storm")
-	stormRate     = flag.Float64("storm.rate", 100, "requests a second")
-	stormCalm     = flag.Float64("storm.calm", 0, "seconds of each 20 in which entries are killed instead of the platform struck")
-	stormDir      = flag.String("storm.dir", "", "folder that keeps the processes' logs")
-	stormSeed     = flag.Uint64("storm.seed", 1, "seed of requests and faults")
+	stormRequests = flag.Int("storm.requests", 1500, "number of requests")
+	stormRate     = flag.Float64("storm.rate", 100, "requests per second")
+	stormCalm     = flag.Float64("storm.calm", 0, "seconds of every 20 s in which entry kills replace platform faults")
+	stormDir      = flag.String("storm.dir", "", "folder for the processes' logs, kept after the test")
+	stormSeed     = flag.Uint64("storm.seed", 1, "random seed of requests and faults")
 )
 
-// A night in which everything fails that may fail, at any moment, together and
-// twice: entries die, stop and stand still, links are cut, engines crash and
-// cross their streams, services lose answers, the stores are down, slow or
-// lose answers, and operators change presets. Callers send each request again
-// until it has an answer. Afterwards every request is held against the runs at
-// the upstreams and the bills in the store; every count of something wrong
-// must be 0.
+// TestStorm guards against requests that run twice, lose their bill or get a wrong answer when
+// several faults overlap. Entries are killed, stopped and frozen; links are cut; engines crash
+// and mix up their streams; services lose answers; the stores are down, slow or lose answers;
+// operators change presets. Callers retry each request until it has an answer. Afterwards
+// every request is compared with the runs at the upstreams and the bills in the store.
 func TestStorm(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(cmp.Or(*stormDir, t.TempDir()))
@@ -31,23 +29,23 @@
 	s := newStorm(c, *stormSeed, func(format string, args ...any) { t.Logf(time.Now().Format(clockFormat)+" "+format, args...) })
 	is.NoErr(s.build())
 
-	s.load = newLoad(c, loadOptions{name: "storm", rate: *stormRate, most: *stormRequests, seed: *stormSeed, again: true})
+	s.load = newLoad(c, loadOptions{name: "storm", rate: *stormRate, maxRequests: *stormRequests, seed: *stormSeed, retryUnknown: true})
 	began := time.Now()
 	s.load.start()
 	t.Cleanup(s.load.abandon)
-	is.NoErr(s.rage(planStorm(*stormSeed, *stormRequests, *stormRate, *stormCalm)))
+	is.NoErr(s.injectAll(planStorm(*stormSeed, *stormRequests, *stormRate, *stormCalm)))
 	records := s.load.wait()
 	t.Logf("%d requests in %s, faults: %v", *stormRequests, time.Since(began).Round(time.Second), s.counts)
-	is.NoErr(s.calm())
+	is.NoErr(s.verifyRecovery())
 
 	p, err := c.report(records)
 	is.NoErr(err)
 	t.Log(p)
-	if p.wrong() > 0 || p.GaveUp > 0 {
+	if p.violations() > 0 || p.GaveUp > 0 {
 		t.Fatalf("seed %d: %s", *stormSeed, p)
 	}
 	is.Equal(p.Sent, *stormRequests)
-	is.True(p.Completed > p.Sent/2) // the storm leaves most of the work whole
+	is.True(p.Completed > p.Sent/2) // most requests must complete
 }
 
 // exampleDomains are the failure domains of the example deployment.
@@ -59,7 +57,8 @@
 	stormServices = 3
 )
 
-// build starts everything.
+// build starts the platform, the upstreams and the entries, and waits until every entry
+// serves.
 func (s *storm) build() error {
 	c := s.cluster
 	c.relayed = true
--- a/scenario/vmproxy_test.go
+++ b/scenario/vmproxy_test.go
@@ -13,9 +13,9 @@
 	"github.com/hickorybank/hickorybank/internal/platform/client/wire"
 )
 
-// newVMProxy stands between one process and the platform. It changes the VM
-// list so that the process reaches every other VM through a relay of its own,
-// which the scenario can cut for this pair alone.
+// newVMProxy starts a reverse proxy between one process and the platform. It rewrites the VM
+// list so that the process reaches every other VM through its own relay, which the scenario
+// can cut for this pair alone.
 func newVMProxy(n *network, id, platform string) *httptest.Server {
 	proxy := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: platform})
 	proxy.FlushInterval = -1
@@ -26,7 +26,7 @@
 		}
 		return rerouteList(n, id, resp)
 	}
-	// A platform that is gone breaks the connection off, as without the proxy.
+	// If the platform is down, the connection is aborted, as without the proxy.
 	proxy.ErrorHandler = func(http.ResponseWriter, *http.Request, error) { panic(http.ErrAbortHandler) }
 	return httptest.NewServer(proxy)
 }
--- a/scenario/wire_test.go
+++ b/scenario/wire_test.go
@@ -12,7 +12,7 @@
 	Content string `json:"content"`
 }
 
-// chatAnswer is a whole answer, or a piece of a streamed one, or an error.
+// chatAnswer is a complete answer, one event of a streamed answer, or an error.
 type chatAnswer struct {
 	Model   string       `json:"model"`
 	Choices []chatChoice `json:"choices"`
