--- a/scenario/cmd_await_test.go
+++ b/scenario/cmd_await_test.go
@@ -44,16 +44,14 @@
 	if check == nil {
 		ts.Fatalf("unknown condition %s", args[0])
 	}
-	timeout := defaultTimeout
+	timeout := maxWait
 	if args[0] == "ended" {
 		timeout = stopTimeout
 	}
 	ts.Check(eris.Wrap(awaitFor(c, timeout, check, args[1:]), strings.Join(args, " ")))
 }
 
-func await(c *cluster, check condition, args []string) error {
-	return awaitFor(c, defaultTimeout, check, args)
-}
+func await(c *cluster, ready condition, args []string) error { return awaitFor(c, maxWait, ready, args) }
 
 func awaitFor(c *cluster, timeout time.Duration, check condition, args []string) error {
 	end := time.Now().Add(timeout)
--- a/scenario/load_report_test.go
+++ b/scenario/load_report_test.go
@@ -138,7 +138,7 @@
 	return strings.Join(append(lines, p.notes[:min(len(p.notes), maxExamples)]...), "\n") + "\n"
 }
 
-// report compares a load's records with runs and bills. It waits up to defaultTimeout for
+// report compares a load's records with runs and bills. It waits up to maxWait for
 // missing bills.
 func (c *cluster) report(records []record) (report, error) {
 	var p report
--- a/scenario/process_test.go
+++ b/scenario/process_test.go
@@ -14,9 +14,9 @@
 	"github.com/rotisserie/eris"
 )
 
-// defaultTimeout is how long a scenario waits for a condition. It is generous, so that a slow
+// maxWait is how long a scenario waits for a condition. It is generous, so that a slow
 // machine does not fail a scenario.
-const defaultTimeout = 30 * time.Second
+const maxWait = 30 * time.Second
 
 // crashPatterns are the log texts of a data race or a crash. None may appear in a log.
 var crashPatterns = [][]byte{[]byte("WARNING: DATA RACE"), []byte("panic: "), []byte("fatal error: ")}
@@ -69,8 +69,8 @@
 		return nil
 	case <-p.ended:
 		return eris.Errorf("%s exited before it was ready:\n%s", p.id, p.tail())
-	case <-time.After(defaultTimeout):
-		return eris.Errorf("%s is not ready after %s:\n%s", p.id, defaultTimeout, p.tail())
+	case <-time.After(maxWait):
+		return eris.Errorf("%s is not ready after %s:\n%s", p.id, maxWait, p.tail())
 	}
 }
 
--- a/scenario/store_test.go
+++ b/scenario/store_test.go
@@ -49,7 +49,7 @@
 	now := time.Now()
 	query := ledger.BillQuery{From: now.Add(-billsWindow), To: now.Add(billsWindow)}
 	var all []ledger.Bill
-	until := now.Add(defaultTimeout)
+	until := now.Add(maxWait)
 	for {
 		page, err := billPage(reader, query)
 		if errors.Is(err, ledger.ErrReading) && time.Now().Before(until) {
@@ -58,7 +58,7 @@
 		if err != nil {
 			return nil, err
 		}
-		until = time.Now().Add(defaultTimeout)
+		until = time.Now().Add(maxWait)
 		all = append(all, page.Bills...)
 		if page.Next == "" {
 			return all, nil
--- a/scenario/storm_run_test.go
+++ b/scenario/storm_run_test.go
@@ -82,8 +82,8 @@
 			return nil
 		case now > last:
 			last, since = now, time.Now()
-		case time.Since(since) > defaultTimeout:
-			return eris.Errorf("no request started within %s", defaultTimeout)
+		case time.Since(since) > maxWait:
+			return eris.Errorf("no request started within %s", maxWait)
 		}
 		time.Sleep(time.Millisecond)
 	}
