--- a/internal/capacity/assumption.go
+++ b/internal/capacity/assumption.go
@@ -1,10 +1,10 @@
 package capacity
 
-// Assumption is a number that no measurement gives.
+// Assumption is an input of the model that is not measured.
 type Assumption struct {
 	Name  string
 	Value float64
 	Unit  string
-	// Why says where the number comes from.
+	// Why gives the source of the number.
 	Why string
 }
--- a/internal/capacity/assumptions.go
+++ b/internal/capacity/assumptions.go
@@ -1,7 +1,7 @@
 package capacity
 
-// Assumptions are the numbers that the letter does not give. Shares are in
-// [0,1]; rates are a second over all nodes at the peak.
+// Assumptions are inputs of the model that the users' requirements do not give. Shares are in
+// [0,1]; rates are per second over all nodes at the peak.
 type Assumptions struct {
 	Organisations       float64 `json:"organisations"`
 	Classes             float64 `json:"classes"`
@@ -24,7 +24,7 @@
 	RolloutSteps        float64 `json:"rollout_steps"`
 }
 
-// DefaultAssumptions are those of the page.
+// DefaultAssumptions returns the assumptions that the page uses.
 func DefaultAssumptions() Assumptions {
 	return Assumptions{
 		Organisations: 1000, Classes: docClasses, ActiveOrganisations: 100, Limited: 0.2,
@@ -36,7 +36,7 @@
 	}
 }
 
-// List describes the assumptions for the page.
+// List returns the assumptions with descriptions for the page.
 func (a Assumptions) List() []Assumption {
 	return []Assumption{
 		{"organisations", a.Organisations, "", "ten for every 16 nodes: today ten for 6 to 8 nodes, and larger nodes then"},
--- a/internal/capacity/badday.go
+++ b/internal/capacity/badday.go
@@ -1,6 +1,6 @@
 package capacity
 
-// BadDay is what becomes of the figures when something large fails.
+// BadDay describes the effects of one large failure on the figures.
 type BadDay struct {
 	Name  string   `json:"name"`
 	Lines []string `json:"lines"`
--- a/internal/capacity/badday_days.go
+++ b/internal/capacity/badday_days.go
@@ -5,18 +5,18 @@
 )
 
 func (c *calc) badDays() []BadDay {
-	return []BadDay{c.ordinary(), c.rack(), c.failureDomain(), c.regions(), c.outage()}
+	return []BadDay{c.ordinaryDay(), c.rackLost(), c.failureDomain(), c.regionsPartitioned(), c.platformOutage()}
 }
 
-// entryShare is the part of the VMs that are entry nodes.
+// entryShare returns the fraction of VMs that are entry nodes.
 func (c *calc) entryShare() float64 { return float64(c.Size.Nodes) / float64(c.Size.VMs()) }
 
-// streamsPerRunner are the answers under way on one runner.
+// streamsPerRunner returns the number of concurrent answers on one runner.
 func (c *calc) streamsPerRunner() float64 {
 	return c.Size.Streams() * float64(c.Size.Nodes) / float64(c.Size.Runners)
 }
 
-func (c *calc) ordinary() BadDay {
+func (c *calc) ordinaryDay() BadDay {
 	entries := c.Size.Failures * c.entryShare()
 	start := c.at("list.bytes", float64(c.Size.VMs())) + c.at("config.bytes", c.Assume.Organisations)
 	return BadDay{Name: fmt.Sprintf("%.0f VMs lost and %.0f replaced in a day", c.Size.Failures, c.Size.Replacements), Lines: []string{
@@ -26,10 +26,10 @@
 	}}
 }
 
-// rackVMs is how many VMs stand behind one switch.
+// rackVMs is the number of VMs behind one switch.
 const rackVMs = 40
 
-func (c *calc) rack() BadDay {
+func (c *calc) rackLost() BadDay {
 	nodes := rackVMs * c.entryShare()
 	runners := rackVMs - nodes
 	return BadDay{Name: fmt.Sprintf("A rack or switch lost: %d VMs", rackVMs), Lines: []string{
@@ -52,7 +52,7 @@
 	}}
 }
 
-func (c *calc) regions() BadDay {
+func (c *calc) regionsPartitioned() BadDay {
 	region := c.Size.Requests / float64(c.Size.Regions)
 	nodes := float64(c.Size.Nodes) / float64(c.Size.Regions)
 	hour := region * c.Assume.Unrepeatable * hourSeconds
@@ -67,19 +67,19 @@
 
 const hourSeconds = 3600
 
-func (c *calc) outage() BadDay {
+func (c *calc) platformOutage() BadDay {
 	const copies = 2
 	s := ledgerSettings()
 	f := c.billFigures(maxSends)
-	perBill := c.per("bill.row.heap")
+	perBill := c.perUnit("bill.row.heap")
 	hold := c.at("ledger.hold.bytes", f.perDomain) / f.perDomain
 	all := (1 + copies) * f.perNode * perBill
 	bytes := (1 + copies) * f.perDomain * hold
 	return BadDay{Name: "The platform out at the peak for an hour", Lines: []string{
-		fmt.Sprintf("Without the table, bills go to the object store at %.0f puts a second. With both gone, a failure domain's collector keeps %.0f bills a second and has peers in two other failure domains hold copies: %s/s at the collector, %s/s in and out for each node on average.", float64(c.Size.FailureDomains)/f.gap, f.perDomain, amount(bytes), amount(2*copies*f.perNode*hold)),
+		fmt.Sprintf("Without the table, bills go to the object store at %.0f puts a second. With both gone, a failure domain's collector keeps %.0f bills a second and has peers in two other failure domains hold copies: %s/s at the collector, %s/s in and out for each node on average.", float64(c.Size.FailureDomains)/f.gap, f.perDomain, formatBytes(bytes), formatBytes(2*copies*f.perNode*hold)),
 		fmt.Sprintf("A node keeps at most %d bills of its failure domain and %d for others. A collector would be full after %.0f s, but the duty goes round every %d s: all nodes of a failure domain have room for %.0f minutes. The copies are full after %.0f minutes: from then on bills are not safe, answers end in a true error, and a node whose places are full refuses new work, not run.", s.MaxWaiting, s.MaxHeld, float64(s.MaxWaiting)/f.perDomain, collectEpoch, float64(s.MaxWaiting)*c.Size.perDomain()/f.perDomain/60, float64(s.MaxHeld)/(copies*f.perNode)/60),
-		fmt.Sprintf("These places are %s of memory when full (%.0f B of heap a bill).", amount(c.memory(float64(s.MaxWaiting+s.MaxHeld)*perBill)), perBill),
-		fmt.Sprintf("An hour's bills, with both copies, are %s of heap a node, %s of memory. The 32 MB for control, if bills alone had them, are full after %.0f minutes; the hour needs %.1f times as much, or the object store.", amount(all*hourSeconds), amount(c.memory(all*hourSeconds)), c.Budget.Memory/c.memory(all)/60, c.memory(all*hourSeconds)/c.Budget.Memory),
+		fmt.Sprintf("These places are %s of memory when full (%.0f B of heap a bill).", formatBytes(c.memory(float64(s.MaxWaiting+s.MaxHeld)*perBill)), perBill),
+		fmt.Sprintf("An hour's bills, with both copies, are %s of heap a node, %s of memory. The 32 MB for control, if bills alone had them, are full after %.0f minutes; the hour needs %.1f times as much, or the object store.", formatBytes(all*hourSeconds), formatBytes(c.memory(all*hourSeconds)), c.Budget.Memory/c.memory(all)/60, c.memory(all*hourSeconds)/c.Budget.Memory),
 		fmt.Sprintf("Claims: none can be granted, so that %.0f requests a second are refused, not run. Configuration: more than half of the nodes say that the table is out of reach and all go on under the highest revision among them; surveys go every %v through the failure domains. No change is accepted.", c.Size.Requests*c.Assume.Unrepeatable, syncSettings().SurveyInterval),
 		fmt.Sprintf("Afterwards %.0f million bills go out in rows of up to 5,000 merged bills: %.0f rows, %.0f s at the budget for bills.", c.Size.Requests*hourSeconds/1e6, c.Size.Requests*hourSeconds/5000, c.Size.Requests*hourSeconds/5000/(ledgerSettings().BillWritesPerSecond*float64(c.Tables))),
 	}}
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -21,9 +21,9 @@
 	return string(page)
 }
 
-// Somebody edits a figure of the page by hand, or changes the model or a
-// default setting that it uses and leaves the page. Readers then plan with
-// figures that follow from nothing. The page's own points must give its text.
+// The page becomes inconsistent if a figure is edited by hand, or if the model or a default
+// setting changes without rendering the page. Rendering the points of the page must reproduce
+// its text.
 func TestPageFollowsFromItsSlopes(t *testing.T) {
 	is := is.New(t)
 	part, err := Generated(readPage(t))
@@ -42,8 +42,7 @@
 	is.Equal(len(got), len(want)) // the page has all lines and no more
 }
 
-// A measurement is added or renamed and the page is not measured again: the
-// page would lack it without a word.
+// A probe that is added or renamed is missing from the page until it is measured again.
 func TestPageHasEveryProbe(t *testing.T) {
 	is := is.New(t)
 	slopes, err := Parse(readPage(t))
@@ -55,7 +54,7 @@
 		is.Equal(slopes[i].What, p.Slope.What)
 		is.Equal(slopes[i].Per, p.Slope.Per)
 		is.Equal(slopes[i].Unit, p.Slope.Unit)
-		is.Equal(len(slopes[i].Points), len(p.Sizes)) // measured in full, not quickly
+		is.Equal(len(slopes[i].Points), len(p.Sizes)) // a full run, not a quick one
 		for j, point := range slopes[i].Points {
 			is.Equal(point.Size, float64(p.Sizes[j]))
 		}
@@ -84,27 +83,27 @@
 	}
 }
 
-func TestFitTellsHowFarOff(t *testing.T) {
+func TestFitResidualOfACurve(t *testing.T) {
 	is := is.New(t)
-	// A curve is not a line: its residual must show it.
+	// The residual must show that a line does not fit a curve.
 	curve := Fit([]Point{{1, 1}, {10, 100}, {100, 10_000}})
 	is.True(curve.Residual > 0.1)
 	is.Equal(Line{Intercept: -5, Slope: 1}.At(2), 0.0) // no cost is below 0
 }
 
-func TestParseRefusesWhatIsNoPage(t *testing.T) {
+func TestParseRejectsMalformedPages(t *testing.T) {
 	is := is.New(t)
 	for _, page := range []string{"", "### Measured slopes\n", "### Measured slopes\n| `a` | b |\n", "### Measured slopes\n| `a` | w | p | ns | 1;2 | 0 | 0 | 0 |\n"} {
 		_, err := Parse(page)
 		is.True(err != nil)
 	}
 	_, err := Generated("no markers")
-	is.True(eris.Is(err, errPage))
+	is.True(eris.Is(err, errMalformedPage))
 	_, err = Replace("no markers", "x")
 	is.True(err != nil)
 }
 
-func TestReplaceLeavesTheRest(t *testing.T) {
+func TestReplaceKeepsTextOutsideTheMarkers(t *testing.T) {
 	is := is.New(t)
 	page := "before\n" + beginMarker + "\nold\n" + endMarker + "\nafter\n"
 	next, err := Replace(page, "new\n")
@@ -112,13 +111,13 @@
 	is.Equal(next, "before\n"+beginMarker+"\nnew\n"+endMarker+"\nafter\n")
 }
 
-func TestModelNamesAMissingSlope(t *testing.T) {
+func TestModelReportsAMissingSlope(t *testing.T) {
 	is := is.New(t)
 	_, err := NewReport(nil)
 	is.True(eris.Is(err, ErrMissing))
 }
 
-// A probe that fails would be found only when the page is measured next.
+// A probe that fails would otherwise be detected only at the next measurement of the page.
 func TestEveryProbeMeasures(t *testing.T) {
 	is := is.New(t)
 	tiny := Meter{Span: 1, Rounds: 1, Window: 1}
--- a/internal/capacity/copied_test.go
+++ b/internal/capacity/copied_test.go
@@ -8,10 +8,9 @@
 	"github.com/matryer/is"
 )
 
-// The model knows some numbers that other packages do not export. One changes
-// there, the page stays as it was, and nobody sees that it is wrong. Each copy
-// is held against the line that it was taken from.
-func TestCopiedConstantsStandInTheirSources(t *testing.T) {
+// The model copies constants that other packages do not export. If one changes at its source,
+// the page becomes wrong without notice. The test compares each copy with its source line.
+func TestCopiedConstantsMatchTheirSources(t *testing.T) {
 	for _, c := range []struct{ file, line string }{
 		{"ledger/billing.go", "maxSends = 2"},
 		{"ledger/route.go", "epoch = 5 * time.Second"},
@@ -31,9 +30,9 @@
 			is := is.New(t)
 			source, err := os.ReadFile("../" + c.file)
 			is.NoErr(err)
-			// The formatter aligns lines anew whenever a neighbour changes.
+			// gofmt changes the spacing of a line if its neighbours change.
 			plain := strings.Join(strings.Fields(string(source)), " ")
-			is.True(strings.Contains(plain, c.line)) // else take the new number into the model
+			is.True(strings.Contains(plain, c.line)) // on failure, update the copy in the model
 		})
 	}
 }
--- a/internal/capacity/document.go
+++ b/internal/capacity/document.go
@@ -16,8 +16,8 @@
 	docVersionsPerModel = docVersions / docModels
 )
 
-// document returns a configuration with so many organisations and the letter's
-// number of versions.
+// document returns a configuration with the given number of organisations and the number of
+// versions of [TargetSize].
 func document(organisations int) *config.Document {
 	d := &config.Document{
 		Preset:  "ordinary",
--- a/internal/capacity/encode.go
+++ b/internal/capacity/encode.go
@@ -7,8 +7,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// gobSize is how many bytes a value takes in a gob stream that has carried its
-// type before, as on a connection that peers keep.
+// gobSize returns the encoded size of v in a gob stream that has already sent its type, as on a
+// kept connection between peers.
 func gobSize(v any) (float64, error) {
 	var buf bytes.Buffer
 	enc := gob.NewEncoder(&buf)
--- a/internal/capacity/fleet.go
+++ b/internal/capacity/fleet.go
@@ -6,8 +6,8 @@
 	"github.com/hickorybank/hickorybank/internal/platform"
 )
 
-// fleet returns a list of VMs spread over failure domains, as a platform gives
-// it. Names and addresses have their usual lengths.
+// fleet returns a VM list spread over failure domains, in the platform's form. IDs and
+// addresses have realistic lengths.
 func fleet(entries, engines, domains int) []platform.VM {
 	vms := make([]platform.VM, 0, entries+engines)
 	for i := range entries {
@@ -31,6 +31,6 @@
 	return fmt.Sprintf("10.%d.%d.%d:%d", i>>16&255, i>>8&255, i&255, port)
 }
 
-// domainsOf is how many failure domains so many VMs are spread over, as at the
-// letter's size, and at least one.
+// domainsOf returns the number of failure domains for a number of VMs, in the proportion of
+// [TargetSize], at least one.
 func domainsOf(vms int) int { return max(1, min(38, vms/42)) }
--- a/internal/capacity/fleet_confsync.go
+++ b/internal/capacity/fleet_confsync.go
@@ -21,8 +21,8 @@
 
 func discard() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-// configFleet is nodes that keep a configuration fresh over loopback, before a
-// platform in memory.
+// configFleet is a set of nodes that synchronise a configuration over loopback, with a platform in
+// memory.
 type configFleet struct {
 	platform *memory.Platform
 	nodes    []*configNode
@@ -36,12 +36,12 @@
 	relay  *relay
 }
 
-// fleetOrgs is how many organisations the fleet's configuration has.
+// fleetOrgs is the number of organisations in the fleet's configuration.
 const fleetOrgs = 10
 
-// newConfigFleet starts nodes; counted puts a relay before each.
+// newConfigFleet starts the nodes. With counted, a relay before each node counts bytes.
 func newConfigFleet(size int, counted bool) (*configFleet, error) {
-	f := &configFleet{platform: memory.New(), vms: fleet(size, 0, max(1, size/fleetDomain))}
+	f := &configFleet{platform: memory.New(), vms: fleet(size, 0, max(1, size/nodesPerFleetDomain))}
 	if err := f.store(); err != nil {
 		return nil, err
 	}
@@ -65,17 +65,16 @@
 			return nil, err
 		}
 	}
-	return f, f.settle()
+	return f, f.awaitSettled()
 }
 
-// fleetDomain is how many nodes of a fleet are in one failure domain, as at
-// the letter's size.
-const fleetDomain = 42
+// nodesPerFleetDomain is the number of nodes in a failure domain, as in [TargetSize].
+const nodesPerFleetDomain = 42
 
 func (f *configFleet) store() error {
 	_, applied, err := admin.NewStore(f.platform).Put(context.Background(), 0, document(fleetOrgs), "capacity")
 	if err == nil && !applied {
-		err = eris.New("the configuration was not stored")
+		err = eris.New("configuration was not stored: revision conflict")
 	}
 	return err
 }
@@ -106,17 +105,17 @@
 	})
 }
 
-// settle waits until every node has the configuration, and each failure domain
-// its readers and no more.
-func (f *configFleet) settle() error {
-	const patience, pause, calm = 20 * time.Second, 20 * time.Millisecond, 500 * time.Millisecond
-	for deadline := time.Now().Add(patience); !f.settled(); {
+// awaitSettled waits until every node has the configuration and no failure domain has more than
+// its readers.
+func (f *configFleet) awaitSettled() error {
+	const timeout, pause, settleTime = 20 * time.Second, 20 * time.Millisecond, 500 * time.Millisecond
+	for deadline := time.Now().Add(timeout); !f.settled(); {
 		if time.Now().After(deadline) {
-			return eris.New("the fleet did not settle")
+			return eris.Errorf("configuration fleet of %d nodes did not settle within %s", len(f.nodes), timeout)
 		}
 		time.Sleep(pause)
 	}
-	time.Sleep(calm)
+	time.Sleep(settleTime)
 	return nil
 }
 
@@ -130,7 +129,7 @@
 			readers++
 		}
 	}
-	return readers <= syncSettings().Readers*max(1, len(f.nodes)/fleetDomain)
+	return readers <= syncSettings().Readers*max(1, len(f.nodes)/nodesPerFleetDomain)
 }
 
 func (f *configFleet) close() {
@@ -152,7 +151,7 @@
 	}
 }
 
-// bytes counts what all nodes have sent and received, each byte once.
+// bytes returns the bytes that all nodes exchanged, each counted once.
 func (f *configFleet) bytes() int64 {
 	var sum int64
 	for _, n := range f.nodes {
@@ -161,7 +160,7 @@
 	return sum
 }
 
-// deltaOf is the change of one organisation's limit in a document.
+// deltaOf returns a document and the delta that changes one organisation's limit in it.
 func deltaOf(orgs int) (before []byte, d archive.Delta, err error) {
 	doc := document(orgs)
 	if before, err = json.Marshal(doc); err != nil {
@@ -176,12 +175,12 @@
 	return before, d, err
 }
 
-// listState is the VM list in the form that travels between peers.
+// listState is the VM list in the form sent between peers.
 type listState struct {
 	VMs []platform.VM `json:"vms"`
 }
 
-// listDeltaOf is one VM that leaves the list and another that joins it.
+// listDeltaOf returns a VM list and the delta in which one VM leaves and another joins.
 func listDeltaOf(vms int) (before []byte, d archive.Delta, err error) {
 	list := fleet(0, vms+1, domainsOf(vms))
 	if before, err = json.Marshal(listState{list[:vms]}); err != nil {
--- a/internal/capacity/fleet_ledger.go
+++ b/internal/capacity/fleet_ledger.go
@@ -15,13 +15,13 @@
 	"github.com/hickorybank/hickorybank/internal/standin/platform/memory"
 )
 
-// ledgerFleet is nodes that claim and bill over loopback, before a platform in
-// memory, each at the letter's rate for one node.
+// ledgerFleet is a set of nodes that claim and bill over loopback, with a platform in memory. Each
+// node has the request rate of one node in [TargetSize].
 type ledgerFleet struct {
 	nodes  []*ledgerNode
 	vms    []platform.VM
 	stop   context.CancelFunc
-	duties conc.WaitGroup
+	loads  conc.WaitGroup
 	keys   atomic.Int64
 	failed atomic.Int64
 	done   atomic.Int64
@@ -51,7 +51,7 @@
 		}
 	}
 	for _, n := range f.nodes {
-		f.duties.Go(func() { f.load(ctx, n) })
+		f.loads.Go(func() { f.load(ctx, n) })
 	}
 	return f, nil
 }
@@ -68,13 +68,12 @@
 	return n.ledger.Start()
 }
 
-// claimEvery is which of a node's requests is claimed first: those that may
-// not be repeated.
+// claimEvery selects the requests that are claimed first: one in twenty is non-idempotent.
 const claimEvery = 20
 
-// load bills at the letter's rate for one node, and claims and settles some.
+// load bills at the target rate of one node, and claims and settles some requests.
 func (f *ledgerFleet) load(ctx context.Context, n *ledgerNode) {
-	s := Letter()
+	s := TargetSize()
 	ticker := time.NewTicker(time.Duration(float64(time.Second) / s.perNode(s.Requests)))
 	defer ticker.Stop()
 	var requests conc.WaitGroup
@@ -90,8 +89,8 @@
 }
 
 func (f *ledgerFleet) request(n *ledgerNode) {
-	const patience = 5 * time.Second
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	const timeout = 5 * time.Second
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	i := int(f.keys.Add(1))
 	one := bills(i, 1)[0]
@@ -111,13 +110,13 @@
 }
 
 func claimAndSettle(ctx context.Context, l *ledger.Ledger, one ledger.Bill) error {
-	attempt := uuid7At(time.Now(), int(mixed(uint64(one.Cost))>>1)).String()
+	attempt := uuid7At(time.Now(), int(splitMix64(uint64(one.Cost))>>1)).String()
 	r, err := l.Claim(ctx, ledger.ClaimRequest{Org: one.Org, Key: one.Key, Fingerprint: request.NewFingerprint(one.Org, []byte(one.Key)), Attempt: attempt})
 	if err != nil {
 		return err
 	}
 	if r.State.String() != "granted" {
-		return eris.Errorf("a new key is %v", r.State)
+		return eris.Errorf("claim of a new key is %v, want granted", r.State)
 	}
 	_, err = l.Settle(ctx, ledger.Settlement{Org: one.Org, Key: one.Key, Attempt: attempt, Outcome: request.Completed, Answer: rowOf(200), Bill: &one})
 	return err
@@ -125,7 +124,7 @@
 
 func (f *ledgerFleet) close() {
 	f.stop()
-	f.duties.Wait()
+	f.loads.Wait()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	var all conc.WaitGroup
@@ -139,7 +138,7 @@
 	}
 }
 
-// result says whether all that was asked became safe.
+// result returns an error if any request was not billed.
 func (f *ledgerFleet) result() error {
 	if failed := f.failed.Load(); failed > 0 {
 		return eris.Errorf("%d of %d requests were not billed", failed, failed+f.done.Load())
--- a/internal/capacity/fleet_suspect.go
+++ b/internal/capacity/fleet_suspect.go
@@ -7,8 +7,8 @@
 	"github.com/hickorybank/hickorybank/internal/suspect"
 )
 
-// suspectFleet is trackers that exchange their messages in virtual time, each
-// message a millisecond on its way.
+// suspectFleet is a set of trackers that exchange messages in virtual time, with a latency of one
+// millisecond.
 type suspectFleet struct {
 	names    []string
 	trackers []*suspect.Tracker
@@ -29,12 +29,12 @@
 		f.index[name] = i
 		f.trackers = append(f.trackers, newSuspectTracker(name, f.names, 0))
 	}
-	// Let all of them become fresh.
+	// Run until all trackers are up to date.
 	f.run(5 * time.Second)
 	return f
 }
 
-// run lets time pass.
+// run advances virtual time by d.
 func (f *suspectFleet) run(d time.Duration) {
 	tick := f.now.Add(suspectTick)
 	for end := f.now.Add(d); f.now.Before(end); {
@@ -46,7 +46,7 @@
 		tick = f.now.Add(suspectTick)
 		for _, t := range f.trackers {
 			t.Tick(f.now)
-			f.take(t)
+			f.collectMessages(t)
 		}
 	}
 }
@@ -57,40 +57,41 @@
 	for _, m := range list {
 		t := f.trackers[f.index[m.To]]
 		t.Step(m, f.now)
-		f.take(t)
+		f.collectMessages(t)
 	}
 }
 
-func (f *suspectFleet) take(t *suspect.Tracker) {
+func (f *suspectFleet) collectMessages(t *suspect.Tracker) {
 	messages := t.Ready().Messages
 	f.inbox = append(f.inbox, messages...)
 	f.sent += len(messages)
 }
 
-// messages counts what all send within a time.
+// messages returns the number of messages that all nodes send within d.
 func (f *suspectFleet) messages(d time.Duration) float64 {
 	before := f.sent
 	f.run(d)
 	return float64(f.sent - before)
 }
 
-func (f *suspectFleet) quietSecond() float64 {
+func (f *suspectFleet) idleMessages() float64 {
 	const seconds = 4
 	return f.messages(seconds*time.Second) / seconds
 }
 
-// alarm lets the first node lose an upstream with requests in flight.
-func (f *suspectFleet) alarm() float64 {
+// crashMessages returns the additional messages after the first node reports an upstream crash with
+// requests in flight.
+func (f *suspectFleet) crashMessages() float64 {
 	const inFlight, seconds = 16, 2
-	quiet := f.quietSecond()
+	quiet := f.idleMessages()
 	t := f.trackers[0]
 	for i := range inFlight {
 		attempt := fmt.Sprint("attempt-", i)
-		t.AdmitAt(attempt, printOf(i), "engine-00001", f.now)
-		t.Started(attempt, printOf(i), "engine-00001", f.now)
+		t.AdmitAt(attempt, fingerprintOf(i), "engine-00001", f.now)
+		t.Started(attempt, fingerprintOf(i), "engine-00001", f.now)
 	}
 	t.Crashed(suspect.CrashID{Upstream: "engine-00001", Epoch: 1}, f.now)
-	f.take(t)
+	f.collectMessages(t)
 	return max(0, f.messages(seconds*time.Second)-seconds*quiet)
 }
 
--- a/internal/capacity/format.go
+++ b/internal/capacity/format.go
@@ -7,11 +7,11 @@
 	"strings"
 )
 
-// number shows a measured value in full: Parse reads it back.
-func number(v float64) string { return strconv.FormatFloat(v, 'g', -1, 64) }
+// formatExact formats a measured value in full, for Parse to read back.
+func formatExact(v float64) string { return strconv.FormatFloat(v, 'g', -1, 64) }
 
-// short shows a derived value with three digits and no exponent.
-func short(v float64) string {
+// formatShort formats a derived value with three digits and no exponent.
+func formatShort(v float64) string {
 	switch {
 	case v == 0:
 		return "0"
@@ -22,27 +22,27 @@
 	return strconv.FormatFloat(v, 'f', min(decimals, 4), 64)
 }
 
-// amount is a number of bytes in the unit that fits.
-func amount(bytes float64) string {
+// formatBytes formats a number of bytes in B, kB or MB.
+func formatBytes(bytes float64) string {
 	switch {
 	case bytes >= megabyte:
-		return short(bytes/megabyte) + " MB"
+		return formatShort(bytes/megabyte) + " MB"
 	case bytes >= kilobyte:
-		return short(bytes/kilobyte) + " kB"
+		return formatShort(bytes/kilobyte) + " kB"
 	default:
-		return short(bytes) + " B"
+		return formatShort(bytes) + " B"
 	}
 }
 
-// cores is a share of a core in percent.
-func cores(share float64) string { return short(100*share) + " %" }
+// formatPercent formats a fraction as a percentage.
+func formatPercent(share float64) string { return formatShort(100*share) + " %" }
 
-// row is one line of a Markdown table.
-func row(cells ...string) string { return "| " + strings.Join(cells, " | ") + " |\n" }
+// tableRow returns one row of a Markdown table.
+func tableRow(cells ...string) string { return "| " + strings.Join(cells, " | ") + " |\n" }
 
-// head is the head of a Markdown table.
-func head(cells ...string) string {
-	return row(cells...) + "|" + strings.Repeat(" --- |", len(cells)) + "\n"
+// tableHead returns the header rows of a Markdown table.
+func tableHead(cells ...string) string {
+	return tableRow(cells...) + "|" + strings.Repeat(" --- |", len(cells)) + "\n"
 }
 
 func section(b *strings.Builder, title string) { fmt.Fprintf(b, "\n### %s\n\n", title) }
--- a/internal/capacity/line.go
+++ b/internal/capacity/line.go
@@ -2,22 +2,23 @@
 
 import "math"
 
-// Line is a straight line through measured points.
+// Line is a straight line fitted to measured points.
 type Line struct {
 	Intercept float64
 	Slope     float64
-	// Residual is the root of the mean squared relative error.
+	// Residual is the root mean square of the relative errors.
 	Residual float64
 }
 
-// At is the line's value at a size; costs are not below 0.
+// At returns the line's value at a size, at least 0.
 func (l Line) At(size float64) float64 { return max(0, l.Intercept+l.Slope*size) }
 
-// leastShare of the largest value bounds the weight of small ones.
-const leastShare = 1e-3
+// minWeightShare limits the weight of small values: a value counts as at least this share of
+// the largest.
+const minWeightShare = 1e-3
 
-// Fit returns the line with the least squared relative errors. Absolute errors
-// would let the largest size decide alone, since sizes span powers of ten.
+// Fit returns the line with the least squared relative errors. With absolute errors the largest
+// size would dominate, since sizes span powers of ten.
 func Fit(points []Point) Line {
 	var largest float64
 	for _, p := range points {
@@ -45,7 +46,7 @@
 }
 
 func weight(p Point, largest float64) float64 {
-	v := max(math.Abs(p.Value), leastShare*largest)
+	v := max(math.Abs(p.Value), minWeightShare*largest)
 	return 1 / (v * v)
 }
 
--- a/internal/capacity/meter.go
+++ b/internal/capacity/meter.go
@@ -6,45 +6,45 @@
 	"time"
 )
 
-// Meter measures processor time and memory of this process.
+// Meter measures the processor time and memory of this process.
 type Meter struct {
-	// Span is the least processor time of one round.
+	// Span is the minimum processor time of one round.
 	Span time.Duration
-	// Rounds are measured; the least counts, since other work on the machine
-	// only ever adds.
+	// Rounds is the number of rounds. The least result counts, since other work on the machine
+	// only adds time.
 	Rounds int
-	// Window is how long fleets are watched, in time of the clock.
+	// Window is the wall-clock time for which fleets are measured.
 	Window time.Duration
 }
 
-// The meters of a full and of a quick run.
+// FullMeter is for full runs, QuickMeter for quick runs.
 var (
 	FullMeter  = Meter{Span: 50 * time.Millisecond, Rounds: 4, Window: 2500 * time.Millisecond}
 	QuickMeter = Meter{Span: 5 * time.Millisecond, Rounds: 2, Window: 500 * time.Millisecond}
 )
 
-// mostRepeats bounds a round whose work takes next to no time.
-const mostRepeats = 1 << 24
+// maxRepeats limits the repetitions in a round if one repetition takes almost no time.
+const maxRepeats = 1 << 24
 
-// CPU returns the processor time of one repetition in nanoseconds; run does
-// its work n times.
+// CPU returns the processor time of one repetition in nanoseconds; run repeats its work n
+// times.
 func (m Meter) CPU(run func(n int)) float64 {
 	n := m.calibrate(run)
-	best := -1.0
+	least := -1.0
 	for range m.Rounds {
 		runtime.GC()
 		per := float64(processorTime(func() { run(n) })) / float64(n)
-		if best < 0 || per < best {
-			best = per
+		if least < 0 || per < least {
+			least = per
 		}
 	}
-	return best
+	return least
 }
 
-// calibrate finds how many repetitions fill the span.
+// calibrate returns the number of repetitions that fill the span.
 func (m Meter) calibrate(run func(n int)) int {
 	n := 1
-	for n < mostRepeats {
+	for n < maxRepeats {
 		took := processorTime(func() { run(n) })
 		if took >= m.Span {
 			break
@@ -58,28 +58,28 @@
 	return n
 }
 
-// PerSecond returns the processor time that this process takes in a second,
-// in nanoseconds, while others of its goroutines work.
+// PerSecond returns the processor time in nanoseconds that this process uses per second while
+// other goroutines work.
 func (m Meter) PerSecond() float64 {
-	return m.growth(func() float64 { return float64(used()) })
+	return m.increasePerSecond(func() float64 { return float64(cpuTime()) })
 }
 
-// growth is how much a count grows a second. It is the mean over the window:
-// calls that are held come in bursts.
-func (m Meter) growth(count func() float64) float64 {
+// increasePerSecond returns the mean increase of count per second over the window, since held
+// calls arrive in bursts.
+func (m Meter) increasePerSecond(count func() float64) float64 {
 	before, began := count(), time.Now()
 	time.Sleep(m.Window)
 	return (count() - before) / time.Since(began).Seconds()
 }
 
-// processorTime is the user and system time of this process while run works.
+// processorTime returns the user and system time that this process uses while run executes.
 func processorTime(run func()) time.Duration {
-	before := used()
+	before := cpuTime()
 	run()
-	return used() - before
+	return cpuTime() - before
 }
 
-func used() time.Duration {
+func cpuTime() time.Duration {
 	var r syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &r); err != nil {
 		panic(err) // the arguments are constants
@@ -87,12 +87,12 @@
 	return time.Duration(r.Utime.Nano() + r.Stime.Nano())
 }
 
-// Heap returns the live heap of what build returns, in bytes.
+// Heap returns the live heap of the value that build returns, in bytes.
 func (m Meter) Heap(build func() any) float64 {
 	before := liveHeap()
-	kept := build()
+	value := build()
 	after := liveHeap()
-	runtime.KeepAlive(kept)
+	runtime.KeepAlive(value)
 	return max(0, float64(after)-float64(before))
 }
 
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -6,26 +6,27 @@
 	"github.com/rotisserie/eris"
 )
 
-// The markers of the generated part of a page.
+// Markers of the generated part of a page.
 const (
 	beginMarker = "<!-- capacity: generated, begin -->"
 	endMarker   = "<!-- capacity: generated, end -->"
 )
 
-// Generated returns the part of a page between its markers.
+// Generated returns the text between the markers of a page.
 func Generated(page string) (string, error) {
 	_, rest, found := strings.Cut(page, beginMarker+"\n")
 	if !found {
-		return "", eris.Wrap(errPage, "no "+beginMarker)
+		return "", eris.Wrap(errMalformedPage, "no "+beginMarker)
 	}
 	part, _, found := strings.Cut(rest, endMarker)
 	if !found {
-		return "", eris.Wrap(errPage, "no "+endMarker)
+		return "", eris.Wrap(errMalformedPage, "no "+endMarker)
 	}
 	return part, nil
 }
 
-// Replace puts another part between the markers of a page.
+// Replace returns the page with the text between its markers replaced by part. It fails if a
+// marker is missing.
 func Replace(page, part string) (string, error) {
 	if _, err := Generated(page); err != nil {
 		return "", err
--- a/internal/capacity/parse.go
+++ b/internal/capacity/parse.go
@@ -7,17 +7,17 @@
 	"github.com/rotisserie/eris"
 )
 
-// errPage says that a page has no slopes that can be read.
-var errPage = eris.New("malformed capacity page")
+// errMalformedPage is returned for a page without readable slopes or markers.
+var errMalformedPage = eris.New("malformed capacity page")
 
-// slopeCells is how many cells a line of the slopes' table has.
-const slopeCells = 8
+// slopeColumns is the number of columns in the table of slopes.
+const slopeColumns = 8
 
-// Parse reads the measured slopes back from a page.
+// Parse reads the measured slopes back from a rendered page.
 func Parse(page string) (Slopes, error) {
 	_, rest, found := strings.Cut(page, "### "+slopesTitle+"\n")
 	if !found {
-		return nil, eris.Wrap(errPage, "no section "+slopesTitle)
+		return nil, eris.Wrap(errMalformedPage, "no section "+slopesTitle)
 	}
 	var all Slopes
 	for line := range strings.Lines(rest) {
@@ -34,15 +34,15 @@
 		all = append(all, s)
 	}
 	if len(all) == 0 {
-		return nil, eris.Wrap(errPage, "no slopes")
+		return nil, eris.Wrap(errMalformedPage, "no slopes")
 	}
 	return all, nil
 }
 
 func parseSlope(line string) (Slope, error) {
 	cells := strings.Split(strings.Trim(strings.TrimSpace(line), "|"), " | ")
-	if len(cells) != slopeCells {
-		return Slope{}, eris.Wrap(errPage, line)
+	if len(cells) != slopeColumns {
+		return Slope{}, eris.Wrap(errMalformedPage, line)
 	}
 	for i := range cells {
 		cells[i] = strings.TrimSpace(cells[i])
@@ -61,7 +61,7 @@
 func parsePoint(text string) (Point, error) {
 	size, value, found := strings.Cut(text, ":")
 	if !found {
-		return Point{}, eris.Wrap(errPage, text)
+		return Point{}, eris.Wrap(errMalformedPage, text)
 	}
 	x, err := strconv.ParseFloat(size, 64)
 	if err != nil {
--- a/internal/capacity/probe.go
+++ b/internal/capacity/probe.go
@@ -4,16 +4,16 @@
 
 // Probe measures one slope.
 type Probe struct {
-	// Slope is what is measured, without its points.
+	// Slope describes the measurement; its Points are empty.
 	Slope Slope
-	// Sizes are measured in a full run, QuickSizes in a quick one.
+	// Sizes are measured in a full run, QuickSizes in a quick run.
 	Sizes      []int
 	QuickSizes []int
 	// Measure returns the value at a size.
 	Measure func(m Meter, size int) (float64, error)
 }
 
-// Run measures all sizes.
+// Run measures all sizes and returns the slope with its points.
 func (p Probe) Run(m Meter, quick bool) (Slope, error) {
 	s := p.Slope
 	sizes := p.Sizes
@@ -25,7 +25,7 @@
 		if err != nil {
 			return Slope{}, eris.Wrapf(err, "%s at %d", s.Name, size)
 		}
-		s.Points = append(s.Points, Point{Size: float64(size), Value: rounded(v)})
+		s.Points = append(s.Points, Point{Size: float64(size), Value: roundToDigits(v)})
 	}
 	return s, nil
 }
--- a/internal/capacity/probe_admission.go
+++ b/internal/capacity/probe_admission.go
@@ -109,7 +109,7 @@
 	}), nil
 }
 
-// activeOrgs are the organisations of one node's summaries.
+// activeOrgs is the number of organisations in one node's summaries.
 const activeOrgs = 100
 
 func measureSummaries(m Meter, nodes int) (float64, error) {
--- a/internal/capacity/probe_balance.go
+++ b/internal/capacity/probe_balance.go
@@ -8,7 +8,7 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// start is the time that measurements in virtual time begin at.
+// start is the initial time of measurements in virtual time.
 var start = time.Unix(1_800_000_000, 0).UTC()
 
 var fleetSizes = []int{24, 256, 2500, 10_000}
--- a/internal/capacity/probe_choice.go
+++ b/internal/capacity/probe_choice.go
@@ -39,11 +39,11 @@
 	}
 }
 
-// snapshotOf is the configuration of the choice probes.
+// snapshotOf returns a compiled configuration with the given number of organisations.
 func snapshotOf(orgs int) (*config.Snapshot, error) { return config.Compile(1, document(orgs)) }
 
-// learn gives the chooser ratings of the first cells.
-func learn(c *choice.Chooser, cells int) {
+// addRatings gives the chooser ratings and answers for the first cells.
+func addRatings(c *choice.Chooser, cells int) {
 	r := rand.New(rand.NewPCG(1, 2))
 	for i := range cells {
 		version, class := versionName(i%docVersions), className(i/docVersions)
@@ -56,7 +56,7 @@
 
 func newChooser(node string, cells int) *choice.Chooser {
 	c := choice.New(choice.Settings{Node: node, Epoch: 1})
-	learn(c, cells)
+	addRatings(c, cells)
 	return c
 }
 
@@ -75,8 +75,8 @@
 	now := start
 	return m.CPU(func(n int) {
 		for range n {
-			// 58.75 requests a second at one node: plans made anew every
-			// two seconds are shared by so many.
+			// One node gets 58.75 requests per second, which share a plan that is rebuilt every
+			// two seconds.
 			now = now.Add(17 * time.Millisecond)
 			req.Now = now
 			req.Random = r.Uint64()
@@ -127,14 +127,14 @@
 	return m.Heap(func() any {
 		c := choice.New(choice.Settings{Node: "entry-00000", Epoch: 1})
 		for _, name := range nodeNames(nodes + 1)[1:] {
-			c.Merge(oneVersion(name).Summary(versionName0), start)
+			c.Merge(newOneVersionChooser(name).Summary(versionName0), start)
 		}
 		return c
 	}), nil
 }
 
-// oneVersion is a chooser that knows one version in every class.
-func oneVersion(node string) *choice.Chooser {
+// newOneVersionChooser returns a chooser with ratings of one version in every class.
+func newOneVersionChooser(node string) *choice.Chooser {
 	c := choice.New(choice.Settings{Node: node, Epoch: 1})
 	for i := range docClasses {
 		for range 40 {
--- a/internal/capacity/probe_confsync.go
+++ b/internal/capacity/probe_confsync.go
@@ -14,7 +14,7 @@
 	return append(confsyncCalls(), confsyncFleets()...)
 }
 
-// confsyncFleets measure whole nodes and the messages of their changes.
+// confsyncFleets measure whole nodes and the deltas of changes.
 func confsyncFleets() []Probe {
 	return []Probe{
 		{
@@ -85,7 +85,7 @@
 		return 0, err
 	}
 	defer f.close()
-	return m.growth(func() float64 { return float64(f.bytes()) }), nil
+	return m.increasePerSecond(func() float64 { return float64(f.bytes()) }), nil
 }
 
 func confsyncCalls() []Probe {
@@ -123,36 +123,36 @@
 	}
 }
 
-// configReceiver answers as a parent whose answer is ready.
+// configReceiver answers like a parent with a prepared reply.
 type configReceiver struct {
 	wait   confsync.WaitReply
 	survey confsync.SurveyReply
 }
 
-// Wait answers a child.
+// Wait returns the prepared reply to a child.
 func (c configReceiver) Wait(_ confsync.WaitArgs, reply *confsync.WaitReply) error {
 	*reply = c.wait
 	return nil
 }
 
-// Survey answers a peer.
+// Survey returns the prepared reply to a peer.
 func (c configReceiver) Survey(_ confsync.SurveyArgs, reply *confsync.SurveyReply) error {
 	*reply = c.survey
 	return nil
 }
 
 func waitExchange(stops int) exchange {
-	told := make([]confsync.Notice, stops)
+	notices := make([]confsync.Notice, stops)
 	for i, name := range nodeNames(stops) {
-		told[i] = confsync.Notice{ID: name, Boot: 1_800_000_000, Leaving: true, Age: time.Minute}
+		notices[i] = confsync.Notice{ID: name, Boot: 1_800_000_000, Leaving: true, Age: time.Minute}
 	}
 	args := confsync.WaitArgs{
 		From: confsync.Notice{ID: "entry-00001", Boot: 1_800_000_000}, Revision: 123_456, Hold: true,
-		ListDigest: mixed(1), ListAge: 1500 * time.Millisecond, Notices: told,
+		ListDigest: splitMix64(1), ListAge: 1500 * time.Millisecond, Notices: notices,
 	}
 	reply := confsync.WaitReply{
 		Revision: 123_456, Table: confsync.SentProof{Revision: 123_456, Age: 345 * time.Millisecond, Valid: true},
-		ListDigest: mixed(1), ListAge: 1400 * time.Millisecond,
+		ListDigest: splitMix64(1), ListAge: 1400 * time.Millisecond,
 	}
 	return exchange{
 		name: confsync.ServiceName, receiver: configReceiver{wait: reply}, method: "Wait", args: args,
@@ -177,14 +177,14 @@
 	return c
 }
 
-// measureCoreCycle lets a node that is no reader pull from its parent and hold
-// a child's call, at the pace of the default settings.
+// measureCoreCycle has a node that is not a reader pull from its parent and hold a child's call, at
+// the rate of the default settings.
 func measureCoreCycle(m Meter, nodes int) (float64, error) {
 	vms := fleet(nodes, 0, domainsOf(nodes))
 	c := newCore(vms)
 	now := time.Second
 	answer := func(list []confsync.Decision) {
-		// A step's decisions are valid until the next one.
+		// A step's decisions are valid only until the next step.
 		for _, d := range append([]confsync.Decision(nil), list...) {
 			react(c, now, d)
 		}
@@ -198,7 +198,7 @@
 	}), nil
 }
 
-// react plays the parent and the table.
+// react simulates the parent and the table.
 func react(c *confsync.Core, now time.Duration, d confsync.Decision) {
 	switch d := d.(type) {
 	case confsync.ReadHead:
--- a/internal/capacity/probe_ledger.go
+++ b/internal/capacity/probe_ledger.go
@@ -60,22 +60,22 @@
 	}
 }
 
-// uuid7 is the i-th of a fixed sequence of keys that carry their time.
+// uuid7 returns the i-th UUIDv7 of a fixed sequence.
 func uuid7(i int) uuid.UUID { return uuid7At(start.Add(time.Duration(i)*time.Millisecond), i) }
 
-// uuid7At is a key of a time.
+// uuid7At returns a UUIDv7 with the given time.
 func uuid7At(at time.Time, i int) uuid.UUID {
 	var u uuid.UUID
 	ms := uint64(at.UnixMilli())
 	binary.BigEndian.PutUint64(u[:8], ms<<16)
 	u[6] = 0x70
-	binary.BigEndian.PutUint64(u[8:], mixed(uint64(i)))
+	binary.BigEndian.PutUint64(u[8:], splitMix64(uint64(i)))
 	u[8] = u[8]&0x3f | 0x80
 	return u
 }
 
-// mixed is the finaliser of SplitMix64.
-func mixed(z uint64) uint64 {
+// splitMix64 is the finaliser of SplitMix64.
+func splitMix64(z uint64) uint64 {
 	z += 0x9e3779b97f4a7c15
 	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
 	z = (z ^ z>>27) * 0x94d049bb133111eb
@@ -85,7 +85,7 @@
 func bills(from, n int) []bill.Bill {
 	list := make([]bill.Bill, n)
 	for i := range list {
-		draw := mixed(uint64(from + i))
+		draw := splitMix64(uint64(from + i))
 		list[i] = bill.Bill{
 			Org: orgName(int(draw % activeOrgs)), Key: uuid7(from + i).String(), Class: className(int(draw % docClasses)),
 			Version: versionName(int(draw % docVersions)), Cost: int64(draw % 100_000),
@@ -128,8 +128,8 @@
 	return claim.NewLog(key.Log{Kind: key.Timed}, claim.LogSettings{Writer: "entry-00000/1", MaxEntries: 1 << 20, MaxBytes: 1 << 30}, nil)
 }
 
-// write takes the log's next row, encodes it and lets it take effect.
-func write(l *claim.Log, now time.Time) error {
+// commitRow encodes the log's next row and reports it as written.
+func commitRow(l *claim.Log, now time.Time) error {
 	r := l.Ready(now)
 	if r.Read != nil {
 		l.RowsRead(new(claim.Floor), nil, false)
@@ -156,7 +156,7 @@
 				for i := range entries {
 					l.Add(start, claim.Op{Number: uint64(i), Entry: entries[i], Deadline: start.Add(time.Hour)})
 				}
-				if err := write(l, start); err != nil {
+				if err := commitRow(l, start); err != nil {
 					failed = err
 				}
 			}
--- a/internal/capacity/probe_ledgercalls.go
+++ b/internal/capacity/probe_ledgercalls.go
@@ -49,26 +49,26 @@
 	}
 }
 
-// ledgerReceiver answers as a ledger whose stores are quick.
+// ledgerReceiver answers like a ledger with instant stores.
 type ledgerReceiver struct {
 	appended wire.AppendReply
 	safety   []byte
 }
 
-// Append takes an entry.
+// Append returns the prepared reply.
 func (l ledgerReceiver) Append(_ *wire.AppendArgs, reply *wire.AppendReply) error {
 	*reply = l.appended
 	return nil
 }
 
-// Collect takes bills.
+// Collect unpacks the bills and returns the prepared safety levels.
 func (l ledgerReceiver) Collect(args *wire.CollectArgs, reply *wire.CollectReply) error {
 	reply.Safety = l.safety
 	_, err := args.Bills.Unpack()
 	return err
 }
 
-// Hold takes a row.
+// Hold unpacks a row and confirms that it is held.
 func (l ledgerReceiver) Hold(args *wire.HoldArgs, reply *wire.HoldReply) error {
 	reply.Held = true
 	_, err := args.Bills.Unpack()
@@ -108,7 +108,7 @@
 	return bill.Row{Bucket: key.Bucket{Kind: key.Timed, Number: start.Unix() / 3600}, Writer: "entry-00000~1800000000000000000", Seq: uint64(from), Bills: bill.Pack(bills(from, n))}
 }
 
-// measureRowsHeap holds rows of the size that a collector writes at the peak.
+// measureRowsHeap uses rows of the size that a collector writes at the peak.
 func measureRowsHeap(m Meter, n int) (float64, error) {
 	const perRow = 500
 	v := m.Heap(func() any {
--- a/internal/capacity/probe_ledgerfleet.go
+++ b/internal/capacity/probe_ledgerfleet.go
@@ -24,7 +24,7 @@
 }
 
 func measureLedgerFleet(m Meter, nodes int) (float64, error) {
-	f, err := newLedgerFleet(nodes, max(1, nodes/fleetDomain))
+	f, err := newLedgerFleet(nodes, max(1, nodes/nodesPerFleetDomain))
 	if err != nil {
 		return 0, err
 	}
@@ -34,7 +34,7 @@
 	return v, f.result()
 }
 
-// measureBill knows many nodes and is alone in its failure domain, so that it
+// measureBill uses a node that knows many others but is alone in its failure domain, so that it
 // collects its own bills.
 func measureBill(m Meter, known int) (float64, error) {
 	vms := fleet(known, 0, known)
--- a/internal/capacity/probe_limits.go
+++ b/internal/capacity/probe_limits.go
@@ -6,7 +6,7 @@
 	"github.com/hickorybank/hickorybank/internal/admission"
 )
 
-// limitProbes measure the exchange of organisations' limits between nodes.
+// limitProbes measure the exchange of organisations' rate limits between nodes.
 func limitProbes() []Probe {
 	sizes := []int{1, 8, 32, 128}
 	return []Probe{
@@ -21,10 +21,10 @@
 	}
 }
 
-// limitReceiver answers as a holder.
+// limitReceiver answers like the holder of organisations.
 type limitReceiver struct{ grant admission.Grant }
 
-// Summarise answers a node.
+// Summarise returns the prepared grant.
 func (l limitReceiver) Summarise(_ admission.Summary, reply *admission.Grant) error {
 	*reply = l.grant
 	return nil
@@ -34,7 +34,7 @@
 	s := admission.Summary{From: "entry-00000", To: "entry-00001", Seq: uint64(start.UnixNano())}
 	g := admission.Grant{From: "entry-00001", Seq: s.Seq, Valid: 5 * time.Second}
 	for i := range orgs {
-		rate := float64(mixed(uint64(i))%100_000) / 7
+		rate := float64(splitMix64(uint64(i))%100_000) / 7
 		s.Demands = append(s.Demands, admission.Demand{Org: orgName(i), PerSecond: rate, Held: rate / 3, HeldSeq: s.Seq - 1})
 		g.Shares = append(g.Shares, admission.Share{Org: orgName(i), PerSecond: rate / 3})
 	}
--- a/internal/capacity/probe_membership.go
+++ b/internal/capacity/probe_membership.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// mixedFleet has entry nodes and runners in the letter's proportion.
+// mixedFleet returns entry nodes and runners in the proportion of [TargetSize].
 func mixedFleet(vms int) []platform.VM {
 	entries := max(1, vms*4/29)
 	return fleet(entries, vms-entries, domainsOf(vms))
--- a/internal/capacity/probe_node.go
+++ b/internal/capacity/probe_node.go
@@ -26,30 +26,30 @@
 	}}
 }
 
-// nodeCallers are fewer than a pool's first limit, so that none waits.
+// nodeCallers is below a pool's initial limit, so that no request is queued.
 const nodeCallers = 30
 
-// nodeRig is an engine, whole nodes, and callers of the first one.
+// nodeRig is an engine, whole nodes, and callers of the first node.
 type nodeRig struct {
 	engine  *rawEngine
 	store   *memory.Platform
-	nodes   []*nodePart
+	nodes   []*rigNode
 	callers rawCallers
 }
 
-type nodePart struct {
+type rigNode struct {
 	*node.Node
 	engines *client.Engines
 }
 
 func newNodeRig(nodes, pieces int) (*nodeRig, error) {
-	turns := newTurns(nodeCallers)
+	turns := newPieceAcks(nodeCallers)
 	e, err := newRawEngine(pieces, turns)
 	if err != nil {
 		return nil, err
 	}
 	r := &nodeRig{engine: e, store: memory.New(memory.WithSeed(1))}
-	if err := r.begin(); err != nil {
+	if err := r.initPlatform(); err != nil {
 		return nil, err
 	}
 	for i := range nodes {
@@ -59,7 +59,7 @@
 		}
 	}
 	for i := range nodeCallers {
-		// The second class is heavy work.
+		// The second class is of kind heavy.
 		c, err := newRawCaller(r.nodes[0].Addr(), className(1), i, pieces, turns[i])
 		if err != nil {
 			r.close()
@@ -67,11 +67,11 @@
 		}
 		r.callers = append(r.callers, c)
 	}
-	return r, r.settle()
+	return r, r.awaitServing()
 }
 
-// begin gives the platform a configuration and the engine.
-func (r *nodeRig) begin() error {
+// initPlatform stores a configuration and registers the engine.
+func (r *nodeRig) initPlatform() error {
 	ctx := context.Background()
 	if _, _, err := admin.NewStore(r.store).Put(ctx, 0, document(fleetOrgs), "capacity"); err != nil {
 		return err
@@ -94,21 +94,21 @@
 	if err := n.Start(); err != nil {
 		return err
 	}
-	r.nodes = append(r.nodes, &nodePart{Node: n, engines: engines})
+	r.nodes = append(r.nodes, &rigNode{Node: n, engines: engines})
 	return r.store.RegisterVM(context.Background(), n.VM())
 }
 
-// settle asks until the node answers.
-func (r *nodeRig) settle() error {
-	const patience, pause = 20 * time.Second, 50 * time.Millisecond
-	deadline := time.Now().Add(patience)
+// awaitServing sends requests until the node answers one.
+func (r *nodeRig) awaitServing() error {
+	const timeout, pause = 20 * time.Second, 50 * time.Millisecond
+	deadline := time.Now().Add(timeout)
 	for {
 		err := r.callers[:1].run(1)
 		if err == nil {
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return eris.Wrap(err, "the node did not serve")
+			return eris.Wrap(err, "node did not serve in time")
 		}
 		time.Sleep(pause)
 	}
@@ -116,9 +116,9 @@
 
 func (r *nodeRig) close() {
 	r.callers.close()
-	// A planned stop would wait for callers who know its address.
-	const patience = 200 * time.Millisecond
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	// A planned stop would wait for the TTL of callers' address lists.
+	const timeout = 200 * time.Millisecond
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	var all conc.WaitGroup
 	for _, n := range r.nodes {
--- a/internal/capacity/probe_peer.go
+++ b/internal/capacity/probe_peer.go
@@ -14,7 +14,7 @@
 	}}
 }
 
-// measureConnections lets one node call many, each over its own connection.
+// measureConnections calls one server from n pools, each over its own connection.
 func measureConnections(_ Meter, n int) (float64, error) {
 	e := waitExchange(0)
 	server := peer.NewServer()
--- a/internal/capacity/probe_platform.go
+++ b/internal/capacity/probe_platform.go
@@ -14,8 +14,8 @@
 	"github.com/hickorybank/hickorybank/internal/standin/platform/memory"
 )
 
-// platformProbes measure calls of the platform. The stand-in's part is in the
-// processor time, so that the router's own is less.
+// platformProbes measure platform calls. The processor time includes the stand-in's part, so the
+// router's own is less.
 func platformProbes() []Probe {
 	sizes := []int{100, 4000, 32_000}
 	quick := []int{100, 4000}
@@ -41,7 +41,7 @@
 
 const rowKey = "bills/t/000000000001/entry-00000/0000000001"
 
-// platformCall uses the table for the n-th time, with a row of so many bytes.
+// platformCall calls the table for the n-th time with the given row.
 type platformCall func(table platform.Table, row []byte, n int) error
 
 func readRow(table platform.Table, _ []byte, _ int) error {
@@ -56,16 +56,16 @@
 		Writes:     []platform.Write{{Key: key, Value: row}},
 	})
 	if err == nil && !result.Applied {
-		return eris.New("a new row was there before")
+		return eris.New("commit of a new row failed: key exists")
 	}
 	return err
 }
 
-// rowOf returns bytes that do not compress.
+// rowOf returns size incompressible bytes.
 func rowOf(size int) []byte {
 	row := make([]byte, size)
 	for i := range row {
-		row[i] = byte(mixed(uint64(i)))
+		row[i] = byte(splitMix64(uint64(i)))
 	}
 	return row
 }
--- a/internal/capacity/probe_poll.go
+++ b/internal/capacity/probe_poll.go
@@ -10,7 +10,7 @@
 	"github.com/hickorybank/hickorybank/internal/upstream/client"
 )
 
-// pollProbes measure the load reports that upstreams are asked for.
+// pollProbes measure polling the load reports of upstreams.
 func pollProbes() []Probe {
 	return []Probe{
 		{
--- a/internal/capacity/probe_process.go
+++ b/internal/capacity/probe_process.go
@@ -13,7 +13,7 @@
 	"github.com/sourcegraph/conc"
 )
 
-// processProbes have to be the first: later ones leave memory behind.
+// processProbes must run first: later probes leave memory in use.
 func processProbes() []Probe {
 	return []Probe{{
 		Slope: Slope{Name: "process.resident", What: "resident memory of the program before it does anything", Per: "nothing", Unit: Bytes},
@@ -24,7 +24,7 @@
 	}}
 }
 
-// resident is the memory of this process in RAM, in bytes.
+// resident returns the resident memory of this process in bytes.
 func resident() (float64, error) {
 	data, err := os.ReadFile("/proc/self/statm")
 	if err != nil {
@@ -32,7 +32,7 @@
 	}
 	fields := strings.Fields(string(data))
 	if len(fields) < 2 {
-		return 0, eris.New("resident memory: statm has too few fields")
+		return 0, eris.New("resident memory: /proc/self/statm has fewer than 2 fields")
 	}
 	pages, err := strconv.ParseFloat(fields[1], 64)
 	return pages * float64(os.Getpagesize()), eris.Wrap(err, "resident memory")
--- a/internal/capacity/probe_request.go
+++ b/internal/capacity/probe_request.go
@@ -51,7 +51,7 @@
 	if err != nil {
 		return 0, err
 	}
-	// The oldest key has signed the token that is read.
+	// The token is signed with the oldest key.
 	old, err := seal.New(list[keys-1])
 	if err != nil {
 		return 0, err
--- a/internal/capacity/probe_rollout.go
+++ b/internal/capacity/probe_rollout.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// driver is a machine that holds the row, with a table of one row and engines
-// that have every version of the first model and take no order.
+// driver is a rollout machine that holds the row, with a table of one row. Its engines have every
+// version of the first model and accept no commands.
 type driver struct {
 	machine  *rollout.Machine
 	view     *membership.View
@@ -49,7 +49,7 @@
 	for _, vm := range fleet(0, engines, domainsOf(engines)) {
 		d.view.Engines = append(d.view.Engines, membership.Member{VM: vm})
 	}
-	// Long enough to take the row and to read every engine once.
+	// Enough rounds to acquire the row and to read every engine once.
 	rounds := 40 + int(float64(engines)/rollout.DefaultReadsPerSecond)
 	for range rounds {
 		d.second()
@@ -57,15 +57,15 @@
 	return d, nil
 }
 
-// second is one tick and all that follows from it.
+// second runs one tick and all resulting actions.
 func (d *driver) second() {
 	d.now = d.now.Add(rollout.DefaultTick)
-	d.take(d.machine.Step(d.now, rollout.Tick{View: d.view, Snapshot: d.snapshot, Fresh: true, Rank: 0}))
+	d.execute(d.machine.Step(d.now, rollout.Tick{View: d.view, Snapshot: d.snapshot, Fresh: true, Rank: 0}))
 }
 
-func (d *driver) take(actions []rollout.Action) {
+func (d *driver) execute(actions []rollout.Action) {
 	for _, a := range append([]rollout.Action(nil), actions...) {
-		d.take(d.machine.Step(d.now, d.answer(a)))
+		d.execute(d.machine.Step(d.now, d.answer(a)))
 	}
 }
 
--- a/internal/capacity/probe_share.go
+++ b/internal/capacity/probe_share.go
@@ -6,7 +6,7 @@
 	"github.com/hickorybank/hickorybank/internal/choice"
 )
 
-// shareProbes measure the exchange of what nodes know of versions.
+// shareProbes measure the exchange of quality summaries between nodes.
 func shareProbes() []Probe {
 	sizes := []int{1, 12, 48, 288}
 	return []Probe{
@@ -21,10 +21,10 @@
 	}
 }
 
-// shareReceiver answers as a collector that knows two other nodes.
+// shareReceiver answers like a collector that has summaries of two other nodes.
 type shareReceiver struct{ chooser *choice.Chooser }
 
-// Report takes in a summary and answers with what all others have seen.
+// Report merges a summary and returns the pool of all other nodes.
 func (s shareReceiver) Report(r *choice.Report, pool *choice.Pool) error {
 	*pool = s.chooser.HandleReport(*r, start.Add(time.Second))
 	return nil
@@ -40,7 +40,7 @@
 	}
 }
 
-// versionsOf are the versions of the first cells.
+// versionsOf returns the names of the versions of the first cells.
 func versionsOf(cells int) []string {
 	var names []string
 	for i := range min(cells, docVersions) {
--- a/internal/capacity/probe_stream.go
+++ b/internal/capacity/probe_stream.go
@@ -11,11 +11,11 @@
 	"github.com/hickorybank/hickorybank/internal/upstream/client"
 )
 
-// callers is how many streams are under way at once, so that the threads of
-// the process are as busy as on a node and do not look for work in vain.
-const callers = 64
+// streamCallers is the number of concurrent streams. It keeps the threads of the process as busy as
+// on a node, so that they do not spin while idle.
+const streamCallers = 64
 
-// streamProbes measure the way of an answer through a node, decisions apart.
+// streamProbes measure an answer on its way through a node, without decisions.
 func streamProbes() []Probe {
 	return []Probe{
 		{
@@ -39,7 +39,7 @@
 }
 
 func newStreamRig(callers, pieces int) (*streamRig, error) {
-	turns := newTurns(callers)
+	turns := newPieceAcks(callers)
 	engine, err := newRawEngine(pieces, turns)
 	if err != nil {
 		return nil, err
@@ -53,7 +53,7 @@
 		return nil, eris.Wrap(err, "listen")
 	}
 	r := &streamRig{engine: engine, engines: client.NewEngines(client.Options{})}
-	r.server = &http.Server{Handler: api.New(&relayRouter{snapshot: snapshot, engines: r.engines, addr: engine.Addr()})}
+	r.server = &http.Server{Handler: api.New(&singleEngineRouter{snapshot: snapshot, engines: r.engines, addr: engine.Addr()})}
 	r.serving.Go(func() { _ = r.server.Serve(listener) }) // returns when closed
 	for i := range callers {
 		c, err := newRawCaller(listener.Addr().String(), versionName0, i, pieces, turns[i])
@@ -75,7 +75,7 @@
 }
 
 func measureStream(m Meter, tokens int) (float64, error) {
-	r, err := newStreamRig(callers, tokens)
+	r, err := newStreamRig(streamCallers, tokens)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/capacity/probe_streamheap.go
+++ b/internal/capacity/probe_streamheap.go
@@ -7,8 +7,8 @@
 	"github.com/sourcegraph/conc"
 )
 
-// measureStreamHeap takes the live heap and the stacks while streams stand
-// still in the middle of their answers, less those before.
+// measureStreamHeap returns the increase of live heap and stacks while streams are paused after
+// their first piece.
 func measureStreamHeap(_ Meter, streams int) (float64, error) {
 	const pieces = 8
 	r, err := newStreamRig(streams, pieces)
@@ -17,19 +17,19 @@
 	}
 	defer r.close()
 	before := heapAndStacks()
-	halted := make(chan struct{})
+	paused := make(chan struct{})
 	release := make(chan struct{})
 	var all conc.WaitGroup
 	errs := make([]error, streams)
 	for i, c := range r.callers {
-		c.halt = func() {
-			halted <- struct{}{}
+		c.onFirstPiece = func() {
+			paused <- struct{}{}
 			<-release
 		}
 		all.Go(func() { errs[i] = c.run() })
 	}
 	for range r.callers {
-		<-halted
+		<-paused
 	}
 	after := heapAndStacks()
 	close(release)
--- a/internal/capacity/probe_suspect.go
+++ b/internal/capacity/probe_suspect.go
@@ -17,7 +17,7 @@
 		},
 		{
 			Slope: Slope{Name: "suspect.messages", What: "messages of all nodes in a quiet second", Per: "entry nodes", Unit: Messages},
-			Sizes: []int{8, 32, 128}, QuickSizes: []int{8, 32}, Measure: func(_ Meter, n int) (float64, error) { return newSuspectFleet(n).quietSecond(), nil },
+			Sizes: []int{8, 32, 128}, QuickSizes: []int{8, 32}, Measure: func(_ Meter, n int) (float64, error) { return newSuspectFleet(n).idleMessages(), nil },
 		},
 		{
 			Slope: Slope{Name: "suspect.second", What: "a quiet second of one node's tracker, ticks and messages, without the network", Per: "entry nodes", Unit: Nanoseconds},
@@ -25,7 +25,7 @@
 		},
 		{
 			Slope: Slope{Name: "suspect.alarm", What: "messages of all nodes after a crash with 16 requests in flight, until all know, beyond the quiet ones", Per: "entry nodes", Unit: Messages},
-			Sizes: []int{8, 32, 128}, QuickSizes: []int{8, 32}, Measure: func(_ Meter, n int) (float64, error) { return newSuspectFleet(n).alarm(), nil },
+			Sizes: []int{8, 32, 128}, QuickSizes: []int{8, 32}, Measure: func(_ Meter, n int) (float64, error) { return newSuspectFleet(n).crashMessages(), nil },
 		},
 		{
 			Slope: Slope{Name: "suspect.call", What: "a message over net/rpc, both ends", Per: "suspects told of in it", Unit: Nanoseconds},
@@ -42,14 +42,14 @@
 	}
 }
 
-func printOf(i int) request.Fingerprint {
+func fingerprintOf(i int) request.Fingerprint {
 	return request.NewFingerprint(orgName(0), []byte(fmt.Sprint(i)))
 }
 
 func records(n int) []suspect.Record {
 	list := make([]suspect.Record, n)
 	for i := range list {
-		list[i] = suspect.Record{Fingerprint: printOf(-1 - i), Crashes: []suspect.CrashID{{Upstream: "engine-00001", Epoch: 1_800_000_000_000_000_000}}, Left: time.Hour}
+		list[i] = suspect.Record{Fingerprint: fingerprintOf(-1 - i), Crashes: []suspect.CrashID{{Upstream: "engine-00001", Epoch: 1_800_000_000_000_000_000}}, Left: time.Hour}
 	}
 	return list
 }
@@ -72,7 +72,7 @@
 		for range n {
 			i++
 			now = now.Add(17 * time.Millisecond)
-			attempt, f := fmt.Sprint(i), printOf(i)
+			attempt, f := fmt.Sprint(i), fingerprintOf(i)
 			t.AdmitAt(attempt, f, "engine-00002", now)
 			t.Started(attempt, f, "engine-00002", now)
 			t.Completed(attempt, now)
@@ -85,16 +85,16 @@
 	return m.Heap(func() any { return newSuspectTracker("entry-00000", nodeNames(1600), known) }), nil
 }
 
-// suspectReceiver takes messages.
+// suspectReceiver discards messages.
 type suspectReceiver struct{}
 
-// Nothing is an empty answer.
+// Nothing is an empty RPC reply; net/rpc requires an exported type.
 type Nothing struct{}
 
-// Step takes a message.
+// Step discards a message.
 func (suspectReceiver) Step(*suspect.Message, *Nothing) error { return nil }
 
 func suspectExchange(n int) exchange {
-	args := &suspect.Message{From: "entry-00000", Born: uint64(start.UnixNano()), To: "entry-00001", Kind: suspect.Alert, Seq: 12345, Digest: mixed(1), Records: records(n)}
+	args := &suspect.Message{From: "entry-00000", Born: uint64(start.UnixNano()), To: "entry-00001", Kind: suspect.Alert, Seq: 12345, Digest: splitMix64(1), Records: records(n)}
 	return exchange{name: "Suspect", receiver: suspectReceiver{}, method: "Step", args: args, reply: func() any { return new(Nothing) }}
 }
--- a/internal/capacity/probe_telemetry.go
+++ b/internal/capacity/probe_telemetry.go
@@ -21,8 +21,8 @@
 }
 
 func observation(i int) *telemetry.Observation {
-	// Durations spread over the buckets that a histogram keeps.
-	spread := time.Duration(1 + mixed(uint64(i))%1000)
+	// Durations are spread over the buckets of a histogram.
+	spread := time.Duration(1 + splitMix64(uint64(i))%1000)
 	return &telemetry.Observation{
 		Outcome: request.Completed, Version: versionName0, Queued: spread * time.Microsecond, FirstToken: spread * time.Millisecond,
 		TokenGap: spread * 50 * time.Microsecond, Total: spread * 20 * time.Millisecond, Cost: 100, InputTokens: 900, OutputTokens: 320,
--- a/internal/capacity/probes.go
+++ b/internal/capacity/probes.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// Probes are all measurements, in the order of the page.
+// Probes returns all probes, in the order of the page.
 func Probes() []Probe {
 	return slices.Concat(
 		processProbes(), streamProbes(), nodeProbes(), requestProbes(), balanceProbes(), pollProbes(), admissionProbes(), limitProbes(),
@@ -10,7 +10,8 @@
 	)
 }
 
-// Measure runs all probes. Quick runs fewer sizes for a shorter time.
+// Measure runs all probes and calls done after each. With quick it uses fewer sizes and
+// shorter rounds. It stops at the first error.
 func Measure(quick bool, done func(Slope)) (Slopes, error) {
 	m := FullMeter
 	if quick {
--- a/internal/capacity/rawcaller.go
+++ b/internal/capacity/rawcaller.go
@@ -11,19 +11,19 @@
 	"github.com/rotisserie/eris"
 )
 
-// rawCaller asks for one answer after another over bare TCP.
+// rawCaller sends requests one after the other over a plain TCP connection.
 type rawCaller struct {
-	conn net.Conn
-	in   *bufio.Reader
-	ask  []byte
-	// pieces are those of an answer, and turn tells the engine of each.
+	conn    net.Conn
+	in      *bufio.Reader
+	request []byte
+	// pieces is the number of pieces in an answer. ack tells the engine of each received piece.
 	pieces int
-	turn   chan<- struct{}
-	// halt, when set, is called once after the first piece.
-	halt func()
+	ack    chan<- struct{}
+	// onFirstPiece, if set, is called after the first piece of an answer.
+	onFirstPiece func()
 }
 
-var doneMark = []byte("data: [DONE]")
+var streamEndMarker = []byte("data: [DONE]")
 
 func newRawCaller(addr, model string, number, pieces int, turn chan<- struct{}) (*rawCaller, error) {
 	conn, err := net.Dial("tcp", addr)
@@ -31,34 +31,33 @@
 		return nil, eris.Wrap(err, "dial")
 	}
 	body := fmt.Sprintf(`{"model":%q,"stream":true,"messages":[{"role":"system","content":%q},{"role":"user","content":"Draft the %s%d."}]}`,
-		model, bytes.Repeat([]byte("dossier "), promptWords), callMark, number)
+		model, bytes.Repeat([]byte("dossier "), promptWords), callerPrefix, number)
 	ask := fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: router\r\nAuthorization: Bearer %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s",
 		keyName(0), len(body), body)
-	return &rawCaller{conn: conn, in: bufio.NewReader(conn), ask: []byte(ask), pieces: pieces, turn: turn}, nil
+	return &rawCaller{conn: conn, in: bufio.NewReader(conn), request: []byte(ask), pieces: pieces, ack: turn}, nil
 }
 
-// promptWords are those of a prompt of about 4 kB.
+// promptWords is the number of words in a prompt of about 4 kB.
 const promptWords = 500
 
-// run sends a request and reads its whole answer, and says of each piece that
-// it came.
+// run sends a request, reads its whole answer and acknowledges each piece.
 func (c *rawCaller) run() error {
-	if _, err := c.conn.Write(c.ask); err != nil {
-		return eris.Wrap(err, "ask")
+	if _, err := c.conn.Write(c.request); err != nil {
+		return eris.Wrap(err, "send request")
 	}
 	res, err := http.ReadResponse(c.in, nil)
 	if err != nil {
-		return eris.Wrap(err, "answer")
+		return eris.Wrap(err, "read answer head")
 	}
 	if res.StatusCode != http.StatusOK {
 		text, _ := io.ReadAll(res.Body) // for the error message only
-		return eris.Errorf("status %d: %s", res.StatusCode, text)
+		return eris.Errorf("answer has status %d, want 200: %s", res.StatusCode, text)
 	}
 	return c.read(res.Body)
 }
 
-// read takes the events of an answer one by one. The first of them are its
-// pieces, for which the engine waits.
+// read reads the events of an answer. The first ones are its pieces; the engine waits for their
+// acknowledgement.
 func (c *rawCaller) read(body io.Reader) error {
 	in := bufio.NewReader(body)
 	done := false
@@ -68,18 +67,18 @@
 			return nil
 		}
 		if err != nil {
-			return eris.Wrap(err, "answer broke off")
+			return eris.Wrap(err, "answer ended early")
 		}
-		done = done || bytes.HasPrefix(line, doneMark)
+		done = done || bytes.HasPrefix(line, streamEndMarker)
 		if len(line) > 1 {
 			continue
 		}
 		events++
-		if events == 1 && c.halt != nil {
-			c.halt()
+		if events == 1 && c.onFirstPiece != nil {
+			c.onFirstPiece()
 		}
 		if events <= c.pieces {
-			c.turn <- struct{}{}
+			c.ack <- struct{}{}
 		}
 	}
 }
--- a/internal/capacity/rawcallers.go
+++ b/internal/capacity/rawcallers.go
@@ -6,10 +6,10 @@
 	"github.com/sourcegraph/conc"
 )
 
-// rawCallers ask side by side.
+// rawCallers send requests concurrently.
 type rawCallers []*rawCaller
 
-// run lets every caller have n answers.
+// run has every caller read n answers and returns an error if one fails.
 func (cs rawCallers) run(n int) error {
 	var mu sync.Mutex
 	var first error
@@ -30,8 +30,8 @@
 	return first
 }
 
-// measure returns the processor time of one answer, in nanoseconds. The first
-// answers, which open connections, are left out.
+// measure returns the processor time of one answer in nanoseconds. It excludes the first answers,
+// which open connections.
 func (cs rawCallers) measure(m Meter) (float64, error) {
 	if err := cs.run(1); err != nil {
 		return 0, err
--- a/internal/capacity/rawengine.go
+++ b/internal/capacity/rawengine.go
@@ -10,18 +10,18 @@
 	"github.com/hickorybank/hickorybank/internal/rawhttp"
 )
 
-// rawEngine answers chat requests over bare TCP with as little processor time
-// as can be, so that what is measured is the router's. It sends the next piece
-// of an answer when the caller of that attempt has had the one before: then
-// each piece is read and written by itself, as it is with a gap between tokens.
+// rawEngine answers chat requests over plain TCP with minimal processor time, so that the
+// measurement shows the router's. It sends the next piece of an answer after the caller has
+// received the previous one. Each piece is then read and written separately, as with a gap
+// between tokens.
 type rawEngine struct {
 	*rawhttp.Server
 	pieces int
-	turns  turns
+	acks   pieceAcks
 }
 
-func newRawEngine(pieces int, t turns) (*rawEngine, error) {
-	e := &rawEngine{pieces: pieces, turns: t}
+func newRawEngine(pieces int, t pieceAcks) (*rawEngine, error) {
+	e := &rawEngine{pieces: pieces, acks: t}
 	server, err := rawhttp.Listen(e)
 	if err != nil {
 		return nil, err
@@ -30,15 +30,15 @@
 	return e, nil
 }
 
-// Head lets every body be read.
+// Head accepts every request; it implements the handler of rawhttp.
 func (e *rawEngine) Head(net.Conn, *http.Request) bool { return true }
 
-// Answer reports the load to whoever asks, and streams to whoever sends.
+// Answer writes a load report for a GET request and streams an answer for any other.
 func (e *rawEngine) Answer(conn net.Conn, req *http.Request, body []byte) error {
 	if req.Method == http.MethodGet {
-		return report(conn)
+		return writeLoadReport(conn)
 	}
-	return e.answer(conn, req.Header.Get("X-Attempt-Id"), e.turns.of(body))
+	return e.answer(conn, req.Header.Get("X-Attempt-Id"), e.acks.forRequest(body))
 }
 
 const (
@@ -47,8 +47,8 @@
 	lastFormat  = "data: {\"attempt\":%q,\"seq\":%d,\"done\":true,\"finish_reason\":\"stop\",\"usage\":{\"input_tokens\":900,\"output_tokens\":%d}}\n\n"
 )
 
-// report answers a question for the load.
-func report(conn net.Conn) error {
+// writeLoadReport answers a request for the load.
+func writeLoadReport(conn net.Conn) error {
 	load := loadReport()
 	load.Versions = nil
 	for i := range docVersions {
@@ -62,7 +62,7 @@
 	return err
 }
 
-func (e *rawEngine) answer(conn net.Conn, attempt string, turn <-chan struct{}) error {
+func (e *rawEngine) answer(conn net.Conn, attempt string, ack <-chan struct{}) error {
 	if _, err := io.WriteString(conn, answerHead); err != nil {
 		return err
 	}
@@ -71,7 +71,7 @@
 		if _, err := fmt.Fprintf(conn, "%x\r\n%s\r\n", len(event), event); err != nil {
 			return err
 		}
-		<-turn
+		<-ack
 	}
 	event := fmt.Sprintf(lastFormat, attempt, e.pieces+1, e.pieces)
 	_, err := fmt.Fprintf(conn, "%x\r\n%s\r\n0\r\n\r\n", len(event), event)
--- a/internal/capacity/relay.go
+++ b/internal/capacity/relay.go
@@ -9,13 +9,12 @@
 	"github.com/sourcegraph/conc"
 )
 
-// relay carries TCP connections to an address and counts the bytes of both
-// directions.
+// relay forwards TCP connections to an address and counts the bytes of both directions.
 type relay struct {
-	listener net.Listener
-	to       string
-	bytes    atomic.Int64
-	duties   conc.WaitGroup
+	listener   net.Listener
+	to         string
+	bytes      atomic.Int64
+	forwarders conc.WaitGroup
 }
 
 func newRelay(to string) (*relay, error) {
@@ -24,7 +23,7 @@
 		return nil, eris.Wrap(err, "listen")
 	}
 	r := &relay{listener: listener, to: to}
-	r.duties.Go(r.accept)
+	r.forwarders.Go(r.accept)
 	return r, nil
 }
 
@@ -41,30 +40,30 @@
 			_ = in.Close()
 			continue
 		}
-		r.duties.Go(func() { r.carry(in, out) })
-		r.duties.Go(func() { r.carry(out, in) })
+		r.forwarders.Go(func() { r.forward(in, out) })
+		r.forwarders.Go(func() { r.forward(out, in) })
 	}
 }
 
-// carry copies until either end closes, which then ends the other direction.
-func (r *relay) carry(from, to net.Conn) {
-	_, _ = io.Copy(to, counting{Reader: from, bytes: &r.bytes})
+// forward copies until either end closes and then closes both connections.
+func (r *relay) forward(from, to net.Conn) {
+	_, _ = io.Copy(to, countingReader{Reader: from, bytes: &r.bytes})
 	_ = from.Close()
 	_ = to.Close()
 }
 
-// close ends the relay; its connections must have been closed at one end.
+// close stops the relay. Each of its connections must already be closed at one end.
 func (r *relay) close() {
 	_ = r.listener.Close()
-	r.duties.Wait()
+	r.forwarders.Wait()
 }
 
-type counting struct {
+type countingReader struct {
 	io.Reader
 	bytes *atomic.Int64
 }
 
-func (c counting) Read(p []byte) (int, error) {
+func (c countingReader) Read(p []byte) (int, error) {
 	n, err := c.Reader.Read(p)
 	c.bytes.Add(int64(n))
 	return n, err
--- a/internal/capacity/relayrouter.go
+++ b/internal/capacity/relayrouter.go
@@ -16,9 +16,9 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// relayRouter carries each request to one engine and decides nothing but its
-// life: what the other decisions cost is measured by themselves.
-type relayRouter struct {
+// singleEngineRouter sends every request to one engine and runs only the request lifecycle; other
+// probes measure the other decisions.
+type singleEngineRouter struct {
 	snapshot *config.Snapshot
 	engines  upstream.Engines
 	addr     string
@@ -26,26 +26,26 @@
 }
 
 // Snapshot implements [api.Router].
-func (r *relayRouter) Snapshot() *config.Snapshot { return r.snapshot }
+func (r *singleEngineRouter) Snapshot() *config.Snapshot { return r.snapshot }
 
 // Service implements [api.Router].
-func (r *relayRouter) Service(context.Context, api.ServiceCall) (upstream.ServiceAnswer, error) {
-	return upstream.ServiceAnswer{}, eris.New("no services here")
+func (r *singleEngineRouter) Service(context.Context, api.ServiceCall) (upstream.ServiceAnswer, error) {
+	return upstream.ServiceAnswer{}, eris.New("services are not supported by the capacity router")
 }
 
 // ResumeStream implements [api.Router].
-func (r *relayRouter) ResumeStream(context.Context, api.ResumeCall, request.Sink) (request.Answer, error) {
-	return request.Answer{}, eris.New("nothing is read on here")
+func (r *singleEngineRouter) ResumeStream(context.Context, api.ResumeCall, request.Sink) (request.Answer, error) {
+	return request.Answer{}, eris.New("resuming streams is not supported by the capacity router")
 }
 
 // CountRefusal implements [api.Router].
-func (r *relayRouter) CountRefusal(api.Refusal) {}
+func (r *singleEngineRouter) CountRefusal(api.Refusal) {}
 
 // Addresses implements [api.Router].
-func (r *relayRouter) Addresses(string) api.Addresses { return api.Addresses{} }
+func (r *singleEngineRouter) Addresses(string) api.Addresses { return api.Addresses{} }
 
 // Chat implements [api.Router].
-func (r *relayRouter) Chat(ctx context.Context, call api.ChatCall, sink request.Sink) (request.Answer, error) {
+func (r *singleEngineRouter) Chat(ctx context.Context, call api.ChatCall, sink request.Sink) (request.Answer, error) {
 	request.NewFingerprint(call.Org.Name, call.Body)
 	id := strconv.FormatUint(r.requests.Add(1), 10)
 	chat := lifecycle.NewChat(lifecycle.ChatSettings{ID: id, Versions: []string{versionName0}, Streaming: true, MaxAttempts: 1, Deadline: time.Now().Add(time.Minute)})
@@ -61,10 +61,10 @@
 	}
 	defer func() { _ = stream.Close() }()
 	sink.Begin(request.Head{Version: versionName0})
-	return follow(chat, stream, sink)
+	return forwardStream(chat, stream, sink)
 }
 
-func follow(chat *lifecycle.Chat, stream upstream.Stream, sink request.Sink) (request.Answer, error) {
+func forwardStream(chat *lifecycle.Chat, stream upstream.Stream, sink request.Sink) (request.Answer, error) {
 	for {
 		if !stream.Ready() {
 			if err := sink.Flush(); err != nil {
--- a/internal/capacity/report.go
+++ b/internal/capacity/report.go
@@ -1,17 +1,17 @@
 package capacity
 
-// Report is one run: what was measured and what follows from it.
+// Report holds the measurements of one run and the results of the model.
 type Report struct {
 	Size        Size        `json:"size"`
 	Budget      Budget      `json:"budget"`
 	Assumptions Assumptions `json:"assumptions"`
 	Slopes      Slopes      `json:"slopes"`
-	// Single has one table for all regions, PerRegion one for each.
+	// Single assumes one table for all regions, PerRegion one table for each region.
 	Single    Results `json:"single"`
 	PerRegion Results `json:"per_region"`
 }
 
-// NewReport works out the report from measured slopes.
+// NewReport evaluates the model on measured slopes. It returns [ErrMissing] if one is missing.
 func NewReport(s Slopes) (Report, error) {
 	m := NewModel(s)
 	single, err := m.Results()
--- a/internal/capacity/round.go
+++ b/internal/capacity/round.go
@@ -4,14 +4,14 @@
 	"strconv"
 )
 
-// digits are those that measured values keep. The page shows just these, so
-// that the model gives the same figures from the page as from the run.
-const digits = 4
+// significantDigits is the precision of measured values. The page shows exactly these digits,
+// so the model gives the same figures from the page as from the run.
+const significantDigits = 4
 
-func rounded(v float64) float64 {
-	r, err := strconv.ParseFloat(strconv.FormatFloat(v, 'g', digits, 64), 64)
+func roundToDigits(v float64) float64 {
+	r, err := strconv.ParseFloat(strconv.FormatFloat(v, 'g', significantDigits, 64), 64)
 	if err != nil {
-		panic(err) // what was formatted can be parsed
+		panic(err) // a formatted number always parses
 	}
 	return r
 }
--- a/internal/capacity/rpc.go
+++ b/internal/capacity/rpc.go
@@ -6,7 +6,7 @@
 	"github.com/hickorybank/hickorybank/internal/peer"
 )
 
-// peers is a node's server and another one's pool, over loopback.
+// peers connects one node's peer server with another node's pool over loopback.
 type peers struct {
 	server *peer.Server
 	pool   *peer.Pool
@@ -36,7 +36,7 @@
 	p.server.Close()
 }
 
-// exchange is one call of a peer with its answer.
+// exchange is one RPC between peers with its reply.
 type exchange struct {
 	name     string
 	receiver any
@@ -45,7 +45,7 @@
 	reply    func() any
 }
 
-// processor measures the time that both ends of a call take together.
+// processor measures the processor time of a call in nanoseconds, both ends together.
 func (e exchange) processor(m Meter) (float64, error) {
 	p, err := newPeers(e.name, e.receiver)
 	if err != nil {
@@ -67,8 +67,7 @@
 	return p.pool.Call(context.Background(), addr, e.name+"."+e.method, e.args, e.reply())
 }
 
-// bytes counts what a call and its answer carry on a kept connection, without
-// packet headers.
+// bytes returns the bytes of a call and its reply on a kept connection, without packet headers.
 func (e exchange) bytes() (float64, error) {
 	p, err := newPeers(e.name, e.receiver)
 	if err != nil {
--- a/internal/capacity/turns.go
+++ b/internal/capacity/turns.go
@@ -5,27 +5,27 @@
 	"strconv"
 )
 
-// turns let a caller tell the engine that it has had a piece; one channel a
-// caller. A request's prompt ends in its caller's number.
-type turns []chan struct{}
+// pieceAcks tells the engine that a caller has received a piece, over one channel for each
+// caller. A request's prompt ends in the number of its caller.
+type pieceAcks []chan struct{}
 
-func newTurns(callers int) turns {
-	t := make(turns, callers)
+func newPieceAcks(callers int) pieceAcks {
+	t := make(pieceAcks, callers)
 	for i := range t {
 		t[i] = make(chan struct{}, 1)
 	}
 	return t
 }
 
-// callMark stands before the caller's number in a prompt, and a dot after it.
-const callMark = "statement for call "
+// callerPrefix precedes the caller's number in a prompt; a dot follows the number.
+const callerPrefix = "statement for call "
 
-func (t turns) of(body []byte) <-chan struct{} {
-	_, rest, _ := bytes.Cut(body, []byte(callMark))
+func (t pieceAcks) forRequest(body []byte) <-chan struct{} {
+	_, rest, _ := bytes.Cut(body, []byte(callerPrefix))
 	number, _, _ := bytes.Cut(rest, []byte("."))
 	i, err := strconv.Atoi(string(number))
 	if err != nil || i >= len(t) {
-		panic("capacity: a prompt without its caller")
+		panic("capacity: prompt contains no valid caller number")
 	}
 	return t[i]
 }
--- a/internal/capacity/unit.go
+++ b/internal/capacity/unit.go
@@ -1,14 +1,13 @@
 package capacity
 
-// Unit is what a slope's values are in.
+// Unit is the unit of the values of a slope.
 type Unit string
 
 // The units.
 const (
-	// Nanoseconds of processor time, user and system, garbage collection
-	// included.
+	// Nanoseconds of processor time: user and system time, including garbage collection.
 	Nanoseconds Unit = "ns"
-	// Bytes on the wire, in a row, or of live heap.
+	// Bytes on the network, in a table row, or of live heap.
 	Bytes Unit = "B"
 	// Messages between nodes.
 	Messages Unit = "messages"
--- a/scenario/cmd_await_test.go
+++ b/scenario/cmd_await_test.go
@@ -51,7 +51,7 @@
 	ts.Check(eris.Wrap(awaitFor(c, timeout, check, args[1:]), strings.Join(args, " ")))
 }
 
-func await(c *cluster, ready condition, args []string) error { return awaitFor(c, maxWait, ready, args) }
+func await(c *cluster, cond condition, args []string) error { return awaitFor(c, maxWait, cond, args) }
 
 func awaitFor(c *cluster, timeout time.Duration, check condition, args []string) error {
 	end := time.Now().Add(timeout)
