--- a/internal/capacity/rawcaller.go
+++ b/internal/capacity/rawcaller.go
@@ -32,9 +32,9 @@
 	}
 	body := fmt.Sprintf(`{"model":%q,"stream":true,"messages":[{"role":"system","content":%q},{"role":"user","content":"Draft the %s%d."}]}`,
 		model, bytes.Repeat([]byte("dossier "), promptWords), callerPrefix, number)
-	ask := fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: router\r\nAuthorization: Bearer %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s",
+	request := fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: router\r\nAuthorization: Bearer %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s",
 		keyName(0), len(body), body)
-	return &rawCaller{conn: conn, in: bufio.NewReader(conn), request: []byte(ask), pieces: pieces, ack: turn}, nil
+	return &rawCaller{conn: conn, in: bufio.NewReader(conn), request: []byte(request), pieces: pieces, ack: turn}, nil
 }
 
 // promptWords is the number of words in a prompt of about 4 kB.
--- a/scenario/caller_test.go
+++ b/scenario/caller_test.go
@@ -143,7 +143,7 @@
 	var number int
 	for scanner.Scan() {
 		if id, ok := strings.CutPrefix(scanner.Text(), "id: "); ok {
-			number, _ = strconv.Atoi(id) // checkCount and checkAnswer detect a bad number as a missing piece
+			number, _ = strconv.Atoi(id) // an invalid number shows up as a missing piece
 		}
 		data, ok := strings.CutPrefix(scanner.Text(), "data: ")
 		if !ok {
--- a/scenario/conditions_lost_test.go
+++ b/scenario/conditions_lost_test.go
@@ -18,7 +18,7 @@
 	if len(args) != 1 {
 		return errUsage
 	}
-	most, err := strconv.Atoi(args[0])
+	maximum, err := strconv.Atoi(args[0])
 	if err != nil {
 		return err
 	}
@@ -30,8 +30,8 @@
 		}
 		crashes += counts.Crashes
 	}
-	if crashes < 1 || crashes > most {
-		return eris.Errorf("%d crashes, want 1 to %d", crashes, most)
+	if crashes < 1 || crashes > maximum {
+		return eris.Errorf("%d crashes, want 1 to %d", crashes, maximum)
 	}
 	return nil
 }
--- a/scenario/load_report_test.go
+++ b/scenario/load_report_test.go
@@ -116,10 +116,10 @@
 	}
 }
 
-func (p *report) addExample(r record, wrong, what string) {
-	p.exampleCounts[wrong]++
-	if p.exampleCounts[wrong] <= maxExamples {
-		head := fmt.Sprintf("%s: %s %s %s %s: %s: %s", wrong, r.call.org, r.call.key, r.call.model, r.call.path, what, r.last)
+func (p *report) addExample(r record, violation, detail string) {
+	p.exampleCounts[violation]++
+	if p.exampleCounts[violation] <= maxExamples {
+		head := fmt.Sprintf("%s: %s %s %s %s: %s: %s", violation, r.call.org, r.call.key, r.call.model, r.call.path, detail, r.last)
 		p.examples = append(p.examples, head+strings.Join(r.history, "\n"))
 	}
 }
@@ -142,7 +142,7 @@
 // missing bills.
 func (c *cluster) report(records []record) (report, error) {
 	var p report
-	settle := func(c *cluster, _ []string) error {
+	check := func(c *cluster, _ []string) error {
 		bills, err := c.bills()
 		if err != nil {
 			return err
@@ -157,7 +157,7 @@
 		}
 		return nil
 	}
-	err := await(c, settle, nil)
+	err := await(c, check, nil)
 	if err == errUnbilled {
 		err = nil // the report lists the unbilled requests
 	}
--- a/scenario/process_test.go
+++ b/scenario/process_test.go
@@ -122,9 +122,9 @@
 }
 
 func (p *process) tail() string {
-	const most = 4000
+	const maxBytes = 4000
 	data := p.output()
-	return string(data[max(0, len(data)-most):])
+	return string(data[max(0, len(data)-maxBytes):])
 }
 
 // crashError returns an error if the log shows a data race or a crash.
--- a/scenario/runs_test.go
+++ b/scenario/runs_test.go
@@ -107,7 +107,7 @@
 // lastRuns returns the last few runs that match WHAT. Attempt IDs sort by the arrival time of
 // their request.
 func lastRuns(runs []run, what string) []run {
-	const most = 8
+	const maxRuns = 8
 	var of []run
 	for _, r := range runs {
 		if r.matches(what) {
@@ -115,7 +115,7 @@
 		}
 	}
 	slices.SortStableFunc(of, func(a, b run) int { return cmp.Compare(a.Attempt, b.Attempt) })
-	return of[max(0, len(of)-most):]
+	return of[max(0, len(of)-maxRuns):]
 }
 
 // compareRuns compares the number of runs since before with a number, or with "some" for at
--- a/scenario/storm_run_test.go
+++ b/scenario/storm_run_test.go
@@ -46,26 +46,26 @@
 // injectAll injects the planned faults and ends each of them.
 func (s *storm) injectAll(plan []plannedFault) error {
 	ends := make([]func() error, len(plan))
-	for _, turn := range faultEdges(plan) {
-		if err := s.awaitRequest(turn.at); err != nil {
+	for _, edge := range faultEdges(plan) {
+		if err := s.awaitRequest(edge.at); err != nil {
 			return err
 		}
-		fault := plan[turn.index]
-		if turn.begin {
+		fault := plan[edge.index]
+		if edge.begin {
 			end, what, err := s.inject(fault.kind, rand.New(rand.NewPCG(s.seed, fault.draw)))
 			if err != nil {
-				return eris.Wrapf(err, "%s at request %d", fault.kind, turn.at)
+				return eris.Wrapf(err, "%s at request %d", fault.kind, edge.at)
 			}
 			if what != "" {
 				s.counts[fault.kind]++
 				s.logf("request %d to %d: %s: %s", fault.from, fault.until, fault.kind, what)
 			}
-			ends[turn.index] = end
+			ends[edge.index] = end
 			continue
 		}
-		if end := ends[turn.index]; end != nil {
+		if end := ends[edge.index]; end != nil {
 			if err := end(); err != nil {
-				return eris.Wrapf(err, "end of %s at request %d", fault.kind, turn.at)
+				return eris.Wrapf(err, "end of %s at request %d", fault.kind, edge.at)
 			}
 		}
 	}
