--- a/internal/balance/noticed.go
+++ b/internal/balance/noticed.go
@@ -13,9 +13,9 @@
 // limits that upstreams announce are divided.
 func (b *Balancer) SetSenders(self string, all []string) { b.senders.Set(self, all) }
 
-// ApplyNotice records what an upstream stated about itself in an answer that was read at the
+// ApplyResponse records what an upstream stated about itself in an answer that was read at the
 // given time.
-func (b *Balancer) ApplyNotice(vmID string, a notice.Response, at time.Time) {
+func (b *Balancer) ApplyResponse(vmID string, a notice.Response, at time.Time) {
 	h := b.hosts[vmID]
 	if h == nil {
 		return
--- a/internal/balance/noticed_test.go
+++ b/internal/balance/noticed_test.go
@@ -25,7 +25,7 @@
 		b.SetMembers(vms, NodeRank{Count: 1}, epoch)
 		b.SetSenders(id, ids)
 		reportAll(b, vms, epoch, "v@1")
-		b.ApplyNotice(vms[0].ID, notice.Response{Limit: notice.Limit{Named: true, PerSecond: perSecond}}, epoch)
+		b.ApplyResponse(vms[0].ID, notice.Response{Limit: notice.Limit{Named: true, PerSecond: perSecond}}, epoch)
 		nodes = append(nodes, b)
 	}
 	return nodes
@@ -68,8 +68,8 @@
 	pick, ok := b.Pick(Request{Version: "v@1", Now: at(1)})
 	is.True(!ok)
 	is.Equal(pick.Shortage, Shortage{Reason: AllPaced, RetryAfter: 2 * time.Second})
-	b.ApplyNotice("eng-0", notice.Response{}, at(3))
-	b.ApplyNotice("eng-0", notice.Response{Limit: notice.Limit{Named: true, PerSecond: 0.5}}, at(2))
+	b.ApplyResponse("eng-0", notice.Response{}, at(3))
+	b.ApplyResponse("eng-0", notice.Response{Limit: notice.Limit{Named: true, PerSecond: 0.5}}, at(2))
 	is.True(picked(4))
 	is.True(picked(4))
 }
@@ -83,9 +83,9 @@
 	vms := engines(1)
 	b.SetMembers(vms, NodeRank{Count: 1}, epoch)
 	reportAll(b, vms, epoch, "v@1")
-	b.ApplyNotice("eng-0", notice.Response{Backoff: 10 * time.Second}, at(0))
-	b.ApplyNotice("eng-0", notice.Response{Backoff: time.Second}, at(1))
-	b.ApplyNotice("eng-0", notice.Response{}, at(2))
+	b.ApplyResponse("eng-0", notice.Response{Backoff: 10 * time.Second}, at(0))
+	b.ApplyResponse("eng-0", notice.Response{Backoff: time.Second}, at(1))
+	b.ApplyResponse("eng-0", notice.Response{}, at(2))
 	pick, ok := b.Pick(Request{Version: "v@1", Now: at(9)})
 	is.True(!ok)
 	is.Equal(pick.Shortage.Reason, AllPaced)
@@ -103,7 +103,7 @@
 	b.SetMembers(vms, NodeRank{Count: 1}, epoch)
 	reportAll(b, vms, epoch, "v@1")
 	now := epoch.Add(time.Second)
-	b.ApplyNotice("eng-0", notice.Response{Leaving: true}, now)
+	b.ApplyResponse("eng-0", notice.Response{Leaving: true}, now)
 	b.Report("eng-0", upstream.LoadReport{Limit: 8, Versions: []string{"v@1"}, AgeMillis: 500}, now.Add(100*time.Millisecond))
 	pick, ok := b.Pick(Request{Version: "v@1", Now: now.Add(200 * time.Millisecond)})
 	is.True(!ok)
@@ -115,7 +115,7 @@
 func TestRestartEndsBackoff(t *testing.T) {
 	is := is.New(t)
 	b := rateLimitedNodes(1, 0)[0]
-	b.ApplyNotice("eng-0", notice.Response{Backoff: 10 * time.Minute}, epoch)
+	b.ApplyResponse("eng-0", notice.Response{Backoff: 10 * time.Minute}, epoch)
 	b.Restarted("eng-0")
 	_, ok := b.Pick(Request{Version: "v@1", Now: epoch.Add(time.Second)})
 	is.True(ok)
--- a/internal/node/notices.go
+++ b/internal/node/notices.go
@@ -38,7 +38,7 @@
 		u.node.metrics.Counter("hickorybank_unsound_answer_fields_total", "field", field).Inc()
 	}
 	u.mu.Lock()
-	u.balancer.ApplyNotice(vm.ID, a, at)
+	u.balancer.ApplyResponse(vm.ID, a, at)
 	u.mu.Unlock()
 	if a.Leaving {
 		u.node.members.Observe(vm.Addr, membership.ReportedLeaving) // also informs the other nodes
