--- a/internal/fleet/leaving_test.go
+++ b/internal/fleet/leaving_test.go
@@ -33,7 +33,7 @@
 					f.ApplyResponse(u, notice.Response{}, now, now)
 				}
 			case 4:
-				f.ApplyNotice(notice.Report{Start: "u0@0", Origin: 9, Seq: int64(now.Unix())}, now)
+				f.ApplyReport(notice.Report{Start: "u0@0", Origin: 9, Seq: int64(now.Unix())}, now)
 			}
 			f.SweepNotices(now)
 			if u := f.Choose(AttemptSpec{Service: "s", Seed: rapid.Uint64().Draw(t, "seed")}, now); u == nil || u.ID != "u1" {
--- a/internal/fleet/limit_news_test.go
+++ b/internal/fleet/limit_news_test.go
@@ -77,7 +77,7 @@
 			return false
 		}
 		for _, r := range m.reports {
-			s.nodes[m.to].ApplyNotice(r, now)
+			s.nodes[m.to].ApplyReport(r, now)
 		}
 		return true
 	})
--- a/internal/fleet/notices.go
+++ b/internal/fleet/notices.go
@@ -12,9 +12,9 @@
 	return f.notices.ApplyResponse(u.announced, response, at, now)
 }
 
-// ApplyNotice applies a peer's report of an upstream's response. It returns the resulting
+// ApplyReport applies a peer's report of an upstream's response. It returns the resulting
 // changes at this node.
-func (f *Fleet) ApplyNotice(r notice.Report, now time.Time) []notice.Change {
+func (f *Fleet) ApplyReport(r notice.Report, now time.Time) []notice.Change {
 	return f.notices.ApplyReport(r, now)
 }
 
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -34,7 +34,7 @@
 // mergeNotices applies a peer's reports of upstreams' notices; the caller holds mu.
 func (n *Node) mergeNotices(in gossip.Message, now time.Time) {
 	for _, r := range in.Notices {
-		for _, change := range n.fleet.ApplyNotice(r, now) {
+		for _, change := range n.fleet.ApplyReport(r, now) {
 			n.noteChange(r.Start, change, in.From, max(r.Age, 0))
 		}
 	}
