--- a/internal/balance/room.go
+++ b/internal/balance/room.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Room is the capacity that this node's upstreams have for a version now.
-type Room struct {
+// VersionCapacity is the capacity that this node's upstreams have for a version now.
+type VersionCapacity struct {
 	// Engines counts the usable engines that are known to have the version.
 	Engines int
 	// Unsure is set when no engine is known to have the version, but usable engines have
@@ -22,7 +22,7 @@
 // loaded would attract all requests for which it is cheapest, and they would be refused
 // while engines with other versions are idle. A version that only one engine of many has
 // would get the work of all of them, and queue beside idle engines.
-func (b *Balancer) Room(version string, now time.Time) Room {
+func (b *Balancer) Room(version string, now time.Time) VersionCapacity {
 	t := b.since(now)
 	b.maintain(t)
 	p := b.versions[version]
@@ -30,12 +30,12 @@
 		b.want(version, t)
 	}
 	if len(p.members()) == 0 {
-		return Room{Unsure: b.unknownEngines.capacity.hosts > 0}
+		return VersionCapacity{Unsure: b.unknownEngines.capacity.hosts > 0}
 	}
 	if p.capacity.hosts == 0 {
-		return Room{}
+		return VersionCapacity{}
 	}
-	return Room{Engines: p.capacity.hosts, Share: b.versionShare(p)}
+	return VersionCapacity{Engines: p.capacity.hosts, Share: b.versionShare(p)}
 }
 
 // versionShare returns the share for a pool that has usable engines.
