--- a/internal/choice/request.go
+++ b/internal/choice/request.go
@@ -19,7 +19,7 @@
 	Pinned bool
 	// Rooms is the capacity for each of Versions. If it is empty, nothing is known and
 	// every version counts as having capacity.
-	Rooms []Room
+	Rooms []VersionCapacity
 	Now   time.Time
 	// Slack is the time left until the deadline.
 	Slack time.Duration
--- a/internal/choice/room.go
+++ b/internal/choice/room.go
@@ -1,7 +1,7 @@
 package choice
 
-// Room is the capacity of the upstreams known to a node for one version.
-type Room struct {
+// VersionCapacity is the capacity of the upstreams known to a node for one version.
+type VersionCapacity struct {
 	// Engines is the number of usable engines that are known to have the version.
 	Engines int
 	// Unsure is set when no engine is known to have the version, but the versions of some
@@ -13,7 +13,7 @@
 }
 
 // None reports whether no engine can run the version now.
-func (r Room) None() bool { return r.Engines == 0 && !r.Unsure }
+func (r VersionCapacity) None() bool { return r.Engines == 0 && !r.Unsure }
 
 // roomSets groups versions, as sets of indices, by capacity.
 type roomSets struct {
@@ -27,7 +27,7 @@
 }
 
 // add adds the version with the index.
-func (s *roomSets) add(index int, room Room, draw float64) {
+func (s *roomSets) add(index int, room VersionCapacity, draw float64) {
 	bit := uint64(1) << index
 	s.all |= bit
 	switch {
@@ -54,9 +54,9 @@
 
 // room returns the capacity for the version at index i of the request. A request without
 // Rooms has no information on upstreams.
-func (c *decision) room(i int) Room {
+func (c *decision) room(i int) VersionCapacity {
 	if len(c.req.Rooms) == 0 {
-		return Room{Engines: 1, Share: 1}
+		return VersionCapacity{Engines: 1, Share: 1}
 	}
 	return c.req.Rooms[i]
 }
--- a/internal/choice/script_test.go
+++ b/internal/choice/script_test.go
@@ -138,19 +138,19 @@
 
 // rooms gives every version full capacity, except those in the argument room, as
 // version/engines/percent or version/unsure.
-func (s *scenario) rooms(d *datadriven.TestData, versions []string) []Room {
+func (s *scenario) rooms(d *datadriven.TestData, versions []string) []VersionCapacity {
 	if !d.HasArg("room") {
 		return nil
 	}
-	rooms := make([]Room, len(versions))
+	rooms := make([]VersionCapacity, len(versions))
 	for i := range rooms {
-		rooms[i] = Room{Engines: 18, Share: 1}
+		rooms[i] = VersionCapacity{Engines: 18, Share: 1}
 	}
 	for _, text := range s.list(d, "room") {
 		f := strings.Split(text, "/")
 		i := slices.Index(versions, f[0])
 		if f[1] == "unsure" {
-			rooms[i] = Room{Unsure: true}
+			rooms[i] = VersionCapacity{Unsure: true}
 			continue
 		}
 		rooms[i].Engines, _ = strconv.Atoi(f[1])
--- a/internal/node/upstreams.go
+++ b/internal/node/upstreams.go
@@ -100,13 +100,13 @@
 
 // rooms returns the free capacity for each version. It also logs a version that no engine can
 // run: no request is sent to that version any more, so no refusal would show the shortage.
-func (u *upstreams) rooms(versions []string) []choice.Room {
+func (u *upstreams) rooms(versions []string) []choice.VersionCapacity {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	now := time.Now()
-	rooms := make([]choice.Room, len(versions))
+	rooms := make([]choice.VersionCapacity, len(versions))
 	for i, v := range versions {
-		rooms[i] = choice.Room(u.balancer.Room(v, now))
+		rooms[i] = choice.VersionCapacity(u.balancer.Room(v, now))
 		if rooms[i].None() && u.noCapacityLog.allow(now) {
 			event.PoolShort.Log(u.node.deps.Log, slog.String("version", v), slog.String("reason", "no usable engine has it"))
 		}
