--- a/internal/balance/change.go
+++ b/internal/balance/change.go
@@ -22,8 +22,8 @@
 	// LimitBegan and LimitEnded: the upstream started or stopped announcing a rate limit.
 	LimitBegan
 	LimitEnded
-	// RestBegan: the upstream asked this node to send nothing for some time.
-	RestBegan
+	// BackoffBegan: the upstream asked this node to send nothing for some time.
+	BackoffBegan
 )
 
 // maxPendingChanges bounds the changes held for the next call of Changes; later ones are
--- a/internal/balance/noticed.go
+++ b/internal/balance/noticed.go
@@ -43,7 +43,7 @@
 		return
 	}
 	if at >= h.backoffUntil {
-		b.recordChange(h, RestBegan)
+		b.recordChange(h, BackoffBegan)
 	}
 	jitter := float64(mix(b.settings.Seed, h.hash)>>11) / (1 << 53)
 	h.backoffUntil = max(h.backoffUntil, at+d+time.Duration(backoffJitter*jitter*float64(d)))
--- a/internal/node/upstreams.go
+++ b/internal/node/upstreams.go
@@ -199,9 +199,9 @@
 	balance.Closed:  event.BreakerClosed,
 	balance.Ejected: event.UpstreamEjected,
 
-	balance.LimitBegan: event.LimitBegan,
-	balance.LimitEnded: event.LimitEnded,
-	balance.RestBegan:  event.RestBegan,
+	balance.LimitBegan:   event.LimitBegan,
+	balance.LimitEnded:   event.LimitEnded,
+	balance.BackoffBegan: event.RestBegan,
 }
 
 func (u *upstreams) pollDue(ctx context.Context, slots chan struct{}) {
