--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -96,7 +96,7 @@
 	case notice.Leaving:
 		event.UpstreamLeaves.Log(n.log, attrs...)
 	case notice.BackoffBegan:
-		event.RestBegan.Log(n.log, append(attrs, slog.Int64("for_ms", time.Until(c.Until).Milliseconds()))...)
+		event.BackoffBegan.Log(n.log, append(attrs, slog.Int64("for_ms", time.Until(c.Until).Milliseconds()))...)
 	}
 }
 
--- a/internal/node/upstreams.go
+++ b/internal/node/upstreams.go
@@ -201,7 +201,7 @@
 
 	balance.LimitBegan:   event.LimitBegan,
 	balance.LimitEnded:   event.LimitEnded,
-	balance.BackoffBegan: event.RestBegan,
+	balance.BackoffBegan: event.BackoffBegan,
 }
 
 func (u *upstreams) pollDue(ctx context.Context, slots chan struct{}) {
