--- a/internal/balance/bench_test.go
+++ b/internal/balance/bench_test.go
@@ -111,7 +111,7 @@
 	}
 }
 
-// BenchmarkRoom measures Room for 24 versions on 64 engines, as for each request that may
+// BenchmarkRoom measures VersionCapacity for 24 versions on 64 engines, as for each request that may
 // run on any of them.
 func BenchmarkRoom(b *testing.B) {
 	const versions = 24
@@ -133,7 +133,7 @@
 	for i := 0; b.Loop(); i++ {
 		now := epoch.Add(time.Duration(i) * 17 * time.Millisecond)
 		for _, name := range names {
-			balancer.Room(name, now)
+			balancer.VersionCapacity(name, now)
 		}
 	}
 }
--- a/internal/balance/datadriven_test.go
+++ b/internal/balance/datadriven_test.go
@@ -204,7 +204,7 @@
 func (s *scenario) room(versions []string) string {
 	var out strings.Builder
 	for _, v := range versions {
-		r := s.b.Room(v, s.time())
+		r := s.b.VersionCapacity(v, s.time())
 		fmt.Fprintf(&out, "%s: %d engines, unsure %v, share %.2f\n", v, r.Engines, r.Unsure, r.Share)
 	}
 	return out.String()
--- a/internal/balance/room.go
+++ b/internal/balance/room.go
@@ -14,7 +14,7 @@
 	Share float64
 }
 
-// Room returns the version's capacity now. When too few upstreams have the version, it
+// VersionCapacity returns the version's capacity now. When too few upstreams have the version, it
 // also starts a search outside the subset, because a version that is never picked for
 // lack of upstreams would otherwise stay unknown.
 //
@@ -22,7 +22,7 @@
 // loaded would attract all requests for which it is cheapest, and they would be refused
 // while engines with other versions are idle. A version that only one engine of many has
 // would get the work of all of them, and queue beside idle engines.
-func (b *Balancer) Room(version string, now time.Time) VersionCapacity {
+func (b *Balancer) VersionCapacity(version string, now time.Time) VersionCapacity {
 	t := b.since(now)
 	b.maintain(t)
 	p := b.versions[version]
--- a/internal/balance/room_test.go
+++ b/internal/balance/room_test.go
@@ -127,7 +127,7 @@
 // startRequest starts a request, on the new version if there is room.
 func (f *roomFleet) startRequest(b *Balancer) bool {
 	version := "old"
-	if f.rng.Float64() < b.Room("new", f.time()).Share {
+	if f.rng.Float64() < b.VersionCapacity("new", f.time()).Share {
 		version = "new"
 	}
 	p, ok := b.Pick(Request{Version: version, Now: f.time(), Random: f.rng.Uint64()})
--- a/internal/node/upstreams.go
+++ b/internal/node/upstreams.go
@@ -106,7 +106,7 @@
 	now := time.Now()
 	rooms := make([]choice.VersionCapacity, len(versions))
 	for i, v := range versions {
-		rooms[i] = choice.VersionCapacity(u.balancer.Room(v, now))
+		rooms[i] = choice.VersionCapacity(u.balancer.VersionCapacity(v, now))
 		if rooms[i].None() && u.noCapacityLog.allow(now) {
 			event.PoolShort.Log(u.node.deps.Log, slog.String("version", v), slog.String("reason", "no usable engine has it"))
 		}
