--- a/internal/choice/request.go
+++ b/internal/choice/request.go
@@ -17,10 +17,10 @@
 	// Pinned is set when a session or the caller fixed the version, which is then the
 	// only one in Versions.
 	Pinned bool
-	// Rooms is the capacity for each of Versions. If it is empty, nothing is known and
+	// Capacities is the capacity for each of Versions. If it is empty, nothing is known and
 	// every version counts as having capacity.
-	Rooms []VersionCapacity
-	Now   time.Time
+	Capacities []VersionCapacity
+	Now        time.Time
 	// Slack is the time left until the deadline.
 	Slack time.Duration
 	// Random is a uniformly distributed number that decides between mixed plans, sampling
--- a/internal/choice/room.go
+++ b/internal/choice/room.go
@@ -53,10 +53,10 @@
 }
 
 // room returns the capacity for the version at index i of the request. A request without
-// Rooms has no information on upstreams.
+// Capacities has no information on upstreams.
 func (c *decision) room(i int) VersionCapacity {
-	if len(c.req.Rooms) == 0 {
+	if len(c.req.Capacities) == 0 {
 		return VersionCapacity{Engines: 1, Share: 1}
 	}
-	return c.req.Rooms[i]
+	return c.req.Capacities[i]
 }
--- a/internal/choice/script_test.go
+++ b/internal/choice/script_test.go
@@ -117,7 +117,7 @@
 			req.Versions = strings.Split(s.text(d, "versions", ""), "/")
 		}
 		req.Pinned = d.HasArg("pinned")
-		req.Rooms = s.rooms(d, req.Versions)
+		req.Capacities = s.rooms(d, req.Versions)
 		req.Slack = time.Duration(s.number(d, "slack", 120)) * time.Second
 		p := s.chooser.Choose(req)
 		counts[describe(p)]++
