--- a/internal/balance/datadriven_test.go
+++ b/internal/balance/datadriven_test.go
@@ -205,7 +205,7 @@
 	var out strings.Builder
 	for _, v := range versions {
 		r := s.b.VersionCapacity(v, s.time())
-		fmt.Fprintf(&out, "%s: %d engines, unsure %v, share %.2f\n", v, r.Engines, r.Unsure, r.Share)
+		fmt.Fprintf(&out, "%s: %d engines, unsure %v, share %.2f\n", v, r.Engines, r.Unknown, r.Share)
 	}
 	return out.String()
 }
--- a/internal/balance/room.go
+++ b/internal/balance/room.go
@@ -6,9 +6,9 @@
 type VersionCapacity struct {
 	// Engines counts the usable engines that are known to have the version.
 	Engines int
-	// Unsure is set when no engine is known to have the version, but usable engines have
+	// Unknown is set when no engine is known to have the version, but usable engines have
 	// not reported their versions yet.
-	Unsure bool
+	Unknown bool
 	// Share is the fraction, from 0 to 1, of the requests preferring the version that
 	// should run on it now. The others are better off with another version.
 	Share float64
@@ -30,7 +30,7 @@
 		b.want(version, t)
 	}
 	if len(p.members()) == 0 {
-		return VersionCapacity{Unsure: b.unknownEngines.capacity.hosts > 0}
+		return VersionCapacity{Unknown: b.unknownEngines.capacity.hosts > 0}
 	}
 	if p.capacity.hosts == 0 {
 		return VersionCapacity{}
--- a/internal/choice/room.go
+++ b/internal/choice/room.go
@@ -4,16 +4,16 @@
 type VersionCapacity struct {
 	// Engines is the number of usable engines that are known to have the version.
 	Engines int
-	// Unsure is set when no engine is known to have the version, but the versions of some
+	// Unknown is set when no engine is known to have the version, but the versions of some
 	// engines are not known yet.
-	Unsure bool
+	Unknown bool
 	// Share is the share, in [0,1], of the version's requests that the engines have
 	// capacity for now.
 	Share float64
 }
 
 // None reports whether no engine can run the version now.
-func (r VersionCapacity) None() bool { return r.Engines == 0 && !r.Unsure }
+func (r VersionCapacity) None() bool { return r.Engines == 0 && !r.Unknown }
 
 // roomSets groups versions, as sets of indices, by capacity.
 type roomSets struct {
@@ -36,7 +36,7 @@
 		if draw < room.Share {
 			s.free |= bit
 		}
-	case room.Unsure:
+	case room.Unknown:
 		s.unsure |= bit
 	}
 }
--- a/internal/choice/script_test.go
+++ b/internal/choice/script_test.go
@@ -150,7 +150,7 @@
 		f := strings.Split(text, "/")
 		i := slices.Index(versions, f[0])
 		if f[1] == "unsure" {
-			rooms[i] = VersionCapacity{Unsure: true}
+			rooms[i] = VersionCapacity{Unknown: true}
 			continue
 		}
 		rooms[i].Engines, _ = strconv.Atoi(f[1])
