--- a/internal/exchange/do.go
+++ b/internal/exchange/do.go
@@ -110,13 +110,13 @@
 			return resp, nil
 		}
 		if resp.Header.Get(req.IDField) == "" || resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
-			return nil, &Failure{Sent: true, Reason: Garbled, Err: errors.New("answer names no request")}
+			return nil, &Failure{Sent: true, Reason: InvalidResponse, Err: errors.New("answer names no request")}
 		}
 		if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxStrayBodyBytes)); err != nil {
 			return nil, &Failure{Sent: true, Reason: readFailureReason(err), Err: err}
 		}
 	}
-	return nil, &Failure{Sent: true, Reason: Garbled, Err: errors.New("only answers to other requests")}
+	return nil, &Failure{Sent: true, Reason: InvalidResponse, Err: errors.New("only answers to other requests")}
 }
 
 // readFailureReason distinguishes malformed bytes from a connection that ended. net/http
@@ -124,7 +124,7 @@
 func readFailureReason(err error) Reason {
 	text := err.Error()
 	if strings.Contains(text, "malformed") || strings.Contains(text, "invalid") {
-		return Garbled
+		return InvalidResponse
 	}
 	return Broken
 }
--- a/internal/exchange/failure.go
+++ b/internal/exchange/failure.go
@@ -20,9 +20,9 @@
 	NotConnected Reason = "not_connected"
 	// Broken means that the connection ended before the head of the response was complete.
 	Broken Reason = "broken"
-	// Garbled means that the received bytes are not an HTTP response, or that the
+	// InvalidResponse means that the received bytes are not an HTTP response, or that the
 	// response belongs to another request.
-	Garbled Reason = "garbled"
+	InvalidResponse Reason = "garbled"
 	// Withdrawn means that [Request.ShouldSend] returned false once there was a connection;
 	// nothing was sent.
 	Withdrawn Reason = "withdrawn"
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -221,7 +221,7 @@
 		j.retryReserved = true
 	case f.Reason == exchange.Cancelled && j.ctx.Err() != nil:
 		result = fleet.Abandoned
-	case f.Reason == exchange.Cancelled || f.Reason == exchange.Garbled:
+	case f.Reason == exchange.Cancelled || f.Reason == exchange.InvalidResponse:
 		result = fleet.Failed
 	}
 	if f.Sent {
