--- a/internal/logring/limit.go
+++ b/internal/logring/limit.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// Limit is a slog.Handler that rate-limits records below warning level. Warnings
+// RateLimitHandler is a slog.Handler that rate-limits records below warning level. Warnings
 // and errors always pass, so the lines of a failed request are never dropped here.
-type Limit struct {
+type RateLimitHandler struct {
 	slog.Handler
 	bucket *bucket
 }
 
-// bucket is the token bucket shared by a Limit and the handlers derived from it.
+// bucket is the token bucket shared by a RateLimitHandler and the handlers derived from it.
 type bucket struct {
 	mu         sync.Mutex
 	tokens     float64
@@ -23,12 +23,12 @@
 }
 
 // NewLimit returns a handler that passes records on to h within the rate limit.
-func NewLimit(h slog.Handler) *Limit {
-	return &Limit{Handler: h, bucket: &bucket{tokens: infoLineBurst}}
+func NewLimit(h slog.Handler) *RateLimitHandler {
+	return &RateLimitHandler{Handler: h, bucket: &bucket{tokens: infoLineBurst}}
 }
 
 // Handle passes a record on, or drops and counts it where the limit is exceeded.
-func (l *Limit) Handle(ctx context.Context, r slog.Record) error {
+func (l *RateLimitHandler) Handle(ctx context.Context, r slog.Record) error {
 	if r.Level < slog.LevelWarn && !l.bucket.take(r.Time) {
 		return nil
 	}
@@ -36,17 +36,17 @@
 }
 
 // WithAttrs returns a handler with more attributes that shares the rate limit.
-func (l *Limit) WithAttrs(a []slog.Attr) slog.Handler {
-	return &Limit{Handler: l.Handler.WithAttrs(a), bucket: l.bucket}
+func (l *RateLimitHandler) WithAttrs(a []slog.Attr) slog.Handler {
+	return &RateLimitHandler{Handler: l.Handler.WithAttrs(a), bucket: l.bucket}
 }
 
 // WithGroup returns a handler with a group that shares the rate limit.
-func (l *Limit) WithGroup(name string) slog.Handler {
-	return &Limit{Handler: l.Handler.WithGroup(name), bucket: l.bucket}
+func (l *RateLimitHandler) WithGroup(name string) slog.Handler {
+	return &RateLimitHandler{Handler: l.Handler.WithGroup(name), bucket: l.bucket}
 }
 
 // Dropped returns how many lines the rate limit has dropped since the start.
-func (l *Limit) Dropped() int64 {
+func (l *RateLimitHandler) Dropped() int64 {
 	l.bucket.mu.Lock()
 	defer l.bucket.mu.Unlock()
 	return l.bucket.dropped
