--- a/internal/logring/limit.go
+++ b/internal/logring/limit.go
@@ -22,8 +22,8 @@
 	dropped    int64
 }
 
-// NewLimit returns a handler that passes records on to h within the rate limit.
-func NewLimit(h slog.Handler) *RateLimitHandler {
+// NewRateLimitHandler returns a handler that passes records on to h within the rate limit.
+func NewRateLimitHandler(h slog.Handler) *RateLimitHandler {
 	return &RateLimitHandler{Handler: h, bucket: &bucket{tokens: infoLineBurst}}
 }
 
--- a/internal/logring/writer_test.go
+++ b/internal/logring/writer_test.go
@@ -57,7 +57,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var out bytes.Buffer
-		limit := NewLimit(slog.NewTextHandler(&out, nil))
+		limit := NewRateLimitHandler(slog.NewTextHandler(&out, nil))
 		log := slog.New(limit).With("node", "n1").WithGroup("g")
 		for range 5 * infoLineBurst {
 			log.Info("usual")
