--- a/internal/gateway/follow_table.go
+++ b/internal/gateway/follow_table.go
@@ -17,7 +17,7 @@
 //
 // If every node read the table, the calls would grow with the number of nodes. So
 // neighbouring nodes form groups, and the leader of a group pushes what is read to its
-// members. Leaders form circles, of which one, the reader, reads the table. A node that
+// members. Leaders form leader groups, of which one, the reader, reads the table. A node that
 // receives nothing for a while reads the table itself. The loss of a reader, or an error
 // that only the reader gets, thus costs calls and not freshness.
 func (n *Node) followTable(ctx context.Context) {
@@ -155,12 +155,12 @@
 	return p.due()
 }
 
-// readTurn returns this node's place in its group, or a leader's in its circle, as an index
+// readTurn returns this node's place in its group, or a leader's in its leader group, as an index
 // and as a fraction from 0 to 1; the caller holds mu.
 func (n *Node) readTurn() (place int, fraction float64) {
 	group := n.roster.Group()
 	if n.leadsGroup() {
-		group = n.roster.Circle()
+		group = n.roster.LeaderGroup()
 	}
 	place = slices.IndexFunc(group, func(m gossip.Member) bool { return m.ID == n.settings.ID })
 	return place, float64(place) / float64(max(len(group), 1))
@@ -175,9 +175,9 @@
 // leadsGroup reports whether this node leads its group; the caller holds mu.
 func (n *Node) leadsGroup() bool { return n.roster.Group()[0].ID == n.settings.ID }
 
-// readsTable reports whether this node reads the table for its circle; the caller holds mu.
+// readsTable reports whether this node reads the table for its leader group; the caller holds mu.
 func (n *Node) readsTable() bool {
-	circle := n.roster.Circle()
+	circle := n.roster.LeaderGroup()
 	return len(circle) > 0 && circle[0].ID == n.settings.ID
 }
 
@@ -234,11 +234,11 @@
 }
 
 // pushReading pushes what this node has read of the table: the reader to the leaders of its
-// circle, a leader to its group. A node that reads in place of an unresponsive reader or
+// leader group, a leader to its group. A node that reads in place of an unresponsive reader or
 // leader does so as well, since all others would read the same.
 func (n *Node) pushReading(ctx context.Context, cause CallCause) {
 	n.mu.Lock()
-	group, circle := n.roster.Group(), n.roster.Circle()
+	group, circle := n.roster.Group(), n.roster.LeaderGroup()
 	leads, reads := n.leadsGroup(), n.readsTable()
 	n.mu.Unlock()
 	substitutes := cause == CauseMember || cause == CauseRetry
--- a/internal/gateway/messages.go
+++ b/internal/gateway/messages.go
@@ -244,7 +244,7 @@
 // receivesTableFrom reports whether a peer is the leader or reader that this node depends
 // on; the caller holds mu.
 func (n *Node) receivesTableFrom(id string) bool {
-	circle := n.roster.Circle()
+	circle := n.roster.LeaderGroup()
 	return id == n.roster.Group()[0].ID || len(circle) > 0 && id == circle[0].ID
 }
 
--- a/internal/gateway/reading_plan.go
+++ b/internal/gateway/reading_plan.go
@@ -46,7 +46,7 @@
 //
 // It covers three situations:
 //
-//   - Normal operation: one node reads for the leaders of its circle's groups, and each
+//   - Normal operation: one node reads for the leaders of its leader group's groups, and each
 //     leader informs its group.
 //   - A reader is lost, cut off or refused by the table: its members miss its messages at
 //     the same moment. They take turns, and the first that can read informs the others. A
@@ -73,7 +73,7 @@
 	// outage is set while the reader or leader of this node reports that it can't read.
 	outage bool
 	// leadsGroup is set if the node leads its group, readsTable if it also reads for its
-	// circle. turn is its place among the others as a fraction, 0 to 1.
+	// leader group. turn is its place among the others as a fraction, 0 to 1.
 	leadsGroup, readsTable bool
 	turn                   float64
 	// place is that place as an index; 0 is the reader or leader itself.
--- a/internal/gossip/derived.go
+++ b/internal/gossip/derived.go
@@ -4,11 +4,11 @@
 // change rarely, but each message and each search for a reader needs these values. Without
 // the cache, 168 idle nodes used 86 s of processor time instead of 45 s (TestSpreadAtSize).
 type derived struct {
-	alive  []Member
-	groups [][]Member
-	group  []Member
-	circle []Member
-	digest Digest
-	hash   uint64
-	hashed bool
+	alive       []Member
+	groups      [][]Member
+	group       []Member
+	leaderGroup []Member
+	digest      Digest
+	hash        uint64
+	hashed      bool
 }
--- a/internal/gossip/roster.go
+++ b/internal/gossip/roster.go
@@ -162,7 +162,7 @@
 
 // Groups returns the live members in groups, each with its leader first. The leader obtains
 // the contents of the table for its group, and reads the table itself if it is first in its
-// [Roster.Circle]. All nodes that know the same members compute the same groups. The caller
+// [Roster.LeaderGroup]. All nodes that know the same members compute the same groups. The caller
 // must not modify them.
 func (r *Roster) Groups() [][]Member {
 	if r.derived.groups == nil {
@@ -211,17 +211,17 @@
 	return parts
 }
 
-// Circle returns the circle of this node: the leaders of its own and neighbouring groups, of
+// LeaderGroup returns the leader group of this node: the leaders of its own and neighbouring groups, of
 // which the first reads the table for all of them. It is empty if this node leads no group.
 // The caller must not modify it.
-func (r *Roster) Circle() []Member {
-	if r.derived.circle == nil {
-		r.derived.circle = r.circleIn(r.Groups())
+func (r *Roster) LeaderGroup() []Member {
+	if r.derived.leaderGroup == nil {
+		r.derived.leaderGroup = r.leaderGroupIn(r.Groups())
 	}
-	return r.derived.circle
+	return r.derived.leaderGroup
 }
 
-func (r *Roster) circleIn(groups [][]Member) []Member {
+func (r *Roster) leaderGroupIn(groups [][]Member) []Member {
 	var leaders []Member
 	for _, group := range groups {
 		leaders = append(leaders, group[0])
--- a/internal/gossip/roster_test.go
+++ b/internal/gossip/roster_test.go
@@ -182,7 +182,7 @@
 	}
 }
 
-// Hundreds of nodes have dozens of groups. In each circle of leaders only the one with the
+// Hundreds of nodes have dozens of groups. In each leader group of leaders only the one with the
 // highest bandwidth reads the table, and all leaders agree on it.
 func TestOneReaderPerCircle(t *testing.T) {
 	for _, c := range []struct{ nodes, circles int }{{18, 1}, {295, 1}, {1600, 3}} {
@@ -202,13 +202,13 @@
 			}
 			readers := map[string]bool{}
 			for _, group := range known(all[0]).Groups() {
-				circle := known(group[0]).Circle()
+				circle := known(group[0]).LeaderGroup()
 				is.True(len(circle) > 0 && len(circle) <= maxGroupSize)
 				readers[circle[0].ID] = true
 				for _, m := range circle {
 					is.True(m.Link <= circle[0].Link)
 				}
-				is.Equal(len(known(group[1]).Circle()), 0)
+				is.Equal(len(known(group[1]).LeaderGroup()), 0)
 			}
 			is.Equal(len(readers), c.circles)
 		})
