--- a/internal/gateway/dialect.go
+++ b/internal/gateway/dialect.go
@@ -8,8 +8,8 @@
 	"github.com/hickorybank/hickorybank/internal/notice"
 )
 
-// PromptPart is a part of a prompt that an engine may have cached. Tokens is its size in tokens.
-type PromptPart struct {
+// PromptBlock is a part of a prompt that an engine may have cached. Tokens is its size in tokens.
+type PromptBlock struct {
 	ID     string
 	Tokens int
 }
@@ -35,7 +35,7 @@
 	TokensIn, TokensOut int
 	// Parts are the parts of the prompt in order; the last one belongs to this request
 	// alone.
-	Parts []PromptPart
+	Parts []PromptBlock
 }
 
 // ForwardHeaders holds the values of headers that the gateway sets on upstream requests.
