--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -85,7 +85,7 @@
 		Seed:    j.affinityHash ^ uint64(j.node.incarnation) ^ uint64(j.start.UnixNano()) ^ uint64(len(j.tried)),
 	}
 	// The last part belongs to this request alone.
-	for _, p := range j.headers.Parts[:max(len(j.headers.Parts)-1, 0)] {
+	for _, p := range j.headers.PromptBlocks[:max(len(j.headers.PromptBlocks)-1, 0)] {
 		spec.PrefixBlocks = append(spec.PrefixBlocks, fleet.PrefixBlock{ID: p.ID, Tokens: p.Tokens})
 	}
 	return spec
--- a/internal/gateway/dialect.go
+++ b/internal/gateway/dialect.go
@@ -33,9 +33,9 @@
 	// TokensIn is the size of the prompt, TokensOut the bound on the answer, both in
 	// tokens.
 	TokensIn, TokensOut int
-	// Parts are the parts of the prompt in order; the last one belongs to this request
+	// PromptBlocks are the parts of the prompt in order; the last one belongs to this request
 	// alone.
-	Parts []PromptBlock
+	PromptBlocks []PromptBlock
 }
 
 // ForwardHeaders holds the values of headers that the gateway sets on upstream requests.
