--- a/internal/admission/bench_test.go
+++ b/internal/admission/bench_test.go
@@ -92,7 +92,7 @@
 			l.Allow(limit.Org, now)
 		}
 		for _, s := range l.Summaries(now) {
-			g := h.Summarise(s, now)
+			g := h.HandleSummary(s, now)
 			_ = enc.Encode(s)
 			_ = enc.Encode(g)
 			l.Granted(g, now)
--- a/internal/admission/rate_collector_test.go
+++ b/internal/admission/rate_collector_test.go
@@ -164,7 +164,7 @@
 			if s.Collect {
 				g = to.collector.Collect(s, f.time())
 			} else {
-				g = to.holder.Summarise(s, f.time())
+				g = to.holder.HandleSummary(s, f.time())
 			}
 			f.send(to, n, g, func() { l.Granted(g, f.time()) })
 		})
@@ -172,7 +172,7 @@
 	for _, s := range c.Summaries(f.time()) {
 		to := f.byID[s.To]
 		f.send(n, to, s, func() {
-			g := to.holder.Summarise(s, f.time())
+			g := to.holder.HandleSummary(s, f.time())
 			f.send(to, n, g, func() { c.Granted(g) })
 		})
 	}
--- a/internal/admission/rate_holder.go
+++ b/internal/admission/rate_holder.go
@@ -57,9 +57,9 @@
 	return now.Sub(h.base)
 }
 
-// Summarise processes a summary of a node or collector and returns its shares.
+// HandleSummary processes a summary of a node or collector and returns its shares.
 // Organisations without a limit get none.
-func (h *RateHolder) Summarise(s Summary, now time.Time) Grant {
+func (h *RateHolder) HandleSummary(s Summary, now time.Time) Grant {
 	t := h.since(now)
 	g := Grant{From: h.settings.Self, Seq: s.Seq, Valid: h.settings.GrantDuration}
 	for _, d := range s.Demands {
--- a/internal/admission/rate_test.go
+++ b/internal/admission/rate_test.go
@@ -79,7 +79,7 @@
 		case m.arrivesAt > f.now:
 			f.inTransit = append(f.inTransit, m)
 		case m.summary != nil:
-			g := f.holders[m.summary.To].Summarise(*m.summary, f.time())
+			g := f.holders[m.summary.To].HandleSummary(*m.summary, f.time())
 			f.send(rateMessage{grant: &g, to: m.to})
 		case !f.cut[f.ids[m.to]] && !f.limiters[m.to].stopped():
 			f.limiters[m.to].Granted(*m.grant, f.time())
--- a/internal/capacity/probe_admission.go
+++ b/internal/capacity/probe_admission.go
@@ -136,7 +136,7 @@
 	h := admission.NewRateHolder(admission.RateSettings{Self: "entry-00001"})
 	h.SetLimits(limits(1), start)
 	for _, name := range names {
-		h.Summarise(summaryOf(name, 1), start)
+		h.HandleSummary(summaryOf(name, 1), start)
 	}
 	return h
 }
@@ -149,7 +149,7 @@
 		for range n {
 			seq++
 			now := start.Add(time.Duration(seq) * time.Millisecond)
-			h.Summarise(summaryOf(names[int(seq)%nodes], seq), now)
+			h.HandleSummary(summaryOf(names[int(seq)%nodes], seq), now)
 		}
 	}), nil
 }
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -50,7 +50,7 @@
 func (l *limits) summarise(s admission.Summary) admission.Grant {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.holder.Summarise(s, time.Now())
+	return l.holder.HandleSummary(s, time.Now())
 }
 
 func (l *limits) collect(s admission.Summary) admission.Grant {
