--- a/internal/admission/rate_collector.go
+++ b/internal/admission/rate_collector.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// Collect processes a node's summary and returns its parts of the domain's shares.
-func (c *RateCollector) Collect(s Summary, now time.Time) Grant {
+// HandleSummary processes a node's summary and returns its parts of the domain's shares.
+func (c *RateCollector) HandleSummary(s Summary, now time.Time) Grant {
 	t := c.since(now)
 	g := Grant{From: c.settings.Self, Seq: s.Seq, Valid: c.settings.GrantDuration}
 	for _, d := range s.Demands {
--- a/internal/admission/rate_collector_test.go
+++ b/internal/admission/rate_collector_test.go
@@ -162,7 +162,7 @@
 		f.send(n, to, s, func() {
 			var g Grant
 			if s.Collect {
-				g = to.collector.Collect(s, f.time())
+				g = to.collector.HandleSummary(s, f.time())
 			} else {
 				g = to.holder.HandleSummary(s, f.time())
 			}
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -56,7 +56,7 @@
 func (l *limits) collect(s admission.Summary) admission.Grant {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.collector.Collect(s, time.Now())
+	return l.collector.HandleSummary(s, time.Now())
 }
 
 // collectorSummaries returns the summaries that this node must send as a collector.
