--- a/internal/admission/bench_test.go
+++ b/internal/admission/bench_test.go
@@ -95,7 +95,7 @@
 			g := h.HandleSummary(s, now)
 			_ = enc.Encode(s)
 			_ = enc.Encode(g)
-			l.Granted(g, now)
+			l.ApplyGrant(g, now)
 		}
 	}
 	b.ReportMetric(float64(out.n)/float64(b.N), "payload-B/op")
--- a/internal/admission/rate_collector_test.go
+++ b/internal/admission/rate_collector_test.go
@@ -166,7 +166,7 @@
 			} else {
 				g = to.holder.HandleSummary(s, f.time())
 			}
-			f.send(to, n, g, func() { l.Granted(g, f.time()) })
+			f.send(to, n, g, func() { l.ApplyGrant(g, f.time()) })
 		})
 	}
 	for _, s := range c.Summaries(f.time()) {
--- a/internal/admission/rate_limiter.go
+++ b/internal/admission/rate_limiter.go
@@ -173,10 +173,10 @@
 	return Demand{Org: s.org, PerSecond: s.demand.perSecond, Held: s.held(now), HeldSeq: s.seq}
 }
 
-// Granted processes a holder's or collector's answer. A grant is valid from the sending
+// ApplyGrant processes a holder's or collector's answer. A grant is valid from the sending
 // of its summary, so it never outlasts what the sender of the grant assumes. Grants older
 // than the one held are ignored.
-func (l *RateLimiter) Granted(g Grant, now time.Time) {
+func (l *RateLimiter) ApplyGrant(g Grant, now time.Time) {
 	i := slices.IndexFunc(l.inFlight, func(s sentSummary) bool { return s.seq == g.Seq })
 	if i < 0 {
 		return
--- a/internal/admission/rate_test.go
+++ b/internal/admission/rate_test.go
@@ -82,7 +82,7 @@
 			g := f.holders[m.summary.To].HandleSummary(*m.summary, f.time())
 			f.send(rateMessage{grant: &g, to: m.to})
 		case !f.cut[f.ids[m.to]] && !f.limiters[m.to].stopped():
-			f.limiters[m.to].Granted(*m.grant, f.time())
+			f.limiters[m.to].ApplyGrant(*m.grant, f.time())
 		}
 	}
 }
--- a/internal/node/gate.go
+++ b/internal/node/gate.go
@@ -56,7 +56,7 @@
 func (g *gate) granted(grant admission.Grant) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.limiter.Granted(grant, time.Now())
+	g.limiter.ApplyGrant(grant, time.Now())
 }
 
 // setNodes sets the IDs of the live entry nodes and of those in this failure domain.
