--- a/internal/admission/rate_collector.go
+++ b/internal/admission/rate_collector.go
@@ -137,9 +137,9 @@
 	})
 }
 
-// Granted processes a holder's answer. As at a node, a grant is valid from the sending of
+// ApplyGrant processes a holder's answer. As at a node, a grant is valid from the sending of
 // its summary, and grants older than the one held are ignored.
-func (c *RateCollector) Granted(g Grant) {
+func (c *RateCollector) ApplyGrant(g Grant) {
 	i := slices.IndexFunc(c.inFlight, func(s sentSummary) bool { return s.seq == g.Seq })
 	if i < 0 {
 		return
--- a/internal/admission/rate_collector_test.go
+++ b/internal/admission/rate_collector_test.go
@@ -173,7 +173,7 @@
 		to := f.byID[s.To]
 		f.send(n, to, s, func() {
 			g := to.holder.HandleSummary(s, f.time())
-			f.send(to, n, g, func() { c.Granted(g) })
+			f.send(to, n, g, func() { c.ApplyGrant(g) })
 		})
 	}
 }
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -69,7 +69,7 @@
 func (l *limits) granted(g admission.Grant) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.collector.Granted(g)
+	l.collector.ApplyGrant(g)
 }
 
 func (l *limits) run(ctx context.Context) {
