--- a/internal/choice/exchange.go
+++ b/internal/choice/exchange.go
@@ -67,8 +67,8 @@
 	return list
 }
 
-// Grant applies the reply to a request for a grant.
-func (c *Chooser) Grant(version string, g exposure.Grant, now time.Time) {
+// ApplyGrant applies the reply to a request for a grant.
+func (c *Chooser) ApplyGrant(version string, g exposure.Grant, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.state(version).budget.Receive(g, now)
--- a/internal/choice/script_test.go
+++ b/internal/choice/script_test.go
@@ -62,7 +62,7 @@
 	case "wants":
 		return strings.Join(s.chooser.GrantsNeeded(s.now), " ")
 	case "grant":
-		s.chooser.Grant(s.text(d, "version", ""), exposure.Grant{Units: s.number(d, "units", 0), Open: d.HasArg("open")}, s.now)
+		s.chooser.ApplyGrant(s.text(d, "version", ""), exposure.Grant{Units: s.number(d, "units", 0), Open: d.HasArg("open")}, s.now)
 	case "ready":
 		return fmt.Sprint(s.chooser.CanLiftCap(s.text(d, "version", ""), s.now))
 	case "lift":
--- a/internal/choice/share/grants.go
+++ b/internal/choice/share/grants.go
@@ -37,7 +37,7 @@
 	for _, version := range g.deps.Chooser.GrantsNeeded(now) {
 		granter := granterOf(version, g.deps.Self, g.deps.Members())
 		if granter.ID == g.deps.Self.ID {
-			g.deps.Chooser.Grant(version, g.grant(version, now), now)
+			g.deps.Chooser.ApplyGrant(version, g.grant(version, now), now)
 			continue
 		}
 		g.request(ctx, granter.Peer, version)
@@ -49,7 +49,7 @@
 	defer cancel()
 	var grant exposure.Grant
 	if g.deps.Peers.Call(ctx, addr, methodGrant, &GrantRequest{Version: version}, &grant) == nil {
-		g.deps.Chooser.Grant(version, grant, time.Now())
+		g.deps.Chooser.ApplyGrant(version, grant, time.Now())
 	}
 }
 
--- a/internal/choice/sim/node.go
+++ b/internal/choice/sim/node.go
@@ -104,7 +104,7 @@
 		n.chooser.ApplyPool(pool)
 	}
 	for _, version := range n.chooser.GrantsNeeded(now) {
-		n.chooser.Grant(version, n.run.grant(version), now)
+		n.chooser.ApplyGrant(version, n.run.grant(version), now)
 	}
 	if n.run.now < n.run.cfg.Duration {
 		n.run.after(exchangeGap, n.exchange)
