--- a/internal/event/forward.go
+++ b/internal/event/forward.go
@@ -29,7 +29,7 @@
 	LimitEnded               = define(1936, slog.LevelInfo, "upstream's rate limit has ended")
 	UpstreamLeaves           = define(1937, slog.LevelInfo, "upstream announced that it is leaving")
 	BackoffBegan             = define(1938, slog.LevelInfo, "upstream asked this node to pause requests")
-	AnswerFieldInvalid       = define(1939, slog.LevelWarn, "field of an upstream's response is invalid")
+	ResponseFieldInvalid     = define(1939, slog.LevelWarn, "field of an upstream's response is invalid")
 	TableApplied             = define(1940, slog.LevelInfo, "routes were applied")
 	TableRejected            = define(1941, slog.LevelError, "routes could not be decoded; the previous ones stay in force")
 	TableTransferInterrupted = define(1944, slog.LevelInfo, "transfer of newer routes was interrupted")
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -67,7 +67,7 @@
 		clear(n.malformedLoggedAt)
 	}
 	n.malformedLoggedAt[key] = now
-	event.AnswerFieldInvalid.Log(n.log, slog.String("upstream", up.ID), slog.Int64("born", up.Born), slog.String("field", field))
+	event.ResponseFieldInvalid.Log(n.log, slog.String("upstream", up.ID), slog.Int64("born", up.Born), slog.String("field", field))
 }
 
 const (
