--- a/internal/confsync/calls.go
+++ b/internal/confsync/calls.go
@@ -113,7 +113,7 @@
 	}
 	for deadline := time.Now().Add(piecesTimeout); time.Now().Before(deadline); {
 		var p transfer.Piece
-		if err := s.call(pieceTimeout, d.Addr, "Piece", s.receiver.Ask(), &p); err != nil || p.To == 0 {
+		if err := s.call(pieceTimeout, d.Addr, "Piece", s.receiver.NextRequest(), &p); err != nil || p.To == 0 {
 			return nil
 		}
 		if p.Busy {
@@ -125,7 +125,7 @@
 			continue
 		}
 		// Acknowledge completion; without it the parent's transfer expires.
-		_ = s.call(pieceTimeout, d.Addr, "Piece", s.receiver.Ask(), &p)
+		_ = s.call(pieceTimeout, d.Addr, "Piece", s.receiver.NextRequest(), &p)
 		u, err := s.receiver.Decode()
 		if err != nil {
 			s.receiver.RequestFull()
--- a/internal/gateway/follow_config.go
+++ b/internal/gateway/follow_config.go
@@ -146,7 +146,7 @@
 	began := time.Now()
 	for ctx.Err() == nil {
 		f.receiver.Begin(uint64(n.configVersion()))
-		p, err := n.transferClient.Piece(peer.Peer, f.receiver.Ask())
+		p, err := n.transferClient.Piece(peer.Peer, f.receiver.NextRequest())
 		f.countPiece(p, err)
 		if err != nil {
 			f.abort(peer, began, err)
@@ -176,7 +176,7 @@
 // finish tells the sender that the transfer is complete, and applies the version.
 func (f *configFetch) finish(peer gossip.Member, version int64, began time.Time) {
 	n := f.node
-	if _, err := n.transferClient.Piece(peer.Peer, f.receiver.Ask()); err != nil {
+	if _, err := n.transferClient.Piece(peer.Peer, f.receiver.NextRequest()); err != nil {
 		f.backOff(peer, failedBackoff) // the sender's record of this transfer expires by itself
 	}
 	result, err := n.applyUpdate(f.receiver, peer.ID)
--- a/internal/transfer/receiver.go
+++ b/internal/transfer/receiver.go
@@ -35,8 +35,8 @@
 // Known returns the tag of the state that the update starts from.
 func (r *Receiver) Known() uint64 { return r.known }
 
-// Ask returns the next request to send.
-func (r *Receiver) Ask() Ask {
+// NextRequest returns the next request to send.
+func (r *Receiver) NextRequest() Ask {
 	return Ask{From: r.nodeID, Known: r.known, Whole: r.wantFull, Update: r.updateID, Offset: len(r.data)}
 }
 
--- a/internal/transfer/transfer_test.go
+++ b/internal/transfer/transfer_test.go
@@ -32,7 +32,7 @@
 func receive(t *testing.T, s *Sender, r *Receiver, now time.Time, maxAsks int) (asks int, last Piece) {
 	t.Helper()
 	for asks = 1; asks <= maxAsks; asks++ {
-		last = s.Answer(r.Ask(), now)
+		last = s.Answer(r.NextRequest(), now)
 		if last.Busy || last.To == 0 {
 			return asks, last
 		}
@@ -41,7 +41,7 @@
 			t.Fatal(err)
 		}
 		if complete {
-			s.Answer(r.Ask(), now) // acknowledges completion
+			s.Answer(r.NextRequest(), now) // acknowledges completion
 			return asks, last
 		}
 	}
@@ -61,7 +61,7 @@
 	is.Equal(got.Tag(), uint64(3))
 	is.True(bytes.Equal(got.Raw(), doc.Raw()))
 	r.Begin(3)
-	is.Equal(s.Answer(r.Ask(), start).To, uint64(0)) // nothing newer
+	is.Equal(s.Answer(r.NextRequest(), start).To, uint64(0)) // nothing newer
 }
 
 // Guards against sending the same bytes twice when a sender fails: the transfer resumes at
@@ -75,7 +75,7 @@
 	receive(t, first, r, start, 3)
 	received := r.Received()
 	is.Equal(received, 3*PieceSize)
-	p := second.Answer(r.Ask(), start)
+	p := second.Answer(r.NextRequest(), start)
 	is.Equal(p.Offset, received)
 	_, err := r.Take(p)
 	is.NoErr(err)
@@ -92,7 +92,7 @@
 	s, r := NewSender(0), NewReceiver("a")
 	s.Set(document(1, 4*PieceSize))
 	for tag := uint64(2); ; tag++ {
-		p := s.Answer(r.Ask(), start)
+		p := s.Answer(r.NextRequest(), start)
 		whole, err := r.Take(p)
 		is.NoErr(err)
 		if whole {
@@ -116,20 +116,20 @@
 	var served []string
 	for i := range 20 {
 		r := NewReceiver(fmt.Sprintf("n%d", i))
-		if p := s.Answer(r.Ask(), start); !p.Busy {
+		if p := s.Answer(r.NextRequest(), start); !p.Busy {
 			served = append(served, fmt.Sprintf("n%d", i))
 		}
 	}
 	is.Equal(len(served), 3) // 3 x 32 kB in 0.1 s
 	r := NewReceiver("n0")
 	receive(t, s, r, start, 100)
-	p := s.Answer(NewReceiver("n9").Ask(), start)
+	p := s.Answer(NewReceiver("n9").NextRequest(), start)
 	is.True(!p.Busy) // there is room again
-	p = s.Answer(NewReceiver("n10").Ask(), start)
+	p = s.Answer(NewReceiver("n10").NextRequest(), start)
 	is.True(p.Busy)
 	is.Equal(p.Others, []string{"n0"})
 	// Transfers without requests expire.
-	p = s.Answer(NewReceiver("n10").Ask(), start.Add(requesterTimeout+time.Second))
+	p = s.Answer(NewReceiver("n10").NextRequest(), start.Add(requesterTimeout+time.Second))
 	is.True(!p.Busy)
 }
 
@@ -139,7 +139,7 @@
 	s := NewSender(25e6)
 	s.Set(document(3, 5*PieceSize))
 	for i := range 20 {
-		is.True(!s.Answer(NewReceiver(fmt.Sprintf("n%d", i)).Ask(), start).Busy)
+		is.True(!s.Answer(NewReceiver(fmt.Sprintf("n%d", i)).NextRequest(), start).Busy)
 	}
 }
 
@@ -157,7 +157,7 @@
 	conflicting := archive.New(1, []byte(`{"a":[7,2,3]}`), nil) // another writer's
 	_, err := r.Update(conflicting)
 	is.True(err != nil)
-	is.True(r.Ask().Whole)
+	is.True(r.NextRequest().Whole)
 	receive(t, s, r, start, 9)
 	got, err := r.Update(conflicting)
 	is.NoErr(err)
@@ -172,7 +172,7 @@
 		s, r := NewSender(0), NewReceiver("a")
 		s.Set(doc)
 		for {
-			p := s.Answer(r.Ask(), start)
+			p := s.Answer(r.NextRequest(), start)
 			all = append(all, p)
 			if whole, err := r.Take(p); err != nil || whole {
 				break
