--- a/internal/balance/bench_test.go
+++ b/internal/balance/bench_test.go
@@ -111,9 +111,9 @@
 	}
 }
 
-// BenchmarkRoom measures VersionCapacity for 24 versions on 64 engines, as for each request that may
-// run on any of them.
-func BenchmarkRoom(b *testing.B) {
+// BenchmarkVersionCapacity measures VersionCapacity for 24 versions on 64 engines, as for
+// each request that may run on any of them.
+func BenchmarkVersionCapacity(b *testing.B) {
 	const versions = 24
 	balancer := New(Settings{SelfID: "self", SelfDomain: "d"})
 	var vms []platform.VM
--- a/internal/balance/change.go
+++ b/internal/balance/change.go
@@ -19,10 +19,10 @@
 	Closed
 	// Ejected: the upstream is slow or fails some of its requests, and gets little work.
 	Ejected
-	// LimitBegan and LimitEnded: the upstream started or stopped announcing a rate limit.
+	// LimitBegan and LimitEnded: the upstream started or stopped advertising a rate limit.
 	LimitBegan
 	LimitEnded
-	// BackoffBegan: the upstream asked this node to send nothing for some time.
+	// BackoffBegan: the upstream requested a back-off from this node.
 	BackoffBegan
 )
 
--- a/internal/balance/host.go
+++ b/internal/balance/host.go
@@ -29,14 +29,13 @@
 	joinedAt         time.Duration
 	declinedUntil    time.Duration
 
-	// rateLimit is the rate limit that the latest answer announced, read at rateLimitAt.
+	// rateLimit is the rate limit that the latest response advertised, read at rateLimitAt.
 	// rateShare is this node's share of it.
 	rateLimit   notice.Limit
 	rateLimitAt time.Duration
 	rateShare   pacing.Share
 
-	// backoffUntil is the end of the time for which the upstream asked this node to send
-	// nothing.
+	// backoffUntil is the end of the back-off that the upstream requested from this node.
 	backoffUntil time.Duration
 
 	leavingByPlatform bool
--- a/internal/balance/noticed.go
+++ b/internal/balance/noticed.go
@@ -10,34 +10,34 @@
 )
 
 // SetSenders sets this node's ID and the IDs of all entry nodes, among which the rate
-// limits that upstreams announce are divided.
+// limits that upstreams advertise are divided.
 func (b *Balancer) SetSenders(self string, all []string) { b.senders.Set(self, all) }
 
-// ApplyResponse records what an upstream stated about itself in an answer that was read at the
-// given time.
-func (b *Balancer) ApplyResponse(vmID string, a notice.Response, at time.Time) {
+// ApplyResponse records what an upstream announced about itself in a response that was read
+// at the given time.
+func (b *Balancer) ApplyResponse(vmID string, response notice.Response, at time.Time) {
 	h := b.hosts[vmID]
 	if h == nil {
 		return
 	}
-	if a.Leaving {
+	if response.Leaving {
 		b.MarkLeaving(vmID, at)
 	}
-	b.backOff(h, a.Backoff, b.since(at))
-	if !a.LimitInvalid && b.since(at) >= h.rateLimitAt { // an answer read earlier does not override a later one
-		b.setRateLimit(h, a.Limit, b.since(at))
+	b.backOff(h, response.Backoff, b.since(at))
+	if !response.LimitInvalid && b.since(at) >= h.rateLimitAt { // a response read earlier does not override a later one
+		b.setRateLimit(h, response.Limit, b.since(at))
 	}
 }
 
 // Restarted records that a new process answers at an upstream. The rate limit and the
-// backoff that the previous process asked for no longer apply.
+// back-off that the previous process requested no longer apply.
 func (b *Balancer) Restarted(vmID string) {
 	if h := b.hosts[vmID]; h != nil {
 		h.backoffUntil, h.rateLimit = 0, notice.Limit{}
 	}
 }
 
-// backOff stops sending to an upstream that asked this node to send nothing for a time.
+// backOff stops sending to an upstream that requested a back-off of length d.
 func (b *Balancer) backOff(h *host, d, at time.Duration) {
 	if d <= 0 {
 		return
@@ -49,11 +49,11 @@
 	h.backoffUntil = max(h.backoffUntil, at+d+time.Duration(backoffJitter*jitter*float64(d)))
 }
 
-// backoffJitter is the largest fraction by which a node lengthens a backoff. Each node
+// backoffJitter is the largest fraction by which a node lengthens a back-off. Each node
 // adds its own part, so that nodes that were turned away together do not return together.
 const backoffJitter = 0.2
 
-// setRateLimit records the rate limit that an upstream announces, or that it announces
+// setRateLimit records the rate limit that an upstream advertises, or that it advertises
 // none.
 func (b *Balancer) setRateLimit(h *host, l notice.Limit, at time.Duration) {
 	wasNamed := h.rateLimit.Named
@@ -72,7 +72,7 @@
 	return h.rateShare.Limiter(h.vm.ID, pacing.AdvertisedBound(h.rateLimit.PerSecond), &b.senders, b.base.Add(now))
 }
 
-// maySend reports whether backoff and rate limit allow a request to the upstream now.
+// maySend reports whether back-off and rate limit allow a request to the upstream now.
 func (b *Balancer) maySend(h *host, now time.Duration) bool {
 	if now < h.backoffUntil {
 		return false
--- a/internal/balance/pick.go
+++ b/internal/balance/pick.go
@@ -38,8 +38,8 @@
 	AllLeaving ShortageReason = "all leaving"
 	// AllFailing: the breakers of all upstreams that have it are open.
 	AllFailing ShortageReason = "all failing"
-	// AllPaced: the upstreams that have it asked for a pause or have reached the rate
-	// limit that they announced.
+	// AllPaced: the upstreams that have it requested a back-off or have reached the rate
+	// limit that they advertised.
 	AllPaced ShortageReason = "all paced"
 	// AllTried: all usable upstreams that have it were excluded by the request.
 	AllTried ShortageReason = "all tried"
--- a/internal/balance/status.go
+++ b/internal/balance/status.go
@@ -16,8 +16,8 @@
 	Open bool
 	// Ejected is set while the upstream is ejected as slow or failing.
 	Ejected bool
-	// BackingOff is set while the upstream asks this node to send nothing, RateLimited
-	// while it announces a rate limit.
+	// BackingOff is set during a back-off that the upstream requested from this node,
+	// RateLimited while it advertises a rate limit.
 	BackingOff, RateLimited bool
 	// ReportAge is the age of the last load report; it is negative when there is none.
 	ReportAge time.Duration
