--- a/internal/choice/call.go
+++ b/internal/choice/call.go
@@ -52,7 +52,7 @@
 // exposed, if any.
 func (c *decision) classify() *versionView {
 	var exposed *versionView
-	var usable, throttled roomSets
+	var usable, throttled capacitySets
 	for at, name := range c.req.Versions {
 		i, ok := c.view.index[name]
 		if !ok || i >= maxPlannedVersions {
@@ -63,13 +63,13 @@
 		case v.state.held():
 			c.leastBad = c.higherQuality(c.leastBad, v)
 		case v.config.State == config.Staged:
-			if c.room(at).Engines > 0 && c.dueForExposure(v) {
+			if c.capacity(at).Engines > 0 && c.dueForExposure(v) {
 				exposed = v
 			}
 		case !c.throttle(v.state):
-			usable.add(i, c.room(at), c.overflowDraw(at))
+			usable.add(i, c.capacity(at), c.overflowDraw(at))
 		default:
-			throttled.add(i, c.room(at), c.overflowDraw(at))
+			throttled.add(i, c.capacity(at), c.overflowDraw(at))
 		}
 	}
 	if usable.loaded == 0 && throttled.loaded != 0 || usable.all == 0 {
@@ -83,7 +83,7 @@
 // overflowDraw returns a random number that decides whether a version with capacity for a
 // share of its requests takes this one. A version with capacity for all needs no draw.
 func (c *decision) overflowDraw(at int) float64 {
-	if c.room(at).Share >= 1 {
+	if c.capacity(at).Share >= 1 {
 		return 0
 	}
 	return c.draws.next()
--- a/internal/choice/pinned.go
+++ b/internal/choice/pinned.go
@@ -10,7 +10,7 @@
 		return Plan{Refusal: RefuseNoVersion}
 	}
 	v := &c.view.versions[i]
-	if c.room(0).None() {
+	if c.capacity(0).None() {
 		return Plan{Refusal: RefuseNoEngine}
 	}
 	p := Plan{First: name}
--- a/internal/choice/script_test.go
+++ b/internal/choice/script_test.go
@@ -117,7 +117,7 @@
 			req.Versions = strings.Split(s.text(d, "versions", ""), "/")
 		}
 		req.Pinned = d.HasArg("pinned")
-		req.Capacities = s.rooms(d, req.Versions)
+		req.Capacities = s.capacities(d, req.Versions)
 		req.Slack = time.Duration(s.number(d, "slack", 120)) * time.Second
 		p := s.chooser.Choose(req)
 		counts[describe(p)]++
@@ -136,28 +136,28 @@
 	return strings.Join(lines, "\n")
 }
 
-// rooms gives every version full capacity, except those in the argument room, as
+// capacities gives every version full capacity, except those in the argument room, as
 // version/engines/percent or version/unsure.
-func (s *scenario) rooms(d *datadriven.TestData, versions []string) []VersionCapacity {
+func (s *scenario) capacities(d *datadriven.TestData, versions []string) []VersionCapacity {
 	if !d.HasArg("room") {
 		return nil
 	}
-	rooms := make([]VersionCapacity, len(versions))
-	for i := range rooms {
-		rooms[i] = VersionCapacity{Engines: 18, Share: 1}
+	capacities := make([]VersionCapacity, len(versions))
+	for i := range capacities {
+		capacities[i] = VersionCapacity{Engines: 18, Share: 1}
 	}
 	for _, text := range s.list(d, "room") {
 		f := strings.Split(text, "/")
 		i := slices.Index(versions, f[0])
 		if f[1] == "unsure" {
-			rooms[i] = VersionCapacity{Unknown: true}
+			capacities[i] = VersionCapacity{Unknown: true}
 			continue
 		}
-		rooms[i].Engines, _ = strconv.Atoi(f[1])
+		capacities[i].Engines, _ = strconv.Atoi(f[1])
 		percent, _ := strconv.Atoi(f[2])
-		rooms[i].Share = float64(percent) / 100
+		capacities[i].Share = float64(percent) / 100
 	}
-	return rooms
+	return capacities
 }
 
 func describe(p Plan) string {
--- a/internal/choice/version_capacity.go
+++ b/internal/choice/version_capacity.go
@@ -15,36 +15,36 @@
 // None reports whether no engine can run the version now.
 func (r VersionCapacity) None() bool { return r.Engines == 0 && !r.Unknown }
 
-// roomSets groups versions, as sets of indices, by capacity.
-type roomSets struct {
-	// free have capacity for this request, loaded an engine that has them, unsure
+// capacitySets groups versions, as sets of indices, by capacity.
+type capacitySets struct {
+	// free have capacity for this request, loaded an engine that has them, unknown
 	// possibly one.
-	free   uint64
-	loaded uint64
-	unsure uint64
+	free    uint64
+	loaded  uint64
+	unknown uint64
 	// all are the versions that may be used, with or without an engine.
 	all uint64
 }
 
 // add adds the version with the index.
-func (s *roomSets) add(index int, room VersionCapacity, draw float64) {
+func (s *capacitySets) add(index int, capacity VersionCapacity, draw float64) {
 	bit := uint64(1) << index
 	s.all |= bit
 	switch {
-	case room.Engines > 0:
+	case capacity.Engines > 0:
 		s.loaded |= bit
-		if draw < room.Share {
+		if draw < capacity.Share {
 			s.free |= bit
 		}
-	case room.Unknown:
-		s.unsure |= bit
+	case capacity.Unknown:
+		s.unknown |= bit
 	}
 }
 
 // best returns the versions to plan with. If no engine can run any of them, all are
 // returned: the refusal of the upstreams then gives the reason and the time to retry.
-func (s *roomSets) best() uint64 {
-	for _, set := range []uint64{s.free, s.loaded, s.unsure} {
+func (s *capacitySets) best() uint64 {
+	for _, set := range []uint64{s.free, s.loaded, s.unknown} {
 		if set != 0 {
 			return set
 		}
@@ -52,9 +52,9 @@
 	return s.all
 }
 
-// room returns the capacity for the version at index i of the request. A request without
+// capacity returns the capacity for the version at index i of the request. A request without
 // Capacities has no information on upstreams.
-func (c *decision) room(i int) VersionCapacity {
+func (c *decision) capacity(i int) VersionCapacity {
 	if len(c.req.Capacities) == 0 {
 		return VersionCapacity{Engines: 1, Share: 1}
 	}
