--- a/internal/node/chat.go
+++ b/internal/node/chat.go
@@ -74,7 +74,7 @@
 	}
 	deadline := now.Add(timeout(call.Timeout, t.class))
 	plan := n.chooser.Choose(choice.Request{
-		Snapshot: snapshot, Org: call.Org, Class: t.class, Versions: t.versions, Pinned: t.pinned, Capacities: n.upstreams.rooms(t.versions),
+		Snapshot: snapshot, Org: call.Org, Class: t.class, Versions: t.versions, Pinned: t.pinned, Capacities: n.upstreams.capacities(t.versions),
 		Now: now, Slack: deadline.Sub(now), Random: rand.Uint64(),
 	})
 	if plan.Refusal != choice.RefuseNone {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -182,7 +182,7 @@
 	})
 }
 
-// buildVersions builds the components for version selection and roll-outs.
+// buildVersions builds the components for version selection and rollouts.
 func (n *Node) buildVersions() {
 	n.share = share.New(share.Deps{
 		Chooser: n.chooser, Table: n.deps.Platform, Peers: n.pool, Members: n.entries, Self: n.self,
--- a/internal/node/notices.go
+++ b/internal/node/notices.go
@@ -27,20 +27,20 @@
 	return ids
 }
 
-// withNotices returns a context whose calls report the notices in the upstream's answers.
+// withNotices returns a context whose calls report the notices in the upstream's responses.
 func (u *upstreams) withNotices(ctx context.Context, vm platform.VM) context.Context {
-	return upstream.WithNoticeHandler(ctx, func(a notice.Response, at time.Time) { u.applyNotice(vm, a, at) })
+	return upstream.WithNoticeHandler(ctx, func(response notice.Response, at time.Time) { u.applyNotice(vm, response, at) })
 }
 
-// applyNotice applies the notice that an upstream sent about itself in an answer.
-func (u *upstreams) applyNotice(vm platform.VM, a notice.Response, at time.Time) {
-	for _, field := range a.InvalidFields {
+// applyNotice applies the notice that an upstream sent about itself in a response.
+func (u *upstreams) applyNotice(vm platform.VM, response notice.Response, at time.Time) {
+	for _, field := range response.InvalidFields {
 		u.node.metrics.Counter("hickorybank_unsound_answer_fields_total", "field", field).Inc()
 	}
 	u.mu.Lock()
-	u.balancer.ApplyResponse(vm.ID, a, at)
+	u.balancer.ApplyResponse(vm.ID, response, at)
 	u.mu.Unlock()
-	if a.Leaving {
+	if response.Leaving {
 		u.node.members.Observe(vm.Addr, membership.ReportedLeaving) // also informs the other nodes
 	}
 }
--- a/internal/node/operators_versions.go
+++ b/internal/node/operators_versions.go
@@ -6,7 +6,7 @@
 	"github.com/hickorybank/hickorybank/internal/admin"
 )
 
-// Rollouts lists the stage of each version's roll-out.
+// Rollouts lists the stage of each version's rollout.
 func (o *operators) Rollouts(ctx context.Context) ([]admin.Rollout, error) {
 	list, err := o.node.rollouts.Rollouts(ctx)
 	out := make([]admin.Rollout, 0, len(list))
--- a/internal/node/upstreams.go
+++ b/internal/node/upstreams.go
@@ -98,20 +98,20 @@
 	return u.balancer.PoolName(version)
 }
 
-// rooms returns the free capacity for each version. It also logs a version that no engine can
+// capacities returns the free capacity for each version. It also logs a version that no engine can
 // run: no request is sent to that version any more, so no refusal would show the shortage.
-func (u *upstreams) rooms(versions []string) []choice.VersionCapacity {
+func (u *upstreams) capacities(versions []string) []choice.VersionCapacity {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	now := time.Now()
-	rooms := make([]choice.VersionCapacity, len(versions))
+	capacities := make([]choice.VersionCapacity, len(versions))
 	for i, v := range versions {
-		rooms[i] = choice.VersionCapacity(u.balancer.VersionCapacity(v, now))
-		if rooms[i].None() && u.noCapacityLog.allow(now) {
+		capacities[i] = choice.VersionCapacity(u.balancer.VersionCapacity(v, now))
+		if capacities[i].None() && u.noCapacityLog.allow(now) {
 			event.PoolShort.Log(u.node.deps.Log, slog.String("version", v), slog.String("reason", "no usable engine has it"))
 		}
 	}
-	return rooms
+	return capacities
 }
 
 // loads returns the reported load of each pool.
