--- a/internal/gateway/call_meter.go
+++ b/internal/gateway/call_meter.go
@@ -18,8 +18,8 @@
 const (
 	// CauseStart marks readings by a node that has no state yet.
 	CauseStart CallCause = "start"
-	// CauseReader marks readings by the reader of a leader group, the node that reads the table
-	// for the leaders of several groups.
+	// CauseReader marks readings by the reader of a leader group, which reads the table for the
+	// groups of all its leaders.
 	CauseReader CallCause = "reader"
 	// CauseMember marks readings by a node that receives nothing from its reader.
 	CauseMember CallCause = "member"
--- a/internal/gateway/dialect.go
+++ b/internal/gateway/dialect.go
@@ -8,7 +8,7 @@
 	"github.com/hickorybank/hickorybank/internal/notice"
 )
 
-// PromptBlock is a part of a prompt that an engine may have cached. Tokens is its size in tokens.
+// PromptBlock is a block of a prompt that an engine may have cached. Tokens is its size in tokens.
 type PromptBlock struct {
 	ID     string
 	Tokens int
@@ -61,11 +61,11 @@
 	NotRun bool
 	// Confidence is the model's own rating of its answer, 0 to 100.
 	Confidence int
-	// HasConfidence is set if the answer carries a confidence.
+	// HasConfidence is set if the response carries a confidence.
 	HasConfidence bool
 	// Running and Waiting are the numbers of requests that the upstream runs and queues.
 	Running, Waiting int
-	// HasLoad is set if the answer carries the upstream's load.
+	// HasLoad is set if the response carries the upstream's load.
 	HasLoad bool
 	// Notice is what the upstream announces about itself beside its load.
 	Notice notice.Response
@@ -78,7 +78,7 @@
 	// Forward returns the header fields to send to an upstream: the caller's, less those
 	// that only the gateway may set, and the gateway's own.
 	Forward(h http.Header, caller *CallerHeaders, forward *ForwardHeaders) []exchange.Field
-	// Reply decodes the headers of an upstream's answer.
+	// Reply decodes the headers of an upstream's response.
 	Reply(status int, h http.Header) Reply
 	// IDField is the name of the header that carries a request's ID in both directions.
 	IDField() string
--- a/internal/gateway/follow_config.go
+++ b/internal/gateway/follow_config.go
@@ -16,7 +16,7 @@
 	// busyBackoff is how long this node leaves alone a peer that is serving others, plus up
 	// to half as much at random. A peer needs about that long to serve one of them.
 	busyBackoff = 50 * time.Millisecond
-	// failedBackoff is how long this node leaves alone a peer that did not answer.
+	// failedBackoff is how long this node leaves alone a peer that did not respond.
 	failedBackoff = 500 * time.Millisecond
 	// rejectedBackoff is how long this node fetches nothing after a configuration that it
 	// can't read, unless a newer one is known: a version that it can read may follow.
@@ -173,7 +173,7 @@
 	}
 }
 
-// finish tells the sender that the transfer is complete, and applies the version.
+// finish notifies the sender that the transfer is complete, and applies the version.
 func (f *configFetch) finish(peer gossip.Member, version int64, began time.Time) {
 	n := f.node
 	if _, err := n.transferClient.Piece(peer.Peer, f.receiver.NextRequest()); err != nil {
--- a/internal/gateway/follow_table.go
+++ b/internal/gateway/follow_table.go
@@ -177,8 +177,8 @@
 
 // readsTable reports whether this node reads the table for its leader group; the caller holds mu.
 func (n *Node) readsTable() bool {
-	circle := n.roster.LeaderGroup()
-	return len(circle) > 0 && circle[0].ID == n.settings.ID
+	leaders := n.roster.LeaderGroup()
+	return len(leaders) > 0 && leaders[0].ID == n.settings.ID
 }
 
 // advanceList records that the node knows the list as of the time at, when the table's
@@ -238,13 +238,13 @@
 // leader does so as well, since all others would read the same.
 func (n *Node) pushReading(ctx context.Context, cause CallCause) {
 	n.mu.Lock()
-	group, circle := n.roster.Group(), n.roster.LeaderGroup()
+	group, leaders := n.roster.Group(), n.roster.LeaderGroup()
 	leads, reads := n.leadsGroup(), n.readsTable()
 	n.mu.Unlock()
 	substitutes := cause == CauseMember || cause == CauseRetry
 	var pushes conc.WaitGroup
 	if reads || leads && substitutes {
-		pushes.Go(func() { n.exchangeWith(ctx, n.withoutSelf(circle), n.pushMessage) })
+		pushes.Go(func() { n.exchangeWith(ctx, n.withoutSelf(leaders), n.pushMessage) })
 	}
 	if leads || substitutes {
 		pushes.Go(func() { n.exchangeWith(ctx, n.withoutSelf(group), n.pushMessage) })
--- a/internal/gateway/messages.go
+++ b/internal/gateway/messages.go
@@ -244,8 +244,8 @@
 // receivesTableFrom reports whether a peer is the leader or reader that this node depends
 // on; the caller holds mu.
 func (n *Node) receivesTableFrom(id string) bool {
-	circle := n.roster.LeaderGroup()
-	return id == n.roster.Group()[0].ID || len(circle) > 0 && id == circle[0].ID
+	leaders := n.roster.LeaderGroup()
+	return id == n.roster.Group()[0].ID || len(leaders) > 0 && id == leaders[0].ID
 }
 
 // ordersProof states that operator orders up to a revision are known to a node that has a
--- a/internal/gateway/node.go
+++ b/internal/gateway/node.go
@@ -96,10 +96,10 @@
 	// peerStates is what peers last reported to have, by peer ID.
 	peerStates map[string]peerState
 	contacts   contacts
-	// malformedLoggedAt is when a malformed field of an upstream's answers was last logged.
+	// invalidFieldLoggedAt is when an invalid field of an upstream's responses was last logged.
 	// noticeLabels are the upstreams with their own label in metrics.
-	malformedLoggedAt map[string]time.Time
-	noticeLabels      map[string]bool
+	invalidFieldLoggedAt map[string]time.Time
+	noticeLabels         map[string]bool
 	// noticesSweptAt is when notices of upstreams that are gone were last removed,
 	// noticesPushedAt when an upstream's notice was last pushed to other nodes.
 	noticesSweptAt, noticesPushedAt time.Time
@@ -200,7 +200,7 @@
 		heldVersions:    map[string]time.Time{},
 		allowedVersions: map[string]bool{}, firstListedAt: map[string]time.Time{},
 		rolloutStartedAt: map[string]time.Time{}, announcedRevision: map[string]uint64{},
-		malformedLoggedAt: map[string]time.Time{}, noticeLabels: map[string]bool{},
+		invalidFieldLoggedAt: map[string]time.Time{}, noticeLabels: map[string]bool{},
 		peerStates: map[string]peerState{}, contacts: contacts{}, verdictSeenAt: map[verdictKey]time.Time{},
 		pushRequested: make(chan struct{}, 1), remoteReading: make(chan struct{}, 1),
 	}
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -10,12 +10,12 @@
 	"github.com/hickorybank/hickorybank/internal/notice"
 )
 
-// fromAnswer names an answer that this node read itself as the source of a notice in logs.
-const fromAnswer = "answer"
+// fromResponse names a response that this node read itself as the source of a notice in logs.
+const fromResponse = "answer"
 
-// noteAnswer records what an upstream's answer, read at the time at, states about the
+// noteResponse records what an upstream's response, read at the time at, states about the
 // upstream.
-func (n *Node) noteAnswer(up *fleet.Upstream, r Reply, at time.Time) {
+func (n *Node) noteResponse(up *fleet.Upstream, r Reply, at time.Time) {
 	now := time.Now()
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -23,10 +23,10 @@
 		n.fleet.ReportLoad(up, r.Running, r.Waiting, now)
 	}
 	for _, field := range r.Notice.InvalidFields {
-		n.noteMalformed(up, field, now)
+		n.noteInvalidField(up, field, now)
 	}
 	for _, change := range n.fleet.ApplyResponse(up, r.Notice, at, now) {
-		n.noteChange(up.Incarnation(), change, fromAnswer, now.Sub(at))
+		n.noteChange(up.Incarnation(), change, fromResponse, now.Sub(at))
 		n.pushNotice(change, now)
 	}
 }
@@ -55,31 +55,31 @@
 // domain often send notices at the same time.
 const noticePushInterval = 250 * time.Millisecond
 
-// noteMalformed counts a malformed field of an upstream's answer, and logs it at intervals;
+// noteInvalidField counts an invalid field of an upstream's response, and logs it at intervals;
 // the caller holds mu.
-func (n *Node) noteMalformed(up *fleet.Upstream, field string, now time.Time) {
+func (n *Node) noteInvalidField(up *fleet.Upstream, field string, now time.Time) {
 	n.metrics.Counter("hickorybank_unsound_answer_fields_total", "field", field).Inc()
 	key := up.Incarnation() + " " + field
-	if last, known := n.malformedLoggedAt[key]; known && now.Sub(last) < malformedLogInterval {
+	if last, known := n.invalidFieldLoggedAt[key]; known && now.Sub(last) < invalidFieldLogInterval {
 		return
 	}
-	if len(n.malformedLoggedAt) >= maxMalformedLogged {
-		clear(n.malformedLoggedAt)
+	if len(n.invalidFieldLoggedAt) >= maxInvalidFieldsLogged {
+		clear(n.invalidFieldLoggedAt)
 	}
-	n.malformedLoggedAt[key] = now
+	n.invalidFieldLoggedAt[key] = now
 	event.ResponseFieldInvalid.Log(n.log, slog.String("upstream", up.ID), slog.Int64("born", up.Born), slog.String("field", field))
 }
 
 const (
-	// malformedLogInterval is the minimum pause between log lines for a field of one
+	// invalidFieldLogInterval is the minimum pause between log lines for a field of one
 	// upstream.
-	malformedLogInterval = time.Minute
-	// maxMalformedLogged bounds the fields whose last log line is remembered.
-	maxMalformedLogged = 1024
+	invalidFieldLogInterval = time.Minute
+	// maxInvalidFieldsLogged bounds the fields whose last log line is remembered.
+	maxInvalidFieldsLogged = 1024
 )
 
 // noteChange counts and logs a notice that changed an upstream's state here; the caller
-// holds mu. The notice has the given age and came from an answer or a peer.
+// holds mu. The notice has the given age and came from a response or a peer.
 func (n *Node) noteChange(start string, c notice.Change, from string, age time.Duration) {
 	n.metrics.Counter("hickorybank_upstream_notices_total", "kind", c.Kind.String(), "upstream", n.noticeLabel(start)).Inc()
 	if c.Repeated {
--- a/internal/gateway/reading_plan.go
+++ b/internal/gateway/reading_plan.go
@@ -46,8 +46,8 @@
 //
 // It covers three situations:
 //
-//   - Normal operation: one node reads for the leaders of its leader group's groups, and each
-//     leader informs its group.
+//   - Normal operation: one node reads for its leader group, and each leader informs its own
+//     group.
 //   - A reader is lost, cut off or refused by the table: its members miss its messages at
 //     the same moment. They take turns, and the first that can read informs the others. A
 //     third of the nodes refused thus costs a few calls and not the readings of all nodes.
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -150,7 +150,7 @@
 	if failure == nil {
 		reply = j.node.dialect.Reply(resp.Status, resp.Header)
 		if resp.Status != http.StatusMisdirectedRequest { // another upstream answered
-			j.node.noteAnswer(a.up, reply, resp.HeadReadAt)
+			j.node.noteResponse(a.up, reply, resp.HeadReadAt)
 		}
 	}
 	if moved && failure == nil {
--- a/internal/gateway/source.go
+++ b/internal/gateway/source.go
@@ -26,7 +26,7 @@
 	Drop []string
 	// Revision is the table's revision up to which the change leads.
 	Revision uint64
-	// Clock is the table's own monotonic clock at this answer.
+	// Clock is the table's own monotonic clock at this response.
 	Clock time.Duration
 	// Unreadable are entries that describe no usable upstream.
 	Unreadable []UnreadableRow
@@ -51,7 +51,7 @@
 	Evacuations []evacuation.Order
 	// Revision is the table's revision up to which the change leads.
 	Revision uint64
-	// Clock is the table's own monotonic clock at this answer.
+	// Clock is the table's own monotonic clock at this response.
 	Clock time.Duration
 	// Unreadable are orders that can't be read; they have no effect.
 	Unreadable []UnreadableRow
