--- a/internal/gossip/roster_test.go
+++ b/internal/gossip/roster_test.go
@@ -182,10 +182,10 @@
 	}
 }
 
-// Hundreds of nodes have dozens of groups. In each leader group of leaders only the one with the
+// Hundreds of nodes have dozens of groups. In each leader group only the one with the
 // highest bandwidth reads the table, and all leaders agree on it.
-func TestOneReaderPerCircle(t *testing.T) {
-	for _, c := range []struct{ nodes, circles int }{{18, 1}, {295, 1}, {1600, 3}} {
+func TestOneReaderPerLeaderGroup(t *testing.T) {
+	for _, c := range []struct{ nodes, leaderGroups int }{{18, 1}, {295, 1}, {1600, 3}} {
 		t.Run(fmt.Sprint(c.nodes), func(t *testing.T) {
 			is := is.New(t)
 			var all []Member
@@ -202,15 +202,15 @@
 			}
 			readers := map[string]bool{}
 			for _, group := range known(all[0]).Groups() {
-				circle := known(group[0]).LeaderGroup()
-				is.True(len(circle) > 0 && len(circle) <= maxGroupSize)
-				readers[circle[0].ID] = true
-				for _, m := range circle {
-					is.True(m.Link <= circle[0].Link)
+				leaders := known(group[0]).LeaderGroup()
+				is.True(len(leaders) > 0 && len(leaders) <= maxGroupSize)
+				readers[leaders[0].ID] = true
+				for _, m := range leaders {
+					is.True(m.Link <= leaders[0].Link)
 				}
 				is.Equal(len(known(group[1]).LeaderGroup()), 0)
 			}
-			is.Equal(len(readers), c.circles)
+			is.Equal(len(readers), c.leaderGroups)
 		})
 	}
 }
