--- a/internal/confsync/confirmation.go
+++ b/internal/confsync/confirmation.go
@@ -14,7 +14,7 @@
 	Members int
 	Have    int
 	Needed  int
-	// Lagging are the ids of nodes that have not confirmed, at most [MaxLagging];
+	// Lagging are the IDs of nodes that have not confirmed, at most [MaxLagging];
 	// LaggingMore is the number of further ones.
 	Lagging     []string
 	LaggingMore int
@@ -22,5 +22,5 @@
 	Since time.Duration
 }
 
-// MaxLagging is the maximum number of node ids in [Confirmation.Lagging].
+// MaxLagging is the maximum number of node IDs in [Confirmation.Lagging].
 const MaxLagging = 32
--- a/internal/confsync/core.go
+++ b/internal/confsync/core.go
@@ -36,7 +36,7 @@
 }
 
 // NewCore returns the core of a process that starts at now. boot must increase with each
-// restart under the same id.
+// restart under the same ID.
 func NewCore(s Settings, self platform.VM, boot uint64, now time.Duration) *Core {
 	c := &Core{settings: s.WithDefaults(), rules: defaultRules(), self: self, boot: boot, started: now}
 	c.roster = newRoster(self)
--- a/internal/confsync/core_decision.go
+++ b/internal/confsync/core_decision.go
@@ -56,7 +56,7 @@
 		Token Token
 		Reply SurveyReply
 	}
-	// AnswerConfirm answers [ConfirmAsked].
+	// AnswerConfirm answers [ConfirmRequested].
 	AnswerConfirm struct {
 		Token        Token
 		Confirmation Confirmation
--- a/internal/confsync/deps.go
+++ b/internal/confsync/deps.go
@@ -23,8 +23,8 @@
 	OnApply func(*config.Snapshot)
 	// OnList is called for each VM list that differs from the last; may be nil.
 	OnList func(List)
-	// OnLeaving is called with the id of an entry VM that reports that it stops. OnServing
-	// is called with the id of an entry VM that was restarted after such a report. Both may
+	// OnLeaving is called with the ID of an entry VM that reports that it stops. OnServing
+	// is called with the ID of an entry VM that was restarted after such a report. Both may
 	// be nil.
 	//
 	// None of these functions may block: they run in the goroutine that keeps the
--- a/internal/confsync/downmarks.go
+++ b/internal/confsync/downmarks.go
@@ -12,7 +12,7 @@
 	maxDownTime = 30 * time.Second
 )
 
-// downMarks are the peers that did not respond, by id. A mark expires after a time that
+// downMarks are the peers that did not respond, by ID. A mark expires after a time that
 // doubles with each failure.
 type downMarks map[string]downMark
 
--- a/internal/confsync/noticing.go
+++ b/internal/confsync/noticing.go
@@ -13,7 +13,7 @@
 	noticeTime = 10 * time.Minute
 )
 
-// notices are the notices of entry nodes that stop or were restarted, by id.
+// notices are the notices of entry nodes that stop or were restarted, by ID.
 type notices map[string]knownNotice
 
 type knownNotice struct {
@@ -79,7 +79,7 @@
 	}
 }
 
-// list returns the notices with their ages, sorted by id.
+// list returns the notices with their ages, sorted by ID.
 func (s notices) list(now time.Duration) []Notice {
 	if len(s) == 0 {
 		return nil
--- a/internal/confsync/pulling.go
+++ b/internal/confsync/pulling.go
@@ -25,7 +25,7 @@
 	token    Token
 	peer     platform.VM
 	sent     time.Duration
-	// parent is the id of the peer that this node pulls from, if its last reply was useful.
+	// parent is the ID of the peer that this node pulls from, if its last reply was useful.
 	parent      string
 	parentSince time.Duration
 	cursor      int
--- a/internal/confsync/roster.go
+++ b/internal/confsync/roster.go
@@ -15,7 +15,7 @@
 // messages. Nodes with different lists only cause extra reads or pulls.
 type roster struct {
 	self platform.VM
-	// members are all entry VMs except this one, sorted by id.
+	// members are all entry VMs except this one, sorted by ID.
 	members []platform.VM
 	// listed is set if this node is in the list.
 	listed bool
@@ -141,7 +141,7 @@
 	return ok
 }
 
-// electorIDs returns the ids of all listed entry VMs.
+// electorIDs returns the IDs of all listed entry VMs.
 func (r *roster) electorIDs() []string {
 	ids := make([]string, 0, len(r.members)+1)
 	if r.listed {
--- a/internal/confsync/script_test.go
+++ b/internal/confsync/script_test.go
@@ -17,7 +17,7 @@
 //	run T                    advance the time
 //	change [NODE]            store a revision; NODE reads the head at once
 //	pause|thaw|kill|start NODES
-//	add NODE DOMAIN          start a node with a new id
+//	add NODE DOMAIN          start a node with a new ID
 //	split NODES              disconnect these nodes from the others
 //	cut NODES                disconnect these nodes from the table
 //	table up|down|silent     set the state of the table for all nodes
--- a/internal/confsync/settings.go
+++ b/internal/confsync/settings.go
@@ -83,7 +83,7 @@
 		return eris.Errorf("Bound is %v, must be above MaxHold plus two CallTimeouts (%v)", s.Bound, s.MaxHold+2*s.CallTimeout)
 	}
 	if s.ReadInterval <= 0 || s.ReadInterval >= s.Bound {
-		return eris.Errorf("ReadGap is %v, must be above 0 and below Bound (%v)", s.ReadInterval, s.Bound)
+		return eris.Errorf("ReadInterval is %v, must be above 0 and below Bound (%v)", s.ReadInterval, s.Bound)
 	}
 	if s.MinHold > s.MaxHold {
 		return eris.Errorf("MinHold is %v, must not be above MaxHold (%v)", s.MinHold, s.MaxHold)
--- a/internal/confsync/sim_faults_test.go
+++ b/internal/confsync/sim_faults_test.go
@@ -199,7 +199,7 @@
 	w.note("%s moves: sides %v, table down: %v", n.vm.ID, w.net.side, w.table.down)
 }
 
-// replace kills a node permanently and starts one with a new id in its place.
+// replace kills a node permanently and starts one with a new ID in its place.
 func (w *world) replace(n *simNode) {
 	n.kill()
 	id := fmt.Sprintf("%s.%d", n.vm.ID, w.seq)
--- a/internal/confsync/sim_node_test.go
+++ b/internal/confsync/sim_node_test.go
@@ -30,7 +30,7 @@
 	list uint64 // state of the VM list that the core knows
 }
 
-// start starts a new process under the node's id.
+// start starts a new process under the node's ID.
 func (n *simNode) start() {
 	n.boot++
 	n.core = NewCore(n.w.settings, n.vm, n.boot, n.w.now)
--- a/internal/confsync/sim_world_test.go
+++ b/internal/confsync/sim_world_test.go
@@ -95,7 +95,7 @@
 
 func (w *world) run(d time.Duration) { w.runUntil(w.now + d) }
 
-// addNode starts a node with a new id; the list shows it after its lag.
+// addNode starts a node with a new ID; the list shows it after its lag.
 func (w *world) addNode(id, domain string) *simNode {
 	n := w.newNode(id, domain)
 	w.vms.change(w.now, append(w.vms.last(), n.vm))
--- a/internal/confsync/survey.go
+++ b/internal/confsync/survey.go
@@ -14,7 +14,7 @@
 	deadline time.Duration
 	// pending are the calls without a response yet.
 	pending map[Token]platform.VM
-	// nodes are the statuses received, by id.
+	// nodes are the statuses received, by ID.
 	nodes map[string]timedStatus
 	// confirmRequests and domainRequests are the requests that this round answers.
 	confirmRequests []ConfirmRequested
--- a/internal/confsync/wire.go
+++ b/internal/confsync/wire.go
@@ -82,7 +82,7 @@
 // Notice is an entry node's report that it is stopping or serving.
 type Notice struct {
 	ID string
-	// Boot increases with each start of a process under that id.
+	// Boot increases with each start of a process under that ID.
 	Boot    uint64
 	Leaving bool
 	// Age is the time since the node made the report.
