--- a/internal/membership/core.go
+++ b/internal/membership/core.go
@@ -11,8 +11,8 @@
 type Core struct {
 	settings   Settings
 	self       string
-	records    map[string]*record // by id
-	byAddr     map[string]string  // id by address for callers, requests and peers
+	records    map[string]*record // by ID
+	byAddr     map[string]string  // ID by address for callers, requests and peers
 	listReadAt time.Time
 	// failing are the VMs with recorded failures that a response from them would clear:
 	// few, while the records are many.
@@ -73,8 +73,8 @@
 	return c.ObserveID(c.byAddr[addr], o, now)
 }
 
-// ObserveID records an observation of the VM with an id, and reports whether it may change
-// the view. Unknown ids are ignored.
+// ObserveID records an observation of the VM with an ID, and reports whether it may change
+// the view. Unknown IDs are ignored.
 func (c *Core) ObserveID(id string, o Outcome, now time.Time) bool {
 	r := c.records[id]
 	if r == nil {
--- a/internal/membership/stop_step.go
+++ b/internal/membership/stop_step.go
@@ -6,7 +6,7 @@
 // The steps of a planned stop, in order.
 const (
 	// LeaveAddresses notifies the peers and omits this node from all answers. The result
-	// is reported as [PeersTold] or [PeersMissed].
+	// is reported as [PeersNotified] or [PeersUnreachable].
 	LeaveAddresses StopStep = iota + 1
 	// RefuseNew refuses new requests without running them, and announces in each response
 	// that the connection will be closed.
--- a/internal/membership/tracker.go
+++ b/internal/membership/tracker.go
@@ -73,14 +73,14 @@
 	})
 }
 
-// MarkLeaving marks the VM with an id as leaving, until the list or the VM itself reports
+// MarkLeaving marks the VM with an ID as leaving, until the list or the VM itself reports
 // otherwise.
 func (t *Tracker) MarkLeaving(id string) {
 	now := time.Now()
 	t.update(now, func() bool { return t.core.ObserveID(id, ReportedLeaving, now) })
 }
 
-// MarkServing records that the VM with an id reported that it is serving.
+// MarkServing records that the VM with an ID reported that it is serving.
 func (t *Tracker) MarkServing(id string) {
 	now := time.Now()
 	t.update(now, func() bool { return t.core.ObserveID(id, ReportedServing, now) })
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -2,7 +2,7 @@
 
 import "github.com/hickorybank/hickorybank/internal/platform"
 
-// View is an immutable snapshot of the VMs. Each slice is sorted by id, Services by name.
+// View is an immutable snapshot of the VMs. Each slice is sorted by ID, Services by name.
 type View struct {
 	// Entries are the entry VMs, including this node's own.
 	Entries []Member
