--- a/internal/rollout/driver.go
+++ b/internal/rollout/driver.go
@@ -14,7 +14,7 @@
 // eventBuffer is how many answers may wait for the machine.
 const eventBuffer = 256
 
-// Driver drives the roll-outs while this node holds the lease. One goroutine owns the
+// Driver drives the rollouts while this node holds the lease. One goroutine owns the
 // machine. Each call runs in its own goroutine, and the machine bounds their number.
 type Driver struct {
 	settings Settings
--- a/internal/rollout/engines_test.go
+++ b/internal/rollout/engines_test.go
@@ -136,7 +136,7 @@
 	}
 }
 
-// Guards against a roll-out that ends with its driver. Operators stage a version, widen
+// Guards against a rollout that ends with its driver. Operators stage a version, widen
 // it to serving and withdraw the old one. The node that drives stops halfway, and another
 // one finishes. No engine loses the old version before the withdrawal is in force.
 func TestAnotherDriverFinishesTheRollout(t *testing.T) {
--- a/internal/rollout/record.go
+++ b/internal/rollout/record.go
@@ -9,14 +9,14 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// RowKey is the key of the row that holds the state of a deployment's roll-outs.
+// RowKey is the key of the row that holds the state of a deployment's rollouts.
 const RowKey = "rollout/state"
 
 // Record is the value of the row, stored as JSON.
 type Record struct {
 	// Term is the fencing token of the orders; it only grows.
 	Term uint64 `json:"term"`
-	// Holder is the id of the node that drives, empty when it has released the row. Run
+	// Holder is the ID of the node that drives, empty when it has released the row. Run
 	// tells the processes of one VM apart.
 	Holder string `json:"holder,omitempty"`
 	Run    string `json:"run,omitempty"`
@@ -31,14 +31,14 @@
 
 // Pending is an order that is not known to be done. An engine has at most one.
 type Pending struct {
-	// Engine is the id of the engine's VM.
+	// Engine is the ID of the engine's VM.
 	Engine  string               `json:"engine"`
 	Action  upstream.OrderAction `json:"action"`
 	Version string               `json:"version"`
 	Since   time.Time            `json:"since"`
 }
 
-// Progress is the state of one version's roll-out or withdrawal.
+// Progress is the state of one version's rollout or withdrawal.
 type Progress struct {
 	Version string    `json:"version"`
 	Stage   Stage     `json:"stage"`
--- a/internal/rollout/schedule_test.go
+++ b/internal/rollout/schedule_test.go
@@ -54,7 +54,7 @@
 	return s
 }
 
-// stages are the configurations of a roll-out, by preset, up to the withdrawal of the old
+// stages are the configurations of a rollout, by preset, up to the withdrawal of the old
 // version.
 var stages = func() (list [2][]*config.Snapshot) {
 	for i, preset := range []string{"ordinary", "maintenance"} {
--- a/internal/rollout/status.go
+++ b/internal/rollout/status.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Status is the state of one version's roll-out or withdrawal, for operators.
+// Status is the state of one version's rollout or withdrawal, for operators.
 type Status struct {
 	Version string
 	Stage   Stage
 	// Share in [0,1] is the part of its model's requests that the version may get.
 	Share float64
-	// Holder is the id of the node that drives; empty if none does.
+	// Holder is the ID of the node that drives; empty if none does.
 	Holder string
 	// Since is when the version reached this stage, by the holder's clock.
 	Since  time.Time
