--- a/internal/canary/evaluate.go
+++ b/internal/canary/evaluate.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Decision is a step of a roll-out, or a verdict that has to be recorded.
+// Decision is a step of a rollout, or a verdict that has to be recorded.
 type Decision struct {
 	Order   Order
 	Verdict Verdict
@@ -53,7 +53,7 @@
 }
 
 // evaluate updates the evidence, widens or shifts the trial when it is due, and reports
-// whether it reached a verdict. Only a node whose view is whole completes a roll-out.
+// whether it reached a verdict. Only a node whose view is whole completes a rollout.
 func (c *Canary) evaluate(r *rollout, d *Decision, now time.Time, view View) bool {
 	for route, sum := range r.total() {
 		test := r.tests[route]
--- a/internal/canary/order.go
+++ b/internal/canary/order.go
@@ -10,7 +10,7 @@
 	// recorded.
 	Limit time.Duration
 	// Late is the uncertainty of the start: the order may have been given this much
-	// earlier than the start that is passed to Take.
+	// earlier than the start that is passed to [Canary.AddOrder].
 	Late time.Duration
 	// Revision numbers the orders of one service; a higher one replaces a lower one.
 	Revision uint64
--- a/internal/canary/settings.go
+++ b/internal/canary/settings.go
@@ -93,7 +93,7 @@
 	slowFactor = 4.0
 	// minSlowDelay is the least delay that counts as slow.
 	minSlowDelay = 60 * time.Millisecond
-	// reportTime is how long after its limit an ended roll-out is still sent to peers.
+	// reportTime is how long after its limit an ended rollout is still sent to peers.
 	reportTime = 30 * time.Second
 	// shareScale is the resolution of hashed shares.
 	shareScale = 10000
