--- a/internal/event/rollout.go
+++ b/internal/event/rollout.go
@@ -2,7 +2,7 @@
 
 import "log/slog"
 
-// Events 1800 to 1899: roll-outs.
+// Events 1800 to 1899: rollouts.
 var (
 	RolloutHolding   = define(1800, slog.LevelInfo, "node drives the roll-outs")
 	RolloutYielded   = define(1801, slog.LevelInfo, "node no longer drives the roll-outs")
