--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -367,7 +367,7 @@
 	<-gone
 }
 
-// Guards against reusing a connection beyond the idle time-out that its upstream states.
+// Guards against reusing a connection beyond the idle timeout that its upstream states.
 func TestKeepAliveTimeoutOfUpstreamIsHonoured(t *testing.T) {
 	is := is.New(t)
 	is.Equal(keepAliveTimeout(http.Header{"Keep-Alive": {"max=5, timeout=3"}}), 3*time.Second-keepAliveMargin)
--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// Sweep closes the connections whose idle time-out has passed at the time now.
+// Sweep closes the connections whose idle timeout has passed at the time now.
 func (p *Pool) Sweep(now time.Time) {
 	p.mu.Lock()
 	var expired []*conn
--- a/internal/exchange/response.go
+++ b/internal/exchange/response.go
@@ -74,7 +74,7 @@
 }
 
 // keepAliveTimeout returns how long to keep an idle connection by the upstream's Keep-Alive
-// header, less a margin; 0 if it states no time-out.
+// header, less a margin; 0 if it states no timeout.
 func keepAliveTimeout(h http.Header) time.Duration {
 	for _, part := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
--- a/internal/exchange/settings.go
+++ b/internal/exchange/settings.go
@@ -11,7 +11,7 @@
 	// before the connection counts as broken (2 s).
 	SilentTimeout time.Duration
 	// MaxIdle is how long an idle connection is kept where the upstream states no
-	// time-out (4 s).
+	// timeout (4 s).
 	MaxIdle time.Duration
 	// MaxIdlePerUpstream bounds the idle connections kept for one upstream (16).
 	MaxIdlePerUpstream int
@@ -30,7 +30,7 @@
 	maxSyncWriteBytes = 64 << 10
 	// readBufferBytes is the size of a connection's read buffer.
 	readBufferBytes = 4 << 10
-	// keepAliveMargin is subtracted from the idle time-out that an upstream states, so
+	// keepAliveMargin is subtracted from the idle timeout that an upstream states, so
 	// that no request is in transit when the upstream closes the connection.
 	keepAliveMargin = 300 * time.Millisecond
 	// maxStrayResponses is how many responses to other requests are skipped before
