--- a/internal/crashguard/guard.go
+++ b/internal/crashguard/guard.go
@@ -41,7 +41,7 @@
 // Strike is one crash of an upstream that was running the request.
 type Strike struct {
 	Fingerprint uint64
-	// Upstream identifies one start of an upstream: after a restart under the same ID it
+	// Upstream identifies one incarnation of an upstream: after a restart under the same ID it
 	// can be crashed again.
 	Upstream string
 	// Age is the time since the crash, set in messages to peers.
