--- a/internal/suspect/tracker.go
+++ b/internal/suspect/tracker.go
@@ -65,7 +65,7 @@
 	t.advance()
 }
 
-// Leave tells the peers that this node stops and has nothing in flight. A node that stops
+// Leave notifies the peers that this node stops and has nothing in flight. A node that stops
 // without it may have lost an upstream unseen, and suspects of that time are refused.
 func (t *Tracker) Leave(now time.Time) {
 	t.setTime(now)
