--- a/internal/transfer/sender.go
+++ b/internal/transfer/sender.go
@@ -91,39 +91,39 @@
 }
 
 // Answer returns the response to a request received at now.
-func (s *Sender) Answer(a Ask, now time.Time) Piece {
+func (s *Sender) Answer(request Ask, now time.Time) Piece {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire(now)
-	current := s.active[a.From]
-	if current == nil || current.id != a.Update {
-		delete(s.active, a.From)
-		return s.startTransfer(a, now)
+	current := s.active[request.From]
+	if current == nil || current.id != request.Update {
+		delete(s.active, request.From)
+		return s.startTransfer(request, now)
 	}
-	current.received = min(max(a.Offset, 0), len(current.data))
+	current.received = min(max(request.Offset, 0), len(current.data))
 	current.inFlight = 0
 	if current.received == len(current.data) {
-		delete(s.active, a.From)
-		s.served[a.From] = servedNode{current.to, now}
+		delete(s.active, request.From)
+		s.served[request.From] = servedNode{current.to, now}
 		return Piece{To: current.to, Update: current.id, Size: current.received, Offset: current.received}
 	}
 	return current.nextPiece(now)
 }
 
 // startTransfer starts a transfer, unless the sender has nothing newer or is busy.
-func (s *Sender) startTransfer(a Ask, now time.Time) Piece {
-	if s.doc.Tag() <= a.Known {
+func (s *Sender) startTransfer(request Ask, now time.Time) Piece {
+	if s.doc.Tag() <= request.Known {
 		return Piece{}
 	}
-	u := s.update(updateBase{a.Known, a.Whole})
+	u := s.update(updateBase{request.Known, request.Whole})
 	started := &activeTransfer{update: u}
-	if a.Update == u.id {
-		started.received = min(max(a.Offset, 0), len(u.data)) // resumes another sender's transfer
+	if request.Update == u.id {
+		started.received = min(max(request.Offset, 0), len(u.data)) // resumes another sender's transfer
 	}
 	if len(s.active) > 0 && s.inFlight()+started.nextSize() > s.maxInFlightBytes {
-		return Piece{To: u.to, Busy: true, Others: s.alternatives(a.From, u.to)}
+		return Piece{To: u.to, Busy: true, Others: s.alternatives(request.From, u.to)}
 	}
-	s.active[a.From] = started
+	s.active[request.From] = started
 	return started.nextPiece(now)
 }
 
