--- a/internal/evacuation/orders_test.go
+++ b/internal/evacuation/orders_test.go
@@ -9,8 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestLateBeginDoesNotUndoEnd guards against the begin of an order that arrives after its
-// end and starts the evacuation again.
+// The begin of an order that arrives after its end must not start the evacuation again.
 func TestLateBeginDoesNotUndoEnd(t *testing.T) {
 	is := is.New(t)
 	s := New()
@@ -22,8 +21,8 @@
 	is.True(s.Active("a"))
 }
 
-// TestEndWinsAtEqualRevision guards against a deleted row that still carries the revision
-// of its last write.
+// A deleted row may still carry the revision of its last write; the order must end all
+// the same.
 func TestEndWinsAtEqualRevision(t *testing.T) {
 	is := is.New(t)
 	s := New()
@@ -33,8 +32,7 @@
 	is.True(!s.Active("a"))
 }
 
-// TestFullReadEndsUnlistedOrders guards against an order that stays active because its end
-// was missed during an outage.
+// Without this, an order stays active when its end was missed during an outage.
 func TestFullReadEndsUnlistedOrders(t *testing.T) {
 	is := is.New(t)
 	s := New()
@@ -47,7 +45,7 @@
 	is.True(s.Active("c"))
 }
 
-// TestOrderWithoutDomainIsIgnored guards against an order with an empty domain name.
+// An order with an empty domain name has no effect.
 func TestOrderWithoutDomainIsIgnored(t *testing.T) {
 	is := is.New(t)
 	s := New()
@@ -55,9 +53,8 @@
 	is.Equal(len(s.All()), 0)
 }
 
-// TestNodesConvergeForAnyOrderOfUpdates guards against nodes that stay in different states
-// after they received the same changes in different orders, some of them repeatedly or
-// through each other.
+// Nodes must reach the same state after they received the same changes in different
+// orders, some of them repeatedly or through each other.
 func TestNodesConvergeForAnyOrderOfUpdates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var history []Order
--- a/internal/fleet/delay.go
+++ b/internal/fleet/delay.go
@@ -53,7 +53,7 @@
 
 // markStalled records that an attempt at u waited far longer than expected.
 //
-// It guards against busy upstreams that look idle: an upstream in a long prefill sends no
+// Without it, a busy upstream can look idle: an upstream in a long prefill sends no
 // responses, so its last load report ages and loses weight. The number of queued attempts
 // is set to the number that would explain the wait. Peers receive it like the upstream's
 // own report.
--- a/internal/fleet/edits_test.go
+++ b/internal/fleet/edits_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestEditsProduceTheCurrentList guards against edits that do not lead from a peer's list
-// to the current one after any sequence of changes, or that are longer than the list.
+// The edits lead from a peer's list to the current one after any sequence of changes, and
+// are no longer than the list.
 func TestEditsProduceTheCurrentList(t *testing.T) {
 	now := time.Unix(1000, 0)
 	rapid.Check(t, func(t *rapid.T) {
@@ -64,8 +64,7 @@
 	})
 }
 
-// TestOneChangeIsOneEdit guards against edits that cover more than what changed, and
-// against edits from a list that never existed.
+// Edits cover only what changed, and never start from a list that did not exist.
 func TestOneChangeIsOneEdit(t *testing.T) {
 	f := New(Settings{})
 	now := time.Unix(1000, 0)
@@ -83,9 +82,9 @@
 	}
 }
 
-// TestEditsCoverARestartOfADomain guards against full lists sent to all nodes while a
-// failure domain's upstreams restart: with thousands of upstreams, more of them change than
-// a fixed history holds.
+// While a failure domain's upstreams restart, nodes must get edits, not full lists sent
+// to all of them: with thousands of upstreams, more of them change than a fixed history
+// holds.
 func TestEditsCoverARestartOfADomain(t *testing.T) {
 	f := New(Settings{})
 	now := time.Unix(1000, 0)
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -24,8 +24,8 @@
 	return f
 }
 
-// TestChooseReturnsOnlyEligibleUpstreams guards against attempts at upstreams that may not
-// take them, and against load that remains counted after all attempts have ended.
+// Attempts go only to upstreams that may take them, and no load remains counted after all
+// attempts have ended.
 func TestChooseReturnsOnlyEligibleUpstreams(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := New(Settings{Domain: "d0"})
@@ -81,8 +81,8 @@
 	})
 }
 
-// TestUnreachedUpstreamIsEjectedForLongerEachTime guards against an unreachable upstream
-// that gets requests too early or is never tried again.
+// An unreachable upstream must not get requests too early, but must be tried again
+// eventually.
 func TestUnreachedUpstreamIsEjectedForLongerEachTime(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(1)
@@ -103,8 +103,8 @@
 	is.Equal(u.consecutiveUnreached, 0)
 }
 
-// TestFailingUpstreamIsNotChosen guards against an upstream that fails part of its requests
-// although its load looks good: the others get the work while they have capacity.
+// Fails if an upstream that fails part of its requests is chosen because its load looks
+// good: the others get the work while they have capacity.
 func TestFailingUpstreamIsNotChosen(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(3)
@@ -120,9 +120,8 @@
 	}
 }
 
-// TestRequestsWithASharedPrefixUseFewUpstreams guards against requests with the same last
-// prefix block that go to many upstreams, and against an overload of the few: they spread
-// once those are busy.
+// Requests with the same last prefix block go to few upstreams, but must not overload
+// them: they spread once those are busy.
 func TestRequestsWithASharedPrefixUseFewUpstreams(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -147,10 +146,10 @@
 	is.True(len(busy) > affinityWidth)
 }
 
-// TestSmallModelsFollowPrefixAffinity guards against small models that leave the upstream
-// with a prompt's shared block for a slightly less loaded one. A small model prefills the
-// block so fast that the request itself would gain. But every upstream would then prefill
-// and cache every block, and the large model's prompts would miss the cache.
+// Small models must not leave the upstream with a prompt's shared block for a slightly
+// less loaded one. A small model prefills the block so fast that the request itself would
+// gain. But every upstream would then prefill and cache every block, and the large
+// model's prompts would miss the cache.
 func TestSmallModelsFollowPrefixAffinity(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(12)
@@ -173,8 +172,8 @@
 	is.True(f.Choose(shared, now) != first) // but not at any load
 }
 
-// TestUnlistedUpstreamServesButIsNotListed guards against nodes with the same list whose
-// hashes differ because one of them retains upstreams that are no longer listed.
+// Nodes with the same list must have the same hash, even if one of them retains upstreams
+// that are no longer listed.
 func TestUnlistedUpstreamServesButIsNotListed(t *testing.T) {
 	is := is.New(t)
 	a, b := newTestFleet(4), newTestFleet(3)
@@ -191,11 +190,11 @@
 	is.True(slices.Equal(a.Versions("s"), []string{"v1"}))
 }
 
-// TestReplacedUpstreamIsNotChosen guards against attempts at a crashed upstream whose entry
-// has not expired while its successor serves at the same address under a new ID. Each
-// rejection there costs a part of the retry budget, once per node and upstream. If both
-// entries were read together, their order is unknown: the one whose address rejects an
-// attempt as misdirected is not chosen again.
+// A crashed upstream must get no attempts when its entry has not expired while its
+// successor serves at the same address under a new ID. Each rejection there costs a part
+// of the retry budget, once per node and upstream. If both entries were read together,
+// their order is unknown: the one whose address rejects an attempt as misdirected is not
+// chosen again.
 func TestReplacedUpstreamIsNotChosen(t *testing.T) {
 	is := is.New(t)
 	listedAt := time.Unix(1000, 0)
--- a/internal/fleet/flight_test.go
+++ b/internal/fleet/flight_test.go
@@ -42,10 +42,9 @@
 	return short, long, moves
 }
 
-// TestSharingFlightsShortensWaits guards against short requests that queue behind a long
-// prompt which another node has just sent to the same upstream, although most upstreams are
-// idle. Without the exchange of flights, a node knows about a hundredth of the in-flight
-// attempts, and load reports come too late.
+// Short requests must not queue behind a long prompt which another node has just sent to
+// the same upstream, although most upstreams are idle. Without the exchange of flights, a
+// node knows about a hundredth of the in-flight attempts, and load reports come too late.
 func TestSharingFlightsShortensWaits(t *testing.T) {
 	withFlights := manySmallUpstreams
 	withFlights.flightInterval = 200 * time.Millisecond
@@ -63,9 +62,8 @@
 	}
 }
 
-// TestOwnFlightIsSubtractedFromTheSum guards against a node that counts its own attempts
-// twice, and against flights that count after their updates have stopped: the load reports
-// then apply again.
+// A node must not count its own attempts twice, and flights must not count after their
+// updates have stopped: the load reports then apply again.
 func TestOwnFlightIsSubtractedFromTheSum(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -96,8 +94,8 @@
 	is.Equal(here.Get("u0").load(now), 0.0) // the attempts are at the old incarnation
 }
 
-// TestInvalidFlightEntriesAreIgnored guards against a flight whose slices differ in length
-// or that no longer contains what this node sent.
+// A flight is ignored if its slices differ in length or if it no longer contains what
+// this node sent.
 func TestInvalidFlightEntriesAreIgnored(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
--- a/internal/fleet/leaving_test.go
+++ b/internal/fleet/leaving_test.go
@@ -10,9 +10,8 @@
 	"github.com/hickorybank/hickorybank/internal/notice"
 )
 
-// TestLeavingIsFinalForAnIncarnation guards against an upstream that gets requests again
-// after it announced its shutdown, because an older list, a peer or a later response does
-// not mention it.
+// An upstream that announced its shutdown gets no requests again, even if an older list,
+// a peer or a later response does not mention the shutdown.
 func TestLeavingIsFinalForAnIncarnation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
@@ -50,8 +49,8 @@
 	})
 }
 
-// TestSnapshotMarksLeavingUpstreams guards against nodes that restart together during an
-// outage of the table and try upstreams of the snapshot that had announced their shutdown.
+// Without the mark, nodes that restart together during an outage of the table would try
+// upstreams of the snapshot that had announced their shutdown.
 func TestSnapshotMarksLeavingUpstreams(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
--- a/internal/fleet/limit_news_test.go
+++ b/internal/fleet/limit_news_test.go
@@ -93,8 +93,8 @@
 	s.nodes[i], s.limitReadAt[i] = f, time.Time{}
 }
 
-// TestChangedLimitHoldsAcrossNodes guards against nodes that keep an old limit after the
-// upstream lowered it: some are partitioned, some restart, and messages are delayed.
+// No node keeps an old limit after the upstream lowered it, although some nodes are
+// partitioned, some restart, and messages are delayed.
 func TestChangedLimitHoldsAcrossNodes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		start := time.Unix(1000, 0)
@@ -148,8 +148,8 @@
 	}
 }
 
-// TestEndOfALimitReachesAllNodes guards against an upstream that most nodes avoid
-// permanently, because only a few nodes send to it and see that its limit has ended.
+// Fails if most nodes avoid an upstream permanently, because only a few nodes send to it
+// and see that its limit has ended.
 func TestEndOfALimitReachesAllNodes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		start := time.Unix(1000, 0)
@@ -178,8 +178,8 @@
 // lowered limit yet.
 const maxFromUninformed = 16
 
-// TestLoweredLimitAppliesAtOnce guards against nodes that continue at the rate of the
-// previous, higher limit, and against bursts that were saved up under it.
+// Nodes must not continue at the rate of the previous, higher limit, nor send bursts that
+// were saved up under it.
 func TestLoweredLimitAppliesAtOnce(t *testing.T) {
 	start := time.Unix(1000, 0)
 	s := newLimitSimulation(8, 0, start)
--- a/internal/fleet/rate_limit_test.go
+++ b/internal/fleet/rate_limit_test.go
@@ -97,9 +97,8 @@
 	return maximum
 }
 
-// TestAdvertisedLimitHoldsAcrossNodes guards against an upstream that gets more than its
-// advertised rate from nodes that have read it. They send at arbitrary times, and some do
-// not know yet that another node has joined.
+// Nodes that have read an upstream's advertised rate must not exceed it together. They
+// send at arbitrary times, and some do not know yet that another node has joined.
 func TestAdvertisedLimitHoldsAcrossNodes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		start := time.Unix(1000, 0)
--- a/internal/fleet/reading_test.go
+++ b/internal/fleet/reading_test.go
@@ -7,9 +7,8 @@
 	"time"
 )
 
-// TestPrefillOfLongPromptsIsPredicted guards against a large model that is chosen for
-// prompts which it cannot prefill in time. A node sees few long prompts, and many of them
-// have queued.
+// A large model must not be chosen for prompts which it cannot prefill in time. A node
+// sees few long prompts, and many of them have queued.
 func TestPrefillOfLongPromptsIsPredicted(t *testing.T) {
 	const perToken = 45e-6 // seconds
 	rnd := rand.New(rand.NewPCG(3, 4))
--- a/internal/fleet/replay_test.go
+++ b/internal/fleet/replay_test.go
@@ -99,10 +99,10 @@
 		}, maxWaitRatio: 0.85},
 }
 
-// TestPlacementByWorkUnderLoadPatterns guards against placements that queue requests in the
-// peak although other upstreams are idle. For each pattern, placement by queued work must
-// keep the 95th percentile of the wait below that of the baselines, drop nothing, and
-// return to the usual wait a few seconds after the peak.
+// Fails if requests queue in the peak although other upstreams are idle. For each
+// pattern, placement by queued work must keep the 95th percentile of the wait below that
+// of the baselines, drop nothing, and return to the usual wait a few seconds after the
+// peak.
 func TestPlacementByWorkUnderLoadPatterns(t *testing.T) {
 	for _, p := range loadPatterns {
 		t.Run(p.name, func(t *testing.T) {
--- a/internal/fleet/rest_test.go
+++ b/internal/fleet/rest_test.go
@@ -9,8 +9,8 @@
 	"github.com/hickorybank/hickorybank/internal/notice"
 )
 
-// TestBackoffLastsUntilItsLatestEnd guards against an upstream that gets requests during
-// its back-off because a later response requested a shorter one, or none.
+// An upstream gets no requests during its back-off, even if a later response requested a
+// shorter one, or none.
 func TestBackoffLastsUntilItsLatestEnd(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
--- a/internal/fleet/room_test.go
+++ b/internal/fleet/room_test.go
@@ -9,9 +9,8 @@
 	"github.com/hickorybank/hickorybank/internal/notice"
 )
 
-// TestNextAvailableTimeIsReturnedOnlyIfKnown guards against requests that wait, or are
-// rejected, because of a time at which no upstream is sure to be available, or before which
-// one is.
+// Requests must not wait, or be rejected, because of a time at which no upstream is sure
+// to be available, or before which one is.
 func TestNextAvailableTimeIsReturnedOnlyIfKnown(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
--- a/internal/fleet/snapshot_test.go
+++ b/internal/fleet/snapshot_test.go
@@ -6,8 +6,8 @@
 	"github.com/matryer/is"
 )
 
-// TestRecordsRoundTripAndInvalidDataFails guards against snapshots that cannot be read
-// because a shorter one overwrote a longer one, and against invalid data that is accepted.
+// A snapshot stays readable when a shorter one overwrites a longer one, and invalid data
+// is not accepted.
 func TestRecordsRoundTripAndInvalidDataFails(t *testing.T) {
 	is := is.New(t)
 	r := testRecord("u1")
--- a/internal/fleet/stuck_test.go
+++ b/internal/fleet/stuck_test.go
@@ -36,12 +36,12 @@
 	return waits
 }
 
-// TestLongPromptsDoNotDelayShortOnes guards against short requests that wait for seconds
-// behind a prompt with a prefill of two seconds, although most upstreams are idle. Many
-// nodes send to the same upstreams. None learns of the long prompt in time, and during its
-// prefill the upstream reports nothing and looks idle. Ranks put short work first in an
-// upstream's queue, and attempts that wait far longer than expected are moved. Both are
-// needed, and long prompts must not pay for them.
+// Short requests must not wait for seconds behind a prompt with a prefill of two seconds,
+// although most upstreams are idle. Many nodes send to the same upstreams. None learns of
+// the long prompt in time, and during its prefill the upstream reports nothing and looks
+// idle. Ranks put short work first in an upstream's queue, and attempts that wait far
+// longer than expected are moved. Both are needed, and long prompts must not pay for
+// them.
 func TestLongPromptsDoNotDelayShortOnes(t *testing.T) {
 	plain := simulateLongPrompts(false, true)
 	ranked := simulateLongPrompts(true, true)
@@ -58,9 +58,8 @@
 	}
 }
 
-// TestFewAttemptsMoveWhenAllUpstreamsAreSlow guards against attempts that are moved only to
-// queue again elsewhere. If all upstreams become slow at once, waits grow for all attempts,
-// and none is far longer than the others.
+// Attempts must not be moved only to queue again elsewhere. If all upstreams become slow
+// at once, waits grow for all attempts, and none is far longer than the others.
 func TestFewAttemptsMoveWhenAllUpstreamsAreSlow(t *testing.T) {
 	moves, requests := 0, 0
 	for seed := range uint64(seedCount) {
--- a/internal/fleet/warm_up_test.go
+++ b/internal/fleet/warm_up_test.go
@@ -44,9 +44,9 @@
 	return peak
 }
 
-// TestWarmUpBoundHoldsAcrossNodes guards against nodes that each send little to an upstream
-// which warms up, but too much together. Bursts come at arbitrary times, and some nodes do
-// not know yet that others have joined.
+// Nodes that each send little to an upstream which warms up must not send too much
+// together. Bursts come at arbitrary times, and some nodes do not know yet that others
+// have joined.
 func TestWarmUpBoundHoldsAcrossNodes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		start := time.Unix(1000, 0)
@@ -79,8 +79,7 @@
 	})
 }
 
-// TestWarmUpRateIsUsed guards against upstreams that get far fewer requests during their
-// warm-up than they accept.
+// Fails if upstreams get far fewer requests during their warm-up than they accept.
 func TestWarmUpRateIsUsed(t *testing.T) {
 	start := time.Unix(1000, 0)
 	nodes, _ := newWarmUpNodes(84, testWarmUp, start)
@@ -99,8 +98,7 @@
 	}
 }
 
-// TestNodeWithoutSenderListSendsNothingDuringWarmUp guards against nodes that start
-// together and each assume that they are the only one.
+// Nodes that start together must not each assume that they are the only one.
 func TestNodeWithoutSenderListSendsNothingDuringWarmUp(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -110,8 +108,8 @@
 	is.True(nodes[0].Choose(AttemptSpec{Service: "s"}, now.Add(testWarmUp.Duration)) != nil) // the warm-up is over
 }
 
-// TestWarmUpEndsAndCanBeginAgain guards against a warm-up that never ends or is extended by
-// the delay of a relayed record, and against a new warm-up that is missed.
+// A warm-up must end, must not be extended by the delay of a relayed record, and a new
+// one must not be missed.
 func TestWarmUpEndsAndCanBeginAgain(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -132,9 +130,8 @@
 	is.True(f.Get("u").warmingUp(now.Add(10 * time.Second)))
 }
 
-// TestDomainWarmsUpAfterItsEvacuation guards against a burst at the upstreams of a failure
-// domain whose evacuation has ended: nothing runs there, so that each looks better than all
-// others.
+// The upstreams of a failure domain whose evacuation has ended must not get a burst:
+// nothing runs there, so that each looks better than all others.
 func TestDomainWarmsUpAfterItsEvacuation(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -150,8 +147,8 @@
 	is.True(f.Choose(AttemptSpec{Service: "s"}, now) != nil)
 }
 
-// TestUpstreamsOfAnEvacuatedDomainAreNotChosen guards against new work for upstreams that
-// are listed, or newly listed, in a domain under evacuation.
+// Upstreams that are listed, or newly listed, in a domain under evacuation get no new
+// work.
 func TestUpstreamsOfAnEvacuatedDomainAreNotChosen(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -165,8 +162,7 @@
 	}
 }
 
-// TestChooseKeepsToAllowedRegions guards against requests that run outside the regions that
-// their route and organisation allow.
+// Requests run only in the regions that their route and organisation allow.
 func TestChooseKeepsToAllowedRegions(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
--- a/internal/notice/register_test.go
+++ b/internal/notice/register_test.go
@@ -26,8 +26,8 @@
 	return changes[0].Kind
 }
 
-// TestOlderResponseDoesNotOverrideNewer guards against an ended limit that is restored by
-// an older response, which is processed after the response that ended it.
+// An older response, processed after the response that ended a limit, must not restore
+// it.
 func TestOlderResponseDoesNotOverrideNewer(t *testing.T) {
 	is := is.New(t)
 	r := NewRegister(1)
@@ -41,8 +41,8 @@
 	is.True(!s.Limit().Named)
 }
 
-// TestRelayedReportKeepsItsAge guards against a limit that outlives its end because two
-// nodes relay it to each other and its age decreases with each hop.
+// Fails if a limit outlives its end because two nodes relay it to each other and its age
+// decreases with each hop.
 func TestRelayedReportKeepsItsAge(t *testing.T) {
 	is := is.New(t)
 	a, b := NewRegister(1), NewRegister(2)
@@ -57,8 +57,8 @@
 	is.Equal(kindOf(b.ApplyReport(ended, at(4000))), LimitEnded)
 }
 
-// TestNodeThatMissedTheEndOfALimitIsCorrected guards against a limit that persists at a
-// node which was partitioned when the limit ended, and that this node spreads again.
+// Without a correction, a limit persists at a node which was partitioned when the limit
+// ended, and this node spreads it again.
 func TestNodeThatMissedTheEndOfALimitIsCorrected(t *testing.T) {
 	is := is.New(t)
 	informed, outdated := NewRegister(1), NewRegister(2)
@@ -74,8 +74,8 @@
 	is.True(!outdated.StateOf("u@1").Limit().Named)
 }
 
-// TestReportsAreBounded guards against messages that grow with the number of limited
-// upstreams, and against states that are never repeated.
+// Messages must not grow with the number of limited upstreams, and each state must be
+// repeated.
 func TestReportsAreBounded(t *testing.T) {
 	is := is.New(t)
 	const count = 50
@@ -96,8 +96,8 @@
 	is.Equal(len(reported), count)
 }
 
-// TestSweepForgetsOnlyUnlistedIncarnations guards against states that accumulate as
-// upstreams come and go, and against the loss of a state whose upstream is still listed.
+// States must not accumulate as upstreams come and go, nor may a state be lost whose
+// upstream is still listed.
 func TestSweepForgetsOnlyUnlistedIncarnations(t *testing.T) {
 	is := is.New(t)
 	r := NewRegister(1)
@@ -109,8 +109,8 @@
 	is.Equal(len(r.states), 1)
 }
 
-// TestLeavingIsReportedForALimitedTime guards against an announced shutdown that two nodes
-// report to each other without end, because each report counts as an update.
+// Two nodes must not report an announced shutdown to each other without end, which would
+// happen if each report counted as an update.
 func TestLeavingIsReportedForALimitedTime(t *testing.T) {
 	is := is.New(t)
 	a, b := NewRegister(1), NewRegister(2)
@@ -131,9 +131,8 @@
 	is.Equal(len(b.states), 0)
 }
 
-// TestReportWithoutResponseKeepsTheLimit guards against a node that knows of a shutdown
-// only through a report and relays it like a response without a limit, which would end the
-// limit at other nodes.
+// A node that knows of a shutdown only through a report must not relay it like a response
+// without a limit, which would end the limit at other nodes.
 func TestReportWithoutResponseKeepsTheLimit(t *testing.T) {
 	is := is.New(t)
 	a, b, c := NewRegister(1), NewRegister(2), NewRegister(3)
--- a/internal/pacing/ways_test.go
+++ b/internal/pacing/ways_test.go
@@ -95,9 +95,8 @@
 	}
 }
 
-// TestFewSendersKeepWithinTheBound guards against a sharing strategy that lets more
-// requests through than the bound allows. It logs the utilization and the cost of each
-// strategy.
+// No sharing strategy lets more requests through than the bound allows. It logs the
+// utilization and the cost of each strategy.
 func TestFewSendersKeepWithinTheBound(t *testing.T) {
 	for _, nodes := range []int{8, 84, 1600} {
 		for _, perSecond := range []float64{0.3, 2.2, 10, 30} {
