--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -11,10 +11,9 @@
 	"github.com/hickorybank/hickorybank/internal/config"
 )
 
-// TestLimitFollowsLatency guards against a limit that stays far from the capacity of
-// upstreams without load reports. The upstreams have a fixed number of slots, and further
-// requests only wait there. The limit settles near that number, from far below and from
-// far above.
+// Without load reports from the upstreams, the limit must not stay far from their
+// capacity. The upstreams have a fixed number of slots, and further requests only wait
+// there. The limit settles near that number, from far below and from far above.
 func TestLimitFollowsLatency(t *testing.T) {
 	for _, slots := range []int{12, 60, 300} {
 		for _, initial := range []int{4, 32, 600} {
@@ -47,8 +46,7 @@
 	}
 }
 
-// TestLatencyAtLowLoadKeepsLimit guards against a limit that shrinks although little
-// runs, because a slow network delays first tokens.
+// The limit must not shrink when little runs and only a slow network delays first tokens.
 func TestLatencyAtLowLoadKeepsLimit(t *testing.T) {
 	is := is.New(t)
 	l := newLimiter(LimitSettings{}.withDefaults())
@@ -65,9 +63,9 @@
 	is.Equal(l.limit, float64(defaultInitialLimit))
 }
 
-// TestLimitFollowsReports guards against nodes that shrink unevenly. A node takes the
-// part of the upstreams' slots that its own requests have in all requests, so that nodes
-// shrink together and keep their proportions.
+// Nodes must not shrink unevenly. A node takes the part of the upstreams' slots that its
+// own requests have in all requests, so that nodes shrink together and keep their
+// proportions.
 func TestLimitFollowsReports(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -90,8 +88,7 @@
 	}
 }
 
-// TestQueueRunsMoreWhenReportsAllow guards against requests that keep waiting after new
-// reports show free slots.
+// Fails if requests keep waiting after new reports show free slots.
 func TestQueueRunsMoreWhenReportsAllow(t *testing.T) {
 	is := is.New(t)
 	q := New(Settings{})
--- a/internal/admission/queue_rapid_test.go
+++ b/internal/admission/queue_rapid_test.go
@@ -174,9 +174,9 @@
 	})
 }
 
-// TestFairShares guards against unfair shares when organisations always have work
-// waiting. They get work in proportion to their weights, whatever their requests cost:
-// none is ahead of another by more than one request of each.
+// Shares must be fair when organisations always have work waiting. They get work in
+// proportion to their weights, whatever their requests cost: none is ahead of another by
+// more than one request of each.
 func TestFairShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := newLane(defaultDeferrableShare)
--- a/internal/admission/rate_figures_test.go
+++ b/internal/admission/rate_figures_test.go
@@ -127,9 +127,8 @@
 	{1600, 38, noCollectors, "1600 direct"}, {1600, 38, defaultMaxDirectNodes, "1600"},
 }
 
-// TestDomainFigures guards against an organisation that bursts on two nodes and waits
-// long for its share, or loses half of its limit to outdated sums. The bounds are in
-// virtual time.
+// An organisation that bursts on two nodes must not wait long for its share, nor lose
+// half of its limit to outdated sums. The bounds are in virtual time.
 func TestDomainFigures(t *testing.T) {
 	for _, c := range figureCases {
 		if c.nodes > 128 {
--- a/internal/admission/rate_test.go
+++ b/internal/admission/rate_test.go
@@ -129,11 +129,10 @@
 	}
 }
 
-// TestOrganisationLimitHoldsAcrossNodes guards against nodes that together use more than
-// an organisation's limit. The organisation sends far more than its limit to changing
-// nodes, while messages are lost, delayed and repeated, and nodes are cut off and
-// replaced. The allowed rates never exceed the limit, and what passes stays within the
-// limit and its bursts.
+// Nodes together must not use more than an organisation's limit. The organisation sends
+// far more than its limit to changing nodes, while messages are lost, delayed and
+// repeated, and nodes are cut off and replaced. The allowed rates never exceed the limit,
+// and what passes stays within the limit and its bursts.
 func TestOrganisationLimitHoldsAcrossNodes(t *testing.T) {
 	for seed := range uint64(200) {
 		const nodes, limit, seconds = 6, 50.0, 60
@@ -168,9 +167,8 @@
 	}
 }
 
-// TestSingleNodeReachesLimit guards against an organisation that uses a single node and
-// gets far less than its limit there, or does not get it within seconds after moving to
-// another node.
+// An organisation that uses a single node must not get far less than its limit there, and
+// after moving to another node it must get the limit within seconds.
 func TestSingleNodeReachesLimit(t *testing.T) {
 	is := is.New(t)
 	const limit = 100.0
@@ -190,8 +188,7 @@
 	is.True(run(3, 10) > 0.88*limit)
 }
 
-// TestCutOffNodeKeepsItsReserve guards against a node without messages that refuses all
-// requests, or that uses more than its reserve.
+// A node without messages must neither refuse all requests nor use more than its reserve.
 func TestCutOffNodeKeepsItsReserve(t *testing.T) {
 	is := is.New(t)
 	const limit = 100.0
--- a/internal/balance/balancer_rapid_test.go
+++ b/internal/balance/balancer_rapid_test.go
@@ -129,9 +129,9 @@
 	})
 }
 
-// TestSubsetsAreEven guards against upstreams that far more nodes select than others.
-// About equally many nodes select each upstream, 3 of 4 upstreams of a node are in its
-// own failure domain if it has that many, and the removal of one upstream changes little.
+// No upstream may be selected by far more nodes than others. About equally many nodes
+// select each upstream, 3 of 4 upstreams of a node are in its own failure domain if it
+// has that many, and the removal of one upstream changes little.
 func TestSubsetsAreEven(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		domains := rapid.IntRange(1, 6).Draw(t, "domains")
--- a/internal/balance/noticed_test.go
+++ b/internal/balance/noticed_test.go
@@ -31,8 +31,8 @@
 	return nodes
 }
 
-// TestRateLimitHoldsAcrossNodes guards against an overloaded upstream that still gets its
-// usual load because each node uses the announced limit as its own.
+// Fails if an overloaded upstream still gets its usual load because each node uses the
+// announced limit as its own.
 func TestRateLimitHoldsAcrossNodes(t *testing.T) {
 	const perSecond, seconds = 2.2, 20
 	nodes := rateLimitedNodes(8, perSecond)
@@ -51,8 +51,7 @@
 	}
 }
 
-// TestRateLimitEndsWithLaterAnswer guards against a limit that never ends, or that
-// returns with an answer read before the one that ended it.
+// A limit must end, and must not return with an answer read before the one that ended it.
 func TestRateLimitEndsWithLaterAnswer(t *testing.T) {
 	is := is.New(t)
 	b := rateLimitedNodes(1, 0.5)[0]
@@ -74,8 +73,8 @@
 	is.True(picked(4))
 }
 
-// TestLaterAnswerDoesNotShortenBackoff guards against requests to an upstream that asked
-// this node for a pause, after a later answer asked for a shorter one or for none.
+// An upstream that asked this node for a pause gets no requests during it, even after a
+// later answer asked for a shorter one or for none.
 func TestLaterAnswerDoesNotShortenBackoff(t *testing.T) {
 	is := is.New(t)
 	at := func(s int) time.Time { return epoch.Add(time.Duration(s) * time.Second) }
@@ -94,8 +93,8 @@
 	is.True(ok)
 }
 
-// TestLeavingAnswerOutlastsOlderReport guards against requests to an upstream whose
-// answer announced that it leaves, while its delayed load report does not show that yet.
+// An upstream whose answer announced that it leaves gets no more requests, while its
+// delayed load report does not show that yet.
 func TestLeavingAnswerOutlastsOlderReport(t *testing.T) {
 	is := is.New(t)
 	b := New(Settings{})
@@ -110,8 +109,8 @@
 	is.Equal(pick.Shortage.Reason, AllLeaving)
 }
 
-// TestRestartEndsBackoff guards against an upstream that has restarted and gets nothing
-// for the rest of the pause that its previous process asked for.
+// An upstream that has restarted must not be left without requests for the rest of the
+// pause that its previous process asked for.
 func TestRestartEndsBackoff(t *testing.T) {
 	is := is.New(t)
 	b := rateLimitedNodes(1, 0)[0]
--- a/internal/balance/report_test.go
+++ b/internal/balance/report_test.go
@@ -157,11 +157,10 @@
 	}
 }
 
-// TestShortRequestsLeaveFewSlotsIdle guards against requests that wait at three engines
-// while the fourth has free slots, for a second at a time. Requests of 95 ms arrive
-// faster than four engines can run them. The fault occurs when a node takes one delayed
-// report as the engine's load until the next, although many requests have started and
-// ended since.
+// Requests must not wait at three engines while the fourth has free slots, for a second
+// at a time. Requests of 95 ms arrive faster than four engines can run them. The fault
+// occurs when a node takes one delayed report as the engine's load until the next,
+// although many requests have started and ended since.
 func TestShortRequestsLeaveFewSlotsIdle(t *testing.T) {
 	is := is.New(t)
 	var sum, worst float64
@@ -179,10 +178,9 @@
 	is.True(worst < 0.08)
 }
 
-// TestLongRequestsFollowTheNewestReport guards against requests that wait at one engine
-// while other engines have free slots, because the node relies on older reports. Requests
-// take 10 s, and load from elsewhere fills one engine after the other. With long requests
-// the newest report decides.
+// Requests must not wait at one engine while other engines have free slots, because the
+// node relies on older reports. Requests take 10 s, and load from elsewhere fills one
+// engine after the other. With long requests the newest report decides.
 func TestLongRequestsFollowTheNewestReport(t *testing.T) {
 	is := is.New(t)
 	var sum float64
--- a/internal/balance/shared_pool_test.go
+++ b/internal/balance/shared_pool_test.go
@@ -6,9 +6,9 @@
 	"github.com/matryer/is"
 )
 
-// TestVersionsThatShareUpstreamsHaveOnePool guards against two admission queues for the
-// same slots. Drafts and notes run on engines that overlap, so a slot that a draft takes
-// is not available to notes. Another version has its own engines.
+// The same slots must not have two admission queues. Drafts and notes run on engines that
+// overlap, so a slot that a draft takes is not available to notes. Another version has
+// its own engines.
 func TestVersionsThatShareUpstreamsHaveOnePool(t *testing.T) {
 	is := is.New(t)
 	b := New(Settings{SelfDomain: "domain-0"})
--- a/internal/balance/version_capacity_test.go
+++ b/internal/balance/version_capacity_test.go
@@ -139,10 +139,9 @@
 	return version == "new"
 }
 
-// TestVersionOnOneEngineIsNotOverloaded guards against requests that queue at one engine
-// while seventeen others have free slots. A new version is on one engine of eighteen and
-// is the cheapest. All nodes send it all their work, and delayed reports show too late
-// that it is full.
+// Requests must not queue at one engine while seventeen others have free slots. A new
+// version is on one engine of eighteen and is the cheapest. All nodes send it all their
+// work, and delayed reports show too late that it is full.
 func TestVersionOnOneEngineIsNotOverloaded(t *testing.T) {
 	is := is.New(t)
 	f := newRoomFleet()
--- a/internal/canary/canary_test.go
+++ b/internal/canary/canary_test.go
@@ -15,9 +15,8 @@
 	return func(time.Duration) float64 { return share }
 }
 
-// Guards against a good version that is completed after its time limit, and against
-// sessions that change their version in the first half of it. The new version's requests
-// stay within the bound.
+// A good version is completed within its time limit, and no session changes its version
+// in the first half of it. The new version's requests stay within the bound.
 func TestGoodVersionIsCompletedInTime(t *testing.T) {
 	completed := 0
 	for seed := range uint64(seeds) {
@@ -36,10 +35,10 @@
 	}
 }
 
-// Guards against sessions that return to the old version although the new one is good. It
-// came about with a few large sessions and many second attempts. A single node saw more
-// than its part of the new version's requests and turned sessions back, while the total
-// was within the bound.
+// Regression: sessions returned to the old version although the new one was good. It came
+// about with a few large sessions and many second attempts. A single node saw more than
+// its part of the new version's requests and turned sessions back, while the total was
+// within the bound.
 func TestSessionsStayOnTheNewVersion(t *testing.T) {
 	for seed := range uint64(seeds) {
 		w := newWorld(seed, 6)
@@ -52,9 +51,8 @@
 	}
 }
 
-// Guards against the rollback of a good version whose requests fit into the bound only at
-// the deadline. The bound is tight, and second attempts at another model use it up
-// faster.
+// A good version must not be rolled back when its requests fit into the bound only at the
+// deadline. The bound is tight, and second attempts at another model use it up faster.
 func TestGoodVersionIsCompletedWhereTheBoundIsTight(t *testing.T) {
 	completed := 0
 	tight := testSettings
@@ -77,10 +75,10 @@
 	}
 }
 
-// Guards against the rollback of a good version because the start of its order is
-// uncertain. The table has lost its history, so the order may be up to a second older.
-// The version was rolled back that much before its time limit, although its requests
-// fitted into the bound a moment later.
+// A good version must not be rolled back because the start of its order is uncertain. The
+// table has lost its history, so the order may be up to a second older. The version was
+// rolled back that much before its time limit, although its requests fitted into the
+// bound a moment later.
 func TestGoodVersionIsCompletedWhereTheOrderMayBeOlder(t *testing.T) {
 	completed := 0
 	tight := testSettings
@@ -103,10 +101,10 @@
 	}
 }
 
-// Guards against the rollback of a good version in a small deployment: 36 requests a
-// second, of which at most one in ten may go to it. With a fixed share of the sessions it
-// had given 14 answers at the deadline, fewer than minAnswers. A bad version stays within
-// its bound, and no session changes its version early.
+// A good version must not be rolled back in a small deployment: 36 requests a second, of
+// which at most one in ten may go to it. With a fixed share of the sessions it had given
+// 14 answers at the deadline, fewer than minAnswers. A bad version stays within its
+// bound, and no session changes its version early.
 func TestFewRequestsAreEnoughForAVerdict(t *testing.T) {
 	settings := testSettings
 	settings.ShareBound = 0.0975
@@ -150,8 +148,8 @@
 	}
 }
 
-// Guards against a bad version that is completed or exceeds the bound on its requests. It
-// fails a part of its answers from the start or only later.
+// A bad version must not be completed, nor exceed the bound on its requests. It fails a
+// part of its answers from the start or only later.
 func TestBadVersionIsRolledBack(t *testing.T) {
 	tests := map[string]func(time.Duration) float64{
 		"half":  always(0.5),
@@ -187,7 +185,7 @@
 	}
 }
 
-// Guards against a rollback for failures that hit both versions alike.
+// Failures that hit both versions alike must not cause a rollback.
 func TestFailuresOfBothVersionsCauseNoRollback(t *testing.T) {
 	rolledBack := 0
 	for seed := range uint64(seeds) {
@@ -204,8 +202,8 @@
 	}
 }
 
-// Guards against a new version whose answers succeed but take far longer than the old
-// version's.
+// A new version whose answers succeed but take far longer than the old version's counts
+// as bad.
 func TestSlowVersionIsBad(t *testing.T) {
 	is := is.New(t)
 	c := New(testSettings, "n1", 1)
@@ -227,9 +225,8 @@
 	is.True(got[0].Reached)
 }
 
-// Guards against requests that are sent to a version after its rollback. Another version
-// is ordered while the bad one's upstreams still run; the old version's requests go to
-// neither.
+// No requests may be sent to a version after its rollback. Another version is ordered
+// while the bad one's upstreams still run; the old version's requests go to neither.
 func TestRolledBackVersionServesNoRequests(t *testing.T) {
 	is := is.New(t)
 	c := New(testSettings, "n1", 1)
@@ -243,8 +240,7 @@
 	is.True(!c.ApplyVerdict(serviceName, 1, Completed, true)) // a verdict of the older order
 }
 
-// Guards against nodes that keep different verdicts: the one that the table holds is
-// final.
+// Nodes must not keep different verdicts: the one that the table holds is final.
 func TestRecordedVerdictIsFinal(t *testing.T) {
 	is := is.New(t)
 	c := New(testSettings, "n1", 1)
@@ -257,8 +253,8 @@
 	is.Equal(c.Rule(serviceName, Caller{}, now), Rule{Version: newVersion})
 }
 
-// Guards against answers that are counted twice: a node's tallies arrive twice and out of
-// order, and those of its earlier run are added to them.
+// Answers must not be counted twice: a node's tallies arrive twice and out of order, and
+// those of its earlier run are added to them.
 func TestTalliesCountOnce(t *testing.T) {
 	is := is.New(t)
 	c := New(testSettings, "n1", 1)
@@ -278,7 +274,7 @@
 	is.Equal(r.oldInFlight(), 2)
 }
 
-// Guards against the rollback of a good version because its trial uses only one or two
+// A good version must not be rolled back because its trial uses only one or two
 // upstreams. A long prompt then delays all of its answers. A version on trial uses
 // several times its share of the upstreams, and all of them after the shift.
 func TestTrialUsesSeveralUpstreams(t *testing.T) {
@@ -294,9 +290,9 @@
 	is.Equal(c.Rule(serviceName, Caller{Hash: 0}, now.Add(4*time.Second)).UpstreamPart, 0.0)
 }
 
-// Guards against a session that moves to the version on trial and back. One node has just
-// served it. The other one has not learned of that yet, and last saw the session longer
-// ago than its longest pause.
+// A session must not move to the version on trial and back. One node has just served it.
+// The other one has not learned of that yet, and last saw the session longer ago than its
+// longest pause.
 func TestSessionStaysPinnedUntilPinsArrive(t *testing.T) {
 	is := is.New(t)
 	a, b := New(testSettings, "n1", 1), New(testSettings, "n2", 1)
@@ -312,9 +308,9 @@
 	is.Equal(b.Rule(serviceName, caller, nearly.Add(400*time.Millisecond)).Version, "")
 }
 
-// Guards against the rollback of a good version because its upstreams crash. A quarter of
-// all upstreams crashes, among them three of the seven in the trial, and their streams
-// fail at once. A version that goes on failing is still rolled back.
+// A good version must not be rolled back because its upstreams crash. A quarter of all
+// upstreams crashes, among them three of the seven in the trial, and their streams fail
+// at once. A version that goes on failing is still rolled back.
 func TestCrashesOfUpstreamsCauseNoRollback(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -355,8 +351,8 @@
 // evaluationInterval is the time between two evaluations.
 const evaluationInterval = 250 * time.Millisecond
 
-// Guards against a good version that is completed too late. The shift began only after
-// the deadline, within shiftGrace, and half of the sessions were still held back for cold
+// Regression: a good version was completed too late. The shift began only after the
+// deadline, within shiftGrace, and half of the sessions were still held back for cold
 // caches.
 func TestLateShiftIsCompletedAtOnce(t *testing.T) {
 	is := is.New(t)
--- a/internal/canary/evidence.go
+++ b/internal/canary/evidence.go
@@ -47,10 +47,11 @@
 // rejects reports whether the version counts as bad; trial is set until all sessions are
 // shifted.
 //
-// It guards against upstreams that crash: all their running answers fail in one moment,
-// which is no evidence against their version. A bad version goes on failing and the
-// likelihood stays high; otherwise the good answers of the next second lower it again.
-// There is no wait once most answers are bad, or once all sessions go to the version.
+// Crashes of upstreams must not count: all the running answers of a crashed upstream fail
+// in one moment, which is no evidence against their version. A bad version goes on
+// failing and the likelihood stays high; otherwise the good answers of the next second
+// lower it again. There is no wait once most answers are bad, or once all sessions go to
+// the version.
 func (e *evidence) rejects(now time.Time, trial bool) bool {
 	if e.aboveSince.IsZero() {
 		return false
--- a/internal/canary/exchange_test.go
+++ b/internal/canary/exchange_test.go
@@ -7,10 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// Guards against tallies that flood a fleet of hundreds. Each reader sent the counts of
-// all nodes to every other reader, for the rest of the day after the verdict was
-// recorded. A reader passes on those of its own group, and none once the verdict is
-// recorded.
+// Regression: tallies flooded a fleet of hundreds. Each reader sent the counts of all
+// nodes to every other reader, for the rest of the day after the verdict was recorded. A
+// reader passes on those of its own group, and none once the verdict is recorded.
 func TestTalliesArePassedOnOnlyWithinTheGroup(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
--- a/internal/canary/pins.go
+++ b/internal/canary/pins.go
@@ -14,8 +14,8 @@
 // pins are the recent sessions of the hash range that goes to the new version during a
 // trial.
 //
-// They guard against a session that changes its version while it is under way. Any node
-// may get its next request, so all nodes learn of such sessions before the trial begins.
+// They prevent a session from changing its version while it is under way. Any node may
+// get its next request, so all nodes learn of such sessions before the trial begins.
 type pins struct {
 	// ttl is how long a session is kept: the longest pause within a session, plus the
 	// time until a node learns that another one has just served it.
--- a/internal/canary/rule.go
+++ b/internal/canary/rule.go
@@ -69,10 +69,10 @@
 // overexposed reports whether the new version's requests, over all nodes as far as known
 // here, are near the bound.
 //
-// It guards against a few large sessions whose hashes fall into the trial: they raise the
-// new version's share of the requests above its share of the sessions. The sum over all
-// nodes is needed: a node that used only its own few requests turned sessions back
-// although the total was well within the bound.
+// This limits the effect of a few large sessions whose hashes fall into the trial: they
+// raise the new version's share of the requests above its share of the sessions. The sum
+// over all nodes is needed: a node that used only its own few requests turned sessions
+// back although the total was well within the bound.
 func (c *Canary) overexposed(r *rollout) bool {
 	if !r.shiftedAt.IsZero() {
 		return false
--- a/internal/rollout/guards_test.go
+++ b/internal/rollout/guards_test.go
@@ -6,9 +6,9 @@
 	"github.com/matryer/is"
 )
 
-// Guards against simulations that no longer detect a missing rule. Each rule prevents a
-// failure that users would see, so some seeds must fail without it.
-// docs/design/rollouts.md lists the figures.
+// Fails if the simulations no longer detect a missing rule. Each rule prevents a failure
+// that users would see, so some seeds must fail without it. docs/design/rollouts.md lists
+// the figures.
 func TestSeedsCatchDisabledRules(t *testing.T) {
 	for name, g := range map[string]disabledRules{
 		"done on acknowledgement":   {doneOnAck: true},
--- a/internal/rollout/named_test.go
+++ b/internal/rollout/named_test.go
@@ -6,7 +6,7 @@
 	"github.com/matryer/is"
 )
 
-// Guards against the return of faults that these seeds found.
+// Regression: these seeds found faults, which must not return.
 func TestRegressionSeeds(t *testing.T) {
 	for name, seed := range map[string]uint64{
 		// A driver is paused for half a minute. Some of its states are then too old to
@@ -27,9 +27,9 @@
 	}
 }
 
-// Guards against orders that count as done when they are acknowledged. The next step
-// would then begin too early. The test counts the violations with and without the check
-// of the engine's state.
+// Fails if orders count as done when they are acknowledged. The next step would then
+// begin too early. The test counts the violations with and without the check of the
+// engine's state.
 func TestOrderIsDoneOnlyWhenTheStateShowsIt(t *testing.T) {
 	is := is.New(t)
 	with, most := countViolations(disabledRules{})
--- a/internal/rollout/older_test.go
+++ b/internal/rollout/older_test.go
@@ -10,10 +10,10 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// Guards against a load of a version whose withdrawal is in force. The driver decides on
-// the load under the old configuration, is paused for a second, and then sends it.
-// Meanwhile the withdrawal has come into force everywhere. The row is still the driver's,
-// so only the check of the revision stops the order.
+// No version may be loaded once its withdrawal is in force. The driver decides on the
+// load under the old configuration, is paused for a second, and then sends it. Meanwhile
+// the withdrawal has come into force everywhere. The row is still the driver's, so only
+// the check of the revision stops the order.
 func TestOrderOfAnOlderConfigurationIsNotSent(t *testing.T) {
 	for _, checked := range []bool{true, false} {
 		is := is.New(t)
--- a/internal/rollout/pace_test.go
+++ b/internal/rollout/pace_test.go
@@ -82,8 +82,8 @@
 	return w.now.Sub(started)
 }
 
-// Guards against rollouts that leave the weight store idle. With a fixed limit of four
-// loads at one time, a version that half of 10,000 engines should have took 21 hours.
+// Regression: roll-outs left the weight store idle. With a fixed limit of four loads at
+// one time, a version that half of 10,000 engines should have took 21 hours.
 func TestLoadLimitFollowsTheStoreRate(t *testing.T) {
 	for _, c := range []struct {
 		engines, storeRate int
@@ -111,8 +111,8 @@
 	}
 }
 
-// Guards against more loads than the store can serve. It supports 30 loads a minute; more
-// at one time only wait for each other and delay the store's other readers.
+// No more loads may run than the store can serve. It supports 30 loads a minute; more at
+// one time only wait for each other and delay the store's other readers.
 func TestLoadLimitStopsAtTheStoreRate(t *testing.T) {
 	is := is.New(t)
 	w := newLoadWorld(2_500, 30)
@@ -122,8 +122,8 @@
 	is.True(took <= time.Hour)
 }
 
-// Guards against a driver that keeps an overloaded store from recovering. The store
-// refuses, and loads are sent again every few seconds; the limit must fall to one.
+// A driver must not keep an overloaded store from recovering. The store refuses, and
+// loads are sent again every few seconds; the limit must fall to one.
 func TestLoadLimitFallsWhenLoadsFail(t *testing.T) {
 	is := is.New(t)
 	w := newLoadWorld(2_500, 1000)
--- a/internal/rollout/script_test.go
+++ b/internal/rollout/script_test.go
@@ -12,8 +12,8 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// Runs the scenarios in testdata in virtual time; their heads say what they guard
-// against.
+// Runs the scenarios in testdata in virtual time; their heads name the failure that each
+// one tests for.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		var s script
--- a/internal/rollout/seeds_test.go
+++ b/internal/rollout/seeds_test.go
@@ -43,11 +43,11 @@
 	return failed, first, violation
 }
 
-// Guards against faults in any combination. Drivers pause, crash and restart; the table
-// is down or loses answers; orders arrive late; engines and failure domains are lost;
-// loads fail. No order may take a version below its demand, load a withdrawn version, or
-// exceed the limit of loads. The engines must match the configuration once the faults
-// end.
+// The rules must hold under faults in any combination. Drivers pause, crash and restart;
+// the table is down or loses answers; orders arrive late; engines and failure domains are
+// lost; loads fail. No order may take a version below its demand, load a withdrawn
+// version, or exceed the limit of loads. The engines must match the configuration once
+// the faults end.
 func TestSeeds(t *testing.T) {
 	if failed, first, violation := sweepSeeds(t, *firstSeed, seeds, disabledRules{}); failed > 0 {
 		t.Fatalf("%d of %d seeds; seed %d: %s", failed, seeds, first, violation)
--- a/internal/suspect/burst.go
+++ b/internal/suspect/burst.go
@@ -14,9 +14,9 @@
 
 // burst counts the upstreams that crash together.
 //
-// It guards against the loss of a failure domain or of the network to it. Every request
-// in flight there would become a suspect and need an upstream to itself. Such a loss
-// takes many upstreams within seconds, which no single request can cause.
+// It prevents false suspects when a failure domain, or the network to it, is lost. Every
+// request in flight there would become a suspect and need an upstream to itself. Such a
+// loss takes many upstreams within seconds, which no single request can cause.
 type burst struct {
 	recent []burstCrash
 }
--- a/internal/suspect/completed.go
+++ b/internal/suspect/completed.go
@@ -15,9 +15,9 @@
 
 // completions are the fingerprints that have completed recently.
 //
-// They guard against the conviction of a body that many callers send: it is in flight at
-// every crash, whatever the cause, and would be refused to all of them. A request that
-// crashes each upstream that runs it never completes.
+// They prevent the conviction of a body that many callers send: it is in flight at every
+// crash, whatever the cause, and would be refused to all of them. A request that crashes
+// each upstream that runs it never completes.
 type completions struct {
 	current   map[request.Fingerprint]struct{}
 	previous  map[request.Fingerprint]struct{}
--- a/internal/suspect/freshness.go
+++ b/internal/suspect/freshness.go
@@ -7,8 +7,8 @@
 
 // freshness is how recently the node has received what its peers know.
 //
-// It guards against a node that was paused or cut off while the others learned of a
-// suspect, and that gets the request as soon as it runs again. Such a node has no answer
+// Otherwise a node that was paused or cut off while the others learned of a suspect could
+// get the request as soon as it runs again, and would run it. Such a node has no answer
 // to a pull younger than FreshnessTTL. A peer that reported a crash to its caller has
 // waited longer than that for this node, so the answer to a younger pull contains what
 // the node missed.
--- a/internal/suspect/loss.go
+++ b/internal/suspect/loss.go
@@ -104,9 +104,9 @@
 // suspectsKnown reports whether the peers know the loss's suspects, or have had their
 // time to answer.
 //
-// It guards against a caller that gets the failure and sends the request to a node that
-// does not know of it. A peer that does not answer for FreshnessTTL and Grace must ask
-// another node before it runs anything new.
+// Otherwise a caller that gets the failure could send the request to a node that does not
+// know of it. A peer that does not answer for FreshnessTTL and Grace must ask another
+// node before it runs anything new.
 func (t *Tracker) suspectsKnown(l *loss) bool {
 	if len(l.fingerprints) == 0 || !t.settings.applies(ruleHoldFailures) {
 		return true
--- a/internal/suspect/losses_test.go
+++ b/internal/suspect/losses_test.go
@@ -50,11 +50,11 @@
 	return true
 }
 
-// Guards against a third upstream lost to one request that crashes each upstream that
-// runs it. Its caller sends it to any node, with a new key, as soon as it gets the
-// failure or times out. Meanwhile messages are lost, delayed and repeated, nodes are
-// paused, cut off and replaced, and upstreams crash for other reasons. The requests in
-// flight beside it must complete.
+// A request that crashes each upstream that runs it must not take a third one. Its caller
+// sends it to any node, with a new key, as soon as it gets the failure or times out.
+// Meanwhile messages are lost, delayed and repeated, nodes are paused, cut off and
+// replaced, and upstreams crash for other reasons. The requests in flight beside it must
+// complete.
 func TestRequestCrashesAtMostTwoUpstreams(t *testing.T) {
 	const lanes = 64
 	for lane := range lanes {
@@ -69,9 +69,8 @@
 	}
 }
 
-// Guards against the same failure with more nodes than exchange messages directly:
-// records go by relays and five nodes vote. One silent node among them must still be
-// detected.
+// The same must hold with more nodes than exchange messages directly: records go by
+// relays and five nodes vote. One silent node among them must still be detected.
 func TestRequestCrashesAtMostTwoUpstreamsWithRelays(t *testing.T) {
 	for seed := range uint64(*seeds / 100) {
 		if wrong, _ := runSeed(seed, 24, 0, false); wrong != "" {
@@ -86,8 +85,8 @@
 	return strings.Join(w.log, "\n")
 }
 
-// Guards against a simulation that no longer detects a missing rule: without any one of
-// the rules some seed must lose a third upstream.
+// Fails if the simulation no longer detects a missing rule: without any one of the rules
+// some seed must lose a third upstream.
 func TestSeedsCatchDisabledRules(t *testing.T) {
 	for name, disabled := range map[string]rule{
 		"alert":   ruleAlert,
