--- a/internal/choice/script_test.go
+++ b/internal/choice/script_test.go
@@ -24,8 +24,7 @@
 	snapshot *config.Snapshot
 }
 
-// The files in testdata state in their comments which failure each scenario guards
-// against.
+// The files in testdata state in their comments which failure each scenario tests for.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		s := &scenario{t: t, now: start, rng: rand.New(rand.NewPCG(1, 2)), chooser: New(Settings{Node: "a", Epoch: 1})}
--- a/internal/crashguard/guard_test.go
+++ b/internal/crashguard/guard_test.go
@@ -8,9 +8,9 @@
 	"github.com/matryer/is"
 )
 
-// Guards against a request that crashes one upstream after the other. Strikes from
-// several nodes add up, and the third one blocks the request. A request that ran beside
-// it once is not blocked.
+// A request that crashes one upstream after the other is blocked. Strikes from several
+// nodes add up, and the third one blocks the request. A request that ran beside it once
+// is not blocked.
 func TestRequestIsBlockedAfterThreeCrashes(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -30,8 +30,8 @@
 	is.True(!there.Blocked(bystander))
 }
 
-// Guards against unbounded memory and messages: strikes expire, and the numbers stored
-// and sent are limited.
+// Memory and messages stay bounded: strikes expire, and the numbers stored and sent are
+// limited.
 func TestStrikesExpireAndAreBounded(t *testing.T) {
 	is := is.New(t)
 	g := New()
@@ -46,8 +46,8 @@
 	is.True(!g.Add(Strike{Fingerprint: 1, Upstream: "i-1", Age: strikeTTL + 1}, now))
 }
 
-// Guards against collisions: requests that differ in organisation, path or body have
-// different fingerprints.
+// Fingerprints do not collide: requests that differ in organisation, path or body have
+// different ones.
 func TestDifferentRequestsHaveDifferentFingerprints(t *testing.T) {
 	is := is.New(t)
 	seen := map[uint64]string{}
--- a/internal/gateway/attempt_timer.go
+++ b/internal/gateway/attempt_timer.go
@@ -27,13 +27,13 @@
 // attemptTimer moves an attempt to another upstream when it waits far longer than usual for
 // its answer to begin.
 //
-// It guards against work that is stuck at one upstream while others are idle. The work may
-// be queued behind a prompt that takes seconds to read, or the upstream may have stopped
-// responding without closing its connections. The caller would wait until its deadline. The
-// threshold follows the usual wait of all attempts, including moved ones, so nothing is
-// moved when all upstreams are slow. If the retry budget less its reserve does not allow
-// the move, the timer fires again once the answer would be far too late; the whole budget
-// may then be used.
+// Otherwise work would stay stuck at one upstream while others are idle. The work may be
+// queued behind a prompt that takes seconds to read, or the upstream may have stopped
+// responding without closing its connections. The caller would wait until its deadline.
+// The threshold follows the usual wait of all attempts, including moved ones, so nothing
+// is moved when all upstreams are slow. If the retry budget less its reserve does not
+// allow the move, the timer fires again once the answer would be far too late; the whole
+// budget may then be used.
 type attemptTimer struct {
 	mu    sync.Mutex
 	timer *time.Timer
--- a/internal/gateway/attempt_timer_test.go
+++ b/internal/gateway/attempt_timer_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// Guards against an attempt that is moved only after its caller has gone. This happens on a
-// route whose goal is as long as the caller waits, when the attempt is stuck behind a long
+// Fails if an attempt is moved only after its caller has gone. This happens on a route
+// whose goal is as long as the caller waits, when the attempt is stuck behind a long
 // prompt and half of the retry budget is spent. The attempt must move while time is left
 // for another one.
 func TestStuckAttemptMovesWhileTimeIsLeft(t *testing.T) {
--- a/internal/gateway/contacts_test.go
+++ b/internal/gateway/contacts_test.go
@@ -32,7 +32,7 @@
 	return met
 }
 
-// Guards against a new connection in each gossip round. A node among many must use few
+// Fails if each gossip round opens a new connection. A node among many must use few
 // contacts, so that connections are reused, and must replace a lost contact at once.
 func TestContactsAreFewAndReplacedWhenLost(t *testing.T) {
 	is := is.New(t)
@@ -49,8 +49,8 @@
 	is.True(ok && m.ID == "far")
 }
 
-// Guards against parts of the deployment that only gossip among themselves. Contacts must
-// change, so that a node picks every peer in time.
+// Without changing contacts, parts of the deployment would only gossip among themselves.
+// Contacts must change, so that a node picks every peer in time.
 func TestContactsReachAllPeersInTime(t *testing.T) {
 	is := is.New(t)
 	met := peersPicked(contacts{}, 20_000, func() []gossip.Member { return membersExcept(20, "") })
--- a/internal/gateway/first_message_test.go
+++ b/internal/gateway/first_message_test.go
@@ -10,7 +10,7 @@
 	"github.com/hickorybank/hickorybank/internal/gossip"
 )
 
-// Guards against first messages that list all members. At rest these were half of what a
+// Regression: first messages listed all members. At rest these were half of what a
 // hundred nodes received. A first message describes only its sender; a roster hash shows
 // that the sender knows others, and a second exchange transfers the difference.
 func TestFirstMessageDescribesOnlyItsSender(t *testing.T) {
--- a/internal/gateway/fleet_changes.go
+++ b/internal/gateway/fleet_changes.go
@@ -76,11 +76,11 @@
 // dropUpstreams drops upstreams that are no longer listed. With mayHaveLapsed it retains
 // them for a while; at is when the reading began. The caller holds mu.
 //
-// It guards against a table that lost its entries during an outage: without it all
-// upstreams would vanish at once although they are alive. Live upstreams are listed again
-// within lapseGrace. Only the first reading after an outage can show such a loss; upstreams
-// that vanish later have left. Retained upstreams are not gossiped: a peer whose readings
-// have no gap knows that they left.
+// The table may have lost its entries during an outage: without retention all upstreams
+// would vanish at once although they are alive. Live upstreams are listed again within
+// lapseGrace. Only the first reading after an outage can show such a loss; upstreams that
+// vanish later have left. Retained upstreams are not gossiped: a peer whose readings have
+// no gap knows that they left.
 func (n *Node) dropUpstreams(ids []string, at time.Time, mayHaveLapsed bool) {
 	until := at.Add(lapseGrace)
 	kept := 0
--- a/internal/gateway/follow_config.go
+++ b/internal/gateway/follow_config.go
@@ -96,8 +96,9 @@
 
 // backingOffRejected reports whether this node has recently rejected what its peers have.
 //
-// It guards against a configuration that a node of an older release can't read. The node
-// would fetch it from one peer after another for as long as the upgrade lasts.
+// The back-off is for a configuration that a node of an older release can't read.
+// Otherwise the node would fetch it from one peer after another for as long as the
+// upgrade lasts.
 func (f *configFetch) backingOffRejected(now time.Time) bool {
 	return f.node.newestPeerVersion.Load() <= f.rejectedVersion && now.Sub(f.rejectedAt) < rejectedBackoff
 }
--- a/internal/gateway/follow_config_test.go
+++ b/internal/gateway/follow_config_test.go
@@ -77,10 +77,10 @@
 	return nil, errors.New("unknown kind of route")
 }
 
-// Guards against repeated transfers of a configuration that an older release can't read,
-// for example one with an unknown kind of route. The node fetched it from another peer
-// every half second; a large one fills its link for as long as the upgrade lasts. It must
-// try again only after rejectedBackoff.
+// Regression: a configuration that an older release can't read, for example one with an
+// unknown kind of route, was transferred repeatedly. The node fetched it from another
+// peer every half second; a large one fills its link for as long as the upgrade lasts. It
+// must try again only after rejectedBackoff.
 func TestRejectedConfigurationIsNotFetchedAgainAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/gateway/follow_rollouts.go
+++ b/internal/gateway/follow_rollouts.go
@@ -83,8 +83,8 @@
 // verdictTurn returns when this node may write a verdict that another node made. The nodes
 // take turns in the order of their IDs until one has written it.
 //
-// It guards against a table that refuses only the node that decided: the verdict would not
-// be recorded although all other nodes could.
+// Turns are needed when the table refuses only the node that decided: without them the
+// verdict would not be recorded although all other nodes could record it.
 func (n *Node) verdictTurn(o canary.Order) time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/gateway/follow_rollouts_test.go
+++ b/internal/gateway/follow_rollouts_test.go
@@ -48,9 +48,9 @@
 	return l.Addr().String(), conns
 }
 
-// Guards against a verdict that reaches the table after the rollout's limit. The node
-// notified its peers first, some of them unreachable, and wrote the verdict only after
-// their timeouts.
+// Regression: a verdict reached the table after the rollout's limit. The node notified
+// its peers first, some of them unreachable, and wrote the verdict only after their
+// timeouts.
 func TestVerdictIsRecordedBeforePeersAreNotified(t *testing.T) {
 	is := is.New(t)
 	addr, called := newSilentPeer(t)
@@ -94,9 +94,9 @@
 	return v, nil
 }
 
-// Guards against hundreds of calls of an unavailable table. Every node that had its turn
-// retried a verdict each second. Each may try once; then the verdict waits until some node
-// has read the table again.
+// Regression: an unavailable table got hundreds of calls. Every node that had its turn
+// retried a verdict each second. Each may try once; then the verdict waits until some
+// node has read the table again.
 func TestVerdictWaitsWhileTableIsUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/gateway/follow_table_test.go
+++ b/internal/gateway/follow_table_test.go
@@ -48,9 +48,10 @@
 	}
 }
 
-// Guards against members of a group that all call an unavailable table at the reader's rate
-// when their reader's messages stop: twenty times the calls for one answer. A reader, and a
-// node without state, keep that rate.
+// When their reader's messages stop, the members of a group call an unavailable table
+// less often than a reader would. If all of them called at the reader's rate, it would be
+// twenty times the calls for one answer. A reader, and a node without state, keep that
+// rate.
 func TestMembersCallAnUnavailableTableSeldom(t *testing.T) {
 	is := is.New(t)
 	const outage = 10 * time.Second
--- a/internal/gateway/kept_upstreams_test.go
+++ b/internal/gateway/kept_upstreams_test.go
@@ -42,12 +42,12 @@
 
 func (n *listTestNode) listed(id string) bool { return n.fleet.Get(id) != nil }
 
-// Guards against an upstream that is retained for good and gets requests after it has left.
-// The node is cut off from the table and from most peers. 3.7 s after its last proof it
-// learns that an upstream left, from a peer that read the table 1.3 s before. By the clock
-// the upstream's entry could have lapsed, so it was retained; by the readings there was no
-// gap, so nothing ended that. The node kept receiving proofs, never called the table again,
-// and sent requests to the upstream 15 s after it had left.
+// Regression: an upstream was retained for good and got requests after it had left. The
+// node is cut off from the table and from most peers. 3.7 s after its last proof it
+// learns that an upstream left, from a peer that read the table 1.3 s before. By the
+// clock the upstream's entry could have lapsed, so it was retained; by the readings there
+// was no gap, so nothing ended that. The node kept receiving proofs, never called the
+// table again, and sent requests to the upstream 15 s after it had left.
 func TestRetainedUpstreamIsDroppedByPeersProofs(t *testing.T) {
 	is := is.New(t)
 	start := time.Now()
@@ -63,9 +63,9 @@
 	is.True(n.listed("u2"))
 }
 
-// Guards against live upstreams that are dropped in a second outage. The first reading
-// after the first outage lists none of them, and the table fails again at once. They must
-// keep serving until a late enough reading does not list them either.
+// A second outage must not drop live upstreams. The first reading after the first outage
+// lists none of them, and the table fails again at once. They must keep serving until a
+// late enough reading does not list them either.
 func TestRetainedUpstreamsSurviveASecondOutage(t *testing.T) {
 	is := is.New(t)
 	start := time.Now()
@@ -80,8 +80,8 @@
 	is.True(!n.listed("u1"))
 }
 
-// Guards against retaining an upstream that has left. A node that was cut off learns of its
-// end from a peer that has read the table without a gap, so the entry cannot have lapsed
+// An upstream that has left is not retained. A node that was cut off learns of its end
+// from a peer that has read the table without a gap, so the entry cannot have lapsed
 // unseen.
 func TestGaplessPeerDropsAnUpstreamAtOnce(t *testing.T) {
 	is := is.New(t)
--- a/internal/gateway/messages.go
+++ b/internal/gateway/messages.go
@@ -260,7 +260,7 @@
 // applyPendingProofs applies the proofs that waited for their configuration, once it is
 // active; the caller holds mu.
 //
-// It guards against proofs that are lost because a transfer takes a moment. The node would
+// Without it, proofs would be lost because a transfer takes a moment, and the node would
 // soon read the table itself for what it has just received.
 func (n *Node) applyPendingProofs() {
 	for {
--- a/internal/gateway/orders_proof_test.go
+++ b/internal/gateway/orders_proof_test.go
@@ -11,9 +11,9 @@
 	"github.com/hickorybank/hickorybank/internal/route"
 )
 
-// Guards against readings of the table for what a node is about to receive. A reader's
-// proof named a version that its group did not have yet; members dropped the proof and read
-// the table a second later. A proof must count from the activation of its version; with
+// Regression: nodes read the table for what they were about to receive. A reader's proof
+// named a version that its group did not have yet; members dropped the proof and read the
+// table a second later. A proof must count from the activation of its version; with
 // frequent changes, each counts in turn.
 func TestOrdersProofWaitsForItsConfiguration(t *testing.T) {
 	is := is.New(t)
@@ -48,8 +48,8 @@
 	is.True(n.view.ordersAsOf.Equal(at(8)))
 }
 
-// Guards against members that wait for a lost reader because the reader of another group
-// reports a large transfer. Only the own reader's report counts.
+// Members do not wait for a lost reader when the reader of another group reports a large
+// transfer. Only the own reader's report counts.
 func TestOnlyOwnReadersTransferDelaysReading(t *testing.T) {
 	is := is.New(t)
 	n := newGroupNode(false)
@@ -76,9 +76,9 @@
 	return OrdersChange{Config: make([]byte, largeConfigBytes), Revision: 7}, nil
 }
 
-// Guards against calls without a pause. A large configuration is read once more, as a newer
-// one may have been made meanwhile; a table that returns it again under the same revision
-// must end that.
+// Fails if a node calls the table without a pause. A large configuration is read once
+// more, as a newer one may have been made meanwhile; a table that returns it again under
+// the same revision must end that.
 func TestUnchangedLargeConfigurationIsReadOnlyTwice(t *testing.T) {
 	is := is.New(t)
 	n := newGroupNode(true)
--- a/internal/gateway/proof_age_test.go
+++ b/internal/gateway/proof_age_test.go
@@ -10,8 +10,8 @@
 	"github.com/hickorybank/hickorybank/internal/gossip"
 )
 
-// Guards against proofs that stay fresh by travelling between nodes. Proofs carry the age
-// of the reading without the transfer time, so each exchange made them a little younger.
+// Regression: proofs stayed fresh by travelling between nodes. Proofs carry the age of
+// the reading without the transfer time, so each exchange made them a little younger.
 // While the table refused a third of the nodes, the reader among them, no other node read
 // in its place, and most nodes accepted withdrawn keys for nine seconds.
 func TestProofAgesWhilePeersExchangeIt(t *testing.T) {
--- a/internal/gateway/record_change_test.go
+++ b/internal/gateway/record_change_test.go
@@ -26,8 +26,8 @@
 func (nopDialect) Reply(int, http.Header) Reply                                          { return Reply{} }
 func (nopDialect) IDField() string                                                       { return "" }
 
-// Guards against an attempt that reads its upstream's ID and address while a newer record
-// of the upstream is applied. The race detector shows it.
+// Fails under the race detector if an attempt reads its upstream's ID and address while a
+// newer record of the upstream is applied.
 func TestRecordChangesDuringAnAttempt(t *testing.T) {
 	const attempts = 300
 	n := New(Settings{ID: "n", Drain: time.Second, Apply: time.Second}, Deps{
--- a/internal/gateway/retry_after.go
+++ b/internal/gateway/retry_after.go
@@ -16,8 +16,8 @@
 // retryAfterOf returns when a refused caller should retry: urgent callers first, and not
 // all at the same moment. random is a number from 0 to 1.
 //
-// It guards against refused callers that return together and are refused together again.
-// Callers try only a few times, so the second refusal is often the last.
+// Otherwise refused callers would return together and be refused together again. Callers
+// try only a few times, so the second refusal is often the last.
 func retryAfterOf(usual time.Duration, priority int, random float64) time.Duration {
 	steps := float64(min(max(priority, 0), maxPrioritySteps))
 	return time.Duration(float64(usual) * (1 + priorityStep*steps + retrySpread*random)).Round(time.Millisecond)
--- a/internal/gateway/retry_after_test.go
+++ b/internal/gateway/retry_after_test.go
@@ -7,9 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// Guards against refused callers that all return at once. After upstreams crash at the
-// peak, a thousand callers are refused within a moment. Urgent callers must return first,
-// and each priority must be spread out.
+// Refused callers do not all return at once. After upstreams crash at the peak, a
+// thousand callers are refused within a moment. Urgent callers must return first, and
+// each priority must be spread out.
 func TestRetryAfterOrdersAndSpreadsCallers(t *testing.T) {
 	is := is.New(t)
 	const usual = time.Second
--- a/internal/gateway/sender_set_test.go
+++ b/internal/gateway/sender_set_test.go
@@ -9,9 +9,8 @@
 	"github.com/hickorybank/hickorybank/internal/gossip"
 )
 
-// Guards against a rate of which half stays unused for an hour after VMs were replaced one
-// by one. Also guards against a share that is given away while its node is cut off or
-// restarts.
+// Stopped nodes lose their share; otherwise half of a rate stays unused for an hour after
+// VMs were replaced one by one. A node that is cut off or restarts keeps its share.
 func TestStoppedNodesLoseTheirShareOfARate(t *testing.T) {
 	is := is.New(t)
 	start := time.Now()
--- a/internal/gateway/session_version_test.go
+++ b/internal/gateway/session_version_test.go
@@ -12,8 +12,8 @@
 	"github.com/hickorybank/hickorybank/internal/route"
 )
 
-// Guards against a session that continues at another version because all upstreams of its
-// own version have asked for a few seconds of rest.
+// A session keeps its version even if all upstreams of that version have asked for a few
+// seconds of rest.
 func TestSessionKeepsItsVersionWhileUpstreamsRest(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -24,8 +24,9 @@
 // paceEvents is the number of events after which a stream's pace is reported to the
 // rollout.
 //
-// It guards against a slow version, whose streams take many times as long. Reported only at
-// their end, they would show the fault after all sessions had moved to the version.
+// An early report exposes a slow version, whose streams take many times as long. Reported
+// only at their end, they would show the fault after all sessions had moved to the
+// version.
 const paceEvents = 6
 
 // streamEnd is how the reading of a stream ended.
--- a/internal/gateway/table_reader.go
+++ b/internal/gateway/table_reader.go
@@ -9,10 +9,10 @@
 
 // tableReader reads the table for one node.
 //
-// It guards against an answer that takes long because it is large. Meanwhile it reads the
-// list of upstreams, and the group is informed that a transfer is in progress. Otherwise,
-// while a reader on 10 Mbit/s took 533 kB of configuration, its group received nothing, and
-// all members read the same from the table: 658 kB per node.
+// An answer may take long because it is large. Meanwhile tableReader reads the list of
+// upstreams, and the group is informed that a transfer is in progress. Otherwise, while a
+// reader on 10 Mbit/s took 533 kB of configuration, its group received nothing, and all
+// members read the same from the table: 658 kB per node.
 type tableReader struct {
 	node *Node
 	// orders receives the result of the reading of operator orders in progress; nil for
--- a/internal/gateway/wait_for_config.go
+++ b/internal/gateway/wait_for_config.go
@@ -13,10 +13,10 @@
 // waitForConfig waits until a node without state can admit the request. It returns nil if
 // the request may proceed.
 //
-// It guards against restarts of many nodes while the table is unavailable. Callers whose
-// requests were cut retry at once and only once or twice. Nodes that are ready a moment
-// later would refuse them for good. The body is read before the wait, as a caller abandons
-// a request that is not read.
+// The wait is for restarts of many nodes while the table is unavailable. Callers whose
+// requests were cut retry at once and only once or twice. Without the wait, nodes that
+// are ready a moment later would refuse them for good. The body is read before the wait,
+// as a caller abandons a request that is not read.
 func (j *job) waitForConfig() *refusal {
 	until := j.start.Add(maxConfigWait)
 	if j.headers.Timeout > 0 {
--- a/internal/gateway/wait_for_config_test.go
+++ b/internal/gateway/wait_for_config_test.go
@@ -60,9 +60,9 @@
 	return done
 }
 
-// Guards against refusals by a node that has just started, after all nodes were killed
-// while the table was unavailable. Callers whose requests were cut retry at once and only a
-// few times. The request must wait until the node has read the table.
+// Fails if a node that has just started refuses requests, after all nodes were killed
+// while the table was unavailable. Callers whose requests were cut retry at once and only
+// a few times. The request must wait until the node has read the table.
 func TestRequestWaitsForNodeToLearnItsConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -79,8 +79,8 @@
 	})
 }
 
-// Guards against requests that wait too long for a table that stays unavailable. They are
-// refused after a tenth of the caller's timeout, and after two seconds at most.
+// Requests wait only a limited time for a table that stays unavailable. They are refused
+// after a tenth of the caller's timeout, and after two seconds at most.
 func TestConfigurationWaitIsBounded(t *testing.T) {
 	for _, c := range []struct{ callers, waits time.Duration }{
 		{time.Second, 100 * time.Millisecond}, {time.Minute, maxConfigWait}, {0, maxConfigWait},
--- a/internal/node/chunk_test.go
+++ b/internal/node/chunk_test.go
@@ -11,7 +11,7 @@
 	"github.com/hickorybank/hickorybank/internal/rawhttp"
 )
 
-// Guards against a stream that stalls because the node holds a chunk back until the next one
+// Fails if a stream stalls because the node holds a chunk back until the next one
 // arrives. The engine sends each chunk only after the caller has read the one before.
 func TestChunkIsSentBeforeTheNextArrives(t *testing.T) {
 	t.Parallel()
--- a/internal/node/limits_test.go
+++ b/internal/node/limits_test.go
@@ -8,10 +8,10 @@
 	"github.com/hickorybank/hickorybank/internal/admission"
 )
 
-// Guards against rate limits that drop to the nodes' reserves when a failure domain grows beyond
+// Fails if rate limits drop to the nodes' reserves when a failure domain grows beyond
 // eight nodes, because the calls to the collector or from it to the holder fail between
-// processes. Every node must get more than it may use without a grant, which is a ninth of a
-// tenth of the limit.
+// processes. Every node must get more than it may use without a grant, which is a ninth
+// of a tenth of the limit.
 func TestNodesOfALargeDomainGetSharesFromACollector(t *testing.T) {
 	const nodes, limit, reserve, atOnce = 9, 9000.0, 100.0, 4
 	all := domains
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -15,9 +15,9 @@
 
 var small = fleetSize{nodes: 2, engines: 3, services: 2, tokens: 4, tokenGap: time.Millisecond}
 
-// Guards against a request that is billed twice. The caller gets its answer late and resends
-// the request with the same key through another node, so both run. Bills must be kept per key,
-// not per run.
+// A request is billed once, even if it runs twice. The caller gets its answer late and
+// resends the request with the same key through another node, so both run. Bills must be
+// kept per key, not per run.
 func TestRetryThroughAnotherNodeIsBilledOnce(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -30,9 +30,9 @@
 	is.Equal(f.bills()["draft-1"], 1)
 }
 
-// Guards against a service call that runs twice. Its answer is lost after the service received
-// it. Neither the node nor the caller's retry through another node may send it again, since it
-// may have run.
+// A service call runs at most once. Its answer is lost after the service received it.
+// Neither the node nor the caller's retry through another node may send it again, since
+// it may have run.
 func TestServiceCallWithLostAnswerRunsOnce(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -72,9 +72,9 @@
 	is.Equal(f.bills()["settle-2"], 1)
 }
 
-// Guards against one request that crashes every engine. It crashes each engine that runs it,
-// and its caller resends it with new keys through both nodes. At most two engines may crash;
-// then it is refused, and other requests still get their answers.
+// One request must not crash every engine. It crashes each engine that runs it, and its
+// caller resends it with new keys through both nodes. At most two engines may crash; then
+// it is refused, and other requests still get their answers.
 func TestCrashingRequestCrashesAtMostTwoEngines(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
--- a/internal/node/notices_test.go
+++ b/internal/node/notices_test.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// Guards against nodes that keep sending half of all calls to a service VM that has announced
-// a rate limit.
+// Fails if nodes keep sending half of all calls to a service VM that has announced a rate
+// limit.
 func TestServiceWithAnnouncedRateLimitGetsNoMoreCalls(t *testing.T) {
 	const perSecond, window = 1.0, 4
 	f := newNoticeFleet(t, 2, func(faults *service.Faults) { faults.Said = host.Said{RateLimit: perSecond} })
@@ -52,7 +52,7 @@
 	}
 }
 
-// Guards against calls to a service VM that has announced a pause to the node.
+// A service VM that has announced a pause to the node gets no calls.
 func TestServiceWithAnnouncedPauseGetsNoCalls(t *testing.T) {
 	f := newNoticeFleet(t, 1, func(faults *service.Faults) { faults.Said = host.Said{RestMillis: 60_000} })
 	f.settleAll(time.Second)
--- a/internal/node/refusals_test.go
+++ b/internal/node/refusals_test.go
@@ -9,9 +9,9 @@
 	"github.com/matryer/is"
 )
 
-// Guards against refusals that no metric attributes to an organisation, class and reason.
-// Unverified names in a request must not become labels, or invented names would create any
-// number of time series.
+// Every refusal is attributed to an organisation, class and reason by a metric.
+// Unverified names in a request must not become labels, or invented names would create
+// any number of time series.
 func TestRefusalsAreCountedByOrganisationClassAndReason(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
--- a/internal/node/stop_conn_test.go
+++ b/internal/node/stop_conn_test.go
@@ -42,9 +42,10 @@
 
 const modelsRequest = "GET /v1/models HTTP/1.1\r\nHost: router\r\nAuthorization: Bearer demo-cartagena\r\n\r\n"
 
-// Guards against a stop that breaks off a request in transit. A caller with an outdated address
-// has sent half a header on a reused connection when the stopping node closes its idle
-// connections. Without an answer it could not know whether the request ran.
+// A stop answers a request in transit instead of breaking it off. A caller with an
+// outdated address has sent half a header on a reused connection when the stopping node
+// closes its idle connections. Without an answer it could not know whether the request
+// ran.
 func TestStopAnswersARequestInTransit(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -71,8 +72,8 @@
 	is.True(strings.Contains(body, `"data"`))
 }
 
-// Guards against an answer without "Connection: close" while the node refuses new work. The
-// caller would reuse the connection, and its next request would be broken off.
+// While the node refuses new work, each answer carries "Connection: close". The caller
+// would reuse the connection, and its next request would be broken off.
 func TestAnswersDuringStopCloseTheConnection(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -88,10 +89,10 @@
 	is.True(res.Close)
 }
 
-// Guards against requests that are broken off during a planned stop. Callers keep using the old
-// address, on reused connections where possible. Each request on an accepted connection must be
-// answered, since one without an answer may have run. Connections that the operating system
-// resets with the listener were never accepted and are counted separately.
+// A planned stop breaks off no requests. Callers keep using the old address, on reused
+// connections where possible. Each request on an accepted connection must be answered,
+// since one without an answer may have run. Connections that the operating system resets
+// with the listener were never accepted and are counted separately.
 func TestStopUnderLoadAnswersEveryAcceptedRequest(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
--- a/internal/node/stopping_test.go
+++ b/internal/node/stopping_test.go
@@ -8,9 +8,10 @@
 	"github.com/matryer/is"
 )
 
-// Guards against a caller that reuses its connection to a stopping node. The node refuses its
-// request and later closes the idle connection, while the caller's next request is in transit.
-// So each refusal must carry "Connection: close", and no answer before the stop may.
+// Fails if a caller reuses its connection to a stopping node. The node refuses its
+// request and later closes the idle connection, while the caller's next request is in
+// transit. So each refusal must carry "Connection: close", and no answer before the stop
+// may.
 func TestRefusalDuringStopClosesTheConnection(t *testing.T) {
 	is := is.New(t)
 	var s stopping
--- a/internal/progress/progress_test.go
+++ b/internal/progress/progress_test.go
@@ -35,8 +35,7 @@
 	}
 }
 
-// Guards against a timeout that cuts off a slow transfer while data keeps arriving, or that
-// misses a stalled one.
+// A timeout ends a stalled transfer, but not a slow one while data keeps arriving.
 func TestCallEndsOnlyAtALimit(t *testing.T) {
 	slow := make([]time.Duration, 20)
 	for i := range slow {
--- a/internal/session/signer_test.go
+++ b/internal/session/signer_test.go
@@ -32,8 +32,7 @@
 	return text, token
 }
 
-// Guards against a session token that is accepted although it is forged, expired or another
-// organisation's.
+// A session token that is forged, expired or another organisation's is refused.
 func TestVerifyRefusesForeignExpiredAndForgedTokens(t *testing.T) {
 	s := newSigner(t, oldKey)
 	text, _ := signToken(t, s)
@@ -73,7 +72,7 @@
 	is.Equal(got, token)
 }
 
-// Guards against a session key that is too short to be secure.
+// A session key that is too short to be secure is refused.
 func TestNewSealerRefusesShortKey(t *testing.T) {
 	_, err := seal.New([]byte("short"))
 	is.New(t).True(err != nil)
