--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -11,9 +11,9 @@
 	"github.com/hickorybank/hickorybank/internal/config"
 )
 
-// Without load reports from the upstreams, the limit must not stay far from their
-// capacity. The upstreams have a fixed number of slots, and further requests only wait
-// there. The limit settles near that number, from far below and from far above.
+// Without load reports from the upstreams, the limit still comes close to their capacity.
+// The upstreams have a fixed number of slots, and further requests only wait there. The
+// limit settles near that number, from far below and from far above.
 func TestLimitFollowsLatency(t *testing.T) {
 	for _, slots := range []int{12, 60, 300} {
 		for _, initial := range []int{4, 32, 600} {
@@ -46,7 +46,8 @@
 	}
 }
 
-// The limit must not shrink when little runs and only a slow network delays first tokens.
+// Fails if the limit shrinks although little runs, because a slow network delays first
+// tokens.
 func TestLatencyAtLowLoadKeepsLimit(t *testing.T) {
 	is := is.New(t)
 	l := newLimiter(LimitSettings{}.withDefaults())
@@ -63,8 +64,8 @@
 	is.Equal(l.limit, float64(defaultInitialLimit))
 }
 
-// Nodes must not shrink unevenly. A node takes the part of the upstreams' slots that its
-// own requests have in all requests, so that nodes shrink together and keep their
+// Nodes shrink evenly. A node takes the part of the upstreams' slots that its own
+// requests have in all requests, so that nodes shrink together and keep their
 // proportions.
 func TestLimitFollowsReports(t *testing.T) {
 	for _, c := range []struct {
--- a/internal/admission/rate_collector_test.go
+++ b/internal/admission/rate_collector_test.go
@@ -207,10 +207,10 @@
 	return sum
 }
 
-// A large organisation must not get more than its limit. Messages are lost and delayed,
-// nodes of a domain use different collectors, and collectors and nodes are paused, cut
-// off or restarted without their state. At no step may all nodes together use more than
-// the limit.
+// A large organisation stays within its limit. Messages are lost and delayed, nodes of a
+// domain use different collectors, and collectors and nodes are paused, cut off or
+// restarted without their state. At no step may all nodes together use more than the
+// limit.
 func TestLimitHoldsAcrossDomains(t *testing.T) {
 	const nodes, domains, limit, step = 27, 3, 60.0, 100 * time.Millisecond
 	for seed := range uint64(100) {
@@ -272,8 +272,8 @@
 	return slices.DeleteFunc(slices.Clone(f.nodes), func(n *domainNode) bool { return n.lost })
 }
 
-// The limit must not stay exceeded after nodes have disagreed on the holder. The nodes of
-// one failure domain choose another holder, because their lists lack the first. While the
+// The limit holds again after nodes have disagreed on the holder. The nodes of one
+// failure domain choose another holder, because their lists lack the first. While the
 // lists differ, up to twice the limit may pass, with and without collectors. Once they
 // agree, the limit must hold as soon as the grants of that time have expired.
 func TestTwoHoldersUntilListsAgree(t *testing.T) {
@@ -310,9 +310,9 @@
 	}
 }
 
-// A domain must not be limited to its reserves while its collector hangs. The process
-// does not answer but stays in the list. The next collector in rank must get the domain
-// its share.
+// Without a replacement, a domain is limited to its reserves while its collector hangs.
+// The process does not answer but stays in the list. The next collector in rank must get
+// the domain its share.
 func TestPausedCollectorIsReplaced(t *testing.T) {
 	is := is.New(t)
 	const limit, step = 100.0, 50 * time.Millisecond
@@ -334,9 +334,9 @@
 	is.True(run(20*time.Second) > 0.85*limit)
 }
 
-// A collector that reaches its nodes but not the holder must not renew shares that the
-// holder has granted to others after they expired. The sum of both would pass. Its nodes
-// must fall back to their reserves, and the others get the rest.
+// A collector that reaches its nodes but not the holder stops renewing shares once they
+// expire, because the holder then grants them to others. Otherwise the sum of both would
+// pass. Its nodes must fall back to their reserves, and the others get the rest.
 func TestCollectorCutOffFromHolder(t *testing.T) {
 	is := is.New(t)
 	const limit, step = 100.0, 50 * time.Millisecond
@@ -367,7 +367,7 @@
 	is.True(rate(far) > 0.85*limit)
 }
 
-// The holder must not take a restarted collector for its previous process. One of its
+// The holder distinguishes a restarted collector from its previous process. One of its
 // nodes is cut off and still holds the domain's whole share when another one bursts; both
 // would use the limit at once.
 func TestRestartedCollectorKeepsLimit(t *testing.T) {
@@ -393,8 +393,8 @@
 	is.True(rate > 0.85*limit)
 }
 
-// A node that is cut off must use neither more nor less than it may. It keeps its last
-// share until that expires, and then exactly its reserve.
+// A node that is cut off uses exactly what it may. It keeps its last share until that
+// expires, and then exactly its reserve.
 func TestCutOffNodeWithCollectorKeepsReserve(t *testing.T) {
 	is := is.New(t)
 	const limit, step = 100.0, 50 * time.Millisecond
--- a/internal/admission/rate_figures_test.go
+++ b/internal/admission/rate_figures_test.go
@@ -127,7 +127,7 @@
 	{1600, 38, noCollectors, "1600 direct"}, {1600, 38, defaultMaxDirectNodes, "1600"},
 }
 
-// An organisation that bursts on two nodes must not wait long for its share, nor lose
+// Fails if an organisation that bursts on two nodes waits long for its share, or loses
 // half of its limit to outdated sums. The bounds are in virtual time.
 func TestDomainFigures(t *testing.T) {
 	for _, c := range figureCases {
--- a/internal/admission/rate_test.go
+++ b/internal/admission/rate_test.go
@@ -129,10 +129,10 @@
 	}
 }
 
-// Nodes together must not use more than an organisation's limit. The organisation sends
-// far more than its limit to changing nodes, while messages are lost, delayed and
-// repeated, and nodes are cut off and replaced. The allowed rates never exceed the limit,
-// and what passes stays within the limit and its bursts.
+// Nodes together stay within an organisation's limit. The organisation sends far more
+// than its limit to changing nodes, while messages are lost, delayed and repeated, and
+// nodes are cut off and replaced. The allowed rates never exceed the limit, and what
+// passes stays within the limit and its bursts.
 func TestOrganisationLimitHoldsAcrossNodes(t *testing.T) {
 	for seed := range uint64(200) {
 		const nodes, limit, seconds = 6, 50.0, 60
@@ -167,8 +167,8 @@
 	}
 }
 
-// An organisation that uses a single node must not get far less than its limit there, and
-// after moving to another node it must get the limit within seconds.
+// Fails if an organisation that uses a single node gets far less than its limit there, or
+// does not get it within seconds after moving to another node.
 func TestSingleNodeReachesLimit(t *testing.T) {
 	is := is.New(t)
 	const limit = 100.0
@@ -188,7 +188,7 @@
 	is.True(run(3, 10) > 0.88*limit)
 }
 
-// A node without messages must neither refuse all requests nor use more than its reserve.
+// Fails if a node without messages refuses all requests, or uses more than its reserve.
 func TestCutOffNodeKeepsItsReserve(t *testing.T) {
 	is := is.New(t)
 	const limit = 100.0
--- a/internal/admission/window_budget_test.go
+++ b/internal/admission/window_budget_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// Attempts must not multiply an overload, which happens when each failure causes another
+// Without the budget, attempts multiply an overload, because each failure causes another
 // attempt. In every window that ends with an attempt, the attempts stay within the share
 // of its requests plus the slack. A window that ends later may have lost requests that
 // allowed attempts it still contains.
@@ -51,9 +51,9 @@
 	return n
 }
 
-// A node with few requests must not be denied the attempts that its share allows. It may
-// use what they allow, even all at once. A token bucket as deep as the node's small part
-// of the slack turned seven of a hundred answers into failures.
+// Fails if a node with few requests is denied attempts. It may use what its requests
+// allow, even all at once. A token bucket as deep as the node's small part of the slack
+// turned seven of a hundred answers into failures.
 func TestWindowBudgetLetsFewRequestsUseTheirShare(t *testing.T) {
 	is := is.New(t)
 	b := NewWindowBudget(WindowSettings{Ratio: 0.8, Slack: 0.5, Window: 10 * time.Second})
--- a/internal/balance/balancer_rapid_test.go
+++ b/internal/balance/balancer_rapid_test.go
@@ -129,7 +129,7 @@
 	})
 }
 
-// No upstream may be selected by far more nodes than others. About equally many nodes
+// Fails if far more nodes select some upstreams than others. About equally many nodes
 // select each upstream, 3 of 4 upstreams of a node are in its own failure domain if it
 // has that many, and the removal of one upstream changes little.
 func TestSubsetsAreEven(t *testing.T) {
--- a/internal/balance/noticed_test.go
+++ b/internal/balance/noticed_test.go
@@ -51,7 +51,8 @@
 	}
 }
 
-// A limit must end, and must not return with an answer read before the one that ended it.
+// Fails if a limit never ends, or returns with an answer read before the one that ended
+// it.
 func TestRateLimitEndsWithLaterAnswer(t *testing.T) {
 	is := is.New(t)
 	b := rateLimitedNodes(1, 0.5)[0]
@@ -109,8 +110,8 @@
 	is.Equal(pick.Shortage.Reason, AllLeaving)
 }
 
-// An upstream that has restarted must not be left without requests for the rest of the
-// pause that its previous process asked for.
+// An upstream that has restarted gets requests at once, although its previous process
+// asked for a pause that still lasts.
 func TestRestartEndsBackoff(t *testing.T) {
 	is := is.New(t)
 	b := rateLimitedNodes(1, 0)[0]
--- a/internal/balance/report_test.go
+++ b/internal/balance/report_test.go
@@ -157,7 +157,7 @@
 	}
 }
 
-// Requests must not wait at three engines while the fourth has free slots, for a second
+// Fails if requests wait at three engines while the fourth has free slots, for a second
 // at a time. Requests of 95 ms arrive faster than four engines can run them. The fault
 // occurs when a node takes one delayed report as the engine's load until the next,
 // although many requests have started and ended since.
@@ -178,7 +178,7 @@
 	is.True(worst < 0.08)
 }
 
-// Requests must not wait at one engine while other engines have free slots, because the
+// Fails if requests wait at one engine while other engines have free slots, because the
 // node relies on older reports. Requests take 10 s, and load from elsewhere fills one
 // engine after the other. With long requests the newest report decides.
 func TestLongRequestsFollowTheNewestReport(t *testing.T) {
--- a/internal/balance/shared_pool_test.go
+++ b/internal/balance/shared_pool_test.go
@@ -6,9 +6,9 @@
 	"github.com/matryer/is"
 )
 
-// The same slots must not have two admission queues. Drafts and notes run on engines that
-// overlap, so a slot that a draft takes is not available to notes. Another version has
-// its own engines.
+// Slots that versions share have one admission queue, not two. Drafts and notes run on
+// engines that overlap, so a slot that a draft takes is not available to notes. Another
+// version has its own engines.
 func TestVersionsThatShareUpstreamsHaveOnePool(t *testing.T) {
 	is := is.New(t)
 	b := New(Settings{SelfDomain: "domain-0"})
--- a/internal/balance/version_capacity_test.go
+++ b/internal/balance/version_capacity_test.go
@@ -139,7 +139,7 @@
 	return version == "new"
 }
 
-// Requests must not queue at one engine while seventeen others have free slots. A new
+// Fails if requests queue at one engine while seventeen others have free slots. A new
 // version is on one engine of eighteen and is the cheapest. All nodes send it all their
 // work, and delayed reports show too late that it is full.
 func TestVersionOnOneEngineIsNotOverloaded(t *testing.T) {
--- a/internal/canary/canary_test.go
+++ b/internal/canary/canary_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// A good version must not be rolled back when its requests fit into the bound only at the
+// A good version is completed even if its requests fit into the bound only at the
 // deadline. The bound is tight, and second attempts at another model use it up faster.
 func TestGoodVersionIsCompletedWhereTheBoundIsTight(t *testing.T) {
 	completed := 0
@@ -75,9 +75,9 @@
 	}
 }
 
-// A good version must not be rolled back because the start of its order is uncertain. The
-// table has lost its history, so the order may be up to a second older. The version was
-// rolled back that much before its time limit, although its requests fitted into the
+// Regression: a good version was rolled back because the start of its order is uncertain.
+// The table has lost its history, so the order may be up to a second older. The version
+// was rolled back that much before its time limit, although its requests fitted into the
 // bound a moment later.
 func TestGoodVersionIsCompletedWhereTheOrderMayBeOlder(t *testing.T) {
 	completed := 0
@@ -101,9 +101,9 @@
 	}
 }
 
-// A good version must not be rolled back in a small deployment: 36 requests a second, of
-// which at most one in ten may go to it. With a fixed share of the sessions it had given
-// 14 answers at the deadline, fewer than minAnswers. A bad version stays within its
+// Regression: a good version was rolled back in a small deployment: 36 requests a second,
+// of which at most one in ten may go to it. With a fixed share of the sessions it had
+// given 14 answers at the deadline, fewer than minAnswers. A bad version stays within its
 // bound, and no session changes its version early.
 func TestFewRequestsAreEnoughForAVerdict(t *testing.T) {
 	settings := testSettings
@@ -148,8 +148,8 @@
 	}
 }
 
-// A bad version must not be completed, nor exceed the bound on its requests. It fails a
-// part of its answers from the start or only later.
+// A bad version is rolled back, and its requests stay within the bound. It fails a part
+// of its answers from the start or only later.
 func TestBadVersionIsRolledBack(t *testing.T) {
 	tests := map[string]func(time.Duration) float64{
 		"half":  always(0.5),
@@ -185,7 +185,7 @@
 	}
 }
 
-// Failures that hit both versions alike must not cause a rollback.
+// Failures that hit both versions alike cause no rollback.
 func TestFailuresOfBothVersionsCauseNoRollback(t *testing.T) {
 	rolledBack := 0
 	for seed := range uint64(seeds) {
@@ -240,7 +240,7 @@
 	is.True(!c.ApplyVerdict(serviceName, 1, Completed, true)) // a verdict of the older order
 }
 
-// Nodes must not keep different verdicts: the one that the table holds is final.
+// All nodes keep the same verdict: the one that the table holds is final.
 func TestRecordedVerdictIsFinal(t *testing.T) {
 	is := is.New(t)
 	c := New(testSettings, "n1", 1)
@@ -253,7 +253,7 @@
 	is.Equal(c.Rule(serviceName, Caller{}, now), Rule{Version: newVersion})
 }
 
-// Answers must not be counted twice: a node's tallies arrive twice and out of order, and
+// Each answer counts once, although a node's tallies arrive twice and out of order, and
 // those of its earlier run are added to them.
 func TestTalliesCountOnce(t *testing.T) {
 	is := is.New(t)
@@ -274,7 +274,7 @@
 	is.Equal(r.oldInFlight(), 2)
 }
 
-// A good version must not be rolled back because its trial uses only one or two
+// Fails if a good version is rolled back because its trial uses only one or two
 // upstreams. A long prompt then delays all of its answers. A version on trial uses
 // several times its share of the upstreams, and all of them after the shift.
 func TestTrialUsesSeveralUpstreams(t *testing.T) {
@@ -290,7 +290,7 @@
 	is.Equal(c.Rule(serviceName, Caller{Hash: 0}, now.Add(4*time.Second)).UpstreamPart, 0.0)
 }
 
-// A session must not move to the version on trial and back. One node has just served it.
+// Fails if a session moves to the version on trial and back. One node has just served it.
 // The other one has not learned of that yet, and last saw the session longer ago than its
 // longest pause.
 func TestSessionStaysPinnedUntilPinsArrive(t *testing.T) {
@@ -308,7 +308,7 @@
 	is.Equal(b.Rule(serviceName, caller, nearly.Add(400*time.Millisecond)).Version, "")
 }
 
-// A good version must not be rolled back because its upstreams crash. A quarter of all
+// A good version survives crashes of its upstreams without a rollback. A quarter of all
 // upstreams crashes, among them three of the seven in the trial, and their streams fail
 // at once. A version that goes on failing is still rolled back.
 func TestCrashesOfUpstreamsCauseNoRollback(t *testing.T) {
--- a/internal/canary/evidence.go
+++ b/internal/canary/evidence.go
@@ -47,7 +47,7 @@
 // rejects reports whether the version counts as bad; trial is set until all sessions are
 // shifted.
 //
-// Crashes of upstreams must not count: all the running answers of a crashed upstream fail
+// It prevents rejections because of upstreams that crash: all their running answers fail
 // in one moment, which is no evidence against their version. A bad version goes on
 // failing and the likelihood stays high; otherwise the good answers of the next second
 // lower it again. There is no wait once most answers are bad, or once all sessions go to
--- a/internal/cascade/cascade_test.go
+++ b/internal/cascade/cascade_test.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// A larger model must not run when its answer would be late and the small model's answer
-// in time is as likely to be useful.
+// Fails if a larger model runs and its answer would be late where the small model's
+// answer in time is as likely to be useful.
 func TestLateLargestModelLowersRequiredConfidence(t *testing.T) {
 	p := New(Settings{Accept: 50, AcceptBusy: 45})
 	late := State{Models: []string{"small", "large"}, Attempts: 2, Left: 2 * time.Second, Largest: 3 * time.Second}
@@ -119,8 +119,8 @@
 	}
 }
 
-// The small model must not read a long prompt first if the large model's answer would
-// then come late.
+// The large model goes first if its answer would come late after the small model has read
+// a long prompt.
 func TestLargestGoesFirstWhenBothWouldBeLate(t *testing.T) {
 	p := New(Settings{Accept: 50, AcceptBusy: 45})
 	for _, test := range []struct {
--- a/internal/evacuation/orders_test.go
+++ b/internal/evacuation/orders_test.go
@@ -9,7 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// The begin of an order that arrives after its end must not start the evacuation again.
+// An order stays ended when its begin arrives after its end. Otherwise the late begin
+// would start the evacuation again.
 func TestLateBeginDoesNotUndoEnd(t *testing.T) {
 	is := is.New(t)
 	s := New()
@@ -21,8 +22,7 @@
 	is.True(s.Active("a"))
 }
 
-// A deleted row may still carry the revision of its last write; the order must end all
-// the same.
+// An order ends although its deleted row still carries the revision of its last write.
 func TestEndWinsAtEqualRevision(t *testing.T) {
 	is := is.New(t)
 	s := New()
@@ -32,7 +32,8 @@
 	is.True(!s.Active("a"))
 }
 
-// Without this, an order stays active when its end was missed during an outage.
+// A full read ends an order whose end was missed during an outage; otherwise the order
+// would stay active.
 func TestFullReadEndsUnlistedOrders(t *testing.T) {
 	is := is.New(t)
 	s := New()
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -81,8 +81,7 @@
 	})
 }
 
-// An unreachable upstream must not get requests too early, but must be tried again
-// eventually.
+// Fails if an unreachable upstream gets requests too early or is never tried again.
 func TestUnreachedUpstreamIsEjectedForLongerEachTime(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(1)
@@ -120,8 +119,8 @@
 	}
 }
 
-// Requests with the same last prefix block go to few upstreams, but must not overload
-// them: they spread once those are busy.
+// Requests with the same last prefix block go to few upstreams, without overloading them:
+// they spread once those are busy.
 func TestRequestsWithASharedPrefixUseFewUpstreams(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -146,9 +145,9 @@
 	is.True(len(busy) > affinityWidth)
 }
 
-// Small models must not leave the upstream with a prompt's shared block for a slightly
-// less loaded one. A small model prefills the block so fast that the request itself would
-// gain. But every upstream would then prefill and cache every block, and the large
+// Small models stay at the upstream with a prompt's shared block, even if another one is
+// slightly less loaded. A small model prefills the block so fast that the request itself
+// would gain. But every upstream would then prefill and cache every block, and the large
 // model's prompts would miss the cache.
 func TestSmallModelsFollowPrefixAffinity(t *testing.T) {
 	is := is.New(t)
--- a/internal/fleet/flight_test.go
+++ b/internal/fleet/flight_test.go
@@ -42,7 +42,7 @@
 	return short, long, moves
 }
 
-// Short requests must not queue behind a long prompt which another node has just sent to
+// Fails if short requests queue behind a long prompt which another node has just sent to
 // the same upstream, although most upstreams are idle. Without the exchange of flights, a
 // node knows about a hundredth of the in-flight attempts, and load reports come too late.
 func TestSharingFlightsShortensWaits(t *testing.T) {
@@ -62,8 +62,8 @@
 	}
 }
 
-// A node must not count its own attempts twice, and flights must not count after their
-// updates have stopped: the load reports then apply again.
+// A node counts its own attempts once. Flights stop counting when their updates have
+// stopped: the load reports then apply again.
 func TestOwnFlightIsSubtractedFromTheSum(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
--- a/internal/fleet/limit_news_test.go
+++ b/internal/fleet/limit_news_test.go
@@ -178,7 +178,7 @@
 // lowered limit yet.
 const maxFromUninformed = 16
 
-// Nodes must not continue at the rate of the previous, higher limit, nor send bursts that
+// Fails if nodes continue at the rate of the previous, higher limit, or send bursts that
 // were saved up under it.
 func TestLoweredLimitAppliesAtOnce(t *testing.T) {
 	start := time.Unix(1000, 0)
--- a/internal/fleet/limit_spread_test.go
+++ b/internal/fleet/limit_spread_test.go
@@ -8,7 +8,7 @@
 	"github.com/hickorybank/hickorybank/internal/notice"
 )
 
-// A limit must not stay with the few nodes which have read it. It logs the time until all
+// A limit spreads beyond the few nodes which have read it. It logs the time until all
 // nodes know it by pairwise exchange alone, without immediate messages.
 func TestLimitReachesAllNodesByGossip(t *testing.T) {
 	const step, most = 20 * time.Millisecond, 30 * time.Second
--- a/internal/fleet/precedence_test.go
+++ b/internal/fleet/precedence_test.go
@@ -7,9 +7,9 @@
 	"github.com/hickorybank/hickorybank/internal/notice"
 )
 
-// A weaker state of an upstream must not let requests through which a stricter one
-// forbids, nor hide when the upstream is available again. Each case is the last upstream
-// of its service, which is no exception.
+// Fails if a weaker state of an upstream lets requests through which a stricter one
+// forbids, or hides when it is available again. Each case is the last upstream of its
+// service, which is no exception.
 func TestStrictestStateDecides(t *testing.T) {
 	now := time.Unix(1000, 0)
 	const backoff = 3 * time.Second
--- a/internal/fleet/preempt_test.go
+++ b/internal/fleet/preempt_test.go
@@ -12,7 +12,7 @@
 // smallBatchRate is the rate in requests per second that fills nearly all slots.
 const smallBatchRate = 85
 
-// Ranks must not preempt running responses once batches are full. At a load near the
+// Fails if ranks preempt running responses once batches are full. At a load near the
 // capacity, each short prompt takes the slot of a long one, whose prefill is repeated and
 // whose response pauses.
 func TestRanksDoNotPreemptInFullBatches(t *testing.T) {
--- a/internal/fleet/rate_limit_test.go
+++ b/internal/fleet/rate_limit_test.go
@@ -97,7 +97,7 @@
 	return maximum
 }
 
-// Nodes that have read an upstream's advertised rate must not exceed it together. They
+// An upstream gets at most its advertised rate from the nodes that have read it. They
 // send at arbitrary times, and some do not know yet that another node has joined.
 func TestAdvertisedLimitHoldsAcrossNodes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/fleet/reading_test.go
+++ b/internal/fleet/reading_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// A large model must not be chosen for prompts which it cannot prefill in time. A node
+// Fails if a large model is chosen for prompts which it cannot prefill in time. A node
 // sees few long prompts, and many of them have queued.
 func TestPrefillOfLongPromptsIsPredicted(t *testing.T) {
 	const perToken = 45e-6 // seconds
--- a/internal/fleet/restart_test.go
+++ b/internal/fleet/restart_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-// No state may outlive a crash: an upstream restarts under its ID before its entry
+// State ends with a crash, also when an upstream restarts under its ID before its entry
 // expires, so that the table always lists it. With the old state, a node would send
 // prompts there for blocks that are no longer cached, count attempts that ended with the
 // crash, and eject a healthy upstream for old failures.
@@ -55,8 +55,8 @@
 	is.Equal(f.Get("u0"), u)
 }
 
-// An upstream must not stop getting requests because a record of an unused service names
-// its address.
+// An upstream keeps getting requests when a record of an unused service names its
+// address.
 func TestRecordOfAnotherServiceReplacesNoUpstream(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
--- a/internal/fleet/stuck_test.go
+++ b/internal/fleet/stuck_test.go
@@ -36,8 +36,8 @@
 	return waits
 }
 
-// Short requests must not wait for seconds behind a prompt with a prefill of two seconds,
-// although most upstreams are idle. Many nodes send to the same upstreams. None learns of
+// Short requests do not wait for seconds behind a prompt with a prefill of two seconds,
+// while most upstreams are idle. Many nodes send to the same upstreams. None learns of
 // the long prompt in time, and during its prefill the upstream reports nothing and looks
 // idle. Ranks put short work first in an upstream's queue, and attempts that wait far
 // longer than expected are moved. Both are needed, and long prompts must not pay for
@@ -58,7 +58,7 @@
 	}
 }
 
-// Attempts must not be moved only to queue again elsewhere. If all upstreams become slow
+// Fails if attempts are moved only to queue again elsewhere. If all upstreams become slow
 // at once, waits grow for all attempts, and none is far longer than the others.
 func TestFewAttemptsMoveWhenAllUpstreamsAreSlow(t *testing.T) {
 	moves, requests := 0, 0
--- a/internal/fleet/warm_up_test.go
+++ b/internal/fleet/warm_up_test.go
@@ -44,7 +44,7 @@
 	return peak
 }
 
-// Nodes that each send little to an upstream which warms up must not send too much
+// Nodes that each send little to an upstream which warms up also stay within its bound
 // together. Bursts come at arbitrary times, and some nodes do not know yet that others
 // have joined.
 func TestWarmUpBoundHoldsAcrossNodes(t *testing.T) {
@@ -98,7 +98,7 @@
 	}
 }
 
-// Nodes that start together must not each assume that they are the only one.
+// Fails if nodes that start together each assume that they are the only one.
 func TestNodeWithoutSenderListSendsNothingDuringWarmUp(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -108,8 +108,8 @@
 	is.True(nodes[0].Choose(AttemptSpec{Service: "s"}, now.Add(testWarmUp.Duration)) != nil) // the warm-up is over
 }
 
-// A warm-up must end, must not be extended by the delay of a relayed record, and a new
-// one must not be missed.
+// A warm-up ends, the delay of a relayed record does not extend it, and a new one is
+// noticed.
 func TestWarmUpEndsAndCanBeginAgain(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -130,8 +130,8 @@
 	is.True(f.Get("u").warmingUp(now.Add(10 * time.Second)))
 }
 
-// The upstreams of a failure domain whose evacuation has ended must not get a burst:
-// nothing runs there, so that each looks better than all others.
+// Without a warm-up, the upstreams of a failure domain whose evacuation has ended get a
+// burst: nothing runs there, so that each looks better than all others.
 func TestDomainWarmsUpAfterItsEvacuation(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
--- a/internal/gateway/contacts_test.go
+++ b/internal/gateway/contacts_test.go
@@ -49,7 +49,7 @@
 	is.True(ok && m.ID == "far")
 }
 
-// Without changing contacts, parts of the deployment would only gossip among themselves.
+// Parts of the deployment that keep the same contacts may only gossip among themselves.
 // Contacts must change, so that a node picks every peer in time.
 func TestContactsReachAllPeersInTime(t *testing.T) {
 	is := is.New(t)
--- a/internal/gateway/follow_table_test.go
+++ b/internal/gateway/follow_table_test.go
@@ -49,9 +49,8 @@
 }
 
 // When their reader's messages stop, the members of a group call an unavailable table
-// less often than a reader would. If all of them called at the reader's rate, it would be
-// twenty times the calls for one answer. A reader, and a node without state, keep that
-// rate.
+// less often than a reader would. If all of them called at the reader's rate, one answer
+// would cost twenty times the calls. A reader, and a node without state, keep that rate.
 func TestMembersCallAnUnavailableTableSeldom(t *testing.T) {
 	is := is.New(t)
 	const outage = 10 * time.Second
--- a/internal/gateway/kept_upstreams_test.go
+++ b/internal/gateway/kept_upstreams_test.go
@@ -63,9 +63,9 @@
 	is.True(n.listed("u2"))
 }
 
-// A second outage must not drop live upstreams. The first reading after the first outage
-// lists none of them, and the table fails again at once. They must keep serving until a
-// late enough reading does not list them either.
+// Live upstreams survive a second outage. The first reading after the first outage lists
+// none of them, and the table fails again at once. They must keep serving until a late
+// enough reading does not list them either.
 func TestRetainedUpstreamsSurviveASecondOutage(t *testing.T) {
 	is := is.New(t)
 	start := time.Now()
--- a/internal/node/connections.go
+++ b/internal/node/connections.go
@@ -23,10 +23,12 @@
 // connections tracks which of the callers' connections are idle.
 //
 // It prevents a request that arrives during the shutdown of the server from being broken
-// off. The caller sees the connection end without an answer and cannot know whether its
-// request ran. Here a connection is busy from the first byte of a request. With the
-// listener closed and each answer ending its connection, the remaining connections become
-// idle, and only then is the server shut down.
+// off. net/http treats a connection as idle until the complete header has arrived, and
+// drops a header that arrives after the shutdown began, also on a new connection. The
+// caller sees the connection end without an answer and cannot know whether its request
+// ran. Here a connection is busy from the first byte of a request. With the listener
+// closed and each answer ending its connection, the remaining connections become idle,
+// and only then is the server shut down.
 type connections struct {
 	mu   sync.Mutex
 	open map[*callerConn]struct{}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -72,7 +72,7 @@
 	is.Equal(f.bills()["settle-2"], 1)
 }
 
-// One request must not crash every engine. It crashes each engine that runs it, and its
+// Fails if one request crashes every engine. It crashes each engine that runs it, and its
 // caller resends it with new keys through both nodes. At most two engines may crash; then
 // it is refused, and other requests still get their answers.
 func TestCrashingRequestCrashesAtMostTwoEngines(t *testing.T) {
--- a/internal/node/stop_conn_test.go
+++ b/internal/node/stop_conn_test.go
@@ -72,8 +72,8 @@
 	is.True(strings.Contains(body, `"data"`))
 }
 
-// While the node refuses new work, each answer carries "Connection: close". The caller
-// would reuse the connection, and its next request would be broken off.
+// While the node refuses new work, each answer carries "Connection: close". Otherwise the
+// caller would reuse the connection, and its next request would be broken off.
 func TestAnswersDuringStopCloseTheConnection(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
--- a/internal/notice/register_test.go
+++ b/internal/notice/register_test.go
@@ -26,8 +26,8 @@
 	return changes[0].Kind
 }
 
-// An older response, processed after the response that ended a limit, must not restore
-// it.
+// A limit that has ended stays ended when an older response is processed after the
+// response that ended it.
 func TestOlderResponseDoesNotOverrideNewer(t *testing.T) {
 	is := is.New(t)
 	r := NewRegister(1)
@@ -74,8 +74,8 @@
 	is.True(!outdated.StateOf("u@1").Limit().Named)
 }
 
-// Messages must not grow with the number of limited upstreams, and each state must be
-// repeated.
+// Fails if messages grow with the number of limited upstreams, or if some states are
+// never repeated.
 func TestReportsAreBounded(t *testing.T) {
 	is := is.New(t)
 	const count = 50
@@ -96,8 +96,8 @@
 	is.Equal(len(reported), count)
 }
 
-// States must not accumulate as upstreams come and go, nor may a state be lost whose
-// upstream is still listed.
+// States are dropped as upstreams come and go, but a state is kept while its upstream is
+// still listed.
 func TestSweepForgetsOnlyUnlistedIncarnations(t *testing.T) {
 	is := is.New(t)
 	r := NewRegister(1)
@@ -109,8 +109,8 @@
 	is.Equal(len(r.states), 1)
 }
 
-// Two nodes must not report an announced shutdown to each other without end, which would
-// happen if each report counted as an update.
+// Fails if two nodes report an announced shutdown to each other without end, because each
+// report counts as an update.
 func TestLeavingIsReportedForALimitedTime(t *testing.T) {
 	is := is.New(t)
 	a, b := NewRegister(1), NewRegister(2)
--- a/internal/rollout/crash_test.go
+++ b/internal/rollout/crash_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// A roll-out must neither stop nor go wrong when its driver crashes. The driver crashes
-// just before or just after each of its actions and restarts ten seconds later. Another
-// node continues from the row and the engines' states.
+// A roll-out continues correctly when its driver crashes. The driver crashes just before
+// or just after each of its actions and restarts ten seconds later. Another node
+// continues from the row and the engines' states.
 func TestDriverCrashesAtEveryStep(t *testing.T) {
 	for _, slots := range []int{0, 2} {
 		for _, after := range []bool{false, true} {
--- a/internal/rollout/engines_test.go
+++ b/internal/rollout/engines_test.go
@@ -136,9 +136,9 @@
 	}
 }
 
-// A roll-out must not end with its driver. Operators stage a version, widen it to serving
-// and withdraw the old one. The node that drives stops halfway, and another one finishes.
-// No engine loses the old version before the withdrawal is in force.
+// A roll-out outlives its driver. Operators stage a version, widen it to serving and
+// withdraw the old one. The node that drives stops halfway, and another one finishes. No
+// engine loses the old version before the withdrawal is in force.
 func TestAnotherDriverFinishesTheRollout(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, 8)
--- a/internal/rollout/named_test.go
+++ b/internal/rollout/named_test.go
@@ -6,7 +6,7 @@
 	"github.com/matryer/is"
 )
 
-// Regression: these seeds found faults, which must not return.
+// Regression: faults that these seeds found.
 func TestRegressionSeeds(t *testing.T) {
 	for name, seed := range map[string]uint64{
 		// A driver is paused for half a minute. Some of its states are then too old to
--- a/internal/rollout/pace_test.go
+++ b/internal/rollout/pace_test.go
@@ -122,8 +122,8 @@
 	is.True(took <= time.Hour)
 }
 
-// A driver must not keep an overloaded store from recovering. The store refuses, and
-// loads are sent again every few seconds; the limit must fall to one.
+// Without a falling limit, a driver keeps an overloaded store from recovering. The store
+// refuses, and loads are sent again every few seconds; the limit must fall to one.
 func TestLoadLimitFallsWhenLoadsFail(t *testing.T) {
 	is := is.New(t)
 	w := newLoadWorld(2_500, 1000)
--- a/internal/suspect/burst.go
+++ b/internal/suspect/burst.go
@@ -14,9 +14,10 @@
 
 // burst counts the upstreams that crash together.
 //
-// It prevents false suspects when a failure domain, or the network to it, is lost. Every
-// request in flight there would become a suspect and need an upstream to itself. Such a
-// loss takes many upstreams within seconds, which no single request can cause.
+// It prevents the loss of a failure domain, or of the network to it, from being
+// attributed to requests. Otherwise every request in flight there would become a suspect
+// and need an upstream to itself. Such a loss takes many upstreams within seconds, which
+// no single request can cause.
 type burst struct {
 	recent []burstCrash
 }
--- a/internal/suspect/freshness.go
+++ b/internal/suspect/freshness.go
@@ -7,11 +7,10 @@
 
 // freshness is how recently the node has received what its peers know.
 //
-// Otherwise a node that was paused or cut off while the others learned of a suspect could
-// get the request as soon as it runs again, and would run it. Such a node has no answer
-// to a pull younger than FreshnessTTL. A peer that reported a crash to its caller has
-// waited longer than that for this node, so the answer to a younger pull contains what
-// the node missed.
+// It prevents a node that was paused or cut off while the others learned of a suspect
+// from running the request as soon as it runs again. Such a node has no answer to a pull
+// younger than FreshnessTTL. A peer that reported a crash to its caller has waited longer
+// than that for this node, so the answer to a younger pull contains what the node missed.
 type freshness struct {
 	// asOf is when the last pull was sent that a peer has answered; known is set once
 	// there was one.
--- a/internal/suspect/loss.go
+++ b/internal/suspect/loss.go
@@ -104,8 +104,8 @@
 // suspectsKnown reports whether the peers know the loss's suspects, or have had their
 // time to answer.
 //
-// Otherwise a caller that gets the failure could send the request to a node that does not
-// know of it. A peer that does not answer for FreshnessTTL and Grace must ask another
+// Without it, a caller that gets the failure could send the request to a node that does
+// not know of it. A peer that does not answer for FreshnessTTL and Grace must ask another
 // node before it runs anything new.
 func (t *Tracker) suspectsKnown(l *loss) bool {
 	if len(l.fingerprints) == 0 || !t.settings.applies(ruleHoldFailures) {
--- a/internal/suspect/losses_test.go
+++ b/internal/suspect/losses_test.go
@@ -50,9 +50,9 @@
 	return true
 }
 
-// A request that crashes each upstream that runs it must not take a third one. Its caller
-// sends it to any node, with a new key, as soon as it gets the failure or times out.
-// Meanwhile messages are lost, delayed and repeated, nodes are paused, cut off and
+// One request that crashes each upstream that runs it costs at most two upstreams. Its
+// caller sends it to any node, with a new key, as soon as it gets the failure or times
+// out. Meanwhile messages are lost, delayed and repeated, nodes are paused, cut off and
 // replaced, and upstreams crash for other reasons. The requests in flight beside it must
 // complete.
 func TestRequestCrashesAtMostTwoUpstreams(t *testing.T) {
--- a/internal/suspect/spread_test.go
+++ b/internal/suspect/spread_test.go
@@ -11,8 +11,8 @@
 	"github.com/hickorybank/hickorybank/internal/request"
 )
 
-// Callers must not get a failure before all nodes know the suspect. 400 nodes exchange
-// messages with nine others each; one message of ten is lost, and each takes up to 80 ms.
+// All nodes know the suspect before callers get a failure. 400 nodes exchange messages
+// with nine others each; one message of ten is lost, and each takes up to 80 ms.
 func TestSuspectIsKnownEverywhereBeforeCallersAreTold(t *testing.T) {
 	is := is.New(t)
 	const nodes, tick = 400, 20 * time.Millisecond
