--- a/internal/admission/rate_collector_test.go
+++ b/internal/admission/rate_collector_test.go
@@ -369,7 +369,7 @@
 
 // The holder distinguishes a restarted collector from its previous process. One of its
 // nodes is cut off and still holds the domain's whole share when another one bursts; both
-// would use the limit at once.
+// would otherwise use the limit at once.
 func TestRestartedCollectorKeepsLimit(t *testing.T) {
 	is := is.New(t)
 	const limit, step = 100.0, 50 * time.Millisecond
--- a/internal/balance/noticed_test.go
+++ b/internal/balance/noticed_test.go
@@ -94,7 +94,7 @@
 	is.True(ok)
 }
 
-// An upstream whose answer announced that it leaves gets no more requests, while its
+// An upstream whose answer announced that it leaves gets no more requests, even while its
 // delayed load report does not show that yet.
 func TestLeavingAnswerOutlastsOlderReport(t *testing.T) {
 	is := is.New(t)
--- a/internal/cascade/cascade_test.go
+++ b/internal/cascade/cascade_test.go
@@ -119,8 +119,8 @@
 	}
 }
 
-// The large model goes first if its answer would come late after the small model has read
-// a long prompt.
+// Fails if the small model reads a long prompt first, so that the large model's answer
+// comes late.
 func TestLargestGoesFirstWhenBothWouldBeLate(t *testing.T) {
 	p := New(Settings{Accept: 50, AcceptBusy: 45})
 	for _, test := range []struct {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -189,7 +189,7 @@
 	is.True(slices.Equal(a.Versions("s"), []string{"v1"}))
 }
 
-// A crashed upstream must get no attempts when its entry has not expired while its
+// A crashed upstream gets no attempts, although its entry has not expired while its
 // successor serves at the same address under a new ID. Each rejection there costs a part
 // of the retry budget, once per node and upstream. If both entries were read together,
 // their order is unknown: the one whose address rejects an attempt as misdirected is not
--- a/internal/fleet/limit_spread_test.go
+++ b/internal/fleet/limit_spread_test.go
@@ -8,8 +8,8 @@
 	"github.com/hickorybank/hickorybank/internal/notice"
 )
 
-// A limit spreads beyond the few nodes which have read it. It logs the time until all
-// nodes know it by pairwise exchange alone, without immediate messages.
+// A limit spreads beyond the few nodes which have read it. The test logs the time until
+// all nodes know it by pairwise exchange alone, without immediate messages.
 func TestLimitReachesAllNodesByGossip(t *testing.T) {
 	const step, most = 20 * time.Millisecond, 30 * time.Second
 	for _, count := range []int{8, 84, 300} {
--- a/internal/notice/register_test.go
+++ b/internal/notice/register_test.go
@@ -96,8 +96,8 @@
 	is.Equal(len(reported), count)
 }
 
-// States are dropped as upstreams come and go, but a state is kept while its upstream is
-// still listed.
+// States do not accumulate as upstreams come and go, but a state is kept while its
+// upstream is still listed.
 func TestSweepForgetsOnlyUnlistedIncarnations(t *testing.T) {
 	is := is.New(t)
 	r := NewRegister(1)
--- a/internal/pacing/ways_test.go
+++ b/internal/pacing/ways_test.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// No sharing strategy lets more requests through than the bound allows. It logs the
+// No sharing strategy lets more requests through than the bound allows. The test logs the
 // utilization and the cost of each strategy.
 func TestFewSendersKeepWithinTheBound(t *testing.T) {
 	for _, nodes := range []int{8, 84, 1600} {
