--- a/internal/admin/apply_test.go
+++ b/internal/admin/apply_test.go
@@ -178,10 +178,10 @@
 	return platform.CommitResult{}, platform.ErrRefused
 }
 
-// Guards against nodes with another configuration than the stored one. If an operator replaces an
-// unreadable document, a delta would be computed from an empty document. Nodes that still hold the
-// original would apply it to that. So such a change must have no delta, and nodes read the whole
-// document.
+// If an operator replaces an unreadable document, a delta would be computed from an empty
+// document. Nodes that still hold the original would apply it to that, and end up with
+// another configuration than the stored one. So such a change must have no delta, and
+// nodes read the whole document.
 func TestReplacingAnUnreadableDocumentStoresNoDelta(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
--- a/internal/api/door_test.go
+++ b/internal/api/door_test.go
@@ -12,8 +12,8 @@
 	"github.com/hickorybank/hickorybank/internal/request"
 )
 
-// Guards against passing an invalid request to the router. The caller must get an error
-// response that names the fault, with outcome not run.
+// An invalid request must not reach the router. The caller must get an error response
+// that names the fault, with outcome not run.
 func TestInvalidRequestDoesNotReachRouter(t *testing.T) {
 	chat := "/v1/chat/completions"
 	withModel := func(model string) string { return `{"model":` + model + `,"messages":[{"role":"user","content":"x"}]}` }
@@ -88,7 +88,7 @@
 	}
 }
 
-// Guards against a valid request whose fields or headers are lost or changed.
+// All fields and headers of a valid request must reach the router unchanged.
 func TestValidRequestReachesRouterUnchanged(t *testing.T) {
 	is := is.New(t)
 	b := newFakeRouter(t)
@@ -114,8 +114,8 @@
 	is.Equal(b.resumes[0].Token, "token")
 }
 
-// Guards against prefix hashes that make the engines' caches useless. Requests that differ
-// only in the last message must have the same hash, other conversations another one.
+// Requests that differ only in the last message must have the same prefix hash, other
+// conversations another one. Otherwise the engines' caches are useless.
 func TestPrefixHashCoversAllButLastMessage(t *testing.T) {
 	is := is.New(t)
 	b := newFakeRouter(t)
@@ -130,8 +130,8 @@
 	is.True(b.chats[0].PrefixHash != b.chats[2].PrefixHash)
 }
 
-// Guards against serving requests before a configuration is in force. Only the addresses
-// are available then.
+// No request may be served before a configuration is in force. Only the addresses are
+// available then.
 func TestRequestsAreRefusedWithoutConfiguration(t *testing.T) {
 	is := is.New(t)
 	b := &fakeRouter{}
@@ -142,8 +142,7 @@
 	is.Equal(send(b, "GET", "/v1/addresses", "").Code, http.StatusOK)
 }
 
-// Guards against failures that are sent with a wrong status, Retry-After or message,
-// streamed or not.
+// Each failure must be sent with its status, Retry-After and message, streamed or not.
 func TestFailuresHaveStatusAndRetryAfter(t *testing.T) {
 	for code, status := range statusByCode {
 		is := is.New(t)
@@ -159,8 +158,8 @@
 	}
 }
 
-// Guards against a stream that breaks after its first chunk and ends like a complete one.
-// The caller would take half a dues statement for the whole.
+// A stream that breaks after its first chunk must not end like a complete one. The caller
+// would take half a dues statement for the whole.
 func TestBrokenStreamHasNoEndMarker(t *testing.T) {
 	is := is.New(t)
 	b := newFakeRouter(t)
--- a/internal/api/refusal_test.go
+++ b/internal/api/refusal_test.go
@@ -9,8 +9,8 @@
 	"github.com/hickorybank/hickorybank/internal/request"
 )
 
-// Guards against refusals that are missing from the operator's page. Refusals before the
-// router must be counted too, and each one with its organisation, class, model and reason.
+// Refusals before the router must be counted too, and each one with its organisation,
+// class, model and reason. Otherwise they are missing from the operator's page.
 func TestRefusalsNameOrganisationClassAndReason(t *testing.T) {
 	chat := "/v1/chat/completions"
 	cases := []struct {
@@ -50,7 +50,7 @@
 	}
 }
 
-// Guards against counting a failure as a refusal although the request may have run.
+// A failure must not be counted as a refusal if the request may have run.
 func TestFailureThatMayHaveRunIsNotARefusal(t *testing.T) {
 	is := is.New(t)
 	b := newFakeRouter(t)
--- a/internal/api/usage_test.go
+++ b/internal/api/usage_test.go
@@ -49,9 +49,9 @@
 	return chunks
 }
 
-// Guards against streams that do not contain the usage and the cost. The header with the
-// cost is only in responses that are not streamed, since a stream sends its headers
-// before the cost is known.
+// Each stream must contain the usage and the cost. The header with the cost is only in
+// responses that are not streamed, since a stream sends its headers before the cost is
+// known.
 func TestStreamEndsWithUsageAndCost(t *testing.T) {
 	for _, c := range []struct {
 		options  string
@@ -91,7 +91,7 @@
 	}
 }
 
-// Guards against a response whose body lacks the usage or the cost.
+// The body of a response must contain the usage and the cost.
 func TestResponseContainsUsageAndCost(t *testing.T) {
 	is := is.New(t)
 	w := send(newFakeRouter(t), "POST", "/v1/chat/completions", goodChat)
--- a/internal/archive/archive_test.go
+++ b/internal/archive/archive_test.go
@@ -35,7 +35,7 @@
 	return encoded
 }
 
-// Guards against a delta whose application does not give the state it was made for.
+// Applying a delta must give the state that it was made for.
 func TestDeltaAppliesBetweenArbitraryStates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		before, after := randomState(t), randomState(t)
@@ -50,8 +50,8 @@
 	})
 }
 
-// Guards against applying a delta from a peer that started from another state. Without
-// the digest, the node would use a document that was never accepted.
+// A delta from a peer that started from another state must not be applied. Without the
+// digest, the node would use a document that was never accepted.
 func TestDeltaFromAnotherBaseIsRejected(t *testing.T) {
 	is := is.New(t)
 	d, err := MakeDelta(1, 2, []byte(`{"a":[1,2,3]}`), []byte(`{"a":[1,2,4]}`))
@@ -66,8 +66,8 @@
 
 func stateOf(revision uint64) []byte { return fmt.Appendf(nil, `{"a":[%d,7,8]}`, revision) }
 
-// Guards against an update that does not bring a peer to the newest state, or that
-// contains the full state although the retained deltas suffice.
+// An update must bring a peer to the newest state, and must not contain the full state if
+// the retained deltas suffice.
 func TestUpdateBringsPeerToNewestState(t *testing.T) {
 	is := is.New(t)
 	var a *Archive
@@ -109,8 +109,8 @@
 	is.True(err != nil) // deltas with a gap
 }
 
-// Guards against retaining deltas that are as large as the full state, because every
-// element changes each time. They would take 64 times the document in memory, and more
+// If every element changes each time, the deltas are as large as the full state.
+// Retaining them would take 64 times the document in memory, and they would take more
 // time to read than the full state.
 func TestLargeDeltasAreNotRetained(t *testing.T) {
 	is := is.New(t)
--- a/internal/archive/update_test.go
+++ b/internal/archive/update_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-// Guards against an update that a peer decodes differently from what was encoded.
+// A peer must decode from an update exactly what was encoded.
 func TestUpdateEncodingRoundTrip(t *testing.T) {
 	for _, u := range []Update{
 		{},
@@ -23,8 +23,8 @@
 	}
 }
 
-// FuzzDecodeUpdate guards against a panic or excessive allocation on malformed input,
-// such as a length greater than the data. What decodes must encode to an equal update.
+// FuzzDecodeUpdate fails on a panic or excessive allocation for malformed input, such as
+// a length greater than the data. What decodes must encode to an equal update.
 func FuzzDecodeUpdate(f *testing.F) {
 	u := Update{To: 3, Full: []byte("whole"), Deltas: []Delta{{From: 1, To: 3, Edits: []byte("edits")}}}
 	f.Add(u.Encode())
--- a/internal/config/parse_test.go
+++ b/internal/config/parse_test.go
@@ -8,9 +8,9 @@
 	"github.com/matryer/is"
 )
 
-// Guards against a configuration in force that differs from the file. A plain JSON decoder drops a
-// misspelt field, such as "share", and keeps only the last of two fields with one name. Every such
-// field must be rejected with its path.
+// A plain JSON decoder drops a misspelt field, such as "share", and keeps only the last
+// of two fields with one name. The configuration in force would then differ from the
+// file, so every such field must be rejected with its path.
 func TestParseNamesEveryFaultByPath(t *testing.T) {
 	cases := []struct {
 		name, text string
--- a/internal/config/shape.go
+++ b/internal/config/shape.go
@@ -12,10 +12,10 @@
 
 // shapeChecker compares a JSON text with the Go type that it is to be decoded into.
 //
-// It guards against two ways in which encoding/json loses fields silently. A misspelt field is
-// dropped (or, in strict mode, rejected without its path). Of a field that occurs twice, or in two
-// spellings of case, only the last counts. Either would put a configuration in force that the
-// operator did not intend.
+// It prevents encoding/json from losing fields silently, which happens in two ways. A
+// misspelt field is dropped (or, in strict mode, rejected without its path). Of a field
+// that occurs twice, or in two spellings of case, only the last counts. Either would put
+// a configuration in force that the operator did not intend.
 type shapeChecker struct {
 	decoder *json.Decoder
 	faults  Faults
--- a/internal/confsync/large_test.go
+++ b/internal/confsync/large_test.go
@@ -47,10 +47,11 @@
 	return nil, errNoDocuments
 }
 
-// Guards against a node that never gets a large document and admits no work. A node that
-// cannot read documents of the table starts in a deployment with 2,400 organisations, as one
-// of four children of a parent with a link of 10 Mbit/s. A call times out after 250 ms, but the
-// packed document takes 0.6 s. In pieces, each with a timeout of its own, it arrives.
+// A node that cannot read documents of the table starts in a deployment with 2,400
+// organisations, as one of four children of a parent with a link of 10 Mbit/s. A call
+// times out after 250 ms, but the packed document takes 0.6 s. Sent whole, it would never
+// arrive, and the node would admit no work. In pieces, each with a timeout of its own, it
+// arrives.
 func TestLargeDocumentIsTransferredInPieces(t *testing.T) {
 	t.Parallel()
 	f := newFleetWith(t, 3, 1, func() caller { return narrowCaller{peer.NewPool()} })
--- a/internal/confsync/list_read_test.go
+++ b/internal/confsync/list_read_test.go
@@ -80,7 +80,7 @@
 	return reported
 }
 
-// Guards against full reads of an unchanged list. The list of 11,600 VMs has 1.3 MB, and a
+// An unchanged list must not be read in full. The list of 11,600 VMs has 1.3 MB, and a
 // full read every 2 s would use 116 times a reader's network budget.
 func TestUnchangedListIsNotReadInFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -106,8 +106,8 @@
 	})
 }
 
-// Guards against keeping a VM that has left. A peer sends a newer list while a read reports
-// the last list read here as unchanged; that result must not apply to the newer list.
+// A peer sends a newer list while a read reports the last list read here as unchanged.
+// That result must not apply to the newer list, otherwise a VM that has left is kept.
 func TestUnchangedReadDoesNotReplacePeerList(t *testing.T) {
 	is := is.New(t)
 	s := New(Settings{}, Deps{Store: noStore{}, Self: platform.VM{ID: "e1"}, Log: slog.New(slog.DiscardHandler)})
--- a/internal/confsync/lone_node_test.go
+++ b/internal/confsync/lone_node_test.go
@@ -59,9 +59,10 @@
 
 func (n *loneNode) fresh() bool { return n.core.FreshUntil() > n.now }
 
-// Guards against answers by a withdrawn version. A node starts and is cut off before the
-// platform's lagging list shows any other node. It must refuse work instead of counting itself
-// as the majority in an outage, because the withdrawal may be in force on all other nodes.
+// A node starts and is cut off before the platform's lagging list shows any other node.
+// It must refuse work instead of counting itself as the majority in an outage. Otherwise
+// it may answer by a withdrawn version, because the withdrawal may be in force on all
+// other nodes.
 func TestNodeCutOffSoonAfterStartRefuses(t *testing.T) {
 	is := is.New(t)
 	n := newLoneNode()
--- a/internal/duty/group_test.go
+++ b/internal/duty/group_test.go
@@ -11,9 +11,9 @@
 
 const childVariable = "DUTY_TEST_CHILD"
 
-// Guards against a node that keeps serving after one of its background goroutines
-// panicked. A recovered panic that is only returned by Wait stays unnoticed until the
-// node is stopped. The process must end at once and print the panic.
+// If a background goroutine panics, the process must end at once and print the panic. A
+// recovered panic that is only returned by Wait stays unnoticed until the node is
+// stopped, and the node keeps serving without that goroutine.
 func TestPanicEndsTheProcess(t *testing.T) {
 	if os.Getenv(childVariable) != "" {
 		var g Group
@@ -28,7 +28,7 @@
 	is.True(strings.Contains(string(out), "invariant broken"))
 }
 
-// Guards against Wait returning while a goroutine still runs.
+// Wait must not return while a goroutine still runs.
 func TestWaitBlocksUntilAllGoroutinesReturn(t *testing.T) {
 	var g Group
 	release := make(chan struct{})
--- a/internal/event/catalogue_test.go
+++ b/internal/event/catalogue_test.go
@@ -52,8 +52,8 @@
 
 func levelName(l slog.Level) string { return strings.ToLower(l.String()) }
 
-// Guards against event numbers that an operator can't look up in docs/EVENTS.md, a level or
-// name there that differs from the log's, and documented events that do not exist.
+// Operators look up event numbers in docs/EVENTS.md. Every event must be there with the
+// log's level and name, and every documented event must exist.
 func TestDocumentedEventsMatchCatalogue(t *testing.T) {
 	is := is.New(t)
 	byNumber := map[int]Event{}
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -82,7 +82,7 @@
 	return string(data), nil
 }
 
-// Guards against a new connection for each request where the previous one is reusable.
+// A request must use the previous connection if that is reusable, not open a new one.
 func TestConnectionIsReused(t *testing.T) {
 	is := is.New(t)
 	addr := startServer(t, func(c net.Conn, in *bufio.Reader, _ int) {
@@ -104,8 +104,8 @@
 	is.Equal(p.Opened(), int64(1))
 }
 
-// Guards against resending a request when a reused connection breaks after the upstream
-// has read it: the request may have run.
+// A request must not be resent when a reused connection breaks after the upstream has
+// read it: the request may have run.
 func TestBrokenReusedConnectionDoesNotResend(t *testing.T) {
 	is := is.New(t)
 	var received atomic.Int32
@@ -132,9 +132,9 @@
 	is.Equal(received.Load(), int32(2))
 }
 
-// Guards against a read deadline of one response that still applies to the next on the same
-// connection. The next request then fails as if the upstream had broken off, and goes
-// to another upstream although its response is in transit.
+// Regression: the read deadline of one response still applied to the next on the same
+// connection. The next request then fails as if the upstream had broken off, and goes to
+// another upstream although its response is in transit.
 func TestBodyDeadlineDoesNotApplyToNextResponse(t *testing.T) {
 	is := is.New(t)
 	limitPassed := make(chan struct{})
@@ -166,8 +166,9 @@
 	is.Equal(p.Opened(), int64(1))
 }
 
-// Guards against a refused connection that is reported as if the request may have run:
-// a request that is not idempotent could then not go to another upstream.
+// A refused connection must be reported as nothing sent. If it were reported as if the
+// request may have run, a request that is not idempotent could not go to another
+// upstream.
 func TestConnectFailureReportsNothingSent(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -183,8 +184,8 @@
 	is.True(strings.Contains(failure.Error(), "not_connected"))
 }
 
-// Guards against an unsolicited second response being taken for the response to the next
-// request: the connection must not be reused.
+// A connection with an unsolicited second response must not be reused. That response
+// would be taken for the response to the next request.
 func TestExtraResponseIsNotDelivered(t *testing.T) {
 	is := is.New(t)
 	addr := startServer(t, func(c net.Conn, in *bufio.Reader, _ int) {
@@ -207,8 +208,8 @@
 	}
 }
 
-// Guards against delivering a late response to an earlier request, which its ID identifies.
-// The response to this request follows on the same connection.
+// A late response to an earlier request, which its ID identifies, must be skipped. The
+// response to this request follows on the same connection.
 func TestLateResponseToEarlierRequestIsSkipped(t *testing.T) {
 	is := is.New(t)
 	addr := startServer(t, func(c net.Conn, in *bufio.Reader, _ int) {
@@ -226,7 +227,7 @@
 	is.Equal(body, "yours")
 }
 
-// Guards against accepting bytes that are not a response, or a response without a request ID.
+// Bytes that are not a response, and a response without a request ID, must be rejected.
 func TestMalformedResponses(t *testing.T) {
 	for _, text := range []string{
 		"garbage garbage\r\n\r\n",
@@ -249,8 +250,8 @@
 	}
 }
 
-// A response without a length ends with its connection. Guards against taking one whose
-// connection is reset for a complete one.
+// A response without a length ends with its connection. If the connection is reset, the
+// response must not be taken for a complete one.
 func TestResponseWithoutLength(t *testing.T) {
 	is := is.New(t)
 	var reset atomic.Bool
@@ -273,8 +274,8 @@
 	is.True(failure != nil)
 }
 
-// Guards against reusing a connection on which the upstream responds before it has read a
-// long body: the rest of the body would precede the next request.
+// If the upstream responds before it has read a long body, the rest of the body would
+// precede the next request on that connection. So the connection must not be reused.
 func TestResponseBeforeBodyIsWrittenClosesConnection(t *testing.T) {
 	is := is.New(t)
 	var conns atomic.Int32
@@ -305,7 +306,7 @@
 	is.Equal(conns.Load(), int32(2))
 }
 
-// Guards against sending on an idle connection that the upstream has closed; a new
+// An idle connection that the upstream has closed must not be used for sending; a new
 // connection is opened instead.
 func TestClosedIdleConnectionIsNotReused(t *testing.T) {
 	is := is.New(t)
@@ -340,8 +341,8 @@
 	is.Equal(p.Opened(), int64(2))
 }
 
-// Guards against an upstream that works on after its request is cancelled: the exchange
-// ends, and the upstream's connection is closed.
+// When a request is cancelled, the exchange ends and the upstream's connection is closed.
+// Otherwise the upstream works on.
 func TestCancellationClosesConnection(t *testing.T) {
 	is := is.New(t)
 	reading := make(chan struct{})
@@ -367,7 +368,7 @@
 	<-gone
 }
 
-// Guards against reusing a connection beyond the idle timeout that its upstream states.
+// A connection must not be reused beyond the idle time-out that its upstream states.
 func TestKeepAliveTimeoutOfUpstreamIsHonoured(t *testing.T) {
 	is := is.New(t)
 	is.Equal(keepAliveTimeout(http.Header{"Keep-Alive": {"max=5, timeout=3"}}), 3*time.Second-keepAliveMargin)
--- a/internal/exchange/withdrawn_test.go
+++ b/internal/exchange/withdrawn_test.go
@@ -8,8 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// TestWithdrawnRequestIsNotSent guards against sending a request to an upstream that has
-// announced, while the connection was being opened, that it accepts no new requests.
+// An upstream may announce, while the connection is being opened, that it accepts no new
+// requests. The request must not be sent to it then.
 func TestWithdrawnRequestIsNotSent(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
--- a/internal/gossip/digest_test.go
+++ b/internal/gossip/digest_test.go
@@ -19,9 +19,9 @@
 	return len(fromA) + len(fromB)
 }
 
-// Guards against full exchanges in a rolling restart of 300 nodes: one of two nodes has
-// usually not received the latest start, and both would send all 300 members. They exchange
-// only the bucket that differs.
+// In a rolling restart of 300 nodes, one of two nodes has usually not received the latest
+// start. In a full exchange both would send all 300 members. They must exchange only the
+// bucket that differs.
 func TestOneChangeTransfersOneBucket(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -41,8 +41,8 @@
 	is.Equal(a.Hash(), b.Hash())
 }
 
-// Guards against repeated exchanges after a member dies. A node that starts later never
-// learns of the dead member; its hash must still equal that of the others.
+// A node that starts after a member has died never learns of the dead member. Its hash
+// must still equal that of the others, otherwise the exchanges are repeated.
 func TestDeadMembersDoNotAffectHash(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
--- a/internal/gossip/flight_role_test.go
+++ b/internal/gossip/flight_role_test.go
@@ -8,9 +8,9 @@
 	"github.com/matryer/is"
 )
 
-// TestFlightExchangesBetweenDomainsAreBounded guards against traffic between failure
-// domains that grows with the square of the fleet. If the leaders of all groups exchanged
-// reports with each other, that would be most of the traffic of 300 VMs.
+// The traffic between failure domains must not grow with the square of the fleet. If the
+// leaders of all groups exchanged reports with each other, that would be most of the
+// traffic of 300 VMs.
 func TestFlightExchangesBetweenDomainsAreBounded(t *testing.T) {
 	for _, size := range []struct{ domains, perDomain, crossings int }{
 		{4, 2, 0}, {4, 21, 6}, {4, 75, 6}, {6, 50, 15}, {38, 42, 703},
@@ -36,8 +36,8 @@
 	}
 }
 
-// TestFlightSumsReachAllNodes guards against a node that misses other nodes' work: after a few
-// rounds each node has the sum over all nodes.
+// After a few rounds each node has the sum over all nodes, so that none misses other
+// nodes' work.
 func TestFlightSumsReachAllNodes(t *testing.T) {
 	rosters := rostersOf(3, 60)
 	sums := map[string]*FlightSums{}
--- a/internal/gossip/peer_test.go
+++ b/internal/gossip/peer_test.go
@@ -85,9 +85,9 @@
 	return t.echo.Exchange(in)
 }
 
-// Guards against concurrent first calls to a peer that replace each other's connection. Both
-// calls open one; closing the other's would fail its call, and two failures in a row mark a
-// live peer dead.
+// Concurrent first calls to a peer must share one connection. If both open one and
+// replace each other's, closing the other's fails its call, and two failures in a row
+// mark a live peer dead.
 func TestConcurrentFirstCallsShareConnection(t *testing.T) {
 	is := is.New(t)
 	for range 20 {
--- a/internal/logring/writer_test.go
+++ b/internal/logring/writer_test.go
@@ -15,8 +15,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// Guards against requests that block on logging when the log's reader hangs.
-// Lines beyond the queue are dropped; the queued ones are written once the reader continues.
+// Requests must not block on logging when the log's reader hangs. Lines beyond the queue
+// are dropped; the queued ones are written once the reader continues.
 func TestFullQueueDropsLinesWithoutBlocking(t *testing.T) {
 	is := is.New(t)
 	dest := &blockedWriter{released: make(chan struct{})}
@@ -52,7 +52,7 @@
 	return g.buf.String()
 }
 
-// Guards against a flood of informational lines that displaces the lines on failures.
+// A flood of informational lines must not displace the lines on failures.
 func TestOnlyLinesBelowWarningAreRateLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/membership/spread_test.go
+++ b/internal/membership/spread_test.go
@@ -16,8 +16,8 @@
 	return Member{VM: vm, State: state}
 }
 
-// Guards against answers with VMs that are leaving or suspected while others are live, and
-// against answers from fewer failure domains than possible.
+// An answer must not contain VMs that are leaving or suspected while others are live, and
+// must cover as many failure domains as possible.
 func TestPickedAddressesAreLiveAndBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		domains := rapid.IntRange(1, 5).Draw(t, "domains")
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -54,8 +54,8 @@
 	is.True(errors.As(err, &methodErr)) // the method's own error
 }
 
-// Guards against losing a request: if a refused connection were reported like a lost
-// response, no caller could safely retry elsewhere. The peer stops, then it is called.
+// The peer stops, then it is called. If the refused connection were reported like a lost
+// response, no caller could safely retry elsewhere, and the request would be lost.
 func TestCallToStoppedPeerIsNotSent(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -68,8 +68,8 @@
 	is.True(errors.Is(err, ErrNotSent))
 }
 
-// Guards against a pool that keeps a stuck connection, which would block every later call to
-// the peer. A call to a frozen peer times out; the next call must use a new connection.
+// A call to a frozen peer times out; the next call must use a new connection. A stuck
+// connection that stays in the pool would block every later call to the peer.
 func TestCallAfterFrozenPeerUsesNewConnection(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	is := is.New(t)
@@ -90,9 +90,8 @@
 	server.Close()
 }
 
-// Guards against a node that accumulates a connection to every other node and runs out of
-// memory, as roles move between nodes over days. Idle connections are closed; those in use
-// stay open.
+// As roles move between nodes over days, a node would accumulate a connection to every
+// other node and run out of memory. Idle connections are closed; those in use stay open.
 func TestIdleConnectionsAreClosed(t *testing.T) {
 	is := is.New(t)
 	server, pool := start(t, &echo{})
--- a/internal/platform/client/classify_test.go
+++ b/internal/platform/client/classify_test.go
@@ -48,8 +48,8 @@
 	empty500         = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
 )
 
-// Guards against an error of the wrong kind: a write that may have taken effect must
-// not be reported as refused, and a read is always reported as refused.
+// A write that may have taken effect must not be reported as refused, and a read is
+// always reported as refused.
 func TestErrorKindsOfResponses(t *testing.T) {
 	refused, unknown := platform.ErrRefused, platform.ErrUnknown
 	for _, c := range []struct {
@@ -97,7 +97,7 @@
 	is.Equal(errors.Is(err, platform.ErrUnknown), want == platform.ErrUnknown)
 }
 
-// Guards against losing the platform's retry delay.
+// A refusal must contain the platform's retry delay.
 func TestRefusalContainsRetryDelay(t *testing.T) {
 	is := is.New(t)
 	client := New(newFakePlatform(t, respondWith(limited)).url())
@@ -108,7 +108,7 @@
 	is.Equal(refusal.RetryAfter(), 1500*time.Millisecond)
 }
 
-// Guards against reporting a write as possibly done although no server listens.
+// If no server listens, a write must not be reported as possibly done.
 func TestNoListenerIsRefused(t *testing.T) {
 	is := is.New(t)
 	p := newFakePlatform(t, neverRespond)
@@ -122,8 +122,8 @@
 	is.Equal(p.requestCount(), 0)
 }
 
-// Guards against reporting ErrUnknown for a write whose context was cancelled before it
-// was sent. The caller would search for a write that was never sent.
+// A write whose context was cancelled before it was sent must not be reported as
+// ErrUnknown. The caller would search for a write that was never sent.
 func TestCancelledBeforeSendingIsRefused(t *testing.T) {
 	is := is.New(t)
 	p := newFakePlatform(t, respondWith(applied))
@@ -137,8 +137,8 @@
 	is.Equal(p.requestCount(), 0)
 }
 
-// Guards against reporting ErrRefused for a write whose context was cancelled after the
-// platform received it and before it responded.
+// A write whose context was cancelled after the platform received it and before it
+// responded must not be reported as ErrRefused.
 func TestCancelledAfterSendingIsUnknown(t *testing.T) {
 	is := is.New(t)
 	arrived := make(chan struct{}, 2)
@@ -165,7 +165,7 @@
 	expectKind(t, err, platform.ErrRefused)
 }
 
-// Guards against a time-out that the caller cannot recognise by its error.
+// Callers recognise a time-out by its error.
 func TestTimeoutIsDeadlineExceeded(t *testing.T) {
 	is := is.New(t)
 	client := New(newFakePlatform(t, neverRespond).url(), WithTimeout(50*time.Millisecond))
@@ -174,8 +174,8 @@
 	is.True(errors.Is(err, context.DeadlineExceeded))
 }
 
-// Guards against sending keys that are not UTF-8. Two keys that differ only in invalid
-// bytes would become the same key, and two callers would share a claim.
+// Keys that are not UTF-8 must not be sent. Two keys that differ only in invalid bytes
+// would become the same key, and two callers would share a claim.
 func TestInvalidUTF8KeysAreRefused(t *testing.T) {
 	is := is.New(t)
 	p := newFakePlatform(t, respondWith(applied))
--- a/internal/platform/client/resend_test.go
+++ b/internal/platform/client/resend_test.go
@@ -24,10 +24,10 @@
 	return err == nil
 }
 
-// Guards against a resent commit. A commit is sent on a reused connection, and the
-// connection breaks after the platform received the commit and before the response.
-// net/http assumes that the server closed the idle connection, and resends the request
-// if it can. The resent commit would then fail with a conflict with its own row.
+// A commit is sent on a reused connection, and the connection breaks after the platform
+// received the commit and before the response. net/http assumes that the server closed
+// the idle connection, and resends the request if it can. The resent commit would then
+// fail with a conflict with its own row.
 func TestCommitIsNotResent(t *testing.T) {
 	is := is.New(t)
 	p := newFakePlatform(t, respondToFirst)
@@ -40,8 +40,8 @@
 	is.Equal(p.requestCount(), 2)
 }
 
-// Guards against a read that fails because the platform closes an idle connection while
-// the read is sent on it. net/http must resend the read on another connection.
+// If the platform closes an idle connection while a read is sent on it, net/http must
+// resend the read on another connection. Otherwise the read fails.
 func TestReadIsResent(t *testing.T) {
 	is := is.New(t)
 	p := newFakePlatform(t, func(n int, conn net.Conn) bool {
@@ -60,7 +60,7 @@
 	is.Equal(p.requestCount(), 3)
 }
 
-// Guards against a resent Put of an object, as for a commit.
+// A Put of an object must not be resent, as for a commit.
 func TestPutIsNotResent(t *testing.T) {
 	is := is.New(t)
 	p := newFakePlatform(t, respondToFirst)
@@ -86,9 +86,8 @@
 	is.Equal(p.requestCount(), 3)
 }
 
-// Guards against a resent write if its request has an Idempotency-Key header, with
-// which net/http treats a POST as replayable. It cannot resend a body that it cannot
-// rewind.
+// net/http treats a POST with an Idempotency-Key header as replayable, and would resend a
+// write whose request has one. It cannot resend a body that it cannot rewind.
 func TestWriteWithIdempotencyKeyIsNotResent(t *testing.T) {
 	is := is.New(t)
 	p := newFakePlatform(t, respondToFirst)
--- a/internal/platform/client/sent_test.go
+++ b/internal/platform/client/sent_test.go
@@ -8,9 +8,9 @@
 	"github.com/matryer/is"
 )
 
-// Guards against confusing a connection that was broken before a commit used it with one
-// that broke during its first write. Only if no write was started may the client report
-// that the commit had no effect.
+// The client may report that a commit had no effect only if no write was started. A
+// connection that was broken before the commit used it must be told apart from one that
+// broke during the commit's first write.
 func TestMaybeSentCountsWritesOfThisCallOnly(t *testing.T) {
 	is := is.New(t)
 	near, far := net.Pipe()
@@ -29,8 +29,8 @@
 	is.True(call.maybeSent())
 }
 
-// Guards against reporting a call as not sent if net/http moved it to a second
-// connection after it had written to the first one.
+// A call must not be reported as not sent if net/http moved it to a second connection
+// after it had written to the first one.
 func TestMaybeSentCoversEarlierConnections(t *testing.T) {
 	is := is.New(t)
 	first, second := &countingConn{Conn: brokenPipe()}, &countingConn{Conn: brokenPipe()}
--- a/internal/route/table_test.go
+++ b/internal/route/table_test.go
@@ -75,8 +75,8 @@
 	return routes[best].Name
 }
 
-// Guards against decoding all routes again when one changes: an unchanged text must find
-// its decoded route.
+// An unchanged text must find its decoded route. Otherwise all routes are decoded again
+// when one changes.
 func TestRouteIsFoundBySourceDigest(t *testing.T) {
 	is := is.New(t)
 	tab := New(1, Limits{}, []*Route{{Name: "a", SourceDigest: 7}, {Name: "b"}}, nil, nil)
--- a/internal/secure/load_test.go
+++ b/internal/secure/load_test.go
@@ -82,9 +82,9 @@
 	return nil
 }
 
-// Guards against another process on the network that calls the peer port of an entry
-// node, without TLS or with a certificate of another authority. It could report a
-// version as active or a bill as stored. Only certificates of the peer authority pass.
+// Another process on the network may call the peer port of an entry node, without TLS or
+// with a certificate of another authority. It could report a version as active or a bill
+// as stored. Only certificates of the peer authority pass.
 func TestPeerServerRejectsUntrustedClients(t *testing.T) {
 	is := is.New(t)
 	trusted, err := Load(newTestAuthority(t).issue(t))
@@ -116,8 +116,7 @@
 	}
 }
 
-// Guards against a node that starts with incomplete TLS files, or without TLS although
-// files are set.
+// A node must not start with incomplete TLS files, or without TLS although files are set.
 func TestLoadRejectsIncompleteFiles(t *testing.T) {
 	files := newTestAuthority(t).issue(t)
 	cases := []struct {
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -62,9 +62,9 @@
 	}
 }
 
-// Guards against a metrics page that grows without bound when callers use thousands
-// of organisation names or every rollout adds a version. Values beyond the bound
-// count together, and the sums stay complete.
+// The metrics page must not grow without bound when callers use thousands of organisation
+// names or every roll-out adds a version. Values beyond the bound count together, and the
+// sums stay complete.
 func TestLabelsBeyondBoundCountAsOther(t *testing.T) {
 	is := is.New(t)
 	s := New(Bounds{Requests: 3, Versions: 2, Codes: 2, Refusals: 5})
--- a/internal/transfer/transfer_test.go
+++ b/internal/transfer/transfer_test.go
@@ -64,8 +64,8 @@
 	is.Equal(s.Answer(r.NextRequest(), start).To, uint64(0)) // nothing newer
 }
 
-// Guards against sending the same bytes twice when a sender fails: the transfer resumes at
-// another sender with the bytes already received.
+// When a sender fails, the transfer resumes at another sender with the bytes already
+// received. Otherwise the same bytes are sent twice.
 func TestTransferResumesAtAnotherSender(t *testing.T) {
 	is := is.New(t)
 	doc := document(3, 5*PieceSize)
@@ -85,8 +85,8 @@
 	is.True(bytes.Equal(got.Raw(), doc.Raw()))
 }
 
-// Guards against a transfer that never completes: changes every 0.3 s would restart a
-// transfer that takes a second.
+// Regression: changes every 0.3 s restart a transfer that takes a second, so that it
+// never completes.
 func TestChangeDoesNotRestartTransfer(t *testing.T) {
 	is := is.New(t)
 	s, r := NewSender(0), NewReceiver("a")
--- a/internal/upstream/client/announced_test.go
+++ b/internal/upstream/client/announced_test.go
@@ -13,8 +13,8 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// Guards against ignoring the headers of an overloaded upstream in refusals, failures
-// and load reports.
+// The headers of an overloaded upstream must be taken into account in refusals, failures
+// and load reports too.
 func TestHandlerReceivesNoticesOfEachResponse(t *testing.T) {
 	is := is.New(t)
 	status := http.StatusOK
--- a/internal/upstream/client/conn_test.go
+++ b/internal/upstream/client/conn_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// Guards against a request that is reported as not sent and runs later, because the
+// A request that is reported as not sent must not run later. That happens if the
 // transport writes it after it returned the failure.
 func TestSealedConnectionWritesNothing(t *testing.T) {
 	is := is.New(t)
@@ -21,8 +21,8 @@
 	is.True(errors.Is(err, errSealed))
 }
 
-// Guards against reporting a request as not sent although its first byte may have been
-// sent, because a write was started and then failed.
+// If a write was started and then failed, its first byte may have been sent. The request
+// must not be reported as not sent.
 func TestFailedWriteCounts(t *testing.T) {
 	is := is.New(t)
 	near, far := net.Pipe()
--- a/internal/upstream/client/decoder_ready_test.go
+++ b/internal/upstream/client/decoder_ready_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// Guards against delaying a chunk to the caller because the next one seems to be
-// available although only a part of it has arrived.
+// A chunk must not be delayed because the next one seems to be available although only a
+// part of it has arrived.
 func TestOnlyCompleteEventIsReady(t *testing.T) {
 	is := is.New(t)
 	r, w := io.Pipe()
--- a/internal/upstream/client/decoder_test.go
+++ b/internal/upstream/client/decoder_test.go
@@ -14,8 +14,8 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// Guards against passing a truncated answer as complete, if the connection breaks within
-// the last event after its data line.
+// If the connection breaks within the last event after its data line, the truncated
+// answer must not be passed as complete.
 func TestTruncatedEventIsNotAChunk(t *testing.T) {
 	is := is.New(t)
 	complete := "id: 1\ndata: {\"attempt\":\"a\",\"seq\":1,\"done\":true}\n\n"
@@ -28,7 +28,7 @@
 	}
 }
 
-// Guards against events whose fields, comments or line ends are decoded wrongly.
+// Fields, comments and line ends of events must be decoded correctly.
 func TestDecoderReadsEvents(t *testing.T) {
 	cases := []struct{ name, in, want string }{
 		{"piece", "data: {\"seq\":2,\"text\":\"hi\"}\n\n", "2 hi"},
--- a/internal/upstream/client/engines_test.go
+++ b/internal/upstream/client/engines_test.go
@@ -11,7 +11,7 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// Guards against chunks with a wrong number, attempt or text: the first chunk of the
+// Each chunk must have the right number, attempt and text: the first chunk of the
 // stand-in engine contains the version, the prompt's digest and the attempt.
 func TestChunksOfStandInEngine(t *testing.T) {
 	is := is.New(t)
--- a/internal/upstream/client/piece_test.go
+++ b/internal/upstream/client/piece_test.go
@@ -35,8 +35,8 @@
 	})
 }
 
-// Guards against hiding a chunk of another attempt in a stream by reusing the string of
-// the previous chunk's attempt.
+// The parser must report the attempt of each chunk. Reusing the string of the previous
+// chunk's attempt could hide a chunk of another attempt in a stream.
 func TestParserReturnsAttemptOfEachChunk(t *testing.T) {
 	is := is.New(t)
 	var p chunkParser
--- a/internal/upstream/client/reach_test.go
+++ b/internal/upstream/client/reach_test.go
@@ -23,9 +23,9 @@
 	return e.Reach
 }
 
-// Guards against a call that runs twice although the router sent it once. The call uses
-// an idle connection, and the service runs it and crashes before it responds. net/http
-// would then resend a GET, or any call with an Idempotency-Key, on a new connection.
+// A call that the router sent once must not run twice. The call uses an idle connection,
+// and the service runs it and crashes before it responds. net/http would then resend a
+// GET, or any call with an Idempotency-Key, on a new connection.
 func TestCallIsNotResentIfReusedConnectionBreaks(t *testing.T) {
 	calls := []upstream.ServiceCall{
 		{Method: http.MethodPost, Path: "/charges", Key: "k", Body: []byte("body")},
@@ -51,10 +51,9 @@
 	}
 }
 
-// Guards against reporting a call as not sent although the service received it. Calls
-// are sent while the service closes idle connections, so that some use a connection that
-// is just closing. Whatever the race, a call that the service received must not be
-// NotSent, and none may be received twice.
+// Calls are sent while the service closes idle connections, so that some use a connection
+// that is just closing. Whatever the race, a call that the service received must not be
+// reported as NotSent, and none may be received twice.
 func TestCallsRaceWithClosingIdleConnections(t *testing.T) {
 	is := is.New(t)
 	s := newRawServer(t, func(c net.Conn, _ string, nth int) bool {
@@ -82,8 +81,8 @@
 	t.Logf("ok %d, not sent %d, maybe run %d", ok, notSent, maybeRun)
 }
 
-// Guards against reporting a request as possibly run although no byte was sent, because
-// nothing listens, the context was cancelled or the request is invalid.
+// If no byte was sent because nothing listens, the context was cancelled or the request
+// is invalid, the request must not be reported as possibly run.
 func TestNoConnectionIsNotSent(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -104,8 +103,8 @@
 	is.Equal(reachOf(t, err), upstream.NotSent)
 }
 
-// Guards against reporting a call as not run although the service received it, if the
-// response times out or the context is cancelled.
+// A call that the service received must not be reported as not run, whether the response
+// times out or the context is cancelled.
 func TestReceivedCallIsMaybeRun(t *testing.T) {
 	is := is.New(t)
 	silent := newRawServer(t, func(c net.Conn, _ string, _ int) bool {
@@ -127,8 +126,8 @@
 	is.Equal(reachOf(t, err), upstream.MaybeRun)
 }
 
-// Guards against passing a truncated response as complete, if the service crashes while
-// it responds.
+// If the service crashes while it responds, the truncated response must not be passed as
+// complete.
 func TestTruncatedResponseIsAnError(t *testing.T) {
 	is := is.New(t)
 	s := newRawServer(t, func(c net.Conn, _ string, _ int) bool {
@@ -141,8 +140,8 @@
 	is.Equal(reachOf(t, err), upstream.MaybeRun)
 }
 
-// Guards against reporting a request as not run because of the status alone, or because
-// of the header with a status by which no upstream rejects requests.
+// A request must not be reported as not run because of the status alone, or because of
+// the header with a status by which no upstream rejects requests.
 func TestDeclinedNeedsStatusAndHeader(t *testing.T) {
 	cases := []struct {
 		status string
