--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -132,9 +132,9 @@
 	is.Equal(received.Load(), int32(2))
 }
 
-// Regression: the read deadline of one response still applied to the next on the same
-// connection. The next request then fails as if the upstream had broken off, and goes to
-// another upstream although its response is in transit.
+// The read deadline of one response must not apply to the next on the same connection. The
+// next request would fail as if the upstream had broken off, and go to another upstream
+// although its response is in transit.
 func TestBodyDeadlineDoesNotApplyToNextResponse(t *testing.T) {
 	is := is.New(t)
 	limitPassed := make(chan struct{})
--- a/internal/membership/tracker_test.go
+++ b/internal/membership/tracker_test.go
@@ -61,8 +61,8 @@
 	is.Equal(len(tr.Addresses("c", time.Now()).Addresses), 2)
 }
 
-// OnChange must be able to read the view: it deadlocks if the change still holds the
-// lock.
+// OnChange must be able to read the view. If a change holds the lock meanwhile, that
+// deadlocks.
 func TestViewDuringOnChangeDoesNotDeadlock(t *testing.T) {
 	is := is.New(t)
 	var tr *Tracker
--- a/internal/platform/client/classify_test.go
+++ b/internal/platform/client/classify_test.go
@@ -165,7 +165,7 @@
 	expectKind(t, err, platform.ErrRefused)
 }
 
-// Callers recognise a time-out by its error.
+// The caller must be able to recognise a time-out by its error.
 func TestTimeoutIsDeadlineExceeded(t *testing.T) {
 	is := is.New(t)
 	client := New(newFakePlatform(t, neverRespond).url(), WithTimeout(50*time.Millisecond))
--- a/internal/transfer/transfer_test.go
+++ b/internal/transfer/transfer_test.go
@@ -85,8 +85,8 @@
 	is.True(bytes.Equal(got.Raw(), doc.Raw()))
 }
 
-// Regression: changes every 0.3 s restart a transfer that takes a second, so that it
-// never completes.
+// Changes every 0.3 s must not restart a transfer that takes a second. Otherwise it never
+// completes.
 func TestChangeDoesNotRestartTransfer(t *testing.T) {
 	is := is.New(t)
 	s, r := NewSender(0), NewReceiver("a")
--- a/internal/upstream/client/announced_test.go
+++ b/internal/upstream/client/announced_test.go
@@ -13,8 +13,8 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// The headers of an overloaded upstream must be taken into account in refusals, failures
-// and load reports too.
+// The headers of an overloaded upstream must not be ignored in refusals, failures and load
+// reports.
 func TestHandlerReceivesNoticesOfEachResponse(t *testing.T) {
 	is := is.New(t)
 	status := http.StatusOK
