--- a/internal/api/door_test.go
+++ b/internal/api/door_test.go
@@ -12,8 +12,8 @@
 	"github.com/hickorybank/hickorybank/internal/request"
 )
 
-// An invalid request must not reach the router. The caller must get an error response
-// that names the fault, with outcome not run.
+// An invalid request is refused before it reaches the router. The caller must get an
+// error response that names the fault, with outcome not run.
 func TestInvalidRequestDoesNotReachRouter(t *testing.T) {
 	chat := "/v1/chat/completions"
 	withModel := func(model string) string { return `{"model":` + model + `,"messages":[{"role":"user","content":"x"}]}` }
--- a/internal/api/refusal_test.go
+++ b/internal/api/refusal_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// A failure must not be counted as a refusal if the request may have run.
+// Fails if a failure is counted as a refusal although the request may have run.
 func TestFailureThatMayHaveRunIsNotARefusal(t *testing.T) {
 	is := is.New(t)
 	b := newFakeRouter(t)
--- a/internal/archive/archive_test.go
+++ b/internal/archive/archive_test.go
@@ -66,8 +66,8 @@
 
 func stateOf(revision uint64) []byte { return fmt.Appendf(nil, `{"a":[%d,7,8]}`, revision) }
 
-// An update must bring a peer to the newest state, and must not contain the full state if
-// the retained deltas suffice.
+// An update must bring a peer to the newest state, and contain the full state only if the
+// retained deltas do not suffice.
 func TestUpdateBringsPeerToNewestState(t *testing.T) {
 	is := is.New(t)
 	var a *Archive
--- a/internal/cli/admin_test.go
+++ b/internal/cli/admin_test.go
@@ -187,10 +187,10 @@
 	is.Equal(runCommand("admin", "get", "--revision", "1").out, got.out)
 }
 
-// A lost answer must not be reported as a failure without effect. If only the first
-// answer is lost, the command sends the same change again and it is applied once. If all
-// answers are lost, the command reports that the outcome is unknown and prints the
-// command that queries it.
+// A lost answer does not mean that the change had no effect, so it must not be reported
+// as such a failure. If only the first answer is lost, the command sends the same change
+// again and it is applied once. If all answers are lost, the command reports that the
+// outcome is unknown and prints the command that queries it.
 func TestLostAnswerIsRetriedOrReportedAsUnknown(t *testing.T) {
 	is := is.New(t)
 	var answersToLose atomic.Int64
--- a/internal/confsync/list_read_test.go
+++ b/internal/confsync/list_read_test.go
@@ -80,8 +80,8 @@
 	return reported
 }
 
-// An unchanged list must not be read in full. The list of 11,600 VMs has 1.3 MB, and a
-// full read every 2 s would use 116 times a reader's network budget.
+// An unchanged list is not read in full. The list of 11,600 VMs has 1.3 MB, and a full
+// read every 2 s would use 116 times a reader's network budget.
 func TestUnchangedListIsNotReadInFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/confsync/syncer_test.go
+++ b/internal/confsync/syncer_test.go
@@ -50,10 +50,10 @@
 	is.Equal(readers, confsync.DefaultReaders)
 }
 
-// Nodes must not refuse work while the table is down for longer than the bound: no change
-// can be accepted meanwhile, and more than half of the nodes vote for an outage. A node
-// that starts during the outage gets the configuration from its peers, and a change after
-// the outage comes into force as usual.
+// Work continues while the table is down for longer than the bound: no change can be
+// accepted meanwhile, and more than half of the nodes vote for an outage. A node that
+// starts during the outage gets the configuration from its peers, and a change after the
+// outage comes into force as usual.
 func TestWorkContinuesDuringTableOutage(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
--- a/internal/duty/group_test.go
+++ b/internal/duty/group_test.go
@@ -28,7 +28,7 @@
 	is.True(strings.Contains(string(out), "invariant broken"))
 }
 
-// Wait must not return while a goroutine still runs.
+// Wait returns only when no goroutine runs any more.
 func TestWaitBlocksUntilAllGoroutinesReturn(t *testing.T) {
 	var g Group
 	release := make(chan struct{})
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -104,8 +104,8 @@
 	is.Equal(p.Opened(), int64(1))
 }
 
-// A request must not be resent when a reused connection breaks after the upstream has
-// read it: the request may have run.
+// When a reused connection breaks after the upstream has read the request, the request
+// may have run, so it is not resent.
 func TestBrokenReusedConnectionDoesNotResend(t *testing.T) {
 	is := is.New(t)
 	var received atomic.Int32
@@ -184,8 +184,8 @@
 	is.True(strings.Contains(failure.Error(), "not_connected"))
 }
 
-// A connection with an unsolicited second response must not be reused. That response
-// would be taken for the response to the next request.
+// A connection with an unsolicited second response cannot be reused. That response would
+// be taken for the response to the next request.
 func TestExtraResponseIsNotDelivered(t *testing.T) {
 	is := is.New(t)
 	addr := startServer(t, func(c net.Conn, in *bufio.Reader, _ int) {
@@ -306,8 +306,8 @@
 	is.Equal(conns.Load(), int32(2))
 }
 
-// An idle connection that the upstream has closed must not be used for sending; a new
-// connection is opened instead.
+// If the upstream has closed an idle connection, the request is sent on a new one
+// instead.
 func TestClosedIdleConnectionIsNotReused(t *testing.T) {
 	is := is.New(t)
 	closed := make(chan struct{})
@@ -368,7 +368,7 @@
 	<-gone
 }
 
-// A connection must not be reused beyond the idle time-out that its upstream states.
+// A connection is reused only within the idle time-out that its upstream states.
 func TestKeepAliveTimeoutOfUpstreamIsHonoured(t *testing.T) {
 	is := is.New(t)
 	is.Equal(keepAliveTimeout(http.Header{"Keep-Alive": {"max=5, timeout=3"}}), 3*time.Second-keepAliveMargin)
--- a/internal/logring/writer_test.go
+++ b/internal/logring/writer_test.go
@@ -15,7 +15,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// Requests must not block on logging when the log's reader hangs. Lines beyond the queue
+// When the log's reader hangs, requests do not block on logging. Lines beyond the queue
 // are dropped; the queued ones are written once the reader continues.
 func TestFullQueueDropsLinesWithoutBlocking(t *testing.T) {
 	is := is.New(t)
@@ -52,7 +52,7 @@
 	return g.buf.String()
 }
 
-// A flood of informational lines must not displace the lines on failures.
+// Without the rate limit, a flood of informational lines displaces the lines on failures.
 func TestOnlyLinesBelowWarningAreRateLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/membership/spread_test.go
+++ b/internal/membership/spread_test.go
@@ -16,8 +16,8 @@
 	return Member{VM: vm, State: state}
 }
 
-// An answer must not contain VMs that are leaving or suspected while others are live, and
-// must cover as many failure domains as possible.
+// While some VMs are live, an answer contains no VMs that are leaving or suspected. It
+// covers as many failure domains as possible.
 func TestPickedAddressesAreLiveAndBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		domains := rapid.IntRange(1, 5).Draw(t, "domains")
--- a/internal/platform/client/classify_test.go
+++ b/internal/platform/client/classify_test.go
@@ -108,7 +108,8 @@
 	is.Equal(refusal.RetryAfter(), 1500*time.Millisecond)
 }
 
-// If no server listens, a write must not be reported as possibly done.
+// If no server listens, a write is certain not to have taken effect. It must be reported
+// as refused, not as possibly done.
 func TestNoListenerIsRefused(t *testing.T) {
 	is := is.New(t)
 	p := newFakePlatform(t, neverRespond)
@@ -174,8 +175,8 @@
 	is.True(errors.Is(err, context.DeadlineExceeded))
 }
 
-// Keys that are not UTF-8 must not be sent. Two keys that differ only in invalid bytes
-// would become the same key, and two callers would share a claim.
+// Keys that are not UTF-8 are refused. If they were sent, two keys that differ only in
+// invalid bytes would become the same key, and two callers would share a claim.
 func TestInvalidUTF8KeysAreRefused(t *testing.T) {
 	is := is.New(t)
 	p := newFakePlatform(t, respondWith(applied))
--- a/internal/platform/client/resend_test.go
+++ b/internal/platform/client/resend_test.go
@@ -60,7 +60,7 @@
 	is.Equal(p.requestCount(), 3)
 }
 
-// A Put of an object must not be resent, as for a commit.
+// As for a commit, a Put of an object is sent only once.
 func TestPutIsNotResent(t *testing.T) {
 	is := is.New(t)
 	p := newFakePlatform(t, respondToFirst)
--- a/internal/upstream/client/conn_test.go
+++ b/internal/upstream/client/conn_test.go
@@ -21,8 +21,8 @@
 	is.True(errors.Is(err, errSealed))
 }
 
-// If a write was started and then failed, its first byte may have been sent. The request
-// must not be reported as not sent.
+// If a write was started and then failed, its first byte may have been sent. Fails if the
+// request is reported as not sent.
 func TestFailedWriteCounts(t *testing.T) {
 	is := is.New(t)
 	near, far := net.Pipe()
--- a/internal/upstream/client/decoder_ready_test.go
+++ b/internal/upstream/client/decoder_ready_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-// A chunk must not be delayed because the next one seems to be available although only a
+// Fails if a chunk is delayed because the next one seems to be available although only a
 // part of it has arrived.
 func TestOnlyCompleteEventIsReady(t *testing.T) {
 	is := is.New(t)
--- a/internal/upstream/client/reach_test.go
+++ b/internal/upstream/client/reach_test.go
@@ -126,8 +126,8 @@
 	is.Equal(reachOf(t, err), upstream.MaybeRun)
 }
 
-// If the service crashes while it responds, the truncated response must not be passed as
-// complete.
+// If the service crashes while it responds, the truncated response must be reported as an
+// error. Otherwise it passes as complete.
 func TestTruncatedResponseIsAnError(t *testing.T) {
 	is := is.New(t)
 	s := newRawServer(t, func(c net.Conn, _ string, _ int) bool {
