--- a/internal/sim/conn.go
+++ b/internal/sim/conn.go
@@ -10,30 +10,30 @@
 )
 
 const (
-	// window is how many bytes of one direction may be under way or unread.
+	// window is the maximum number of bytes in flight or unread in one direction.
 	window = 64 << 10
-	// sendBuffer is how much of what waits behind them is still sent after the
-	// writer has closed: what a kernel would have taken over.
+	// sendBuffer is the maximum number of unsent bytes that are still sent after the
+	// writer has closed. It stands for the kernel's send buffer.
 	sendBuffer = 128 << 10
 )
 
-// half is one direction of a connection.
-type half struct {
+// direction is the byte stream of a connection from one host to the other.
+type direction struct {
 	from, to *Host
 	unread   []byte
-	// flight are the segments under way, in the order in which they were written.
-	flight []*packet
-	// backlog is what was written and is not under way yet, taken the bytes under
-	// way or unread.
-	backlog []byte
-	taken   int
-	// ended is set once the writer's end has arrived; gone when the reader has
-	// closed, so that more writing is in vain.
-	ended, gone bool
-	changed     *sync.Cond
-}
-
-// packet is one segment of a connection; an empty one is its end.
+	// inFlight holds the segments that were sent but not delivered, in write order.
+	inFlight []*packet
+	// unsent holds the bytes that were written but not sent.
+	unsent []byte
+	// windowUsed is the number of bytes in flight or unread.
+	windowUsed int
+	// writerClosed is set once the end of the stream has been delivered. readerClosed is
+	// set once the reader's close has arrived; writes then fail.
+	writerClosed, readerClosed bool
+	changed                    *sync.Cond
+}
+
+// packet is one segment of a stream; an empty packet marks the end of the stream.
 type packet struct {
 	data    []byte
 	arrived bool
@@ -41,108 +41,110 @@
 
 // conn is one end of a connection.
 type conn struct {
-	net                   *Network
-	in, out               *half
-	local, remote         *net.TCPAddr
-	closed                bool
-	readUntil, writeUntil time.Time
-	readTimer             *time.Timer
+	net                         *Network
+	in, out                     *direction
+	local, remote               *net.TCPAddr
+	closed                      bool
+	readDeadline, writeDeadline time.Time
+	readTimer                   *time.Timer
 }
 
-// newPair returns both ends of a connection; the caller holds the lock.
+// newPair returns both ends of a connection. The caller holds the network's lock.
 func newPair(a, b *Host, fromPort, toPort int) (*conn, *conn) {
-	there := &half{from: a, to: b, changed: sync.NewCond(&a.net.mu)}
-	back := &half{from: b, to: a, changed: sync.NewCond(&a.net.mu)}
+	forward := &direction{from: a, to: b, changed: sync.NewCond(&a.net.mu)}
+	backward := &direction{from: b, to: a, changed: sync.NewCond(&a.net.mu)}
 	local, remote := tcpAddr(a.ip, fromPort), tcpAddr(b.ip, toPort)
-	return &conn{net: a.net, in: back, out: there, local: local, remote: remote},
-		&conn{net: a.net, in: there, out: back, local: remote, remote: local}
+	return &conn{net: a.net, in: backward, out: forward, local: local, remote: remote},
+		&conn{net: a.net, in: forward, out: backward, local: remote, remote: local}
 }
 
-// Read returns what has arrived; it waits for something.
+// Read returns the bytes that were delivered. It blocks until there are any, the
+// stream ends, the read deadline passes or the connection is closed.
 func (c *conn) Read(p []byte) (int, error) {
 	c.net.mu.Lock()
 	defer c.net.mu.Unlock()
 	for {
 		switch {
 		case c.closed:
-			return 0, c.failed("read", net.ErrClosed)
+			return 0, c.opError("read", net.ErrClosed)
 		case len(c.in.unread) > 0:
 			n := copy(p, c.in.unread)
 			c.in.unread = c.in.unread[n:]
-			c.in.taken -= n
-			c.in.push()
+			c.in.windowUsed -= n
+			c.in.fillWindow()
 			return n, nil
-		case c.in.ended:
+		case c.in.writerClosed:
 			return 0, io.EOF
-		case past(c.readUntil):
-			return 0, c.failed("read", os.ErrDeadlineExceeded)
+		case expired(c.readDeadline):
+			return 0, c.opError("read", os.ErrDeadlineExceeded)
 		}
 		c.in.changed.Wait()
 	}
 }
 
-// Write hands bytes over. It never waits: time in a test can't pass while a
-// goroutine waits for a lock whose holder waits here, as users of one connection
-// do. What does not fit into the window is sent later; once the connection is
-// closed, no more of it than sendBuffer.
+// Write queues bytes for sending and never blocks. Users of one connection share a
+// lock: if its holder blocked in Write, the goroutines that wait for the lock would
+// stop virtual time. Bytes beyond the window are sent later; after Close at most
+// sendBuffer of them are sent.
 func (c *conn) Write(p []byte) (int, error) {
 	c.net.mu.Lock()
 	defer c.net.mu.Unlock()
 	switch {
 	case c.closed:
-		return 0, c.failed("write", net.ErrClosed)
-	case c.out.gone:
-		return 0, c.failed("write", syscall.EPIPE)
-	case past(c.writeUntil):
-		return 0, c.failed("write", os.ErrDeadlineExceeded)
+		return 0, c.opError("write", net.ErrClosed)
+	case c.out.readerClosed:
+		return 0, c.opError("write", syscall.EPIPE)
+	case expired(c.writeDeadline):
+		return 0, c.opError("write", os.ErrDeadlineExceeded)
 	}
-	c.out.backlog = append(c.out.backlog, p...)
-	c.out.push()
+	c.out.unsent = append(c.out.unsent, p...)
+	c.out.fillWindow()
 	return len(p), nil
 }
 
-// push sends what fits into the window.
-func (h *half) push() {
-	for len(h.backlog) > 0 && h.taken < window {
-		h.pushOne()
+// fillWindow sends unsent bytes until the window is full.
+func (h *direction) fillWindow() {
+	for len(h.unsent) > 0 && h.windowUsed < window {
+		h.sendNext()
 	}
 }
 
-func (h *half) pushOne() {
-	n := min(len(h.backlog), segment)
-	h.carry(h.backlog[:n:n])
-	h.backlog = h.backlog[n:]
+// sendNext sends the next segment of the unsent bytes.
+func (h *direction) sendNext() {
+	n := min(len(h.unsent), segmentSize)
+	h.sendSegment(h.unsent[:n:n])
+	h.unsent = h.unsent[n:]
 }
 
-// carry sends a segment; an empty one is the end.
-func (h *half) carry(data []byte) {
-	h.taken += len(data)
+// sendSegment sends a segment; an empty one marks the end of the stream.
+func (h *direction) sendSegment(data []byte) {
+	h.windowUsed += len(data)
 	p := &packet{data: data}
-	h.flight = append(h.flight, p)
-	h.from.net.send(h.from, h.to, len(data)+headBytes, func() {
+	h.inFlight = append(h.inFlight, p)
+	h.from.net.send(h.from, h.to, len(data)+headerBytes, func() {
 		p.arrived = true
 		h.deliver()
 	})
 }
 
-// deliver hands over what has arrived, in order: a segment that was lost holds up
-// those behind it.
-func (h *half) deliver() {
-	for len(h.flight) > 0 && h.flight[0].arrived {
-		data := h.flight[0].data
-		h.flight = h.flight[1:]
+// deliver makes the segments that arrived readable, in write order. A lost segment
+// delays all later ones until its retransmission arrives.
+func (h *direction) deliver() {
+	for len(h.inFlight) > 0 && h.inFlight[0].arrived {
+		data := h.inFlight[0].data
+		h.inFlight = h.inFlight[1:]
 		h.unread = append(h.unread, data...)
 		if len(data) == 0 {
-			h.ended = true
+			h.writerClosed = true
 		}
 	}
 	h.changed.Broadcast()
 }
 
-// headBytes is what the heads of a segment's packets cost on a link.
-const headBytes = 54
+// headerBytes is the size of the packet headers that a segment adds on a link.
+const headerBytes = 54
 
-// Close ends both directions; what is under way still arrives.
+// Close closes both directions. Bytes in flight are still delivered.
 func (c *conn) Close() error {
 	c.net.mu.Lock()
 	defer c.net.mu.Unlock()
@@ -150,59 +152,59 @@
 	return nil
 }
 
-// close ends the connection; the caller holds the lock.
+// close closes the connection. The caller holds the network's lock.
 func (c *conn) close() {
 	if c.closed {
 		return
 	}
 	c.closed = true
-	c.out.backlog = c.out.backlog[:min(len(c.out.backlog), sendBuffer)]
-	for len(c.out.backlog) > 0 {
-		c.out.pushOne()
+	c.out.unsent = c.out.unsent[:min(len(c.out.unsent), sendBuffer)]
+	for len(c.out.unsent) > 0 {
+		c.out.sendNext()
 	}
-	c.out.carry(nil)
+	c.out.sendSegment(nil)
 	peer := c.in
-	peer.from.net.send(peer.to, peer.from, headBytes, func() {
-		peer.gone = true
+	peer.from.net.send(peer.to, peer.from, headerBytes, func() {
+		peer.readerClosed = true
 		peer.changed.Broadcast()
 	})
 	c.in.changed.Broadcast()
 	c.out.changed.Broadcast()
-	stop(c.readTimer)
+	stopTimer(c.readTimer)
 }
 
-func stop(t *time.Timer) {
+func stopTimer(t *time.Timer) {
 	if t != nil {
 		t.Stop()
 	}
 }
 
-func past(until time.Time) bool { return !until.IsZero() && !time.Now().Before(until) }
+func expired(deadline time.Time) bool { return !deadline.IsZero() && !time.Now().Before(deadline) }
 
-func (c *conn) failed(op string, err error) error {
+func (c *conn) opError(op string, err error) error {
 	return &net.OpError{Op: op, Net: "tcp4", Source: c.local, Addr: c.remote, Err: err}
 }
 
-// LocalAddr and RemoteAddr are the connection's ends.
+// LocalAddr returns the address of this end.
 func (c *conn) LocalAddr() net.Addr { return c.local }
 
-// RemoteAddr is the other end.
+// RemoteAddr returns the address of the other end.
 func (c *conn) RemoteAddr() net.Addr { return c.remote }
 
-// SetDeadline bounds reading and writing.
+// SetDeadline sets the read and the write deadline; the zero time removes them.
 func (c *conn) SetDeadline(t time.Time) error {
 	_ = c.SetReadDeadline(t) // always nil
 	return c.SetWriteDeadline(t)
 }
 
-// SetReadDeadline bounds reading.
+// SetReadDeadline sets the time after which Read fails; the zero time removes it.
 func (c *conn) SetReadDeadline(t time.Time) error {
 	c.net.mu.Lock()
 	defer c.net.mu.Unlock()
-	c.readUntil = t
-	stop(c.readTimer)
+	c.readDeadline = t
+	stopTimer(c.readTimer)
 	c.in.changed.Broadcast()
-	if t.IsZero() || past(t) || c.closed {
+	if t.IsZero() || expired(t) || c.closed {
 		return nil
 	}
 	c.readTimer = time.AfterFunc(time.Until(t), func() {
@@ -213,10 +215,10 @@
 	return nil
 }
 
-// SetWriteDeadline bounds writing.
+// SetWriteDeadline sets the time after which Write fails; the zero time removes it.
 func (c *conn) SetWriteDeadline(t time.Time) error {
 	c.net.mu.Lock()
 	defer c.net.mu.Unlock()
-	c.writeUntil = t
+	c.writeDeadline = t
 	return nil
 }
--- a/internal/sim/doc.go
+++ b/internal/sim/doc.go
@@ -1,11 +1,11 @@
-// Package sim is a network in one process, for tests that run in virtual time:
-// hosts whose links have a bandwidth each way, a delay, loss and cuts, and TCP
-// connections between them.
+// Package sim simulates an IP network in one process for tests in virtual time.
+// Hosts have links with a bandwidth for each direction, a delay, packet loss and
+// cuts, and open TCP connections to each other.
 //
-// It exists for failures that depend on size. Over loopback, or over links that
-// are sound or silent, a message of a megabyte costs as much as one of a
-// kilobyte, and a time limit that knows no size is never reached.
+// The package serves tests of failures that depend on message size. Over loopback,
+// or over links that either work perfectly or drop everything, a megabyte takes as
+// long as a kilobyte. A timeout that ignores the message size then never expires.
 //
-// All of it waits on timers and condition variables only, so that it runs under
+// The package blocks only on timers and condition variables, so it works under
 // testing/synctest.
 package sim
--- a/internal/sim/host.go
+++ b/internal/sim/host.go
@@ -10,71 +10,76 @@
 	"github.com/rotisserie/eris"
 )
 
-// Host is one machine on a network; it is a network.Network.
+// Host is one VM on a Network. It implements network.Network.
 type Host struct {
-	net       *Network
-	ip        string
-	up, down  link
-	cut       Cut
-	loss      float64
-	listeners map[int]*listener
-	nextPort  int
+	net              *Network
+	ip               string
+	uplink, downlink link
+	cut              Cut
+	loss             float64
+	listeners        map[int]*listener
+	nextPort         int
 }
 
-// Cut says which directions of a host's link pass nothing.
+// Cut selects the directions of a host's link that are blocked.
 type Cut struct{ In, Out bool }
 
-// Cut sets which directions pass nothing from now on.
+// Cut blocks the given directions of the host's link and unblocks the others.
 func (h *Host) Cut(c Cut) {
 	h.net.mu.Lock()
 	defer h.net.mu.Unlock()
 	h.cut = c
 }
 
-// Lose sets the share of segments that are lost from now on, 0 to 1.
+// Lose sets the probability, 0 to 1, that a segment on the host's link is lost.
 func (h *Host) Lose(share float64) {
 	h.net.mu.Lock()
 	defer h.net.mu.Unlock()
 	h.loss = share
 }
 
-// Load takes a part of both directions for other traffic, 0 to 1, from now on.
+// Load reserves a share, 0 to 1, of the current bandwidth of both directions for
+// other traffic. Repeated calls multiply.
 func (h *Host) Load(part float64) {
 	h.net.mu.Lock()
 	defer h.net.mu.Unlock()
-	h.up.bytesPerSecond *= 1 - part
-	h.down.bytesPerSecond *= 1 - part
+	h.uplink.bytesPerSecond *= 1 - part
+	h.downlink.bytesPerSecond *= 1 - part
 }
 
-// Carried returns the bytes that have passed the host's link so far.
+// Carried returns the number of bytes, with headers, that the host's link has
+// received and sent since the start.
 func (h *Host) Carried() (in, out int64) {
 	h.net.mu.Lock()
 	defer h.net.mu.Unlock()
-	return h.down.carried, h.up.carried
+	return h.downlink.bytesSent, h.uplink.bytesSent
 }
 
-// Listen takes an address of this host.
+// Listen opens a listener on an address of this host. It fails if the IP is not the
+// host's or the port is in use.
 func (h *Host) Listen(addr string) (net.Listener, error) {
-	ip, port, err := split(addr)
+	ip, port, err := splitAddr(addr)
 	if err != nil {
 		return nil, err
 	}
 	h.net.mu.Lock()
 	defer h.net.mu.Unlock()
 	if ip != h.ip || h.listeners[port] != nil {
-		return nil, eris.Errorf("listen %s: not free on %s", addr, h.ip)
+		return nil, eris.Errorf("listen %s: port in use or not an address of host %s", addr, h.ip)
 	}
-	l := &listener{host: h, addr: tcpAddr(ip, port), arrived: sync.NewCond(&h.net.mu)}
+	l := &listener{host: h, addr: tcpAddr(ip, port), changed: sync.NewCond(&h.net.mu)}
 	h.listeners[port] = l
 	return l, nil
 }
 
-// synBytes is what the opening of a connection costs on a link.
+// synBytes is the size on a link of each packet that opens a connection.
 const synBytes = 60
 
-// Dial opens a connection to an address of another host, or of this one.
+// Dial opens a connection to an address of any host of the network. It fails with
+// EHOSTUNREACH if no host has the IP and with ECONNREFUSED if nothing listens on the
+// port. If ctx ends first, the error is a net.Error with Timeout() true.
 func (h *Host) Dial(ctx context.Context, addr string) (net.Conn, error) {
-	ip, port, err := split(addr)
+	ip, port, err := splitAddr(addr)
 	if err != nil {
 		return nil, err
 	}
@@ -85,7 +90,7 @@
 		return nil, &net.OpError{Op: "dial", Net: "tcp4", Err: syscall.EHOSTUNREACH}
 	}
 	h.nextPort++
-	here, there := newPair(h, to, h.nextPort, port)
+	local, remote := newPair(h, to, h.nextPort, port)
 	answered := make(chan error, 1)
 	h.net.send(h, to, synBytes, func() {
 		l := to.listeners[port]
@@ -93,36 +98,36 @@
 			h.net.send(to, h, synBytes, func() { answered <- syscall.ECONNREFUSED })
 			return
 		}
-		l.take(there)
+		l.enqueue(remote)
 		h.net.send(to, h, synBytes, func() { answered <- nil })
 	})
 	h.net.mu.Unlock()
 	select {
 	case <-ctx.Done():
-		_ = here.Close() // nobody waits for it any more
+		_ = local.Close() // the caller gets no connection
 		return nil, &net.OpError{Op: "dial", Net: "tcp4", Addr: tcpAddr(ip, port), Err: timeout{ctx.Err()}}
 	case err := <-answered:
 		if err != nil {
 			return nil, &net.OpError{Op: "dial", Net: "tcp4", Addr: tcpAddr(ip, port), Err: err}
 		}
-		return here, nil
+		return local, nil
 	}
 }
 
-// timeout is the end of a wait for a connection.
+// timeout wraps the error of a context that ended before a dial did.
 type timeout struct{ error }
 
-// Timeout marks it for net.Error.
+// Timeout makes the error a timeout for net.Error.
 func (timeout) Timeout() bool { return true }
 
-func split(addr string) (string, int, error) {
+func splitAddr(addr string) (string, int, error) {
 	ip, text, err := net.SplitHostPort(addr)
 	if err != nil {
-		return "", 0, eris.Wrap(err, "address")
+		return "", 0, eris.Wrapf(err, "address %q", addr)
 	}
 	port, err := strconv.Atoi(text)
 	if err != nil {
-		return "", 0, eris.Wrap(err, "address's port")
+		return "", 0, eris.Wrapf(err, "port of address %q", addr)
 	}
 	return ip, port, nil
 }
--- a/internal/sim/link.go
+++ b/internal/sim/link.go
@@ -6,36 +6,37 @@
 )
 
 const (
-	// segment is the most that one pass of a link carries: small enough that
-	// connections which share a link take turns, large enough that a megabyte
-	// is a hundred events.
-	segment = 8 << 10
-	// resend is how long a lost segment is late: TCP's least time-out.
-	resend = 200 * time.Millisecond
+	// segmentSize is the maximum payload of a segment in bytes. It is small enough
+	// that connections share a link fairly, and large enough that a megabyte takes
+	// only about a hundred events.
+	segmentSize = 8 << 10
+	// retransmitDelay is the delay of a lost segment: TCP's minimum retransmission
+	// timeout.
+	retransmitDelay = 200 * time.Millisecond
 )
 
-// link is one direction of a host's connection to the network. Segments pass one
-// after the other, in the order in which they come.
+// link is one direction of a host's connection to the network. It transmits
+// segments one at a time, first in, first out.
 type link struct {
-	// bytesPerSecond is the bandwidth; 0 for no bound.
+	// bytesPerSecond is the bandwidth; 0 means unlimited.
 	bytesPerSecond float64
-	// free is when the last segment that was taken has passed.
-	free time.Time
-	// carried counts the bytes that have passed.
-	carried int64
+	// freeAt is when the transmission of the last queued segment ends.
+	freeAt time.Time
+	// bytesSent counts the bytes of all queued segments, with headers.
+	bytesSent int64
 }
 
-// pass takes a segment and returns when it has passed.
-func (l *link) pass(now time.Time, bytes int) time.Time {
-	l.carried += int64(bytes)
-	if l.free.Before(now) {
-		l.free = now
+// transmit queues a segment and returns when its transmission ends.
+func (l *link) transmit(now time.Time, bytes int) time.Time {
+	l.bytesSent += int64(bytes)
+	if l.freeAt.Before(now) {
+		l.freeAt = now
 	}
 	if l.bytesPerSecond > 0 {
-		l.free = l.free.Add(time.Duration(float64(bytes) / l.bytesPerSecond * float64(time.Second)))
+		l.freeAt = l.freeAt.Add(time.Duration(float64(bytes) / l.bytesPerSecond * float64(time.Second)))
 	}
-	return l.free
+	return l.freeAt
 }
 
-// lost tells whether a segment is lost, and so late.
-func lost(random *rand.Rand, share float64) bool { return share > 0 && random.Float64() < share }
+// isLost draws whether a segment is lost and has to be retransmitted.
+func isLost(random *rand.Rand, share float64) bool { return share > 0 && random.Float64() < share }
--- a/internal/sim/listener.go
+++ b/internal/sim/listener.go
@@ -6,37 +6,39 @@
 	"sync"
 )
 
-// listener takes the connections that are opened to a port.
+// listener queues the connections opened to one port until they are accepted.
 type listener struct {
 	host    *Host
 	addr    *net.TCPAddr
-	arrived *sync.Cond
-	waiting []*conn
+	changed *sync.Cond
+	pending []*conn
 	closed  bool
 }
 
-// take takes a connection; the caller holds the lock.
-func (l *listener) take(c *conn) {
-	l.waiting = append(l.waiting, c)
-	l.arrived.Signal()
+// enqueue adds a connection to accept. The caller holds the network's lock.
+func (l *listener) enqueue(c *conn) {
+	l.pending = append(l.pending, c)
+	l.changed.Signal()
 }
 
-// Accept returns the next connection.
+// Accept returns the next connection. It blocks until there is one or the listener is
+// closed; then it fails with net.ErrClosed.
 func (l *listener) Accept() (net.Conn, error) {
 	l.host.net.mu.Lock()
 	defer l.host.net.mu.Unlock()
-	for len(l.waiting) == 0 && !l.closed {
-		l.arrived.Wait()
+	for len(l.pending) == 0 && !l.closed {
+		l.changed.Wait()
 	}
 	if l.closed {
 		return nil, &net.OpError{Op: "accept", Net: "tcp4", Addr: l.addr, Err: net.ErrClosed}
 	}
-	c := l.waiting[0]
-	l.waiting = l.waiting[1:]
+	c := l.pending[0]
+	l.pending = l.pending[1:]
 	return c, nil
 }
 
-// Close frees the port; connections that nobody accepted end.
+// Close frees the port and closes the connections that were not accepted. A second
+// call fails.
 func (l *listener) Close() error {
 	l.host.net.mu.Lock()
 	defer l.host.net.mu.Unlock()
@@ -45,12 +47,12 @@
 	}
 	l.closed = true
 	delete(l.host.listeners, l.addr.Port)
-	for _, c := range l.waiting {
+	for _, c := range l.pending {
 		c.close()
 	}
-	l.arrived.Broadcast()
+	l.changed.Broadcast()
 	return nil
 }
 
-// Addr is the address that the listener has taken.
+// Addr returns the address that the listener is bound to.
 func (l *listener) Addr() net.Addr { return l.addr }
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -17,8 +17,8 @@
 	tenMbit   = 10e6
 )
 
-// pair connects two hosts; it returns the ends and the hosts.
-func pair(t *testing.T, fromBits, toBits float64) (a, b net.Conn, from, to *Host) {
+// connectedPair connects two new hosts and returns both ends and both hosts.
+func connectedPair(t *testing.T, fromBits, toBits float64) (a, b net.Conn, from, to *Host) {
 	t.Helper()
 	is := is.New(t)
 	n := New(testDelay, 1)
@@ -37,7 +37,7 @@
 	return a, b, from, to
 }
 
-// transfer sends bytes and returns how long they took.
+// transfer sends size bytes from a to b and returns the time until all are read.
 func transfer(t *testing.T, a, b net.Conn, size int) time.Duration {
 	t.Helper()
 	is := is.New(t)
@@ -52,32 +52,32 @@
 	return time.Since(began)
 }
 
-// A megabyte takes 0.8 s over 10 Mbit/s, whichever end is the narrow one.
-func TestBandwidthOfBothEnds(t *testing.T) {
+// A megabyte takes 0.8 s over 10 Mbit/s, whichever host's link is the slow one.
+func TestTransferIsLimitedByEitherLink(t *testing.T) {
 	for _, bits := range [][2]float64{{tenMbit, 0}, {0, tenMbit}, {tenMbit, tenMbit}} {
 		synctest.Test(t, func(t *testing.T) {
-			a, b, _, _ := pair(t, bits[0], bits[1])
+			a, b, _, _ := connectedPair(t, bits[0], bits[1])
 			took := transfer(t, a, b, 1_000_000)
 			is.New(t).True(took > 800*time.Millisecond && took < 880*time.Millisecond)
 		})
 	}
 }
 
-// Segments that are lost come late; what they carry is whole and in order.
-func TestLossKeepsTheOrder(t *testing.T) {
+// Lost segments arrive late, but the stream stays complete and in order.
+func TestLossDelaysSegmentsInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a, b, from, _ := pair(t, tenMbit, 0)
+		a, b, from, _ := connectedPair(t, tenMbit, 0)
 		from.Lose(0.2)
 		is.New(t).True(transfer(t, a, b, 400_000) > 500*time.Millisecond)
 	})
 }
 
-// A link that passes nothing out loses nothing either: it goes on when healed. New
-// connections aren't opened meanwhile.
-func TestCutHoldsUp(t *testing.T) {
+// A cut must not drop data: delivery continues once the cut is lifted. Meanwhile Dial
+// times out.
+func TestCutDelaysDeliveryAndBlocksDial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		a, b, from, _ := pair(t, 0, 0)
+		a, b, from, _ := connectedPair(t, 0, 0)
 		from.Cut(Cut{Out: true})
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
@@ -92,12 +92,12 @@
 	})
 }
 
-// A reader's deadline ends its wait; a closed end reads as the end of the stream,
-// and writing to it fails.
-func TestDeadlineAndEnd(t *testing.T) {
+// Read fails at its deadline. After the peer has closed, Read returns io.EOF and Write
+// fails.
+func TestReadDeadlineAndClosedPeer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		a, b, _, _ := pair(t, 0, 0)
+		a, b, _, _ := connectedPair(t, 0, 0)
 		is.NoErr(b.SetReadDeadline(time.Now().Add(time.Second)))
 		_, err := b.Read(make([]byte, 1))
 		ne, ok := err.(net.Error)
@@ -112,8 +112,9 @@
 	})
 }
 
-// Nobody listens: the connection is refused at once.
-func TestRefusedConnection(t *testing.T) {
+// Dial fails after one round trip if nothing listens on the port, and fails if no host
+// has the IP.
+func TestDialWithoutListenerOrHostFails(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		n := New(testDelay, 1)
