--- a/internal/example/doc.go
+++ b/internal/example/doc.go
@@ -1,4 +1,4 @@
-// Package example holds the configurations of the two first deployments:
-// tarifas (harbour dues, cost first) and sahel (training records, latency
-// first).
+// Package example holds the configuration documents and topologies of two example
+// deployments: tarifas (harbour dues, optimised for cost) and sahel (training records,
+// optimised for latency).
 package example
--- a/internal/example/example.go
+++ b/internal/example/example.go
@@ -11,10 +11,11 @@
 //go:embed *.json
 var files embed.FS
 
-// Names are the deployments.
+// Names returns the names of the example deployments.
 func Names() []string { return []string{"tarifas", "sahel"} }
 
-// Load returns the deployment's document, validated.
+// Load returns the configuration document of a deployment. It fails if the name is
+// unknown or the document is invalid; then the error holds the validation's faults.
 func Load(name string) (*config.Document, error) {
 	data, err := files.ReadFile(name + ".json")
 	if err != nil {
--- a/internal/example/example_test.go
+++ b/internal/example/example_test.go
@@ -8,6 +8,8 @@
 	"github.com/hickorybank/hickorybank/internal/config"
 )
 
+// The documents must be valid without warnings and match the sizes of the brief. Each
+// version must be loaded in several failure domains, or a lost domain takes it away.
 func TestDeploymentsHaveTheSizesOfTheBrief(t *testing.T) {
 	for _, name := range Names() {
 		t.Run(name, func(t *testing.T) {
@@ -34,7 +36,7 @@
 	is.New(t).True(err != nil)
 }
 
-// checkSpread holds that losing any one failure domain leaves every version.
+// checkSpread checks that every version is loaded in at least three failure domains.
 func checkSpread(t *testing.T, topology Topology) {
 	t.Helper()
 	domains := map[string]map[string]bool{}
@@ -48,7 +50,7 @@
 	}
 	for _, v := range topology.Versions {
 		if len(domains[v]) < 3 {
-			t.Errorf("%s is in %d failure domains", v, len(domains[v]))
+			t.Errorf("version %s is loaded in %d failure domains, want at least 3", v, len(domains[v]))
 		}
 	}
 }
--- a/internal/example/topology.go
+++ b/internal/example/topology.go
@@ -9,32 +9,32 @@
 	"github.com/hickorybank/hickorybank/internal/config"
 )
 
-// Topology is where a deployment runs and on what: the sizes of the brief.
+// Topology describes the location and size of a deployment, as the brief gives them.
 type Topology struct {
 	Region         string
 	FailureDomains []string
-	// Engines and Services are how many drafting and service runners there
-	// are.
+	// Engines and Services are the numbers of engine and service upstreams.
 	Engines  int
 	Services int
-	// Service is the plain service that the service runners offer.
+	// Service is the name of the service that the service upstreams offer.
 	Service string
-	// Entries is how many entry VMs there are.
+	// Entries is the number of entry VMs.
 	Entries int
-	// BetweenDomains and ToClients are one-way delays.
+	// BetweenDomains is the one-way delay between failure domains, ToClients the one
+	// between entry VMs and clients.
 	BetweenDomains time.Duration
 	ToClients      time.Duration
-	// HonoursFence says whether the engines refuse an order with an old
-	// fencing number.
+	// HonoursFence is true if the engines refuse requests with an outdated fencing
+	// token.
 	HonoursFence bool
-	// Versions are those of the document, which the engines share out.
+	// Versions are the model versions of the document, distributed over the engines.
 	Versions []string
 }
 
-// OperatorKey is the operator's key of every example deployment.
+// OperatorKey is the operator's bearer key in every example deployment.
 const OperatorKey = "demo-operator"
 
-// DemoKey is the bearer key of an organisation of an example deployment.
+// DemoKey returns the bearer key of an organisation in an example deployment.
 func DemoKey(organisation string) string { return "demo-" + organisation }
 
 var topologies = map[string]Topology{
@@ -50,7 +50,8 @@
 	},
 }
 
-// LoadTopology returns the deployment's topology.
+// LoadTopology returns the topology of a deployment, with the versions of its document.
+// It fails if the name is unknown or the document is invalid.
 func LoadTopology(name string) (Topology, error) {
 	t, ok := topologies[name]
 	if !ok {
@@ -74,23 +75,23 @@
 	return names
 }
 
-// Domain is the failure domain of the i-th VM of a role: they take turns.
+// Domain returns the failure domain of the i-th VM of a role, assigned round robin.
 func (t Topology) Domain(i int) string { return t.FailureDomains[i%len(t.FailureDomains)] }
 
-// EngineID names the i-th drafting runner.
+// EngineID returns the ID of the i-th engine VM, counted from 0.
 func (t Topology) EngineID(i int) string { return fmt.Sprintf("engine-%d", i+1) }
 
-// ServiceID names the i-th service runner.
+// ServiceID returns the ID of the i-th service VM, counted from 0.
 func (t Topology) ServiceID(i int) string { return fmt.Sprintf("%s-%d", t.Service, i+1) }
 
-// EntryID names the i-th entry VM.
+// EntryID returns the ID of the i-th entry VM, counted from 0.
 func (t Topology) EntryID(i int) string { return fmt.Sprintf("entry-%d", i+1) }
 
-// versionsPerEngine is how many versions an engine has loaded.
+// versionsPerEngine is the number of versions loaded on each engine.
 const versionsPerEngine = 2
 
-// Loaded are the versions that the i-th engine has loaded. Each version is on
-// several engines in every failure domain that has enough of them.
+// Loaded returns the versions that the i-th engine has loaded. Every version is loaded
+// in at least three failure domains, so the loss of one domain leaves it available.
 func (t Topology) Loaded(i int) []string {
 	loaded := make([]string, 0, versionsPerEngine)
 	for j := range versionsPerEngine {
