--- a/internal/choice/sim/config.go
+++ b/internal/choice/sim/config.go
@@ -6,45 +6,46 @@
 	"github.com/hickorybank/hickorybank/internal/choice"
 )
 
-// Config is one run.
+// Config configures one simulation run.
 type Config struct {
-	// Deployment is an example deployment: tarifas or sahel.
+	// Deployment names the example deployment: tarifas or sahel.
 	Deployment string
-	// Preset is the preset in force; empty leaves the deployment's own.
+	// Preset overrides the deployment's preset; empty keeps it.
 	Preset string
 	Seed   uint64
 	// Duration is the virtual time during which requests arrive.
 	Duration time.Duration
-	// Nodes is how many entry nodes there are; 0 is eight.
+	// Nodes is the number of entry nodes; 0 means 8.
 	Nodes int
-	// Load multiplies the requests a second of the deployment; 0 is one.
+	// Load multiplies the request rate of the deployment; 0 means 1.
 	Load float64
-	// Sessions is the share of answers that a further request of the same
-	// session follows.
-	Sessions float64
-	// World is how answers and ratings behave.
+	// FollowUpShare is the share of answers, 0 to 1, after which the session sends
+	// another request.
+	FollowUpShare float64
+	// World holds the assumptions about answers and ratings.
 	World World
-	// Policy makes the policy under test; nil is [choice.New].
+	// Policy creates the policy under test, once per node; nil means [choice.New].
 	Policy func() choice.Policy
-	// Settings are those of the choosers.
+	// Settings are the settings of each node's chooser; Node and Epoch are overwritten.
 	Settings choice.Settings
-	// Serving makes staged versions serve from the start.
-	Serving bool
-	// Changes change true qualities.
+	// ServeStaged sets staged versions to serving from the start.
+	ServeStaged bool
+	// Changes are changes of true qualities during the run.
 	Changes []Change
-	// Outages of the rating service.
+	// Outages are the intervals in which all ratings fail.
 	Outages []Outage
 }
 
-// Change sets the true quality of a version to a share of what it was drawn to
-// be at the start.
+// Change sets the true quality of a version, from time At on, to its initial quality
+// times Factor.
 type Change struct {
 	At      time.Duration
 	Version string
 	Factor  float64
 }
 
-// Outage is a time without a rating service.
+// Outage is an interval of virtual time, From included and To excluded, in which the
+// rating service fails.
 type Outage struct {
 	From time.Duration
 	To   time.Duration
--- a/internal/choice/sim/doc.go
+++ b/internal/choice/sim/doc.go
@@ -1,11 +1,10 @@
-// Package sim measures version choice in virtual time: several nodes choose for
-// a stream of requests, answers have a hidden true quality, ratings of them are
-// sampled, late and noisy, and summaries, grants and holds travel between the
-// nodes. It is no simulator of a cluster: engines, queues and networks are only
-// delays here.
+// Package sim simulates version choice in virtual time. Several nodes choose versions
+// for a stream of requests. Answers have a hidden true quality; their ratings are
+// sampled, delayed and noisy. The nodes exchange summaries, grants and holds. Engines,
+// queues and networks are modelled as delays only.
 //
-// The results tell the cost relative to the cheapest mix that an oracle with
-// the true qualities would choose, and to always running the best version;
-// whether each organisation and class met its target; and how many answers a
-// version gave after it turned bad.
+// A result compares the cost with that of the cheapest mix an oracle with the true
+// qualities would choose, and with that of always running the best version. It also
+// reports whether each organisation and class met its target, and how many answers a
+// version gave after it degraded.
 package sim
--- a/internal/choice/sim/event.go
+++ b/internal/choice/sim/event.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// event is something that happens at a time.
+// event is a function to call at a virtual time; seq orders events of the same time.
 type event struct {
 	at  time.Duration
 	seq uint64
 	do  func()
 }
 
-// agenda holds what is to happen, in order of time.
-type agenda struct {
+// scheduler runs events in order of virtual time.
+type scheduler struct {
 	now    time.Duration
 	seq    uint64
 	events eventHeap
 }
 
-// after plans something.
-func (a *agenda) after(d time.Duration, do func()) {
+// after schedules do after a delay.
+func (a *scheduler) after(d time.Duration, do func()) {
 	a.seq++
 	heap.Push(&a.events, event{at: a.now + d, seq: a.seq, do: do})
 }
 
-// run lets everything happen until nothing is left.
-func (a *agenda) run() {
+// run runs events until none is left.
+func (a *scheduler) run() {
 	for len(a.events) > 0 {
 		e := heap.Pop(&a.events).(event)
 		a.now = e.at
--- a/internal/choice/sim/job.go
+++ b/internal/choice/sim/job.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// followUp is the mean time until a session's next request.
-	followUp = 30 * time.Second
-	// slowest is the longest latency that a histogram tells, in milliseconds.
-	slowest = 10 * 60 * 1000
+	// meanFollowUpDelay is the mean delay from an answer to the session's next request.
+	meanFollowUpDelay = 30 * time.Second
+	// maxLatencyMillis is the upper bound of the latency histograms, in milliseconds.
+	maxLatencyMillis = 10 * 60 * 1000
 )
 
-// job is one request.
+// job is one request of a caller.
 type job struct {
 	run        *run
 	node       *node
@@ -28,18 +28,20 @@
 	difficulty float64
 	plan       choice.Plan
 	arrived    time.Duration
-	// attempt state
+	// step counts the plan's fallbacks begun so far. version and answer belong to the
+	// current attempt; answer is a hidden value that truth maps to a quality.
 	step    int
 	version string
 	answer  float64
-	// shortVersion and shortScore are of the answer that fell short
-	shortVersion string
-	shortScore   float64
-	cost         float64
+	// rejectedVersion and rejectedScore describe the last answer below the threshold.
+	rejectedVersion string
+	rejectedScore   float64
+	cost            float64
 }
 
-// begin chooses and runs; pinned is the version of the session, if any.
-func (j *job) begin(pinned []string) {
+// start chooses versions and begins the first attempt. pinned holds the session's
+// version, or is nil for a new session.
+func (j *job) start(pinned []string) {
 	j.arrived = j.run.now
 	j.difficulty = j.rng.NormFloat64()
 	req := choice.Request{
@@ -53,20 +55,20 @@
 		Random:   j.rng.Uint64(),
 	}
 	if pinned == nil {
-		req.Versions = j.allowed()
+		req.Versions = j.allowedVersions()
 	}
 	j.plan = j.node.policy.Choose(req)
 	if j.plan.Refusal != choice.RefuseNone {
 		j.run.result.Refused++
 		return
 	}
-	if j.plan.Exposed && !j.node.open(j.plan.First) {
-		j.run.result.Exposed[j.plan.First]++
+	if j.plan.Exposed && !j.node.capLifted(j.plan.First) {
+		j.run.result.ExposedAnswers[j.plan.First]++
 	}
 	j.attempt(j.plan.First)
 }
 
-func (j *job) allowed() []string {
+func (j *job) allowedVersions() []string {
 	var list []string
 	for _, name := range j.org.Versions {
 		if j.class.Model == "" || j.run.snapshot.ModelOf(name).Name == j.class.Model {
@@ -78,9 +80,9 @@
 
 func (j *job) attempt(version string) {
 	j.version = version
-	for i := range j.run.result.Turns {
-		if t := &j.run.result.Turns[i]; t.Change.Version == version && t.Change.Factor < 1 {
-			t.Bad++
+	for i := range j.run.result.Degradations {
+		if t := &j.run.result.Degradations[i]; t.Change.Version == version && t.Change.Factor < 1 {
+			t.Answers++
 		}
 	}
 	j.answer = j.run.truth.answer(j.rng, version, j.class.Name, j.difficulty)
@@ -89,43 +91,45 @@
 	j.run.after(j.duration(version), func() { j.answered(started) })
 }
 
-// duration grows with the version's price: dear versions are large.
+// duration draws the time to answer. It grows with the output price, because expensive
+// versions are assumed to be large.
 func (j *job) duration(version string) time.Duration {
 	l := loads[j.class.Name]
-	size := 1 + float64(j.run.snapshot.Version(version).OutputCost)/4000
-	tokens := float64(l.output) * (0.8 + 0.4*j.rng.Float64())
-	return time.Duration(size * (float64(l.first) + tokens*float64(l.token)))
+	sizeFactor := 1 + float64(j.run.snapshot.Version(version).OutputCost)/4000
+	tokens := float64(l.outputTokens) * (0.8 + 0.4*j.rng.Float64())
+	return time.Duration(sizeFactor * (float64(l.firstToken) + tokens*float64(l.perToken)))
 }
 
 func (j *job) answered(started time.Duration) {
 	l := loads[j.class.Name]
-	j.node.answered(choice.Answer{Version: j.version, Class: j.class.Name, Took: j.run.now - started, InputTokens: l.input, OutputTokens: l.output, Now: j.run.time()})
+	j.node.observeAnswer(choice.Answer{Version: j.version, Class: j.class.Name, Took: j.run.now - started, InputTokens: l.inputTokens, OutputTokens: l.outputTokens, Now: j.run.time()})
 	if j.step < len(j.plan.Then) {
-		j.rate(j.judge)
+		j.requestRating(j.deliverOrFallBack)
 		return
 	}
 	if j.plan.Rate {
-		j.rate(func(float64, bool) {})
+		j.requestRating(func(float64, bool) {})
 	}
 	j.deliver()
 }
 
-// rate asks for a rating of the present answer and goes on when it has come.
-func (j *job) rate(then func(score float64, ok bool)) {
+// requestRating requests a rating of the current answer and calls done with its score;
+// ok is false if the rating service fails.
+func (j *job) requestRating(done func(score float64, ok bool)) {
 	r := j.run
 	r.result.Ratings++
-	asked := r.now
-	version, answer, after := j.version, j.answer, j.step > 0
+	requestedAt := r.now
+	version, answer, isFallback := j.version, j.answer, j.step > 0
 	delay := time.Duration(j.rng.ExpFloat64() * float64(r.cfg.World.Delay))
 	r.after(delay, func() {
 		if r.cfg.ratingsDown(r.now) {
-			j.node.ratingFailed(r.time())
-			then(0, false)
+			j.node.observeRatingFailure(r.time())
+			done(0, false)
 			return
 		}
-		o := choice.Observation{Version: version, Class: j.class.Name, Sampled: j.plan.Rate, IsFallback: after, Now: r.time(), Took: r.now - asked}
-		if after {
-			o.RejectedVersion, o.RejectedScore = j.shortVersion, j.shortScore
+		o := choice.Observation{Version: version, Class: j.class.Name, Sampled: j.plan.Rate, IsFallback: isFallback, Now: r.time(), Took: r.now - requestedAt}
+		if isFallback {
+			o.RejectedVersion, o.RejectedScore = j.rejectedVersion, j.rejectedScore
 		}
 		o.Score = r.truth.rating(j.rng, answer)
 		if j.plan.RateAgain {
@@ -133,17 +137,19 @@
 			o.Again = r.truth.rating(j.rng, answer)
 			r.result.Ratings++
 		}
-		j.node.observe(o)
-		then(o.Score, true)
+		j.node.observeRating(o)
+		done(o.Score, true)
 	})
 }
 
-func (j *job) judge(score float64, ok bool) {
+// deliverOrFallBack delivers the answer if its score reaches the plan's threshold, and
+// otherwise attempts the plan's next version.
+func (j *job) deliverOrFallBack(score float64, ok bool) {
 	if ok && score >= j.plan.Threshold {
 		j.deliver()
 		return
 	}
-	j.shortVersion, j.shortScore = j.version, score
+	j.rejectedVersion, j.rejectedScore = j.version, score
 	next := j.plan.Then[j.step]
 	j.step++
 	j.attempt(next)
@@ -151,21 +157,21 @@
 
 func (j *job) deliver() {
 	r := j.run
-	p := r.part(j.org, j.class)
-	p.answer(j.run.truth.quality(j.answer))
+	p := r.orgClass(j.org, j.class)
+	p.addAnswer(j.run.truth.quality(j.answer))
 	p.Cost += j.cost
-	p.Best += r.bestCost(j.class)
+	p.BestCost += r.bestCost(j.class)
 	cost, met := r.oracle.cost(j.class, p.Target, !r.cfg.ratingsDown(j.arrived))
-	p.Oracle += cost
+	p.OracleCost += cost
 	p.Reachable = p.Reachable && met
-	j.latency()
-	j.followUp()
+	j.recordLatency()
+	j.scheduleFollowUp()
 }
 
-func (j *job) latency() {
+func (j *job) recordLatency() {
 	c, ok := j.run.classes[j.class.Name]
 	if !ok {
-		c = &ClassResult{Class: j.class.Name, Latency: hdrhistogram.New(1, slowest, 3)}
+		c = &ClassResult{Class: j.class.Name, Latency: hdrhistogram.New(1, maxLatencyMillis, 3)}
 		j.run.classes[j.class.Name] = c
 	}
 	c.Answers++
@@ -175,15 +181,15 @@
 	_ = c.Latency.RecordValue((j.run.now - j.arrived).Milliseconds())
 }
 
-// followUp lets the session go on, at any node.
-func (j *job) followUp() {
-	if j.rng.Float64() >= j.run.cfg.Sessions {
+// scheduleFollowUp draws whether the session sends another request, at a random node.
+func (j *job) scheduleFollowUp() {
+	if j.rng.Float64() >= j.run.cfg.FollowUpShare {
 		return
 	}
 	j.run.jobs++
 	next := &job{run: j.run, id: j.run.jobs, org: j.org, class: j.class, rng: rand.New(rand.NewPCG(j.run.cfg.Seed^j.run.jobs, 5))}
 	next.node = j.run.nodes[next.rng.IntN(len(j.run.nodes))]
 	version := j.version
-	wait := time.Duration(next.rng.ExpFloat64() * float64(followUp))
-	j.run.after(wait, func() { next.begin([]string{version}) })
+	wait := time.Duration(next.rng.ExpFloat64() * float64(meanFollowUpDelay))
+	j.run.after(wait, func() { next.start([]string{version}) })
 }
--- a/internal/choice/sim/load.go
+++ b/internal/choice/sim/load.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// classLoad is the assumed work of one class over the whole deployment.
+// classLoad is the assumed load of one class over the whole deployment.
 type classLoad struct {
-	perSecond float64
-	input     int
-	output    int
-	// token is the time to generate one token, first the time to the first.
-	token time.Duration
-	first time.Duration
+	requestsPerSecond float64
+	inputTokens       int
+	outputTokens      int
+	// perToken is the time to generate one token, firstToken the time to the first.
+	perToken   time.Duration
+	firstToken time.Duration
 }
 
-// loads is the assumed mix of the classes that versions serve. The brief gives
-// no rates; these keep eighteen runners well used.
+// loads holds the load of each class that versions serve. The brief gives no rates;
+// these are assumed so that eighteen engines are well utilised.
 var loads = map[string]classLoad{
-	"draft":      {perSecond: 1, input: 6000, output: 1200, token: 12 * time.Millisecond, first: 800 * time.Millisecond},
-	"explain":    {perSecond: 3, input: 800, output: 200, token: 10 * time.Millisecond, first: 300 * time.Millisecond},
-	"tag":        {perSecond: 5, input: 300, output: 30, token: 10 * time.Millisecond, first: 200 * time.Millisecond},
-	"assessment": {perSecond: 1, input: 4000, output: 1000, token: 12 * time.Millisecond, first: 600 * time.Millisecond},
-	"summary":    {perSecond: 4, input: 2000, output: 200, token: 10 * time.Millisecond, first: 400 * time.Millisecond},
+	"draft":      {requestsPerSecond: 1, inputTokens: 6000, outputTokens: 1200, perToken: 12 * time.Millisecond, firstToken: 800 * time.Millisecond},
+	"explain":    {requestsPerSecond: 3, inputTokens: 800, outputTokens: 200, perToken: 10 * time.Millisecond, firstToken: 300 * time.Millisecond},
+	"tag":        {requestsPerSecond: 5, inputTokens: 300, outputTokens: 30, perToken: 10 * time.Millisecond, firstToken: 200 * time.Millisecond},
+	"assessment": {requestsPerSecond: 1, inputTokens: 4000, outputTokens: 1000, perToken: 12 * time.Millisecond, firstToken: 600 * time.Millisecond},
+	"summary":    {requestsPerSecond: 4, inputTokens: 2000, outputTokens: 200, perToken: 10 * time.Millisecond, firstToken: 400 * time.Millisecond},
 }
--- a/internal/choice/sim/measure/experiments.go
+++ b/internal/choice/sim/measure/experiments.go
@@ -12,13 +12,13 @@
 
 var experiments = map[string]func(options) error{
 	"cost":   cost,
-	"turn":   turn,
-	"good":   good,
+	"turn":   degradation,
+	"good":   falseAlarms,
 	"outage": outage,
 	"drift":  drift,
 }
 
-// policies are the one in use and its baselines.
+// policies lists the chooser and its baselines.
 var policies = []struct {
 	name string
 	make func() choice.Policy
@@ -29,13 +29,13 @@
 	{"half", func() choice.Policy { return baseline.FixedShare{Best: 0.5} }},
 }
 
-// each calls do for every combination of the options.
-func (o options) each(do func(cfg sim.Config) error) error {
+// each calls run for every combination of deployment, preset, world and seed.
+func (o options) each(run func(cfg sim.Config) error) error {
 	for _, deployment := range o.Deployment {
 		for _, preset := range o.Preset {
 			for _, world := range o.World {
 				for _, seed := range o.Seed {
-					if err := do(o.config(deployment, preset, world, seed)); err != nil {
+					if err := run(o.config(deployment, preset, world, seed)); err != nil {
 						return err
 					}
 				}
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// cost compares the policies on days without faults.
+// cost compares the policies without degradations and outages.
 func cost(o options) error {
 	fmt.Println(costHeader)
 	return o.each(func(cfg sim.Config) error {
@@ -60,15 +60,15 @@
 			}
 			printCost(p.name, r)
 			if o.Parts {
-				printParts(r)
+				printOrgClasses(r)
 			}
 		}
 		return nil
 	})
 }
 
-// turn lets each version turn bad in turn, in the middle of a run.
-func turn(o options) error {
+// degradation degrades one version per run, in the middle of the run, for each version.
+func degradation(o options) error {
 	fmt.Println("deployment preset world seed version bad-answers held-after false-alarms")
 	return o.each(func(cfg sim.Config) error {
 		doc, err := example.Load(cfg.Deployment)
@@ -82,15 +82,15 @@
 				if err != nil {
 					return err
 				}
-				printTurns(r)
+				printDegradations(r)
 			}
 		}
 		return nil
 	})
 }
 
-// good counts false alarms over long good runs.
-func good(o options) error {
+// falseAlarms counts false alarms over runs without degradations.
+func falseAlarms(o options) error {
 	fmt.Println("deployment preset world seed answers ratings false-alarms")
 	var answers, alarms int
 	err := o.each(func(cfg sim.Config) error {
@@ -107,7 +107,7 @@
 	return err
 }
 
-// outage takes the rating service away for the middle half of the run.
+// outage disables the rating service for the middle half of the run.
 func outage(o options) error {
 	fmt.Println(costHeader)
 	return o.each(func(cfg sim.Config) error {
@@ -121,7 +121,7 @@
 	})
 }
 
-// drift lets each model's first version lose quality little by little.
+// drift degrades the first version of each model in small steps.
 func drift(o options) error {
 	fmt.Println(costHeader)
 	return o.each(func(cfg sim.Config) error {
@@ -143,7 +143,7 @@
 		}
 		printCost("chooser", r)
 		if o.Parts {
-			printParts(r)
+			printOrgClasses(r)
 		}
 		return nil
 	})
--- a/internal/choice/sim/measure/main.go
+++ b/internal/choice/sim/measure/main.go
@@ -1,4 +1,4 @@
-// Command measure prints the measurements of version choice.
+// Command measure runs experiments with simulated version choice and prints their results.
 //
 //	go run ./internal/choice/sim/measure --help
 package main
--- a/internal/choice/sim/measure/options.go
+++ b/internal/choice/sim/measure/options.go
@@ -7,7 +7,7 @@
 	"github.com/hickorybank/hickorybank/internal/choice/sim"
 )
 
-// options are the command line.
+// options holds the command-line options.
 type options struct {
 	Deployment  []string      `long:"deployment" default:"tarifas" default:"sahel" description:"example deployments"`
 	Preset      []string      `long:"preset" default:"ordinary" description:"presets in force"`
@@ -31,18 +31,18 @@
 	} `positional-args:"yes"`
 }
 
-// config returns the run that the options describe.
+// config returns the configuration of one run.
 func (o options) config(deployment, preset, world string, seed uint64) sim.Config {
 	return sim.Config{
-		Deployment: deployment,
-		Preset:     preset,
-		Seed:       seed,
-		Duration:   time.Duration(o.Hours * float64(time.Hour)),
-		Nodes:      o.Nodes,
-		Load:       o.Load,
-		Sessions:   o.Sessions,
-		Serving:    o.Serving,
-		World:      sim.World{Kind: sim.Kind(world), Noise: o.Noise, Wrong: o.Wrong, Delay: o.Delay},
-		Settings:   choice.Settings{Confidence: o.Confidence, SampleShare: o.SampleShare},
+		Deployment:    deployment,
+		Preset:        preset,
+		Seed:          seed,
+		Duration:      time.Duration(o.Hours * float64(time.Hour)),
+		Nodes:         o.Nodes,
+		Load:          o.Load,
+		FollowUpShare: o.Sessions,
+		ServeStaged:   o.Serving,
+		World:         sim.World{Kind: sim.Kind(world), Noise: o.Noise, PriorError: o.Wrong, Delay: o.Delay},
+		Settings:      choice.Settings{Confidence: o.Confidence, SampleShare: o.SampleShare},
 	}
 }
--- a/internal/choice/sim/measure/print.go
+++ b/internal/choice/sim/measure/print.go
@@ -19,11 +19,11 @@
 func printCost(policy string, r sim.Result) {
 	met, reachable := r.Met()
 	var exposed int
-	for _, n := range r.Exposed {
+	for _, n := range r.ExposedAnswers {
 		exposed += n
 	}
 	fmt.Printf("%s %s %d %.3f %.3f %d/%d %d %+.4f %d %.2f %d %s\n", label(r), policy, r.Answers,
-		r.Cost/r.Oracle, r.Cost/r.Best, met, reachable, r.Short(), r.Lowest(), exposed,
+		r.Cost/r.OracleCost, r.Cost/r.BestCost, met, reachable, r.SignificantMisses(), r.LowestMargin(), exposed,
 		float64(r.Ratings)/float64(r.Answers), r.FalseAlarms, latencies(r))
 }
 
@@ -35,23 +35,23 @@
 	return strings.Join(list, ",")
 }
 
-func printParts(r sim.Result) {
-	for _, p := range r.Parts {
+func printOrgClasses(r sim.Result) {
+	for _, p := range r.OrgClasses {
 		fmt.Printf("  %-14s %-10s target %.2f quality %.4f+-%.4f answers %d cost/oracle %.3f cost/best %.3f met %v reachable %v\n",
-			p.Org, p.Class, p.Target, p.Quality, p.Error, p.Answers, p.Cost/p.Oracle, p.Cost/p.Best, p.Met(), p.Reachable)
+			p.Org, p.Class, p.Target, p.Quality, p.StandardError, p.Answers, p.Cost/p.OracleCost, p.Cost/p.BestCost, p.Met(), p.Reachable)
 	}
 	for _, h := range r.Holds {
 		fmt.Printf("  hold %+v\n", h)
 	}
-	fmt.Println("  opened", r.Opened)
+	fmt.Println("  opened", r.CapLifted)
 }
 
-func printTurns(r sim.Result) {
-	for _, t := range r.Turns {
+func printDegradations(r sim.Result) {
+	for _, t := range r.Degradations {
 		held := "never"
-		if t.Held >= 0 {
-			held = (t.Held - t.Change.At).String()
+		if t.HeldAt >= 0 {
+			held = (t.HeldAt - t.Change.At).String()
 		}
-		fmt.Println(label(r), t.Change.Version, t.Bad, held, r.FalseAlarms)
+		fmt.Println(label(r), t.Change.Version, t.Answers, held, r.FalseAlarms)
 	}
 }
--- a/internal/choice/sim/node.go
+++ b/internal/choice/sim/node.go
@@ -9,15 +9,15 @@
 	"github.com/hickorybank/hickorybank/internal/config"
 )
 
-// exchangeGap is how often a node sends its summary and gets the pool.
-const exchangeGap = time.Second
+// exchangeInterval is the time between two exchanges of summaries by one node.
+const exchangeInterval = time.Second
 
-// node is one entry node: its policy, and what the shell around it does.
+// node is one entry node: its policy and the exchange with other nodes.
 type node struct {
 	run    *run
 	index  int
 	policy choice.Policy
-	// chooser is the policy when it learns; nil for the baselines.
+	// chooser is the policy under test if it learns; nil for the baselines.
 	chooser  *choice.Chooser
 	versions []string
 }
@@ -44,13 +44,13 @@
 	return n
 }
 
-// collector is the index of the node that collects a version's summaries.
+// collector returns the index of the node that collects a version's summaries.
 func (r *run) collector(version string) int {
 	return int(xxhash.Sum64String(version) % uint64(r.cfg.Nodes))
 }
 
-// collectedBy returns the versions whose summaries another node collects.
-func (n *node) collectedBy(other *node) []string {
+// versionsCollectedBy returns the versions whose summaries the other node collects.
+func (n *node) versionsCollectedBy(other *node) []string {
 	var list []string
 	for _, version := range n.versions {
 		if n.run.collector(version) == other.index {
@@ -60,29 +60,30 @@
 	return list
 }
 
-func (n *node) answered(a choice.Answer) {
+func (n *node) observeAnswer(a choice.Answer) {
 	if n.chooser != nil {
 		n.chooser.ObserveAnswer(a)
 	}
 }
 
-func (n *node) observe(o choice.Observation) {
+func (n *node) observeRating(o choice.Observation) {
 	if n.chooser != nil {
 		n.chooser.Observe(o)
-		n.spread()
+		n.broadcastHolds()
 	}
 }
 
-func (n *node) ratingFailed(now time.Time) {
+func (n *node) observeRatingFailure(now time.Time) {
 	if n.chooser != nil {
 		n.chooser.ObserveRatingFailure(now)
 	}
 }
 
-// spread tells all nodes of new holds at once; a real one takes milliseconds.
-func (n *node) spread() {
+// broadcastHolds applies the node's new holds on all nodes at once. A real deployment
+// needs milliseconds for it.
+func (n *node) broadcastHolds() {
 	holds := n.chooser.NewHolds()
-	n.run.held(holds)
+	n.run.recordHolds(holds)
 	for _, h := range holds {
 		for _, other := range n.run.nodes {
 			other.chooser.ApplyHold(h)
@@ -90,30 +91,32 @@
 	}
 }
 
-// exchange sends the summaries to the collecting nodes, takes their pools, and
-// asks for grants.
-func (n *node) exchange() {
+// exchangeSummaries sends summaries to the collecting nodes, applies the pools they
+// return, and requests the grants that the chooser needs. It reschedules itself until
+// the arrivals end.
+func (n *node) exchangeSummaries() {
 	now := n.run.time()
 	for _, other := range n.run.nodes {
-		versions := n.collectedBy(other)
+		versions := n.versionsCollectedBy(other)
 		if other == n || len(versions) == 0 {
 			continue
 		}
 		pool := other.chooser.HandleReport(n.chooser.Report(versions), now)
-		other.spread()
+		other.broadcastHolds()
 		n.chooser.ApplyPool(pool)
 	}
 	for _, version := range n.chooser.GrantsNeeded(now) {
 		n.chooser.ApplyGrant(version, n.run.grant(version), now)
 	}
 	if n.run.now < n.run.cfg.Duration {
-		n.run.after(exchangeGap, n.exchange)
+		n.run.after(exchangeInterval, n.exchangeSummaries)
 	}
 }
 
-func (n *node) open(version string) bool { return n.run.table.open(version) }
+func (n *node) capLifted(version string) bool { return n.run.table.capLifted(version) }
 
-// bestCost is what the version that the operators believe the best would cost.
+// bestCost returns the price of a request on the serving version with the highest prior
+// quality, which is the one that operators take for the best.
 func (r *run) bestCost(class *config.Class) float64 {
 	var best *config.Version
 	for _, v := range r.oracle.versions(class, config.Serving) {
--- a/internal/choice/sim/oracle.go
+++ b/internal/choice/sim/oracle.go
@@ -8,21 +8,21 @@
 	"github.com/hickorybank/hickorybank/internal/config"
 )
 
-// draws is how many requests the oracle looks at to know what a cascade gives.
-const oracleDraws = 40_000
+// oracleSamples is the number of requests sampled to evaluate a cascade.
+const oracleSamples = 40_000
 
-// way is what one way to run a class costs and gives.
-type way struct {
+// option is the mean cost and quality of one way to run a class: a version or a cascade.
+type option struct {
 	cost    float64
 	quality float64
 }
 
-// oracle knows the true qualities, and so the cheapest mix for each target.
+// oracle computes the cheapest mix of versions for a target from the true qualities.
 type oracle struct {
 	truth    *truth
 	snapshot *config.Snapshot
-	// hulls are the corners of the serving versions' ways.
-	hulls map[hullKey][]way
+	// hulls caches the corners of the upper hull of the serving versions' options.
+	hulls map[hullKey][]option
 }
 
 type hullKey struct {
@@ -31,16 +31,15 @@
 }
 
 func newOracle(t *truth, s *config.Snapshot) *oracle {
-	return &oracle{truth: t, snapshot: s, hulls: map[hullKey][]way{}}
+	return &oracle{truth: t, snapshot: s, hulls: map[hullKey][]option{}}
 }
 
-// changed forgets what followed from the qualities before.
-func (o *oracle) changed() { clear(o.hulls) }
+// invalidate clears the cache after a change of the true qualities.
+func (o *oracle) invalidate() { clear(o.hulls) }
 
-// cost returns what a request costs by the cheapest mix that meets the target,
-// and whether any does. Staged versions may have any part of their share. It
-// knows the qualities, but not the single answers: without ratings it has no
-// cascades either.
+// cost returns the mean cost of a request in the cheapest mix that meets the target, and
+// whether any mix meets it. A staged version may get up to its share. The oracle knows
+// mean qualities but not those of single answers, so it needs ratings for cascades.
 func (o *oracle) cost(class *config.Class, target float64, ratings bool) (float64, bool) {
 	hull := o.hull(class, ratings && class.Cascade && o.snapshot.Preset().Cascades)
 	best, met := costAt(hull, target)
@@ -48,8 +47,8 @@
 		const steps = 10
 		for i := 1; i <= steps; i++ {
 			share := v.Share * float64(i) / steps
-			rest := (target - share*o.truth.mean(v.Name, class.Name)) / (1 - share)
-			cost, ok := costAt(hull, rest)
+			servingTarget := (target - share*o.truth.mean(v.Name, class.Name)) / (1 - share)
+			cost, ok := costAt(hull, servingTarget)
 			cost = share*price(v, class.Name) + (1-share)*cost
 			if ok && !met || ok == met && cost < best {
 				best, met = cost, ok
@@ -59,26 +58,26 @@
 	return best, met
 }
 
-func (o *oracle) hull(class *config.Class, cascades bool) []way {
+func (o *oracle) hull(class *config.Class, cascades bool) []option {
 	key := hullKey{class: class.Name, cascades: cascades}
 	if h, ok := o.hulls[key]; ok {
 		return h
 	}
 	serving := o.versions(class, config.Serving)
-	var ways []way
+	var options []option
 	for _, v := range serving {
-		ways = append(ways, way{price(v, class.Name), o.truth.mean(v.Name, class.Name)})
+		options = append(options, option{price(v, class.Name), o.truth.mean(v.Name, class.Name)})
 	}
 	if cascades {
 		for _, first := range serving {
-			for _, then := range serving {
-				if price(first, class.Name) < price(then, class.Name) {
-					ways = append(ways, o.cascades(first, then, class.Name)...)
+			for _, fallback := range serving {
+				if price(first, class.Name) < price(fallback, class.Name) {
+					options = append(options, o.cascadeOptions(first, fallback, class.Name)...)
 				}
 			}
 		}
 	}
-	h := upperHull(ways)
+	h := upperHull(options)
 	o.hulls[key] = h
 	return h
 }
@@ -99,39 +98,41 @@
 	return list
 }
 
-// cascades returns the ways of all thresholds.
-func (o *oracle) cascades(first, then *config.Version, class string) []way {
-	type drawn struct{ first, then, rating float64 }
+// cascadeOptions returns the options of a cascade of two versions, over a range of
+// thresholds.
+func (o *oracle) cascadeOptions(first, fallback *config.Version, class string) []option {
+	type sample struct{ first, fallback, rating float64 }
 	rng := rand.New(rand.NewPCG(1, 2))
-	all := make([]drawn, oracleDraws)
-	var rest float64
-	for i := range all {
-		d := rng.NormFloat64()
-		a := o.truth.answer(rng, first.Name, class, d)
-		b := o.truth.answer(rng, then.Name, class, d)
-		all[i] = drawn{o.truth.quality(a), o.truth.quality(b), o.truth.rating(rng, a)}
-		rest += all[i].first
+	samples := make([]sample, oracleSamples)
+	var firstSum float64
+	for i := range samples {
+		difficulty := rng.NormFloat64()
+		a := o.truth.answer(rng, first.Name, class, difficulty)
+		b := o.truth.answer(rng, fallback.Name, class, difficulty)
+		samples[i] = sample{o.truth.quality(a), o.truth.quality(b), o.truth.rating(rng, a)}
+		firstSum += samples[i].first
 	}
-	slices.SortFunc(all, func(a, b drawn) int { return cmp.Compare(a.rating, b.rating) })
-	var ways []way
-	sum := rest
-	for i := range all {
-		sum += all[i].then - all[i].first
-		if i%(oracleDraws/200) == 0 {
-			short := float64(i+1) / oracleDraws
-			ways = append(ways, way{price(first, class) + short*price(then, class), sum / oracleDraws})
+	slices.SortFunc(samples, func(a, b sample) int { return cmp.Compare(a.rating, b.rating) })
+	var options []option
+	sum := firstSum
+	for i := range samples {
+		sum += samples[i].fallback - samples[i].first
+		if i%(oracleSamples/200) == 0 {
+			fallbackShare := float64(i+1) / oracleSamples
+			options = append(options, option{price(first, class) + fallbackShare*price(fallback, class), sum / oracleSamples})
 		}
 	}
-	return ways
+	return options
 }
 
 func price(v *config.Version, class string) float64 {
 	l := loads[class]
-	return (float64(l.input)*float64(v.InputCost) + float64(l.output)*float64(v.OutputCost)) / 1000
+	return (float64(l.inputTokens)*float64(v.InputCost) + float64(l.outputTokens)*float64(v.OutputCost)) / 1000
 }
 
-// costAt reads the hull: the cost at a target, or that of the best way.
-func costAt(hull []way, target float64) (float64, bool) {
+// costAt interpolates the cost at a target quality on the hull. If no option reaches the
+// target, it returns the cost of the option with the highest quality and false.
+func costAt(hull []option, target float64) (float64, bool) {
 	if target <= hull[0].quality {
 		return hull[0].cost, true
 	}
@@ -144,12 +145,12 @@
 	return hull[len(hull)-1].cost, false
 }
 
-func upperHull(ways []way) []way {
-	slices.SortFunc(ways, func(a, b way) int {
+func upperHull(options []option) []option {
+	slices.SortFunc(options, func(a, b option) int {
 		return cmp.Or(cmp.Compare(a.cost, b.cost), cmp.Compare(b.quality, a.quality))
 	})
-	var h []way
-	for _, w := range ways {
+	var h []option
+	for _, w := range options {
 		if len(h) > 0 && w.quality <= h[len(h)-1].quality {
 			continue
 		}
--- a/internal/choice/sim/result.go
+++ b/internal/choice/sim/result.go
@@ -9,56 +9,59 @@
 	"github.com/hickorybank/hickorybank/internal/choice"
 )
 
-// Result is what a run measured.
+// Result holds the measurements of one run.
 type Result struct {
 	Config Config
-	// Answers counts the answers given to callers, Ratings those asked for.
+	// Answers counts the answers delivered to callers, Ratings the ratings requested,
+	// Refused the requests that the policy refused.
 	Answers int
 	Ratings int
 	Refused int
-	// Cost is what was billed, Oracle what the cheapest mix that meets the
-	// targets would have cost, Best what always the best version would have.
-	Cost   float64
-	Oracle float64
-	Best   float64
-	// Parts are the organisations' classes.
-	Parts []Part
-	// Classes are the latencies by class.
+	// Cost is the cost of all attempts of delivered answers, OracleCost that of the
+	// cheapest mix that meets the targets, BestCost that of the best version alone.
+	Cost       float64
+	OracleCost float64
+	BestCost   float64
+	// OrgClasses holds a result for each organisation and class with an answer.
+	OrgClasses []OrgClassResult
+	// Classes holds the latencies of each class.
 	Classes []ClassResult
-	// Turns are the versions that turned bad.
-	Turns []Turn
-	// Exposed counts the answers of staged versions before their cap was
-	// lifted, by version.
-	Exposed map[string]int
-	// Opened is when the cap of a version was lifted.
-	Opened map[string]time.Duration
-	Holds  []choice.Hold
-	// FalseAlarms are the holds of versions that had not turned bad.
+	// Degradations holds a result for each change of a version's quality.
+	Degradations []Degradation
+	// ExposedAnswers counts the requests first sent to a staged version before its
+	// cap was lifted, by version.
+	ExposedAnswers map[string]int
+	// CapLifted is the virtual time at which a version's cap was lifted, by version.
+	CapLifted map[string]time.Duration
+	Holds     []choice.Hold
+	// FalseAlarms counts the holds of versions that had not degraded.
 	FalseAlarms int
-	// Simulated is the time until the last answer.
+	// Simulated is the virtual time of the last event.
 	Simulated time.Duration
 }
 
-// Part is one class of one organisation.
-type Part struct {
+// OrgClassResult holds the measurements of one class of one organisation. Costs are sums
+// over its answers; Quality is their mean.
+type OrgClassResult struct {
 	Org     string
 	Class   string
 	Target  float64
 	Answers int
 	Quality float64
-	// Error is the standard error of Quality.
-	Error  float64
-	Cost   float64
-	Oracle float64
-	Best   float64
-	// Reachable says that the oracle could meet the target.
+	// StandardError is the standard error of Quality.
+	StandardError float64
+	Cost          float64
+	OracleCost    float64
+	BestCost      float64
+	// Reachable is true if the oracle met the target for every answer.
 	Reachable bool
 }
 
-// Met says that the mean quality reached the target.
-func (p Part) Met() bool { return p.Quality >= p.Target }
+// Met reports whether the mean quality reached the target.
+func (p OrgClassResult) Met() bool { return p.Quality >= p.Target }
 
-// ClassResult is the latency of one class.
+// ClassResult holds the latency of one class from arrival to delivery. Cascaded counts
+// the answers that followed a rejected one.
 type ClassResult struct {
 	Class    string
 	Latency  *hdrhistogram.Histogram // milliseconds
@@ -66,19 +69,20 @@
 	Answers  int
 }
 
-// Turn is one version that turned bad.
-type Turn struct {
+// Degradation is one change of a version's quality and the reaction to it.
+type Degradation struct {
 	Change Change
-	// Bad counts the answers that were begun on it from then on.
-	Bad int
-	// Held is when the first node held it; below 0 when none did.
-	Held time.Duration
+	// Answers counts the attempts on the version since the change, if Factor is below 1.
+	Answers int
+	// HeldAt is the virtual time at which a node first held the version; negative if none
+	// did.
+	HeldAt time.Duration
 }
 
-// Met returns how many parts that the oracle could serve met their target, and
-// of how many.
+// Met returns the number of reachable entries of OrgClasses that met their target, and
+// the number of reachable entries.
 func (r Result) Met() (met, reachable int) {
-	for _, p := range r.Parts {
+	for _, p := range r.OrgClasses {
 		if !p.Reachable {
 			continue
 		}
@@ -90,22 +94,24 @@
 	return met, reachable
 }
 
-// Short returns how many reachable parts missed their target by more than two
-// standard errors, which is more than the chance of single answers explains.
-func (r Result) Short() int {
+// SignificantMisses returns the number of reachable entries of OrgClasses that missed
+// their target by more than two standard errors. Random variation of single answers
+// rarely explains a larger miss.
+func (r Result) SignificantMisses() int {
 	var n int
-	for _, p := range r.Parts {
-		if p.Reachable && p.Quality+2*p.Error < p.Target {
+	for _, p := range r.OrgClasses {
+		if p.Reachable && p.Quality+2*p.StandardError < p.Target {
 			n++
 		}
 	}
 	return n
 }
 
-// Lowest is the lowest margin of a reachable part over its target.
-func (r Result) Lowest() float64 {
+// LowestMargin returns the lowest difference between quality and target among the
+// reachable entries of OrgClasses.
+func (r Result) LowestMargin() float64 {
 	lowest := math.Inf(1)
-	for _, p := range r.Parts {
+	for _, p := range r.OrgClasses {
 		if p.Reachable {
 			lowest = min(lowest, p.Quality-p.Target)
 		}
@@ -113,23 +119,23 @@
 	return lowest
 }
 
-// part sums up one class of one organisation.
-type part struct {
-	Part
-	sum     float64
-	squares float64
+// orgClassTally accumulates the result of one class of one organisation.
+type orgClassTally struct {
+	OrgClassResult
+	qualitySum     float64
+	qualitySquares float64
 }
 
-func (p *part) answer(q float64) {
+func (p *orgClassTally) addAnswer(q float64) {
 	p.Answers++
-	p.sum += q
-	p.squares += q * q
+	p.qualitySum += q
+	p.qualitySquares += q * q
 }
 
-func (p *part) result() Part {
-	r := p.Part
+func (p *orgClassTally) result() OrgClassResult {
+	r := p.OrgClassResult
 	n := float64(max(p.Answers, 1))
-	r.Quality = p.sum / n
-	r.Error = math.Sqrt(max(p.squares/n-r.Quality*r.Quality, 0) / n)
+	r.Quality = p.qualitySum / n
+	r.StandardError = math.Sqrt(max(p.qualitySquares/n-r.Quality*r.Quality, 0) / n)
 	return r
 }
--- a/internal/choice/sim/sim_test.go
+++ b/internal/choice/sim/sim_test.go
@@ -10,7 +10,7 @@
 	"github.com/hickorybank/hickorybank/internal/choice/baseline"
 )
 
-func short(deployment string) Config {
+func hourOf(deployment string) Config {
 	return Config{Deployment: deployment, Seed: 1, Duration: time.Hour}
 }
 
@@ -21,60 +21,60 @@
 	return r
 }
 
-// Operators pay for the best version or get complaints about the cheapest. In
-// the first hour, with nothing known at its start, the chooser must already be
-// cheaper than the best and better than the cheapest.
+// Within the first hour, starting without any data, the chooser must cost less than the
+// best version and give better quality than the cheapest. Otherwise a baseline without
+// ratings would serve operators as well.
 func TestChooserBeatsTheBaselines(t *testing.T) {
 	is := is.New(t)
 	for _, deployment := range []string{"tarifas", "sahel"} {
-		chosen := mustRun(t, short(deployment))
-		best := short(deployment)
+		chosen := mustRun(t, hourOf(deployment))
+		best := hourOf(deployment)
 		best.Policy = func() choice.Policy { return baseline.Best{} }
-		cheapest := short(deployment)
+		cheapest := hourOf(deployment)
 		cheapest.Policy = func() choice.Policy { return baseline.Cheapest{} }
 		is.True(chosen.Cost < 0.9*mustRun(t, best).Cost)
-		is.True(chosen.Lowest() > mustRun(t, cheapest).Lowest())
-		is.True(chosen.Cost < 1.25*chosen.Oracle)
-		is.Equal(chosen.Short(), 0)
+		is.True(chosen.LowestMargin() > mustRun(t, cheapest).LowestMargin())
+		is.True(chosen.Cost < 1.25*chosen.OracleCost)
+		is.Equal(chosen.SignificantMisses(), 0)
 		is.Equal(chosen.FalseAlarms, 0)
 	}
 }
 
-// A version turns bad while it serves: it falls to half its quality. It must be
-// held before it has given fifty answers, and no other version with it.
-func TestBadTurnIsHeldWithinFiftyAnswers(t *testing.T) {
+// A serving version degrades to half its quality. It must be held within fifty answers,
+// and no other version may be held.
+func TestDegradedVersionIsHeldWithinFiftyAnswers(t *testing.T) {
 	is := is.New(t)
 	for _, version := range []string{"dues@1", "lines@1", "dues@3"} {
-		cfg := short("tarifas")
+		cfg := hourOf("tarifas")
 		cfg.Duration = 25 * time.Minute
 		cfg.Changes = []Change{{At: 15 * time.Minute, Version: version, Factor: 0.5}}
 		r := mustRun(t, cfg)
-		t.Log(version, r.Turns)
-		is.True(r.Turns[0].Held >= 0)
-		is.True(r.Turns[0].Bad <= 50)
+		t.Log(version, r.Degradations)
+		is.True(r.Degradations[0].HeldAt >= 0)
+		is.True(r.Degradations[0].Answers <= 50)
 		is.Equal(r.FalseAlarms, 0)
 	}
 }
 
-// Inspectors find that a new version gave hundreds of answers while nobody
-// rated them. The rating service is down from the start: the staged version
-// may give no more than the node's first grants, and never more than its cap.
-func TestNoExposureWithoutRatings(t *testing.T) {
+// A staged version must not answer hundreds of requests while none is rated. With the
+// rating service down from the start, it gets no more than the first grants, which stay
+// below its cap, and the cap is never lifted.
+func TestExposureIsLimitedWithoutRatings(t *testing.T) {
 	is := is.New(t)
-	cfg := short("sahel")
+	cfg := hourOf("sahel")
 	cfg.Outages = []Outage{{From: 0, To: 2 * time.Hour}}
 	r := mustRun(t, cfg)
-	t.Log(r.Exposed)
-	is.True(r.Exposed["assess@6"] < 20)
-	is.Equal(len(r.Opened), 0)
+	t.Log(r.ExposedAnswers)
+	is.True(r.ExposedAnswers["assess@6"] < 20)
+	is.Equal(len(r.CapLifted), 0)
 }
 
-func TestSameSeedSameResult(t *testing.T) {
+func TestSameSeedGivesSameResult(t *testing.T) {
 	is := is.New(t)
-	cfg := short("sahel")
+	cfg := hourOf("sahel")
 	cfg.Duration = 20 * time.Minute
 	a, b := mustRun(t, cfg), mustRun(t, cfg)
 	is.Equal(a.Cost, b.Cost)
 	is.Equal(a.Answers, b.Answers)
-	is.Equal(a.Parts, b.Parts)
+	is.Equal(a.OrgClasses, b.OrgClasses)
 }
--- a/internal/choice/sim/table.go
+++ b/internal/choice/sim/table.go
@@ -5,7 +5,7 @@
 	"github.com/hickorybank/hickorybank/internal/platform"
 )
 
-// table holds the exposure rows and the account of the node with the duty.
+// table holds the exposure rows and the accounts of the nodes responsible for them.
 type table struct {
 	rows     map[string]platform.Row
 	accounts map[string]*exposure.Account
@@ -26,13 +26,13 @@
 		row := t.rows[key]
 		row.Key = key
 		if err := a.Read(row); err != nil {
-			panic(err) // only accounts write these rows
+			panic(err) // unreachable: only accounts write these rows
 		}
 	}
 	return a
 }
 
-func (t *table) open(version string) bool { return t.account(version).Open() }
+func (t *table) capLifted(version string) bool { return t.account(version).Open() }
 
 func (t *table) commit(a *exposure.Account, txn platform.Txn) {
 	w := txn.Writes[0]
@@ -41,13 +41,14 @@
 	a.Committed(platform.CommitResult{Applied: true, Version: row.Version}, nil)
 }
 
-// grant is what the node with the duty answers.
+// grant returns the grant of the node that is responsible for the version's account. It
+// lifts the cap first if the collecting node's chooser permits it.
 func (r *run) grant(version string) exposure.Grant {
 	a := r.table.account(version)
 	chooser := r.nodes[r.collector(version)].chooser
 	if !a.Open() && chooser.CanLiftCap(version, r.time()) {
 		r.table.commit(a, a.LiftCap())
-		r.result.Opened[version] = r.now
+		r.result.CapLifted[version] = r.now
 	}
 	if a.Open() {
 		return exposure.Grant{Open: true}
--- a/internal/choice/sim/truth.go
+++ b/internal/choice/sim/truth.go
@@ -8,25 +8,25 @@
 	"github.com/hickorybank/hickorybank/internal/config"
 )
 
-// The range of true qualities: raters whose scores are cut at 0 and 1 cannot
-// tell what lies beyond.
+// The range of true qualities. Scores are clamped to 0 and 1, so ratings cannot
+// distinguish qualities beyond it.
 const (
-	lowest  = 0.05
-	highest = 0.95
+	minQuality = 0.05
+	maxQuality = 0.95
 )
 
-// truth holds the true qualities, which the policies do not see.
+// truth holds the true qualities, which are hidden from the policies.
 type truth struct {
-	world World
-	start map[quality.Key]float64
-	// factor is what is left of a version's quality at present.
+	world   World
+	initial map[quality.Key]float64
+	// factor is the current share of a version's initial quality.
 	factor map[string]float64
-	// centre caches the places that give a mean.
-	centre map[float64]float64
+	// locations caches the results of location by mean quality.
+	locations map[float64]float64
 }
 
 func newTruth(w World, doc *config.Document, seed uint64) *truth {
-	t := &truth{world: w, start: map[quality.Key]float64{}, factor: map[string]float64{}, centre: map[float64]float64{}}
+	t := &truth{world: w, initial: map[quality.Key]float64{}, factor: map[string]float64{}, locations: map[float64]float64{}}
 	rng := rand.New(rand.NewPCG(seed, 1))
 	for _, m := range doc.Models {
 		for _, v := range m.Versions {
@@ -38,83 +38,83 @@
 
 func (t *truth) draw(rng *rand.Rand, v config.Version, classes []config.Class) {
 	t.factor[v.Name] = 1
-	own := v.PriorQuality + t.world.Wrong*rng.NormFloat64()
+	versionQuality := v.PriorQuality + t.world.PriorError*rng.NormFloat64()
 	for _, c := range classes {
-		q := own + classWrong*rng.NormFloat64()
-		t.start[quality.Key{Version: v.Name, Class: c.Name}] = min(max(q, lowest), highest)
+		q := versionQuality + classStdDev*rng.NormFloat64()
+		t.initial[quality.Key{Version: v.Name, Class: c.Name}] = min(max(q, minQuality), maxQuality)
 	}
 }
 
-// mean is the present true quality.
+// mean returns the current true quality of a version for a class.
 func (t *truth) mean(version, class string) float64 {
-	return t.start[quality.Key{Version: version, Class: class}] * t.factor[version]
+	return t.initial[quality.Key{Version: version, Class: class}] * t.factor[version]
 }
 
-// answer draws one answer to a request of a difficulty. What it is worth is
-// told by quality, what raters say of it by rating.
+// answer draws one answer to a request of the given difficulty. quality returns the
+// true quality of an answer, rating a noisy score of it.
 func (t *truth) answer(rng *rand.Rand, version, class string, difficulty float64) float64 {
 	mean := t.mean(version, class)
 	r := t.world.Difficulty
 	z := -math.Sqrt(r)*difficulty + math.Sqrt(1-r)*rng.NormFloat64()
 	switch t.world.Kind {
 	case Flat:
-		return t.place(mean)
+		return t.location(mean)
 	case Coarse:
-		if normalBelow(z) < t.place(mean) {
+		if normalCDF(z) < t.location(mean) {
 			return 1
 		}
 		return 0
 	}
-	return logistic(t.place(mean) + width*z)
+	return logistic(t.location(mean) + answerSpread*z)
 }
 
-// rating draws one rating of an answer.
+// rating draws the score of one rating of an answer.
 func (t *truth) rating(rng *rand.Rand, answer float64) float64 {
 	return min(max(answer+t.world.Noise*rng.NormFloat64(), 0), 1)
 }
 
-// quality is what an answer is worth: its mean rating. There is no other
-// measure of it, and cut ratings pull it away from the ends.
+// quality returns the true quality of an answer, defined as its mean rating. No other
+// measure of it exists. Clamping the ratings shifts the mean away from 0 and 1.
 func (t *truth) quality(answer float64) float64 {
 	sd := t.world.Noise
 	low, high := -answer/sd, (1-answer)/sd
-	inside := normalBelow(high) - normalBelow(low)
-	return answer*inside + sd*(density(low)-density(high)) + 1 - normalBelow(high)
+	inside := normalCDF(high) - normalCDF(low)
+	return answer*inside + sd*(normalPDF(low)-normalPDF(high)) + 1 - normalCDF(high)
 }
 
-// place finds the parameter of the answers' distribution that gives a mean
-// quality: the answer itself, the share of right ones, or the centre along the
-// logistic curve.
-func (t *truth) place(mean float64) float64 {
-	if at, ok := t.centre[mean]; ok {
+// location finds the parameter of the answers' distribution that yields a mean quality.
+// By kind, it is the answer itself, the share of right answers, or the mean of the
+// normal distribution before the logistic function.
+func (t *truth) location(mean float64) float64 {
+	if at, ok := t.locations[mean]; ok {
 		return at
 	}
 	low, high := -10.0, 10.0
 	for range 60 {
 		middle := (low + high) / 2
-		if t.expected(middle) < mean {
+		if t.expectedQuality(middle) < mean {
 			low = middle
 		} else {
 			high = middle
 		}
 	}
-	t.centre[mean] = low
+	t.locations[mean] = low
 	return low
 }
 
-func (t *truth) expected(place float64) float64 {
+func (t *truth) expectedQuality(location float64) float64 {
 	switch t.world.Kind {
 	case Flat:
-		return t.quality(place)
+		return t.quality(location)
 	case Coarse:
-		return place*t.quality(1) + (1-place)*t.quality(0)
+		return location*t.quality(1) + (1-location)*t.quality(0)
 	}
 	const steps, reach = 64, 6.0
 	var sum, weight float64
 	for i := range steps + 1 {
 		z := -reach + 2*reach/steps*float64(i)
-		w := density(z)
-		sum += w * t.quality(logistic(place+width*z))
+		w := normalPDF(z)
+		sum += w * t.quality(logistic(location+answerSpread*z))
 		weight += w
 	}
 	return sum / weight
@@ -122,6 +122,6 @@
 
 func logistic(x float64) float64 { return 1 / (1 + math.Exp(-x)) }
 
-func normalBelow(z float64) float64 { return math.Erfc(-z/math.Sqrt2) / 2 }
+func normalCDF(z float64) float64 { return math.Erfc(-z/math.Sqrt2) / 2 }
 
-func density(z float64) float64 { return math.Exp(-z*z/2) / math.Sqrt(2*math.Pi) }
+func normalPDF(z float64) float64 { return math.Exp(-z*z/2) / math.Sqrt(2*math.Pi) }
--- a/internal/choice/sim/world.go
+++ b/internal/choice/sim/world.go
@@ -2,40 +2,40 @@
 
 import "time"
 
-// Kind is how the qualities of single answers are distributed.
+// Kind selects the distribution of the qualities of single answers.
 type Kind string
 
-// The kinds of worlds.
+// The kinds of distributions.
 const (
-	// Spread: answers of a version differ, along a logistic normal curve.
+	// Spread gives the answers of a version a logistic normal distribution.
 	Spread Kind = "spread"
-	// Coarse: an answer is right or wrong.
+	// Coarse makes each answer either right or wrong.
 	Coarse Kind = "coarse"
-	// Flat: all answers of a version are alike; only ratings differ.
+	// Flat gives all answers of a version the same quality; only ratings differ.
 	Flat Kind = "flat"
 )
 
-// World is how answers and ratings behave. All of it is assumed, not measured
-// at real engines; the figures of several worlds stand side by side.
+// World holds the assumptions about answers and ratings. No real engines stand behind
+// them, so results of several worlds are compared.
 type World struct {
-	Kind Kind // empty is Spread
-	// Noise is the standard deviation of a rating about the true quality.
+	Kind Kind // empty means Spread
+	// Noise is the standard deviation of a rating around the true quality.
 	Noise float64 // 0 is 0.1
 	// Difficulty is the correlation of the answers of different versions to
 	// the same request.
 	Difficulty float64 // 0 is 0.4
-	// Wrong is the standard deviation of a version's true quality about the
-	// operators' belief.
-	Wrong float64 // 0 is 0.02
-	// Delay is the mean time until a rating comes.
+	// PriorError is the standard deviation of a version's true quality around the prior
+	// quality that operators configured.
+	PriorError float64 // 0 is 0.02
+	// Delay is the mean delay of a rating.
 	Delay time.Duration // 0 is two seconds
 }
 
 const (
-	// width is the spread of answers along the logistic curve.
-	width = 1.1
-	// classWrong is how far qualities for classes differ from the version's.
-	classWrong = 0.015
+	// answerSpread is the standard deviation of answers before the logistic function.
+	answerSpread = 1.1
+	// classStdDev is the standard deviation of a class's quality around the version's.
+	classStdDev = 0.015
 )
 
 func (w World) withDefaults() World {
@@ -48,8 +48,8 @@
 	if w.Difficulty == 0 {
 		w.Difficulty = 0.4
 	}
-	if w.Wrong == 0 {
-		w.Wrong = 0.02
+	if w.PriorError == 0 {
+		w.PriorError = 0.02
 	}
 	if w.Delay == 0 {
 		w.Delay = 2 * time.Second
