--- a/internal/choice/sim/run.go
+++ b/internal/choice/sim/run.go
@@ -41,7 +41,7 @@
 	applyOverrides(doc, cfg)
 	snapshot, err := config.Compile(1, doc)
 	if err != nil {
-		return Result{}, eris.Wrap(err, "deployment")
+		return Result{}, eris.Wrapf(err, "compile deployment %q", cfg.Deployment)
 	}
 	r := newRun(cfg, snapshot)
 	r.start()
