--- a/internal/balance/sim/callers.go
+++ b/internal/balance/sim/callers.go
@@ -6,11 +6,12 @@
 	"github.com/hickorybank/hickorybank/internal/standin/engine/model"
 )
 
-// The gap before an impatient caller comes back.
-const impatientGap = 100 * time.Millisecond
+// impatientRetryDelay is the minimum delay, and the mean of the random part added to
+// it, before a caller that ignores Retry-After tries again.
+const impatientRetryDelay = 100 * time.Millisecond
 
-// rate is the requests a second at a time.
-func (w *world) rate(at time.Duration) float64 {
+// requestRate returns the requests per second at a time.
+func (w *world) requestRate(at time.Duration) float64 {
 	r := w.cfg.Load * w.cfg.Deployment.Capacity()
 	if s := w.cfg.Surge; s.Factor > 0 && at >= s.From && at < s.Until {
 		r *= s.Factor
@@ -18,35 +19,36 @@
 	return r
 }
 
-// arrivals sends requests at random gaps until the run's length is over.
-func (w *world) arrivals() {
-	gap := w.exponential(time.Duration(float64(time.Second) / w.rate(w.now)))
+// scheduleArrivals starts requests as a Poisson process until the end of the run.
+func (w *world) scheduleArrivals() {
+	gap := w.drawExponential(time.Duration(float64(time.Second) / w.requestRate(w.now)))
 	w.after(gap, func() {
-		if w.now >= w.cfg.Length {
+		if w.now >= w.cfg.Duration {
 			return
 		}
-		w.arrive()
-		w.arrivals()
+		w.startRequest()
+		w.scheduleArrivals()
 	})
 }
 
-func (w *world) arrive() {
-	w.jobs++
-	j := &job{id: w.jobs, class: w.drawClass(), org: w.drawOrg(), counted: w.counts()}
+// startRequest draws a request and sends its first try.
+func (w *world) startRequest() {
+	w.jobCount++
+	j := &job{id: w.jobCount, class: w.drawClass(), org: w.drawOrg(), measured: w.isMeasured()}
 	c := j.class
 	if c.Service != "" {
-		j.prefill = w.exponential(c.Work)
+		j.prefill = w.drawExponential(c.ServiceTime)
 	} else {
-		j.prefill = time.Duration(float64(c.Prefill) * w.vary(c.Spread))
-		j.tokens = max(1, int(float64(c.Tokens)*w.vary(c.Spread)))
+		j.prefill = time.Duration(float64(c.Prefill) * w.drawFactor(c.Spread))
+		j.tokens = max(1, int(float64(c.Tokens)*w.drawFactor(c.Spread)))
 		j.prefix = w.drawPrefix(j)
 	}
-	w.result.asked(j)
-	w.offer(j)
+	w.result.countRequest(j)
+	w.sendTry(j)
 }
 
-// counts says whether a request that comes now is for the result.
-func (w *world) counts() bool {
+// isMeasured reports whether a request that arrives now counts in the result.
+func (w *world) isMeasured() bool {
 	return w.now >= w.cfg.Warmup && (w.cfg.CountUntil == 0 || w.now < w.cfg.CountUntil)
 }
 
@@ -64,19 +66,19 @@
 
 func (w *world) drawOrg() int {
 	demand := w.cfg.Deployment.Demand
-	part := func(i int) float64 {
-		if i == 0 && w.cfg.Flood > 0 {
-			return demand[0] * w.cfg.Flood
+	demandOf := func(i int) float64 {
+		if i == 0 && w.cfg.FloodFactor > 0 {
+			return demand[0] * w.cfg.FloodFactor
 		}
 		return demand[i]
 	}
 	var sum float64
 	for i := range demand {
-		sum += part(i)
+		sum += demandOf(i)
 	}
 	x := w.random.Float64() * sum
 	for i := range demand {
-		x -= part(i)
+		x -= demandOf(i)
 		if x < 0 {
 			return i
 		}
@@ -84,9 +86,9 @@
 	return len(demand) - 1
 }
 
-// drawPrefix names the shared prefix of the job's prompt. A popular one of
-// rank k is drawn with a chance of some 1/k; others in turn of time, as
-// dossiers are opened and closed.
+// drawPrefix draws the shared prefix of the job's prompt. In popular classes the prefix
+// of rank k has a probability of about 1/k. In others the set of prefixes shifts with
+// time, as dossiers are opened and closed.
 func (w *world) drawPrefix(j *job) uint64 {
 	c := j.class
 	var k uint64
@@ -100,81 +102,86 @@
 	return model.Draw(uint64(j.org)<<32|uint64(len(c.Name))<<24|uint64(c.Name[0])<<16, k) | 1
 }
 
-// offer is a caller's try at some node.
-func (w *world) offer(j *job) {
+// sendTry sends a try of the job to a random node and schedules its deadline.
+func (w *world) sendTry(j *job) {
 	j.node = w.nodes[w.random.IntN(len(w.nodes))]
-	j.offered = w.now
+	j.receivedAt = w.now
 	j.deadline = w.now + j.class.Deadline
-	j.over = false
+	j.ended = false
 	j.running = false
 	j.attempts = 0
 	j.exclude = nil
-	try := j.tries
+	tryIndex := j.tries
 	w.at(j.deadline, func() {
-		if j.over || j.tries != try {
+		if j.ended || j.tries != tryIndex {
 			return
 		}
 		j.node.expire(j)
-		j.over = true
-		w.result.of(j).Late++
+		j.ended = true
+		w.result.classOf(j).Late++
 	})
-	w.result.of(j).Offers++
+	w.result.classOf(j).Offers++
 	if j.class.Version != "" && j.tries == 0 {
-		w.result.at(w.now).offers++
+		w.result.secondAt(w.now).offers++
 	}
 	j.node.offer(j)
 }
 
-func (w *world) refused(j *job, retryAfter time.Duration) {
-	j.over = true
-	w.result.of(j).Refused++
-	w.comeBack(j, retryAfter)
+func (w *world) tryRefused(j *job, retryAfter time.Duration) {
+	j.ended = true
+	w.result.classOf(j).Refused++
+	w.retryByCaller(j, retryAfter)
 }
 
-func (w *world) failed(j *job, retryAfter time.Duration) {
-	j.over = true
-	w.result.of(j).Failed++
-	w.comeBack(j, retryAfter)
+func (w *world) tryFailed(j *job, retryAfter time.Duration) {
+	j.ended = true
+	w.result.classOf(j).Failed++
+	w.retryByCaller(j, retryAfter)
 }
 
-// comeBack is what the caller does after a refusal or failure.
-func (w *world) comeBack(j *job, retryAfter time.Duration) {
+// retryByCaller schedules the caller's next try after a refusal or a failure, if it has
+// any left.
+func (w *world) retryByCaller(j *job, retryAfter time.Duration) {
 	if j.tries >= w.cfg.CallerRetries {
 		return
 	}
-	if w.cfg.Impatient {
-		retryAfter = impatientGap + w.exponential(impatientGap)
+	if w.cfg.IgnoreRetryAfter {
+		retryAfter = impatientRetryDelay + w.drawExponential(impatientRetryDelay)
 	}
 	w.after(retryAfter, func() {
 		j.tries++
-		w.offer(j)
+		w.sendTry(j)
 	})
 }
 
-func (w *world) completed(j *job) {
-	j.over = true
-	w.result.record(j, w.now, w.cfg.Deployment.ToClient)
+func (w *world) tryCompleted(j *job) {
+	j.ended = true
+	w.result.recordAnswer(j, w.now, w.cfg.Deployment.ClientDelay)
 }
 
-// costOf is the job's expected time in a place, relative to the mean.
-func (w *world) costOf(j *job) float64 {
+// relativeCost returns the expected time that the job occupies a slot, relative to the
+// mean of model requests.
+func (w *world) relativeCost(j *job) float64 {
 	if j.class.Version == "" {
 		return 1
 	}
 	if w.meanCost == 0 {
-		w.meanCost = w.meanModelCost()
+		w.meanCost = w.meanModelSoloSeconds()
 	}
-	return classCost(j.class) / w.meanCost
+	return meanSoloSeconds(j.class) / w.meanCost
 }
 
-// classCost is the seconds that a request of the class runs alone.
-func classCost(c *Class) float64 { return c.Prefill.Seconds() + float64(c.Tokens)*assumedGap.Seconds() }
+// meanSoloSeconds returns the mean seconds that a request of the class takes on an
+// engine without other requests.
+func meanSoloSeconds(c *Class) float64 {
+	return c.Prefill.Seconds() + float64(c.Tokens)*assumedStepTime.Seconds()
+}
 
-func (w *world) meanModelCost() float64 {
+func (w *world) meanModelSoloSeconds() float64 {
 	var sum, share float64
 	for i := range w.cfg.Deployment.Classes {
 		if c := &w.cfg.Deployment.Classes[i]; c.Version != "" {
-			sum += c.Share * classCost(c)
+			sum += c.Share * meanSoloSeconds(c)
 			share += c.Share
 		}
 	}
--- a/internal/balance/sim/doc.go
+++ b/internal/balance/sim/doc.go
@@ -1,8 +1,8 @@
-// Package sim runs entry nodes, with their real upstream choice and admission,
-// against the stand-in engines' model in virtual time, to compare policies.
+// Package sim simulates entry nodes, with their real upstream choice and admission, and
+// upstreams in virtual time, to compare policies. Engines use the model of the stand-in
+// engine.
 //
-// Everything is a function of [Config] and its seed. The sizes and delays are
-// those of the two deployments; what the brief does not give (the mix of
-// classes, lengths, times of a step) is assumed, and stated with each constant
-// in deployment.go and class.go.
+// Results depend only on [Config] and its seed. Sizes and delays are those of the two
+// deployments. The brief leaves out the mix of classes, lengths and step times; these
+// are assumed in deployment.go and class.go.
 package sim
--- a/internal/balance/sim/job.go
+++ b/internal/balance/sim/job.go
@@ -14,42 +14,44 @@
 	id    uint64
 	class *Class
 	org   int
-	// prefix, prefill and tokens are drawn once; a service's call takes
-	// prefill.
-	prefix  uint64
-	prefill time.Duration
-	tokens  int
-	counted bool // offered after the warm-up
+	// prefix, prefill and tokens are drawn once per request. For service calls, prefill
+	// is the service time.
+	prefix   uint64
+	prefill  time.Duration
+	tokens   int
+	measured bool // counts in the result
 
-	// tries are the caller's; attempts are the node's in this try.
-	tries    int
-	attempts int
-	node     *node
-	offered  time.Duration
-	deadline time.Duration
-	running  bool // admitted and not ended
-	over     bool // this try has ended
+	// tries counts the caller's retries; attempts counts the node's attempts in the
+	// current try.
+	tries      int
+	attempts   int
+	node       *node
+	receivedAt time.Duration
+	deadline   time.Duration
+	running    bool // admitted and not finished
+	ended      bool // this try has ended
 
-	server  *server
-	token   balance.Token
-	ticket  model.Ticket
-	sent    time.Duration
-	first   time.Duration
-	cached  bool
-	exclude []string
+	server       *server
+	token        balance.Token
+	ticket       model.Ticket
+	sentAt       time.Duration
+	firstTokenAt time.Duration
+	cached       bool
+	exclude      []string
 }
 
-// admissionID names the job's present try.
+// admissionID returns the admission queue's ID of the current try.
 func (j *job) admissionID() string {
 	return strconv.FormatUint(j.id, 10) + "/" + strconv.Itoa(j.tries)
 }
 
-// work is the seconds that a lone engine needs for the job, its prompt uncached.
-func (j *job) work() float64 {
-	return j.prefill.Seconds() + float64(j.tokens)*assumedGap.Seconds()
+// soloSeconds returns the seconds that an engine without other requests needs for the
+// job, with its prompt uncached.
+func (j *job) soloSeconds() float64 {
+	return j.prefill.Seconds() + float64(j.tokens)*assumedStepTime.Seconds()
 }
 
-// priority is what the engine is told; a lower one runs first.
+// priority returns the priority for the engine; lower values run first.
 func (j *job) priority() int {
 	switch j.class.Kind {
 	case config.Immediate:
@@ -60,24 +62,24 @@
 	return 2
 }
 
-// answer is what an upstream says of a job.
-type answer int
+// reply is a message of an upstream about an attempt.
+type reply int
 
 const (
-	first answer = iota
-	whole
-	declined
-	unreached
-	broken
+	replyFirstToken reply = iota
+	replyCompleted
+	replyDeclined
+	replyUnreached
+	replyBroken
 )
 
-func (a answer) outcome() balance.Outcome {
+func (a reply) outcome() balance.Outcome {
 	switch a {
-	case declined:
+	case replyDeclined:
 		return balance.Declined
-	case unreached:
+	case replyUnreached:
 		return balance.Unreached
-	case broken:
+	case replyBroken:
 		return balance.Broken
 	}
 	return balance.Succeeded
--- a/internal/balance/sim/merge.go
+++ b/internal/balance/sim/merge.go
@@ -1,6 +1,7 @@
 package sim
 
-// RunAll plays a configuration with several seeds and joins the results.
+// RunAll runs a configuration once per seed and merges the results. Counts are sums
+// over the runs, work is averaged. It fails if the configuration is invalid.
 func RunAll(cfg Config, seeds []uint64) (*Result, error) {
 	var all *Result
 	for _, seed := range seeds {
@@ -19,7 +20,7 @@
 	return all, nil
 }
 
-// merge adds another run of the same configuration.
+// merge adds the result of another run of the same configuration.
 func (r *Result) merge(o *Result) {
 	for i := range r.Classes {
 		r.Classes[i].merge(&o.Classes[i])
@@ -28,40 +29,40 @@
 	r.Attempts += o.Attempts
 	r.Admitted += o.Admitted
 	r.Broken += o.Broken
-	r.ToStruck += o.ToStruck
-	r.WhileStruck += o.WhileStruck
-	for i := range r.AskedByOrg {
-		r.AskedByOrg[i] += o.AskedByOrg[i]
+	r.AttemptsToFaulty += o.AttemptsToFaulty
+	r.AttemptsDuringFaults += o.AttemptsDuringFaults
+	for i := range r.RequestsByOrg {
+		r.RequestsByOrg[i] += o.RequestsByOrg[i]
 		r.AnsweredByOrg[i] += o.AnsweredByOrg[i]
 	}
 	for i := range r.seconds {
 		r.seconds[i].offers += o.seconds[i].offers
 		r.seconds[i].attempts += o.seconds[i].attempts
 	}
-	addTo(r.Work, o.Work)
-	addTo(r.WorkByOrg, o.WorkByOrg)
-	addTo(r.AskedWork, o.AskedWork)
-	addTo(r.FirstBySecond, o.FirstBySecond)
-	for i := range r.firstCount {
-		r.firstCount[i] += o.firstCount[i]
+	addElements(r.Work, o.Work)
+	addElements(r.WorkByOrg, o.WorkByOrg)
+	addElements(r.RequestedWork, o.RequestedWork)
+	addElements(r.FirstTokenBySecond, o.FirstTokenBySecond)
+	for i := range r.firstTokenCount {
+		r.firstTokenCount[i] += o.firstTokenCount[i]
 	}
 }
 
-func addTo(sum, part []float64) {
+func addElements(sum, other []float64) {
 	for i := range sum {
-		sum[i] += part[i]
+		sum[i] += other[i]
 	}
 }
 
-// average makes the work that of one run.
+// average computes the means and divides the work by the number of runs.
 func (r *Result) average(runs int) {
-	r.close()
+	r.computeMeans()
 	for i := range r.Work {
 		r.Work[i] /= float64(runs)
 	}
 	for i := range r.WorkByOrg {
 		r.WorkByOrg[i] /= float64(runs)
-		r.AskedWork[i] /= float64(runs)
+		r.RequestedWork[i] /= float64(runs)
 	}
 }
 
@@ -73,6 +74,6 @@
 	c.Late += o.Late
 	c.Completed += o.Completed
 	c.Cached += o.Cached
-	c.First.Merge(o.First)
+	c.FirstToken.Merge(o.FirstToken)
 	c.Total.Merge(o.Total)
 }
--- a/internal/balance/sim/node.go
+++ b/internal/balance/sim/node.go
@@ -9,11 +9,12 @@
 )
 
 const (
-	// pollTick is how often a node asks its balancer for polls, and its queue
-	// for what is due.
-	pollTick = 100 * time.Millisecond
-	// retryUnknown is when a caller comes back after a failure without a hint.
-	retryUnknown = time.Second
+	// tickInterval is how often a node polls the upstreams that its balancer names, and
+	// runs its admission queue.
+	tickInterval = 100 * time.Millisecond
+	// defaultRetryAfter is the Retry-After of failures for which no better value is
+	// known.
+	defaultRetryAfter = time.Second
 )
 
 // node is one entry node.
@@ -24,7 +25,7 @@
 	balance *balance.Balancer
 	queue   *admission.Queue
 	budget  *admission.RetryBudget
-	waiting map[string]*job
+	queued  map[string]*job
 }
 
 func newNode(w *world, vm platform.VM, domain int) *node {
@@ -37,48 +38,49 @@
 		balance: balance.New(s),
 		queue:   admission.New(w.cfg.Admission),
 		budget:  admission.NewRetryBudget(admission.RetrySettings{}),
-		waiting: map[string]*job{},
+		queued:  map[string]*job{},
 	}
 }
 
 func (n *node) tick() {
-	n.w.after(pollTick, n.tick)
+	n.w.after(tickInterval, n.tick)
 	for _, vm := range n.balance.NeedPoll(n.w.time()) {
 		n.poll(n.w.byID[vm.ID])
 	}
 	if !n.w.cfg.LatencyOnly {
-		n.observe()
+		n.observeLoad()
 	}
 	if at, any := n.queue.Wake(); any && !at.After(n.w.time()) {
-		n.decide(n.queue.Next(n.w.time()))
+		n.applyDecisions(n.queue.Next(n.w.time()))
 	}
 }
 
-// observe tells the queue what the upstreams reported.
-func (n *node) observe() {
+// observeLoad passes the reported load of each pool to the admission queue.
+func (n *node) observeLoad() {
 	now := n.w.time()
 	for i := range n.w.cfg.Deployment.Classes {
 		c := &n.w.cfg.Deployment.Classes[i]
 		l := n.balance.PoolLoad(c.Version, c.Service, now)
 		n.queue.Observe(n.pool(&job{class: c}), admission.PoolLoad(l))
 	}
-	n.decide(n.queue.Next(now))
+	n.applyDecisions(n.queue.Next(now))
 }
 
+// poll requests a load report from an upstream.
 func (n *node) poll(s *server) {
 	n.w.result.Polls++
-	way := n.w.delay(n.domain, s.domain)
-	n.w.after(way, func() {
+	delay := n.w.delay(n.domain, s.domain)
+	n.w.after(delay, func() {
 		if s.down {
-			n.w.after(way, func() { n.balance.PollFailed(s.vm.ID, n.w.time()) })
+			n.w.after(delay, func() { n.balance.PollFailed(s.vm.ID, n.w.time()) })
 			return
 		}
 		r := s.report()
-		n.w.after(way, func() { n.balance.Report(s.vm.ID, r, n.w.time()) })
+		n.w.after(delay, func() { n.balance.Report(s.vm.ID, r, n.w.time()) })
 	})
 }
 
-// offer takes a caller's request.
+// offer submits a try to the admission queue.
 func (n *node) offer(j *job) {
 	now := n.w.time()
 	n.budget.CountFirst(now)
@@ -88,18 +90,19 @@
 	}
 	d := n.queue.Offer(admission.Request{
 		ID: j.admissionID(), Org: orgName(j.org), Weight: n.w.cfg.Deployment.Weights[j.org], Kind: j.class.Kind,
-		Pool: n.pool(j), Deadline: n.w.base.Add(j.deadline), Cost: n.w.costOf(j), Now: now,
+		Pool: n.pool(j), Deadline: n.w.startTime.Add(j.deadline), Cost: n.w.relativeCost(j), Now: now,
 	})
 	switch d.Verdict {
 	case admission.Run:
 		n.run(j)
 	case admission.Queued:
-		n.waiting[d.ID] = j
+		n.queued[d.ID] = j
 	default:
-		n.w.refused(j, d.RetryAfter)
+		n.w.tryRefused(j, d.RetryAfter)
 	}
 }
 
+// pool returns the name of the job's pool in the admission queue.
 func (n *node) pool(j *job) string {
 	if j.class.Service != "" {
 		return j.class.Service
@@ -110,17 +113,17 @@
 	return n.balance.PoolName(j.class.Version)
 }
 
-func (n *node) decide(list []admission.Decision) {
+func (n *node) applyDecisions(list []admission.Decision) {
 	for _, d := range list {
-		j := n.waiting[d.ID]
+		j := n.queued[d.ID]
 		if j == nil {
 			continue
 		}
-		delete(n.waiting, d.ID)
+		delete(n.queued, d.ID)
 		if d.Verdict == admission.Run {
 			n.run(j)
 		} else {
-			n.w.refused(j, d.RetryAfter)
+			n.w.tryRefused(j, d.RetryAfter)
 		}
 	}
 }
@@ -130,15 +133,15 @@
 	n.attempt(j)
 }
 
-// attempt sends the job to an upstream.
+// attempt picks an upstream and sends the job to it.
 func (n *node) attempt(j *job) {
 	pick, ok := n.balance.Pick(balance.Request{
 		Version: j.class.Version, Service: j.class.Service, PrefixHash: j.prefix, Kind: j.class.Kind,
 		Exclude: j.exclude, Now: n.w.time(), Random: n.w.random.Uint64(),
 	})
 	if !ok {
-		n.end(j, admission.Sample{})
-		n.w.failed(j, pick.Shortage.RetryAfter)
+		n.finish(j, admission.Sample{})
+		n.w.tryFailed(j, pick.Shortage.RetryAfter)
 		return
 	}
 	n.w.result.Attempts++
@@ -146,79 +149,80 @@
 		n.w.result.Admitted++
 	}
 	if j.class.Version != "" {
-		n.w.result.at(n.w.now).attempts++
+		n.w.result.secondAt(n.w.now).attempts++
 	}
 	j.attempts++
 	j.token = pick.Token
 	j.server = n.w.byID[pick.VM.ID]
-	n.w.result.sent(j.server)
-	j.sent = n.w.now
-	j.first = 0
-	s, try := j.server, j.tries
+	n.w.result.countAttempt(j.server)
+	j.sentAt = n.w.now
+	j.firstTokenAt = 0
+	s, tryIndex := j.server, j.tries
 	n.w.after(n.w.delay(n.domain, s.domain), func() {
-		if !j.over && j.tries == try {
-			s.take(j)
+		if !j.ended && j.tries == tryIndex {
+			s.receive(j)
 		}
 	})
 }
 
-// heard takes what the upstream says.
-func (n *node) heard(j *job, a answer) {
+// handleReply processes a reply of the upstream.
+func (n *node) handleReply(j *job, r reply) {
 	now := n.w.time()
-	if a == first {
-		j.first = n.w.now
-		n.balance.FirstToken(j.token, n.w.now-j.sent, now)
+	if r == replyFirstToken {
+		j.firstTokenAt = n.w.now
+		n.balance.FirstToken(j.token, n.w.now-j.sentAt, now)
 		return
 	}
-	r := balance.Result{Outcome: a.outcome(), Latency: n.w.now - j.sent}
-	if a == whole && j.class.Service == "" {
-		r.FirstToken = j.first - j.sent
-		r.Tokens = j.tokens
-	}
-	n.balance.Done(j.token, r, now)
-	switch a {
-	case whole:
-		n.end(j, n.sample(j))
-		n.w.completed(j)
-	case broken:
+	result := balance.Result{Outcome: r.outcome(), Latency: n.w.now - j.sentAt}
+	if r == replyCompleted && j.class.Service == "" {
+		result.FirstToken = j.firstTokenAt - j.sentAt
+		result.Tokens = j.tokens
+	}
+	n.balance.Done(j.token, result, now)
+	switch r {
+	case replyCompleted:
+		n.finish(j, n.sample(j))
+		n.w.tryCompleted(j)
+	case replyBroken:
 		n.w.result.Broken++
-		n.end(j, admission.Sample{})
-		n.w.failed(j, retryUnknown)
+		n.finish(j, admission.Sample{})
+		n.w.tryFailed(j, defaultRetryAfter)
 	default:
-		n.again(j, a)
+		n.retryOrFail(j, r)
 	}
 }
 
 func (n *node) sample(j *job) admission.Sample {
-	s := admission.Sample{FirstToken: j.first - j.sent, Total: n.w.now - j.sent}
+	s := admission.Sample{FirstToken: j.firstTokenAt - j.sentAt, Total: n.w.now - j.sentAt}
 	if j.class.Service != "" {
 		s.FirstToken = s.Total
 	}
 	return s
 }
 
-// again retries an attempt of which nothing ran.
-func (n *node) again(j *job, a answer) {
+// retryOrFail retries an attempt of which nothing ran, if the limits allow it, and
+// otherwise fails the try.
+func (n *node) retryOrFail(j *job, r reply) {
 	j.exclude = append(j.exclude, j.server.vm.ID)
 	if j.attempts <= n.w.cfg.Retries && (!n.w.cfg.RetryBudget || n.budget.Allow(n.w.time())) {
 		n.attempt(j)
 		return
 	}
-	n.end(j, admission.Sample{Overloaded: a == declined})
-	n.w.failed(j, retryUnknown)
+	n.finish(j, admission.Sample{Overloaded: r == replyDeclined})
+	n.w.tryFailed(j, defaultRetryAfter)
 }
 
-// end gives the job's place back.
-func (n *node) end(j *job, s admission.Sample) {
+// finish releases the job's slot in the admission queue.
+func (n *node) finish(j *job, s admission.Sample) {
 	j.running = false
 	if n.w.cfg.NoAdmission {
 		return
 	}
 	n.queue.Finish(j.admissionID(), s, n.w.time())
-	n.decide(n.queue.Next(n.w.time()))
+	n.applyDecisions(n.queue.Next(n.w.time()))
 }
 
-// expire ends a job whose deadline has come.
+// expire ends a try whose deadline has passed.
 func (n *node) expire(j *job) {
 	now := n.w.time()
 	if j.running {
@@ -226,10 +230,10 @@
 		s := j.server
 		n.w.after(n.w.delay(n.domain, s.domain), func() { s.cancel(j) })
 	}
-	delete(n.waiting, j.admissionID())
+	delete(n.queued, j.admissionID())
 	j.running = false
 	if !n.w.cfg.NoAdmission {
 		n.queue.Cancel(j.admissionID(), now)
-		n.decide(n.queue.Next(now))
+		n.applyDecisions(n.queue.Next(now))
 	}
 }
--- a/internal/balance/sim/result.go
+++ b/internal/balance/sim/result.go
@@ -7,125 +7,128 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Result is what a run gave.
+// Result holds the measurements of one run, or of several after RunAll.
 type Result struct {
 	Classes []ClassResult
 	// Polls and Attempts count messages to upstreams.
 	Polls    int
 	Attempts int
-	// Admitted counts the tries that were sent to an upstream, Broken the
-	// attempts that broke off.
+	// Admitted counts the tries that were sent to an upstream, Broken the attempts that
+	// broke off.
 	Admitted int
 	Broken   int
-	// ToStruck are the attempts sent to upstreams while a fault lasted there,
-	// WhileStruck all attempts meanwhile at upstreams of the same kind.
-	ToStruck    int
-	WhileStruck int
-	// AskedByOrg and AnsweredByOrg count model requests from the warm-up on.
-	AskedByOrg    []int
+	// AttemptsToFaulty counts the attempts sent to upstreams during their fault.
+	// AttemptsDuringFaults counts all attempts to upstreams of the same kind meanwhile.
+	AttemptsToFaulty     int
+	AttemptsDuringFaults int
+	// RequestsByOrg and AnsweredByOrg count model requests from the warm-up on.
+	RequestsByOrg []int
 	AnsweredByOrg []int
-	// AskedWork is WorkByOrg had all been answered.
-	AskedWork []float64
-	// Work is the seconds of engine time that answers in time were worth, by
-	// second of the run; WorkByOrg is its sum from the warm-up on.
+	// RequestedWork is the work of all requests, answered or not, by organisation.
+	RequestedWork []float64
+	// Work is the engine seconds of answers in time, by second of the run. WorkByOrg is
+	// the sum by organisation from the warm-up on.
 	Work      []float64
 	WorkByOrg []float64
-	// FirstBySecond is the mean time to the first token of heavy model work,
-	// by the second in which it came.
-	FirstBySecond []float64
-	firstCount    []int
-	seconds       []second
-	warmup        time.Duration
+	// FirstTokenBySecond is the mean time to the first token of heavy model requests in
+	// seconds, by the second of the run in which the token came. NaN means none.
+	FirstTokenBySecond []float64
+	firstTokenCount    []int
+	seconds            []secondCounts
+	warmup             time.Duration
 }
 
-// ClassResult is what became of one class from the warm-up on. Times are from
-// the offer at a node, refusals before it left out.
+// ClassResult holds the measurements of one class from the warm-up on. Times start when
+// the node receives the last try; earlier tries are left out.
 type ClassResult struct {
 	Name string
-	// Requests are the callers', Offers their tries, Refused, Failed and Late
-	// the ends of tries, Completed the answers in time.
+	// Requests counts the callers' requests and Offers their tries. Refused, Failed and
+	// Late count tries by their end, Completed the answers in time.
 	Requests, Offers, Refused, Failed, Late, Completed int
 	Cached                                             int
-	// First and Total are in microseconds.
-	First *hdrhistogram.Histogram
-	Total *hdrhistogram.Histogram
+	// FirstToken and Total are in microseconds and include the delay to the caller.
+	FirstToken *hdrhistogram.Histogram
+	Total      *hdrhistogram.Histogram
 }
 
-const longest = int64(10 * time.Minute / time.Microsecond)
+// maxLatencyMicros is the upper bound of the latency histograms.
+const maxLatencyMicros = int64(10 * time.Minute / time.Microsecond)
 
 func newResult(cfg *Config) *Result {
-	seconds := int(cfg.Length/time.Second) + 300
+	seconds := int(cfg.Duration/time.Second) + 300
 	r := &Result{
-		warmup: cfg.Warmup, Work: make([]float64, seconds), FirstBySecond: make([]float64, seconds),
-		firstCount: make([]int, seconds), WorkByOrg: make([]float64, len(cfg.Deployment.Demand)),
-		AskedByOrg: make([]int, len(cfg.Deployment.Demand)), AnsweredByOrg: make([]int, len(cfg.Deployment.Demand)),
-		AskedWork: make([]float64, len(cfg.Deployment.Demand)),
-		seconds:   make([]second, seconds),
+		warmup: cfg.Warmup, Work: make([]float64, seconds), FirstTokenBySecond: make([]float64, seconds),
+		firstTokenCount: make([]int, seconds), WorkByOrg: make([]float64, len(cfg.Deployment.Demand)),
+		RequestsByOrg: make([]int, len(cfg.Deployment.Demand)), AnsweredByOrg: make([]int, len(cfg.Deployment.Demand)),
+		RequestedWork: make([]float64, len(cfg.Deployment.Demand)),
+		seconds:       make([]secondCounts, seconds),
 	}
 	for _, c := range cfg.Deployment.Classes {
 		r.Classes = append(r.Classes, ClassResult{
-			Name: c.Name, First: hdrhistogram.New(1, longest, 3), Total: hdrhistogram.New(1, longest, 3),
+			Name: c.Name, FirstToken: hdrhistogram.New(1, maxLatencyMicros, 3), Total: hdrhistogram.New(1, maxLatencyMicros, 3),
 		})
 	}
-	// One more takes what comes before the warm-up.
-	r.Classes = append(r.Classes, ClassResult{First: hdrhistogram.New(1, longest, 1), Total: hdrhistogram.New(1, longest, 1)})
+	// The last entry collects requests that are not measured.
+	r.Classes = append(r.Classes, ClassResult{FirstToken: hdrhistogram.New(1, maxLatencyMicros, 1), Total: hdrhistogram.New(1, maxLatencyMicros, 1)})
 	return r
 }
 
-// second counts what was tried within one second of the run.
-type second struct {
+// secondCounts counts the tries and attempts of model requests within one second of the
+// run.
+type secondCounts struct {
 	offers   int
 	attempts int
 }
 
-func (r *Result) at(now time.Duration) *second {
+func (r *Result) secondAt(now time.Duration) *secondCounts {
 	return &r.seconds[min(int(now/time.Second), len(r.seconds)-1)]
 }
 
-// attemptsFor is how many attempts were made for each caller's request that
-// would usually come, from one time to another.
-func (r *Result) attemptsFor(from, until time.Duration) float64 {
-	var attempts, usual int
+// attemptsPerRequest returns the attempts between two times per request normally
+// expected. The expected number is the number of tries in the interval of the same
+// length before.
+func (r *Result) attemptsPerRequest(from, until time.Duration) float64 {
+	var attempts, expected int
 	for s := int(from / time.Second); s < int(until/time.Second); s++ {
 		attempts += r.seconds[s].attempts
-		usual += r.seconds[s-int((until-from)/time.Second)].offers
+		expected += r.seconds[s-int((until-from)/time.Second)].offers
 	}
-	return float64(attempts) / float64(usual)
+	return float64(attempts) / float64(expected)
 }
 
-// sent counts an attempt that goes to an upstream.
-func (r *Result) sent(s *server) {
-	if !s.w.struck(s.engine == nil) {
+// countAttempt counts an attempt sent to an upstream while a fault lasts.
+func (r *Result) countAttempt(s *server) {
+	if !s.w.anyFaulty(s.engine == nil) {
 		return
 	}
-	r.WhileStruck++
-	if s.struck {
-		r.ToStruck++
+	r.AttemptsDuringFaults++
+	if s.faulty {
+		r.AttemptsToFaulty++
 	}
 }
 
-// struck says whether a fault lasts at an upstream of that kind.
-func (w *world) struck(service bool) bool {
+// anyFaulty reports whether a fault lasts at any upstream of the kind.
+func (w *world) anyFaulty(service bool) bool {
 	for _, s := range w.servers {
-		if s.struck && (s.engine == nil) == service {
+		if s.faulty && (s.engine == nil) == service {
 			return true
 		}
 	}
 	return false
 }
 
-// asked counts a caller's request.
-func (r *Result) asked(j *job) {
-	r.of(j).Requests++
-	if j.counted && j.class.Version != "" {
-		r.AskedByOrg[j.org]++
-		r.AskedWork[j.org] += j.work()
+// countRequest counts a caller's request.
+func (r *Result) countRequest(j *job) {
+	r.classOf(j).Requests++
+	if j.measured && j.class.Version != "" {
+		r.RequestsByOrg[j.org]++
+		r.RequestedWork[j.org] += j.soloSeconds()
 	}
 }
 
-// of is where the job counts.
-func (r *Result) of(j *job) *ClassResult {
-	if j.counted {
+// classOf returns the class result that counts the job.
+func (r *Result) classOf(j *job) *ClassResult {
+	if j.measured {
 		for i := range r.Classes {
 			if r.Classes[i].Name == j.class.Name {
 				return &r.Classes[i]
@@ -135,45 +138,46 @@
 	return &r.Classes[len(r.Classes)-1]
 }
 
-func (r *Result) record(j *job, now, toClient time.Duration) {
-	c := r.of(j)
+// recordAnswer records an answer in time.
+func (r *Result) recordAnswer(j *job, now, toClient time.Duration) {
+	c := r.classOf(j)
 	c.Completed++
 	if j.cached {
 		c.Cached++
 	}
-	_ = c.Total.RecordValue((now - j.offered + 2*toClient).Microseconds())
+	_ = c.Total.RecordValue((now - j.receivedAt + 2*toClient).Microseconds())
 	if j.class.Version == "" {
 		return
 	}
-	wait := j.first - j.offered + 2*toClient
-	_ = c.First.RecordValue(wait.Microseconds())
-	work := j.work()
+	firstToken := j.firstTokenAt - j.receivedAt + 2*toClient
+	_ = c.FirstToken.RecordValue(firstToken.Microseconds())
+	work := j.soloSeconds()
 	if second := int(now / time.Second); second < len(r.Work) {
 		r.Work[second] += work
 	}
-	if second := int(j.first / time.Second); second < len(r.Work) && j.priority() == 1 {
-		r.FirstBySecond[second] += wait.Seconds()
-		r.firstCount[second]++
+	if second := int(j.firstTokenAt / time.Second); second < len(r.Work) && j.priority() == 1 {
+		r.FirstTokenBySecond[second] += firstToken.Seconds()
+		r.firstTokenCount[second]++
 	}
-	if j.counted {
+	if j.measured {
 		r.WorkByOrg[j.org] += work
 		r.AnsweredByOrg[j.org]++
 	}
 }
 
-// close turns sums into means.
-func (r *Result) close() {
+// computeMeans removes the entry for unmeasured requests and turns sums into means.
+func (r *Result) computeMeans() {
 	r.Classes = r.Classes[:len(r.Classes)-1]
-	for i, n := range r.firstCount {
+	for i, n := range r.firstTokenCount {
 		if n == 0 {
-			r.FirstBySecond[i] = math.NaN()
+			r.FirstTokenBySecond[i] = math.NaN()
 			continue
 		}
-		r.FirstBySecond[i] /= float64(n)
+		r.FirstTokenBySecond[i] /= float64(n)
 	}
 }
 
-// Goodput is the mean work a second from one time to another.
+// Goodput returns the mean work per second between two times, in engine seconds.
 func (r *Result) Goodput(from, until time.Duration) float64 {
 	var sum float64
 	for i := int(from / time.Second); i < int(until/time.Second); i++ {
@@ -182,7 +186,7 @@
 	return sum / (until - from).Seconds()
 }
 
-// HitRate is the part of the class's answers whose prefix was cached.
+// HitRate returns the share of the class's answers whose prefix was cached, 0 to 1.
 func (c *ClassResult) HitRate() float64 {
 	if c.Completed == 0 {
 		return 0
@@ -190,17 +194,17 @@
 	return float64(c.Cached) / float64(c.Completed)
 }
 
-// FirstAt and TotalAt are quantiles in [0,100].
-func (c *ClassResult) FirstAt(q float64) time.Duration {
-	return time.Duration(c.First.ValueAtQuantile(q)) * time.Microsecond
+// FirstTokenAt returns a quantile, q in [0,100], of the time to the first token.
+func (c *ClassResult) FirstTokenAt(q float64) time.Duration {
+	return time.Duration(c.FirstToken.ValueAtQuantile(q)) * time.Microsecond
 }
 
-// TotalAt is a quantile of the whole time, q in [0,100].
+// TotalAt returns a quantile, q in [0,100], of the total time.
 func (c *ClassResult) TotalAt(q float64) time.Duration {
 	return time.Duration(c.Total.ValueAtQuantile(q)) * time.Microsecond
 }
 
-// Class returns the result of that class, or nil.
+// Class returns the result of a class, or nil if there is none.
 func (r *Result) Class(name string) *ClassResult {
 	for i := range r.Classes {
 		if r.Classes[i].Name == name {
--- a/internal/balance/sim/run.go
+++ b/internal/balance/sim/run.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// drain is how long a run goes on after the last request.
-const drain = 3 * time.Minute
+// drainTime is how long a run continues after the last arrival.
+const drainTime = 3 * time.Minute
 
-// Run plays one configuration. The error is about the configuration.
+// Run runs one configuration. It fails if the configuration is invalid.
 func Run(cfg Config) (*Result, error) {
 	r, err := run(cfg)
 	if err != nil {
 		return nil, err
 	}
-	r.close()
+	r.computeMeans()
 	return r, nil
 }
 
@@ -21,15 +21,15 @@
 		return nil, err
 	}
 	for _, f := range cfg.Faults {
-		w.plan(f)
+		w.scheduleFault(f)
 	}
-	w.arrivals()
-	w.runUntil(cfg.Length + drain)
+	w.scheduleArrivals()
+	w.runUntil(cfg.Duration + drainTime)
 	return w.result, nil
 }
 
-// plan lets a fault begin and end.
-func (w *world) plan(f Fault) {
+// scheduleFault schedules the begin and end of a fault at the affected upstreams.
+func (w *world) scheduleFault(f Fault) {
 	list := w.engines
 	if f.Service {
 		list = w.servers[len(w.engines):]
@@ -41,46 +41,46 @@
 		if f.Engine < 0 && f.Domain >= 0 && f.Domain != s.domain {
 			continue
 		}
-		w.at(f.From, func() { s.strike(f) })
-		w.at(f.Until, func() { s.recover(f) })
+		w.at(f.From, func() { s.beginFault(f) })
+		w.at(f.Until, func() { s.endFault(f) })
 	}
 }
 
-func (s *server) strike(f Fault) {
-	s.struck = true
+func (s *server) beginFault(f Fault) {
+	s.faulty = true
 	switch f.Kind {
 	case Slow:
-		s.setSlow(f.Factor)
+		s.setSlowFactor(f.Factor)
 	case Crash:
 		s.crash()
 	case Declining:
 		s.declining = true
 	case Failing:
-		s.failing = f.Factor
+		s.failShare = f.Factor
 	}
 }
 
-// setSlow makes the upstream so many times as slow as usual.
-func (s *server) setSlow(factor float64) {
-	s.slow = factor
+// setSlowFactor multiplies the usual time of a step or call by factor.
+func (s *server) setSlowFactor(factor float64) {
+	s.slowFactor = factor
 	if s.engine == nil {
 		return
 	}
 	s.advance()
 	s.engine.SetSlow(factor)
-	s.arm()
+	s.scheduleWake()
 }
 
-func (s *server) recover(f Fault) {
-	s.struck = false
+func (s *server) endFault(f Fault) {
+	s.faulty = false
 	switch f.Kind {
 	case Slow:
-		s.setSlow(1)
+		s.setSlowFactor(1)
 	case Crash:
 		s.down = false
 	case Declining:
 		s.declining = false
 	case Failing:
-		s.failing = 0
+		s.failShare = 0
 	}
 }
--- a/internal/balance/sim/scheduler.go
+++ b/internal/balance/sim/scheduler.go
@@ -5,53 +5,56 @@
 	"time"
 )
 
-// item is something to do at a time; items of one time go in order of seq.
-type item struct {
+// event is a function to call at a virtual time. Events of the same time run in order
+// of seq.
+type event struct {
 	at  time.Duration
 	seq uint64
 	do  func()
 }
 
-type items []item
+type eventHeap []event
 
-func (h items) Len() int { return len(h) }
-func (h items) Less(i, j int) bool {
+func (h eventHeap) Len() int { return len(h) }
+func (h eventHeap) Less(i, j int) bool {
 	return h[i].at < h[j].at || (h[i].at == h[j].at && h[i].seq < h[j].seq)
 }
-func (h items) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-// Push is for container/heap.
-func (h *items) Push(x any) { *h = append(*h, x.(item)) }
+// Push implements heap.Interface.
+func (h *eventHeap) Push(x any) { *h = append(*h, x.(event)) }
 
-// Pop is for container/heap.
-func (h *items) Pop() any {
+// Pop implements heap.Interface.
+func (h *eventHeap) Pop() any {
 	last := len(*h) - 1
-	it := (*h)[last]
-	(*h)[last] = item{}
+	e := (*h)[last]
+	(*h)[last] = event{}
 	*h = (*h)[:last]
-	return it
+	return e
 }
 
-// agenda is what is still to be done.
-type agenda struct {
-	now   time.Duration
-	items items
-	seq   uint64
+// scheduler runs events in order of virtual time.
+type scheduler struct {
+	now    time.Duration
+	events eventHeap
+	seq    uint64
 }
 
-func (a *agenda) at(t time.Duration, do func()) {
+// at schedules do for time t, or for now if t has passed.
+func (a *scheduler) at(t time.Duration, do func()) {
 	a.seq++
-	heap.Push(&a.items, item{at: max(t, a.now), seq: a.seq, do: do})
+	heap.Push(&a.events, event{at: max(t, a.now), seq: a.seq, do: do})
 }
 
-func (a *agenda) after(d time.Duration, do func()) { a.at(a.now+d, do) }
+// after schedules do after a delay.
+func (a *scheduler) after(d time.Duration, do func()) { a.at(a.now+d, do) }
 
-// runUntil does what is due by end.
-func (a *agenda) runUntil(end time.Duration) {
-	for len(a.items) > 0 && a.items[0].at <= end {
-		it := heap.Pop(&a.items).(item)
-		a.now = it.at
-		it.do()
+// runUntil runs the events that are due until end, and sets the time to end.
+func (a *scheduler) runUntil(end time.Duration) {
+	for len(a.events) > 0 && a.events[0].at <= end {
+		e := heap.Pop(&a.events).(event)
+		a.now = e.at
+		e.do()
 	}
 	a.now = end
 }
--- a/internal/balance/sim/sim_test.go
+++ b/internal/balance/sim/sim_test.go
@@ -16,9 +16,11 @@
 	return d
 }
 
-func TestRunIsAFunctionOfItsSeed(t *testing.T) {
+// The same configuration and seed must give the same work and attempts. Otherwise the
+// tables cannot be reproduced.
+func TestSameSeedGivesSameResult(t *testing.T) {
 	is := is.New(t)
-	cfg := Config{Deployment: tarifas(t), Seed: 3, Length: 60 * time.Second, Load: 0.7}
+	cfg := Config{Deployment: tarifas(t), Seed: 3, Duration: 60 * time.Second, Load: 0.7}
 	a, err := Run(cfg)
 	is.NoErr(err)
 	b, err := Run(cfg)
@@ -26,5 +28,5 @@
 	is.Equal(fmt.Sprint(a.Work), fmt.Sprint(b.Work))
 	is.Equal(a.Attempts, b.Attempts)
 	c := a.Class("draft")
-	t.Log(cfg.Deployment.Capacity(), c.Requests, c.Completed, c.FirstAt(50), c.FirstAt(99), c.TotalAt(50), c.TotalAt(99), c.HitRate())
+	t.Log(cfg.Deployment.Capacity(), c.Requests, c.Completed, c.FirstTokenAt(50), c.FirstTokenAt(99), c.TotalAt(50), c.TotalAt(99), c.HitRate())
 }
--- a/internal/balance/sim/table.go
+++ b/internal/balance/sim/table.go
@@ -10,15 +10,15 @@
 	"github.com/rotisserie/eris"
 )
 
-// Table writes one table of measurements.
+// Table is one table of measurements.
 type Table struct {
 	Name string
-	// About says what is compared.
+	// About is a one-line description of the experiment.
 	About string
 	write func(w io.Writer, seeds []uint64) error
 }
 
-// Tables are all of them.
+// Tables returns all tables.
 func Tables() []Table {
 	return []Table{
 		{Name: "policies", About: "upstream choice at three loads", write: policiesTable},
@@ -33,7 +33,8 @@
 	}
 }
 
-// WriteTable writes the table of that name.
+// WriteTable runs the experiment of the named table with the given seeds and writes the
+// table in Markdown. It fails if no table has the name.
 func WriteTable(w io.Writer, name string, seeds []uint64) error {
 	for _, t := range Tables() {
 		if t.Name == name {
@@ -43,19 +44,19 @@
 	return eris.Errorf("there is no table %q", name)
 }
 
-// row writes the cells of one row.
-func row(w io.Writer, cells ...string) {
+// writeRow writes a row of a Markdown table.
+func writeRow(w io.Writer, cells ...string) {
 	_, _ = fmt.Fprintf(w, "| %s |\n", strings.Join(cells, " | "))
 }
 
-// head writes the first row and the line below it.
-func head(w io.Writer, cells ...string) {
-	row(w, cells...)
-	lines := make([]string, len(cells))
-	for i := range lines {
-		lines[i] = "---"
+// writeHeader writes the header row and the separator of a Markdown table.
+func writeHeader(w io.Writer, cells ...string) {
+	writeRow(w, cells...)
+	separators := make([]string, len(cells))
+	for i := range separators {
+		separators[i] = "---"
 	}
-	row(w, lines...)
+	writeRow(w, separators...)
 }
 
 func seconds(d time.Duration) string { return fmt.Sprintf("%.2f", d.Seconds()) }
@@ -69,17 +70,19 @@
 	return fmt.Sprintf("%.1f", 100*float64(part)/float64(of))
 }
 
-// recoveryWindow is how long first tokens must be good on the mean.
+// recoveryWindow is the length in seconds over which recoverySeconds averages first
+// tokens.
 const recoveryWindow = 10
 
-// recovery is how long after the end of trouble the first tokens of heavy work
-// are back below twice their mean of the half minute before, over a window of
-// ten seconds; negative when they are not within the run.
-func recovery(r *Result, before, after, until time.Duration) int {
-	usual := meanOf(r.FirstBySecond[int(before.Seconds())-30 : int(before.Seconds())])
-	end := int(after.Seconds())
-	for s := end; s < int(until.Seconds())-recoveryWindow; s++ {
-		if meanOf(r.FirstBySecond[s:s+recoveryWindow]) <= 2*usual {
+// recoverySeconds returns the seconds from the end of a disturbance until first tokens
+// of heavy requests have recovered. They have when their mean over recoveryWindow is at
+// most twice that of the 30 seconds before the disturbance. It returns -1 if that does
+// not happen within the run.
+func recoverySeconds(r *Result, from, to, length time.Duration) int {
+	baseline := meanOf(r.FirstTokenBySecond[int(from.Seconds())-30 : int(from.Seconds())])
+	end := int(to.Seconds())
+	for s := end; s < int(length.Seconds())-recoveryWindow; s++ {
+		if meanOf(r.FirstTokenBySecond[s:s+recoveryWindow]) <= 2*baseline {
 			return s - end
 		}
 	}
@@ -93,6 +96,7 @@
 	return fmt.Sprint(seconds)
 }
 
+// meanOf returns the mean of the values that are not NaN, or 0 without any.
 func meanOf(list []float64) float64 {
 	var sum float64
 	n := 0
--- a/internal/balance/sim/table_choice.go
+++ b/internal/balance/sim/table_choice.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	usualLength = 5 * time.Minute
-	usualWarmup = time.Minute
+	defaultDuration = 5 * time.Minute
+	defaultWarmup   = time.Minute
 )
 
-// today are the two deployments.
-var today = []string{"tarifas", "sahel"}
+// exampleDeployments are the deployments of package example.
+var exampleDeployments = []string{"tarifas", "sahel"}
 
 var allPolicies = []balance.PolicyName{
 	balance.PolicyRoundRobin, balance.PolicyRandom, balance.PolicyLeastLoaded, balance.PolicyTwoChoices, balance.PolicyAffinity,
 }
 
-// ofKind returns the first class of that kind that is model work, or a
-// service's when there is none.
-func (r *Result) ofKind(d *Deployment, kind config.Kind) *ClassResult {
+// classOfKind returns the result of the first model class of the kind, or of the first
+// service class if there is no model class.
+func (r *Result) classOfKind(d *Deployment, kind config.Kind) *ClassResult {
 	var service *ClassResult
 	for i := range d.Classes {
 		c := &d.Classes[i]
@@ -40,23 +40,23 @@
 	return service
 }
 
-var choiceHead = []string{
+var choiceColumns = []string{
 	"first token heavy p50 s", "p99 s", "whole p50 s", "p99 s", "hits %",
 	"first token deferrable p50 s", "p99 s", "hits %", "refused heavy %", "refused deferrable %", "immediate p50 ms", "p99 ms", "too late",
 }
 
 func choiceCells(r *Result, d *Deployment) []string {
-	h, f, i := r.ofKind(d, config.Heavy), r.ofKind(d, config.Deferrable), r.ofKind(d, config.Immediate)
+	heavy, deferrable, immediate := r.classOfKind(d, config.Heavy), r.classOfKind(d, config.Deferrable), r.classOfKind(d, config.Immediate)
 	return []string{
-		seconds(h.FirstAt(50)), seconds(h.FirstAt(99)), seconds(h.TotalAt(50)), seconds(h.TotalAt(99)), percent(h.Cached, h.Completed),
-		seconds(f.FirstAt(50)), seconds(f.FirstAt(99)), percent(f.Cached, f.Completed), percent(h.Refused, h.Offers), percent(f.Refused, f.Offers),
-		millis(i.TotalAt(50)), millis(i.TotalAt(99)), fmt.Sprint(h.Late + f.Late + i.Late),
+		seconds(heavy.FirstTokenAt(50)), seconds(heavy.FirstTokenAt(99)), seconds(heavy.TotalAt(50)), seconds(heavy.TotalAt(99)), percent(heavy.Cached, heavy.Completed),
+		seconds(deferrable.FirstTokenAt(50)), seconds(deferrable.FirstTokenAt(99)), percent(deferrable.Cached, deferrable.Completed), percent(heavy.Refused, heavy.Offers), percent(deferrable.Refused, deferrable.Offers),
+		millis(immediate.TotalAt(50)), millis(immediate.TotalAt(99)), fmt.Sprint(heavy.Late + deferrable.Late + immediate.Late),
 	}
 }
 
 func policiesTable(w io.Writer, seeds []uint64) error {
-	head(w, append([]string{"deployment", "load", "policy"}, choiceHead...)...)
-	for _, name := range today {
+	writeHeader(w, append([]string{"deployment", "load", "policy"}, choiceColumns...)...)
+	for _, name := range exampleDeployments {
 		for _, load := range []float64{0.05, 0.5, 0.8, 0.95} {
 			for _, p := range allPolicies {
 				if err := choiceRow(w, name, load, string(p), Config{Balance: balance.Settings{Policy: p}}, seeds); err != nil {
@@ -68,24 +68,24 @@
 	return nil
 }
 
-// choiceRow runs one configuration of the usual length and writes its row.
+// choiceRow runs a configuration of the default duration and writes its row.
 func choiceRow(w io.Writer, deployment string, load float64, label string, cfg Config, seeds []uint64) error {
 	d, err := DeploymentOf(deployment)
 	if err != nil {
 		return err
 	}
 	cfg.Deployment = d
-	cfg.Length, cfg.Warmup, cfg.Load = usualLength, usualWarmup, load
+	cfg.Duration, cfg.Warmup, cfg.Load = defaultDuration, defaultWarmup, load
 	r, err := RunAll(cfg, seeds)
 	if err != nil {
 		return err
 	}
-	row(w, append([]string{deployment, fmt.Sprint(load), label}, choiceCells(r, &d)...)...)
+	writeRow(w, append([]string{deployment, fmt.Sprint(load), label}, choiceCells(r, &d)...)...)
 	return nil
 }
 
 func pollsTable(w io.Writer, seeds []uint64) error {
-	head(w, append([]string{"deployment", "load", "polls a second and node"}, choiceHead...)...)
+	writeHeader(w, append([]string{"deployment", "load", "polls a second and node"}, choiceColumns...)...)
 	for _, polls := range []float64{0.5, 1, 2, 4, 8, 20} {
 		cfg := Config{Balance: balance.Settings{PollsPerSecond: polls}}
 		if err := choiceRow(w, "tarifas", 0.9, fmt.Sprint(polls), cfg, seeds); err != nil {
@@ -96,7 +96,7 @@
 }
 
 func largeTable(w io.Writer, seeds []uint64) error {
-	head(w, append([]string{"deployment", "load", "policy and subset"}, choiceHead...)...)
+	writeHeader(w, append([]string{"deployment", "load", "policy and subset"}, choiceColumns...)...)
 	list := []balance.Settings{
 		{Policy: balance.PolicyLeastLoaded, SubsetSize: 64},
 		{Policy: balance.PolicyTwoChoices, SubsetSize: 64},
@@ -110,7 +110,7 @@
 		if err != nil {
 			return err
 		}
-		cfg := Config{Deployment: d, Length: 80 * time.Second, Warmup: 40 * time.Second, Load: 0.8, Balance: s}
+		cfg := Config{Deployment: d, Duration: 80 * time.Second, Warmup: 40 * time.Second, Load: 0.8, Balance: s}
 		r, err := RunAll(cfg, seeds[:1])
 		if err != nil {
 			return err
@@ -119,7 +119,7 @@
 		if s.PollsPerSecond > 0 {
 			label += fmt.Sprintf(", %v polls a second", s.PollsPerSecond)
 		}
-		row(w, append([]string{"large", "0.8", label}, choiceCells(r, &d)...)...)
+		writeRow(w, append([]string{"large", "0.8", label}, choiceCells(r, &d)...)...)
 	}
 	return nil
 }
--- a/internal/balance/sim/table_failing.go
+++ b/internal/balance/sim/table_failing.go
@@ -10,53 +10,54 @@
 )
 
 const (
-	failFrom  = usualWarmup
-	failUntil = 3 * time.Minute
+	faultFrom  = defaultWarmup
+	faultUntil = 3 * time.Minute
 )
 
-// failures are what the table of failing upstreams lets happen. They are
-// played at a usual load, and at one at which the engines' places run out.
-func failures() []named {
-	return []named{
+// failingCases returns the faults of the table of failing upstreams. They run at a
+// normal load and at one that exhausts the engines' slots.
+func failingCases() []namedFaults {
+	return []namedFaults{
 		{"none", nil},
-		{"engine fails all", []Fault{failing(false, 3, 1)}},
-		{"engine fails half", []Fault{failing(false, 3, 0.5)}},
-		{"engine fails a fifth", []Fault{failing(false, 3, 0.2)}},
-		{"service fails half", []Fault{failing(true, 1, 0.5)}},
-		{"service fails a fifth", []Fault{failing(true, 1, 0.2)}},
-		{"domain fails half", []Fault{failing(false, -1, 0.5)}},
-		{"engine crashes for 5 s of 15", crashes(5*time.Second, 15*time.Second)},
-		{"domain lost", []Fault{{Kind: Crash, From: failFrom, Until: failUntil, Engine: -1, Domain: 0}}},
-		{"engine 8 times as slow", []Fault{{Kind: Slow, From: failFrom, Until: failUntil, Engine: 3, Factor: 8}}},
+		{"engine fails all", []Fault{failingFault(false, 3, 1)}},
+		{"engine fails half", []Fault{failingFault(false, 3, 0.5)}},
+		{"engine fails a fifth", []Fault{failingFault(false, 3, 0.2)}},
+		{"service fails half", []Fault{failingFault(true, 1, 0.5)}},
+		{"service fails a fifth", []Fault{failingFault(true, 1, 0.2)}},
+		{"domain fails half", []Fault{failingFault(false, -1, 0.5)}},
+		{"engine crashes for 5 s of 15", repeatedCrashes(5*time.Second, 15*time.Second)},
+		{"domain lost", []Fault{{Kind: Crash, From: faultFrom, Until: faultUntil, Engine: -1, Domain: 0}}},
+		{"engine 8 times as slow", []Fault{{Kind: Slow, From: faultFrom, Until: faultUntil, Engine: 3, Factor: 8}}},
 	}
 }
 
-type named struct {
+type namedFaults struct {
 	name   string
 	faults []Fault
 }
 
-func failing(service bool, engine int, part float64) Fault {
-	return Fault{Kind: Failing, From: failFrom, Until: failUntil, Service: service, Engine: engine, Factor: part}
+func failingFault(service bool, engine int, share float64) Fault {
+	return Fault{Kind: Failing, From: faultFrom, Until: faultUntil, Service: service, Engine: engine, Factor: share}
 }
 
-// crashes lets one engine crash and come back again and again.
-func crashes(down, each time.Duration) []Fault {
+// repeatedCrashes returns crashes of one engine that last down and repeat every
+// interval.
+func repeatedCrashes(down, interval time.Duration) []Fault {
 	var list []Fault
-	for at := failFrom; at < failUntil; at += each {
+	for at := faultFrom; at < faultUntil; at += interval {
 		list = append(list, Fault{Kind: Crash, From: at, Until: at + down, Engine: 3})
 	}
 	return list
 }
 
 func failingTable(w io.Writer, seeds []uint64) error {
-	head(w, "deployment", "load", "fault", "way", "attempts sent there %", "requests failed", "work done meanwhile %", "immediate p99 ms", "too late")
+	writeHeader(w, "deployment", "load", "fault", "way", "attempts sent there %", "requests failed", "work done meanwhile %", "immediate p99 ms", "too late")
 	list := []variant{
 		{name: "round robin", cfg: Config{Balance: balance.Settings{Policy: balance.PolicyRoundRobin}}},
 		{name: "least loaded", cfg: Config{Balance: balance.Settings{Policy: balance.PolicyLeastLoaded}}},
 		{name: "affinity", cfg: Config{}},
 	}
-	for _, deployment := range today {
+	for _, deployment := range exampleDeployments {
 		for _, load := range []float64{0.6, 1.2} {
 			for _, v := range list {
 				v.cfg.Load = load
@@ -69,7 +70,7 @@
 	return nil
 }
 
-// failingRows writes a row for each fault. Work done is against the same way
+// failingRows writes one row per fault. Work done is relative to the same variant
 // without a fault.
 func failingRows(w io.Writer, deployment string, v variant, seeds []uint64) error {
 	d, err := DeploymentOf(deployment)
@@ -77,9 +78,9 @@
 		return err
 	}
 	cfg := v.cfg
-	cfg.Deployment, cfg.Length, cfg.Warmup, cfg.Retries = d, usualLength, usualWarmup, 2
-	var usual float64
-	for _, f := range failures() {
+	cfg.Deployment, cfg.Duration, cfg.Warmup, cfg.Retries = d, defaultDuration, defaultWarmup, 2
+	var baseline float64
+	for _, f := range failingCases() {
 		cfg.Faults = f.faults
 		r, err := RunAll(cfg, seeds)
 		if err != nil {
@@ -90,13 +91,13 @@
 			failed += r.Classes[i].Failed
 			late += r.Classes[i].Late
 		}
-		done := r.Goodput(failFrom, failUntil)
-		if usual == 0 {
-			usual = done
+		done := r.Goodput(faultFrom, faultUntil)
+		if baseline == 0 {
+			baseline = done
 		}
-		row(w, deployment, fmt.Sprint(cfg.Load), f.name, v.name, percent(r.ToStruck, r.WhileStruck),
-			fmt.Sprint(failed), fmt.Sprintf("%.1f", 100*done/usual),
-			millis(r.ofKind(&d, config.Immediate).TotalAt(99)), fmt.Sprint(late))
+		writeRow(w, deployment, fmt.Sprint(cfg.Load), f.name, v.name, percent(r.AttemptsToFaulty, r.AttemptsDuringFaults),
+			fmt.Sprint(failed), fmt.Sprintf("%.1f", 100*done/baseline),
+			millis(r.classOfKind(&d, config.Immediate).TotalAt(99)), fmt.Sprint(late))
 	}
 	return nil
 }
--- a/internal/balance/sim/table_faults.go
+++ b/internal/balance/sim/table_faults.go
@@ -8,28 +8,28 @@
 	"github.com/hickorybank/hickorybank/internal/balance"
 )
 
-// off is a number that no upstream reaches.
-const off = 1 << 30
+// disabled is a threshold that no upstream reaches.
+const disabled = 1 << 30
 
-// variant is one way to run an experiment.
+// variant is one configuration of an experiment.
 type variant struct {
 	name string
 	cfg  Config
 }
 
 func grayTable(w io.Writer, seeds []uint64) error {
-	head(w, append([]string{"deployment", "load", "way"}, choiceHead...)...)
-	no := balance.OutlierSettings{Ratio: off}
+	writeHeader(w, append([]string{"deployment", "load", "way"}, choiceColumns...)...)
+	noOutliers := balance.OutlierSettings{Ratio: disabled}
 	list := []variant{
-		{name: "round robin", cfg: Config{Balance: balance.Settings{Policy: balance.PolicyRoundRobin, Outlier: no}}},
-		{name: "least loaded", cfg: Config{Balance: balance.Settings{Policy: balance.PolicyLeastLoaded, Outlier: no}}},
-		{name: "two choices", cfg: Config{Balance: balance.Settings{Policy: balance.PolicyTwoChoices, Outlier: no}}},
-		{name: "affinity", cfg: Config{Balance: balance.Settings{Outlier: no}}},
+		{name: "round robin", cfg: Config{Balance: balance.Settings{Policy: balance.PolicyRoundRobin, Outlier: noOutliers}}},
+		{name: "least loaded", cfg: Config{Balance: balance.Settings{Policy: balance.PolicyLeastLoaded, Outlier: noOutliers}}},
+		{name: "two choices", cfg: Config{Balance: balance.Settings{Policy: balance.PolicyTwoChoices, Outlier: noOutliers}}},
+		{name: "affinity", cfg: Config{Balance: balance.Settings{Outlier: noOutliers}}},
 		{name: "affinity, outliers ejected", cfg: Config{}},
 	}
-	for _, deployment := range today {
+	for _, deployment := range exampleDeployments {
 		for _, v := range list {
-			v.cfg.Faults = []Fault{{Kind: Slow, From: usualWarmup, Until: 3 * time.Minute, Engine: 3, Factor: 8}}
+			v.cfg.Faults = []Fault{{Kind: Slow, From: defaultWarmup, Until: 3 * time.Minute, Engine: 3, Factor: 8}}
 			if err := choiceRow(w, deployment, 0.6, v.name, v.cfg, seeds); err != nil {
 				return err
 			}
@@ -38,7 +38,7 @@
 			return err
 		}
 		for _, v := range list {
-			v.cfg.Faults = []Fault{{Kind: Slow, From: usualWarmup, Until: 3 * time.Minute, Service: true, Engine: 1, Factor: 50}}
+			v.cfg.Faults = []Fault{{Kind: Slow, From: defaultWarmup, Until: 3 * time.Minute, Service: true, Engine: 1, Factor: 50}}
 			if err := choiceRow(w, deployment, 0.6, "service: "+v.name, v.cfg, seeds); err != nil {
 				return err
 			}
@@ -48,14 +48,14 @@
 }
 
 func domainTable(w io.Writer, seeds []uint64) error {
-	head(w, append([]string{"deployment", "load", "way", "broken", "failed after retries", "attempts for each request"}, choiceHead...)...)
-	none := balance.BreakerSettings{Failures: off}
+	writeHeader(w, append([]string{"deployment", "load", "way", "broken", "failed after retries", "attempts for each request"}, choiceColumns...)...)
+	noBreaker := balance.BreakerSettings{Failures: disabled}
 	list := []variant{
-		{name: "no breaker", cfg: Config{Retries: 2, Balance: balance.Settings{Breaker: none}}},
+		{name: "no breaker", cfg: Config{Retries: 2, Balance: balance.Settings{Breaker: noBreaker}}},
 		{name: "breakers", cfg: Config{Retries: 2}},
 		{name: "breakers, retry budget", cfg: Config{Retries: 2, RetryBudget: true}},
 	}
-	for _, deployment := range today {
+	for _, deployment := range exampleDeployments {
 		for _, v := range list {
 			if err := domainRow(w, deployment, v, seeds); err != nil {
 				return err
@@ -71,7 +71,7 @@
 		return err
 	}
 	cfg := v.cfg
-	cfg.Deployment, cfg.Length, cfg.Warmup, cfg.Load = d, usualLength, usualWarmup, 0.6
+	cfg.Deployment, cfg.Duration, cfg.Warmup, cfg.Load = d, defaultDuration, defaultWarmup, 0.6
 	cfg.Faults = []Fault{{Kind: Crash, From: 2 * time.Minute, Until: 3 * time.Minute, Engine: -1, Domain: 0}}
 	r, err := RunAll(cfg, seeds)
 	if err != nil {
@@ -85,19 +85,19 @@
 	cells := []string{
 		deployment, "0.6", v.name, fmt.Sprint(r.Broken), fmt.Sprint(failed - r.Broken), fmt.Sprintf("%.4f", float64(r.Attempts)/float64(r.Admitted)),
 	}
-	row(w, append(cells, choiceCells(r, &d)...)...)
+	writeRow(w, append(cells, choiceCells(r, &d)...)...)
 	return nil
 }
 
 func stormTable(w io.Writer, seeds []uint64) error {
-	head(w, "deployment", "way", "attempts for each request in the storm", "work done in the storm's minute %", "first tokens back after s", "completed of all %")
+	writeHeader(w, "deployment", "way", "attempts for each request in the storm", "work done in the storm's minute %", "first tokens back after s", "completed of all %")
 	list := []variant{
 		{name: "no budget, no admission", cfg: Config{NoAdmission: true}},
 		{name: "no budget", cfg: Config{}},
 		{name: "budget, no admission", cfg: Config{NoAdmission: true, RetryBudget: true}},
 		{name: "budget", cfg: Config{RetryBudget: true}},
 	}
-	for _, deployment := range today {
+	for _, deployment := range exampleDeployments {
 		for _, v := range list {
 			if err := stormRow(w, deployment, v, seeds); err != nil {
 				return err
@@ -114,8 +114,8 @@
 	}
 	const begin, end = 2 * time.Minute, 130 * time.Second
 	cfg := v.cfg
-	cfg.Deployment, cfg.Length, cfg.Warmup, cfg.Load = d, usualLength, usualWarmup, 0.8
-	cfg.Retries, cfg.CallerRetries, cfg.Impatient = 4, 100, true
+	cfg.Deployment, cfg.Duration, cfg.Warmup, cfg.Load = d, defaultDuration, defaultWarmup, 0.8
+	cfg.Retries, cfg.CallerRetries, cfg.IgnoreRetryAfter = 4, 100, true
 	cfg.Faults = []Fault{{Kind: Declining, From: begin, Until: end, Engine: -1, Domain: -1}}
 	r, err := RunAll(cfg, seeds)
 	if err != nil {
@@ -126,10 +126,10 @@
 		requests += r.Classes[i].Requests
 		completed += r.Classes[i].Completed
 	}
-	usual := r.Goodput(usualWarmup, begin)
-	row(w, deployment, v.name,
-		fmt.Sprintf("%.1f", r.attemptsFor(begin, end)),
-		fmt.Sprintf("%.0f", 100*r.Goodput(begin, begin+time.Minute)/usual),
-		recoveryText(recovery(r, begin, end, usualLength)), percent(completed, requests))
+	baseline := r.Goodput(defaultWarmup, begin)
+	writeRow(w, deployment, v.name,
+		fmt.Sprintf("%.1f", r.attemptsPerRequest(begin, end)),
+		fmt.Sprintf("%.0f", 100*r.Goodput(begin, begin+time.Minute)/baseline),
+		recoveryText(recoverySeconds(r, begin, end, defaultDuration)), percent(completed, requests))
 	return nil
 }
--- a/internal/balance/sim/tables_test.go
+++ b/internal/balance/sim/tables_test.go
@@ -15,8 +15,8 @@
 	seeds = flag.String("seeds", "1,2,3,4", "the seeds of its runs")
 )
 
-// TestTable writes a table of docs/measurements/load.md. It checks nothing:
-// the figures are for readers.
+// TestTable writes a table for docs/measurements/load.md. It is a tool and checks no
+// results.
 func TestTable(t *testing.T) {
 	if *table == "" {
 		t.Skip("no -table named")
--- a/internal/balance/sim/upstream.go
+++ b/internal/balance/sim/upstream.go
@@ -10,51 +10,51 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// server is one upstream: an engine by the stand-in's model, or a plain
-// service with some places and a queue.
+// server is one upstream: an engine, simulated by the stand-in's model, or a service
+// with a number of slots and a queue.
 type server struct {
 	w      *world
 	vm     platform.VM
 	domain int
 	engine *model.Engine
-	wake   time.Duration // when the engine is to be looked at next
+	wakeAt time.Duration // time of the scheduled advance
 	armed  bool
 	events []model.Event
 	jobs   map[uint64]*job
 
-	slots   int
-	slow    float64
-	busy    int
-	waiting []*job
+	slots      int
+	slowFactor float64
+	busy       int
+	queued     []*job
 
-	// struck is set while a fault lasts.
-	struck    bool
+	// faulty is set while a fault lasts.
+	faulty    bool
 	down      bool
 	declining bool
-	// failing is the part of the requests that break at once.
-	failing float64
+	// failShare is the share of requests that break off at once.
+	failShare float64
 }
 
 func newEngine(w *world, vm platform.VM, domain int, seed uint64) (*server, error) {
 	d := &w.cfg.Deployment
-	base, slope := model.Steps(d.Gap)
+	base, slope := model.Steps(d.StepTime)
 	e, err := model.New(model.Config{
-		BatchLimit: d.Batch, StepBase: base, StepSlope: slope, CacheEntries: d.Cache, LoadLag: d.Lag, Seed: seed,
+		BatchLimit: d.BatchLimit, StepBase: base, StepSlope: slope, CacheEntries: d.CacheEntries, LoadLag: d.ReportAge, Seed: seed,
 	})
 	return &server{w: w, vm: vm, domain: domain, engine: e, jobs: map[uint64]*job{}}, err
 }
 
-// take starts a job that has arrived; what is said of it is its answer.
-func (s *server) take(j *job) {
+// receive starts a job that has arrived and replies to its node.
+func (s *server) receive(j *job) {
 	switch {
 	case s.down:
-		s.w.reply(j, unreached)
+		s.w.sendReply(j, replyUnreached)
 	case s.declining:
-		s.w.reply(j, declined)
-	case s.failing > 0 && s.w.random.Float64() < s.failing:
-		s.w.reply(j, broken)
+		s.w.sendReply(j, replyDeclined)
+	case s.failShare > 0 && s.w.random.Float64() < s.failShare:
+		s.w.sendReply(j, replyBroken)
 	case s.engine == nil:
-		s.serve(j)
+		s.startService(j)
 	default:
 		s.submit(j)
 	}
@@ -66,15 +66,15 @@
 		ID: j.id, Priority: j.priority(), Prefix: j.prefix, Prefill: j.prefill, Tokens: j.tokens,
 	})
 	if !ok {
-		s.w.reply(j, declined)
+		s.w.sendReply(j, replyDeclined)
 		return
 	}
 	j.ticket = ticket
 	s.jobs[j.id] = j
-	s.arm()
+	s.scheduleWake()
 }
 
-// advance carries the engine to now.
+// advance advances the engine's model to the current time and sends the replies.
 func (s *server) advance() {
 	s.events = s.engine.Advance(s.w.now, s.events[:0])
 	for _, e := range s.events {
@@ -85,33 +85,33 @@
 		switch e.Kind {
 		case model.First:
 			j.cached = e.Cached
-			s.w.reply(j, first)
+			s.w.sendReply(j, replyFirstToken)
 		case model.Finished:
 			delete(s.jobs, e.ID)
-			s.w.reply(j, whole)
+			s.w.sendReply(j, replyCompleted)
 		}
 	}
 }
 
-// arm looks at the engine again when something happens in it.
-func (s *server) arm() {
+// scheduleWake schedules an advance at the time of the engine's next event.
+func (s *server) scheduleWake() {
 	at, ok := s.engine.Next()
-	if !ok || (s.armed && s.wake <= at) {
+	if !ok || (s.armed && s.wakeAt <= at) {
 		return
 	}
 	s.armed = true
-	s.wake = at
+	s.wakeAt = at
 	s.w.at(at, func() {
-		if s.wake != at {
+		if s.wakeAt != at {
 			return
 		}
 		s.armed = false
 		s.advance()
-		s.arm()
+		s.scheduleWake()
 	})
 }
 
-// cancel gives up a job.
+// cancel removes a job from the engine. Service calls run to their end.
 func (s *server) cancel(j *job) {
 	if s.engine == nil || s.jobs[j.id] != j {
 		return
@@ -119,29 +119,29 @@
 	s.advance()
 	delete(s.jobs, j.id)
 	s.engine.Cancel(s.w.now, j.ticket)
-	s.arm()
+	s.scheduleWake()
 }
 
-func (s *server) serve(j *job) {
+func (s *server) startService(j *job) {
 	if s.busy >= s.slots {
-		s.waiting = append(s.waiting, j)
+		s.queued = append(s.queued, j)
 		return
 	}
 	s.busy++
 	work := j.prefill
-	if s.slow > 1 {
-		work = time.Duration(float64(work) * s.slow)
+	if s.slowFactor > 1 {
+		work = time.Duration(float64(work) * s.slowFactor)
 	}
-	s.w.after(work, func() { s.served(j) })
+	s.w.after(work, func() { s.finishService(j) })
 }
 
-func (s *server) served(j *job) {
-	s.w.reply(j, whole)
+func (s *server) finishService(j *job) {
+	s.w.sendReply(j, replyCompleted)
 	s.busy--
-	if len(s.waiting) > 0 {
-		next := s.waiting[0]
-		s.waiting = s.waiting[1:]
-		s.serve(next)
+	if len(s.queued) > 0 {
+		next := s.queued[0]
+		s.queued = s.queued[1:]
+		s.startService(next)
 	}
 }
 
@@ -151,33 +151,34 @@
 		return
 	}
 	s.advance()
-	for _, j := range s.running() {
-		s.w.reply(j, broken)
+	for _, j := range s.runningJobs() {
+		s.w.sendReply(j, replyBroken)
 	}
 	clear(s.jobs)
 	s.engine.Reset(s.w.now)
 }
 
-// running are the jobs in the engine, in the order in which they came.
-func (s *server) running() []*job {
-	out := make([]*job, 0, len(s.jobs))
+// runningJobs returns the jobs in the engine in order of their ID, so that a run does
+// not depend on map order.
+func (s *server) runningJobs() []*job {
+	list := make([]*job, 0, len(s.jobs))
 	for _, j := range s.jobs {
-		out = append(out, j)
+		list = append(list, j)
 	}
-	slices.SortFunc(out, func(a, b *job) int { return cmp.Compare(a.id, b.id) })
-	return out
+	slices.SortFunc(list, func(a, b *job) int { return cmp.Compare(a.id, b.id) })
+	return list
 }
 
-// report is what the upstream says of its load.
+// report returns the upstream's load report.
 func (s *server) report() upstream.LoadReport {
 	if s.engine == nil {
-		return upstream.LoadReport{Running: s.busy, Queued: len(s.waiting), Limit: s.slots}
+		return upstream.LoadReport{Running: s.busy, Queued: len(s.queued), Limit: s.slots}
 	}
 	s.advance()
-	s.arm()
+	s.scheduleWake()
 	l := s.engine.Load(s.w.now)
 	return upstream.LoadReport{
-		Running: l.Running, Queued: l.Queued, Limit: s.w.cfg.Deployment.Batch,
-		Versions: s.w.versions, AgeMillis: s.w.cfg.Deployment.Lag.Milliseconds(),
+		Running: l.Running, Queued: l.Queued, Limit: s.w.cfg.Deployment.BatchLimit,
+		Versions: s.w.versions, AgeMillis: s.w.cfg.Deployment.ReportAge.Milliseconds(),
 	}
 }
--- a/internal/balance/sim/world.go
+++ b/internal/balance/sim/world.go
@@ -10,25 +10,25 @@
 	"github.com/hickorybank/hickorybank/internal/platform"
 )
 
-// world is one run.
+// world is the state of one run.
 type world struct {
-	agenda
-	cfg      Config
-	base     time.Time
-	random   *rand.Rand
-	nodes    []*node
-	servers  []*server
-	engines  []*server
-	byID     map[string]*server
-	versions []string
-	jobs     uint64
-	result   *Result
-	meanCost float64
+	scheduler
+	cfg       Config
+	startTime time.Time
+	random    *rand.Rand
+	nodes     []*node
+	servers   []*server
+	engines   []*server
+	byID      map[string]*server
+	versions  []string
+	jobCount  uint64
+	result    *Result
+	meanCost  float64
 }
 
 func newWorld(cfg Config) (*world, error) {
 	w := &world{
-		cfg: cfg, base: time.Unix(1_700_000_000, 0), byID: map[string]*server{},
+		cfg: cfg, startTime: time.Unix(1_700_000_000, 0), byID: map[string]*server{},
 		random: rand.New(rand.NewPCG(cfg.Seed, 11)), result: newResult(&cfg),
 	}
 	for _, c := range cfg.Deployment.Classes {
@@ -39,7 +39,7 @@
 	if err := w.build(); err != nil {
 		return nil, err
 	}
-	w.introduce()
+	w.setMembers()
 	return w, nil
 }
 
@@ -56,11 +56,11 @@
 			return err
 		}
 		w.engines = append(w.engines, s)
-		w.add(s)
+		w.addServer(s)
 	}
 	for i := range d.Services {
-		vm := platform.VM{ID: fmt.Sprintf("service-%d", i), Role: platform.RoleService, Service: w.service(), FailureDomain: domainName(i % d.Domains), State: platform.Live}
-		w.add(&server{w: w, vm: vm, domain: i % d.Domains, slots: d.Slots})
+		vm := platform.VM{ID: fmt.Sprintf("service-%d", i), Role: platform.RoleService, Service: w.serviceName(), FailureDomain: domainName(i % d.Domains), State: platform.Live}
+		w.addServer(&server{w: w, vm: vm, domain: i % d.Domains, slots: d.Slots})
 	}
 	for i := range d.Nodes {
 		vm := platform.VM{ID: fmt.Sprintf("entry-%d", i), Role: platform.RoleEntry, FailureDomain: domainName(i % d.Domains), State: platform.Live}
@@ -69,7 +69,7 @@
 	return nil
 }
 
-func (w *world) service() string {
+func (w *world) serviceName() string {
 	for _, c := range w.cfg.Deployment.Classes {
 		if c.Service != "" {
 			return c.Service
@@ -78,13 +78,13 @@
 	return ""
 }
 
-func (w *world) add(s *server) {
+func (w *world) addServer(s *server) {
 	w.servers = append(w.servers, s)
 	w.byID[s.vm.ID] = s
 }
 
-// introduce gives each node the list of VMs.
-func (w *world) introduce() {
+// setMembers passes the list of VMs to each node and starts its ticks.
+func (w *world) setMembers() {
 	var vms []platform.VM
 	for _, s := range w.servers {
 		vms = append(vms, s.vm)
@@ -94,40 +94,42 @@
 	}
 	for _, n := range w.nodes {
 		n.balance.SetMembers(vms, balance.NodeRankOf(vms, n.vm.ID, n.vm.FailureDomain), w.time())
-		w.after(time.Duration(w.random.Int64N(int64(pollTick))), n.tick)
+		w.after(time.Duration(w.random.Int64N(int64(tickInterval))), n.tick)
 	}
 }
 
-func (w *world) time() time.Time { return w.base.Add(w.now) }
+func (w *world) time() time.Time { return w.startTime.Add(w.now) }
 
-// localPart is the delay within a failure domain as a part of that between.
-const localPart = 5
+// localDelayDivisor divides the delay between failure domains to give the one within a
+// domain.
+const localDelayDivisor = 5
 
 func (w *world) delay(a, b int) time.Duration {
 	if a == b {
-		return w.cfg.Deployment.OneWay / localPart
+		return w.cfg.Deployment.DomainDelay / localDelayDivisor
 	}
-	return w.cfg.Deployment.OneWay
+	return w.cfg.Deployment.DomainDelay
 }
 
-// reply carries an upstream's word back to the node, unless the job's try has
-// ended meanwhile.
-func (w *world) reply(j *job, a answer) {
-	try, n := j.tries, j.node
+// sendReply delivers an upstream's reply to the node, unless the try has ended
+// meanwhile.
+func (w *world) sendReply(j *job, r reply) {
+	tryIndex, n := j.tries, j.node
 	w.after(w.delay(n.domain, j.server.domain), func() {
-		if !j.over && j.tries == try {
-			n.heard(j, a)
+		if !j.ended && j.tries == tryIndex {
+			n.handleReply(j, r)
 		}
 	})
 }
 
-// exponential draws a gap with that mean.
-func (w *world) exponential(mean time.Duration) time.Duration {
+// drawExponential draws an exponentially distributed duration with the given mean.
+func (w *world) drawExponential(mean time.Duration) time.Duration {
 	return time.Duration(w.random.ExpFloat64() * float64(mean))
 }
 
-// vary draws a factor between 1/spread and spread, even on a logarithmic scale.
-func (w *world) vary(spread float64) float64 {
+// drawFactor draws a factor between 1/spread and spread, uniform on a logarithmic
+// scale.
+func (w *world) drawFactor(spread float64) float64 {
 	if spread <= 1 {
 		return 1
 	}
