--- a/internal/balance/sim/callers.go
+++ b/internal/balance/sim/callers.go
@@ -166,22 +166,20 @@
 		return 1
 	}
 	if w.meanCost == 0 {
-		w.meanCost = w.meanModelSoloSeconds()
+		w.meanCost = w.meanModelSoloTime()
 	}
-	return meanSoloSeconds(j.class) / w.meanCost
+	return soloTime(j.class) / w.meanCost
 }
 
-// meanSoloSeconds returns the mean seconds that a request of the class takes on an
+// soloTime returns the mean seconds that a request of the class takes on an
 // engine without other requests.
-func meanSoloSeconds(c *Class) float64 {
-	return c.Prefill.Seconds() + float64(c.Tokens)*assumedStepTime.Seconds()
-}
+func soloTime(c *Class) float64 { return c.Prefill.Seconds() + float64(c.Tokens)*assumedStep.Seconds() }
 
-func (w *world) meanModelSoloSeconds() float64 {
+func (w *world) meanModelSoloTime() float64 {
 	var sum, share float64
 	for i := range w.cfg.Deployment.Classes {
 		if c := &w.cfg.Deployment.Classes[i]; c.Version != "" {
-			sum += c.Share * meanSoloSeconds(c)
+			sum += c.Share * soloTime(c)
 			share += c.Share
 		}
 	}
--- a/internal/balance/sim/deployment.go
+++ b/internal/balance/sim/deployment.go
@@ -40,7 +40,7 @@
 // batch of 16, so the time between tokens stays within 44 ms.
 const (
 	assumedBatchLimit   = 16
-	assumedStepTime     = 25 * time.Millisecond
+	assumedStep         = 25 * time.Millisecond
 	assumedCacheEntries = 24
 	assumedReportAge    = time.Second
 	assumedSlots        = 8
@@ -55,7 +55,7 @@
 		Name: name, Domains: 4, Nodes: 8, Engines: 18, Services: 4,
 		Demand:     []float64{30, 20, 15, 5, 5, 5, 5, 5, 5, 5},
 		Weights:    []float64{8, 6, 4, 1, 1, 1, 1, 1, 1, 1},
-		BatchLimit: assumedBatchLimit, StepTime: assumedStepTime, CacheEntries: assumedCacheEntries, ReportAge: assumedReportAge, Slots: assumedSlots,
+		BatchLimit: assumedBatchLimit, StepTime: assumedStep, CacheEntries: assumedCacheEntries, ReportAge: assumedReportAge, Slots: assumedSlots,
 	}
 	switch name {
 	case "tarifas":
--- a/internal/balance/sim/job.go
+++ b/internal/balance/sim/job.go
@@ -45,10 +45,10 @@
 	return strconv.FormatUint(j.id, 10) + "/" + strconv.Itoa(j.tries)
 }
 
-// soloSeconds returns the seconds that an engine without other requests needs for the
+// soloTime returns the seconds that an engine without other requests needs for the
 // job, with its prompt uncached.
-func (j *job) soloSeconds() float64 {
-	return j.prefill.Seconds() + float64(j.tokens)*assumedStepTime.Seconds()
+func (j *job) soloTime() float64 {
+	return j.prefill.Seconds() + float64(j.tokens)*assumedStep.Seconds()
 }
 
 // priority returns the priority for the engine; lower values run first.
--- a/internal/balance/sim/result.go
+++ b/internal/balance/sim/result.go
@@ -122,7 +122,7 @@
 	r.classOf(j).Requests++
 	if j.measured && j.class.Version != "" {
 		r.RequestsByOrg[j.org]++
-		r.RequestedWork[j.org] += j.soloSeconds()
+		r.RequestedWork[j.org] += j.soloTime()
 	}
 }
 
@@ -151,7 +151,7 @@
 	}
 	firstToken := j.firstTokenAt - j.receivedAt + 2*toClient
 	_ = c.FirstToken.RecordValue(firstToken.Microseconds())
-	work := j.soloSeconds()
+	work := j.soloTime()
 	if second := int(now / time.Second); second < len(r.Work) {
 		r.Work[second] += work
 	}
