--- a/internal/load/book.go
+++ b/internal/load/book.go
@@ -5,37 +5,37 @@
 	"time"
 )
 
-// Book is the addresses that a caller was told and for how long it may keep
-// them. It does no I/O.
-type Book struct {
+// AddressCache holds the entry addresses that a client was given, until their TTL ends.
+// It does no I/O. Times are since the beginning of the run.
+type AddressCache struct {
 	addresses []string
-	// told and until are when the answer came and runs out.
-	told  time.Duration
-	until time.Duration
-	turn  int
+	// setAt and expiresAt are when the list was set and when it expires.
+	setAt     time.Duration
+	expiresAt time.Duration
+	next      int
 }
 
-// Set replaces the addresses.
-func (b *Book) Set(addresses []string, ttl, now time.Duration) {
+// Set replaces the addresses; they expire ttl after now.
+func (b *AddressCache) Set(addresses []string, ttl, now time.Duration) {
 	b.addresses = slices.Clone(addresses)
-	b.told = now
-	b.until = now + ttl
+	b.setAt = now
+	b.expiresAt = now + ttl
 }
 
-// Pick returns the next address, in turn; ok is false when the answer has run
-// out and must be asked for again.
-func (b *Book) Pick(now time.Duration) (addr string, ok bool) {
-	if now >= b.until || len(b.addresses) == 0 {
+// Pick returns the next address, round robin. ok is false if the list has expired or is
+// empty and a new one must be fetched.
+func (b *AddressCache) Pick(now time.Duration) (addr string, ok bool) {
+	if now >= b.expiresAt || len(b.addresses) == 0 {
 		return "", false
 	}
-	b.turn++
-	return b.addresses[b.turn%len(b.addresses)], true
+	b.next++
+	return b.addresses[b.next%len(b.addresses)], true
 }
 
-// Drop leaves out an address that could not be connected to.
-func (b *Book) Drop(addr string) {
+// Drop removes an address that could not be connected to.
+func (b *AddressCache) Drop(addr string) {
 	b.addresses = slices.DeleteFunc(b.addresses, func(a string) bool { return a == addr })
 }
 
-// AskAt is when to ask again, ahead of the answer's end.
-func (b *Book) AskAt() time.Duration { return b.told + (b.until-b.told)*4/5 }
+// RefreshAt returns when to fetch a new list: after four fifths of the TTL.
+func (b *AddressCache) RefreshAt() time.Duration { return b.setAt + (b.expiresAt-b.setAt)*4/5 }
--- a/internal/load/counter.go
+++ b/internal/load/counter.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// counter counts names.
+// counter counts occurrences by name.
 type counter struct {
 	n map[string]int64
 }
@@ -18,7 +18,7 @@
 	}
 }
 
-// counts is sorted by name.
+// counts returns the counts, sorted by name.
 func (c counter) counts() []Count {
 	out := make([]Count, 0, len(c.n))
 	for name, n := range c.n {
--- a/internal/load/deployment.go
+++ b/internal/load/deployment.go
@@ -5,20 +5,20 @@
 	"github.com/hickorybank/hickorybank/internal/example"
 )
 
-// The shares of the kinds in the mix of a deployment: many light jobs and
-// look-ups, and a fifth that is heavy.
+// The shares of the kinds of work in a deployment's mix: many light requests and
+// look-ups, and 20% heavy requests.
 const (
 	shareImmediate  = 0.40
 	shareDeferrable = 0.35
 	shareHeavyChat  = 0.20
 	shareHeavyCall  = 0.05
 
-	heavyPrompt = 4000 // bytes; a dossier
-	lightPrompt = 300  // bytes; a line or a note
+	heavyPromptBytes = 4000 // bytes; a dossier
+	lightPromptBytes = 300  // bytes; a line or a note
 )
 
-// DeploymentMix is the mix of an example deployment: its organisations by
-// weight, its classes by kind.
+// DeploymentMix returns the mix of an example deployment, with the organisations by
+// weight and the classes by kind. It fails if the name is unknown.
 func DeploymentMix(name string) (*Mix, error) {
 	doc, err := example.Load(name)
 	if err != nil {
@@ -49,9 +49,9 @@
 		w.Model = c.Name
 		w.Versions = servingVersions(doc, c.Model)
 		w.Stream = c.Kind == config.Heavy
-		w.PromptBytes = lightPrompt
+		w.PromptBytes = lightPromptBytes
 		if c.Kind == config.Heavy {
-			w.PromptBytes = heavyPrompt
+			w.PromptBytes = heavyPromptBytes
 		}
 		return w, true
 	}
@@ -66,12 +66,13 @@
 	return w, false
 }
 
-// classShare is a class's part: that of its kind, shared with the others.
+// classShare returns the share of a class in the mix: that of its kind, divided by the
+// number of classes of the kind.
 func classShare(doc *config.Document, c config.Class) float64 {
-	alike := 0
+	sharing := 0
 	for _, other := range doc.Classes {
 		if other.Kind == c.Kind && (other.Model == "") == (c.Model == "") {
-			alike++
+			sharing++
 		}
 	}
 	share := shareHeavyCall
@@ -83,7 +84,7 @@
 	case c.Model != "":
 		share = shareHeavyChat
 	}
-	return share / float64(alike)
+	return share / float64(sharing)
 }
 
 func servingVersions(doc *config.Document, model string) []string {
--- a/internal/load/direct.go
+++ b/internal/load/direct.go
@@ -14,24 +14,24 @@
 	"github.com/hickorybank/hickorybank/internal/upstream"
 )
 
-// Direct is the lane to the upstreams alone: a job goes to one of those that
-// can do it, by chance.
+// Direct is the lane that bypasses the router. It sends each job to a random upstream
+// that can process it.
 type Direct struct {
 	run      string
 	mix      *Mix
 	engines  upstream.Engines
 	services upstream.Services
-	hosts    []host
+	targets  []target
 }
 
-// host is an upstream and what it can do.
-type host struct {
+// target is an upstream and the versions that it has loaded.
+type target struct {
 	vm       platform.VM
 	versions []string
 }
 
-// NewDirect asks the platform for the upstreams and each engine for its
-// versions.
+// NewDirect returns a direct lane for the live upstreams in the platform's list. It
+// fails if the list or an engine's versions cannot be read.
 func NewDirect(ctx context.Context, run string, m *Mix, vms platform.VMs, engines upstream.Engines, services upstream.Services) (*Direct, error) {
 	list, err := vms.List(ctx)
 	if err != nil {
@@ -42,7 +42,7 @@
 		if vm.State != platform.Live || vm.Role == platform.RoleEntry {
 			continue
 		}
-		h := host{vm: vm}
+		h := target{vm: vm}
 		if vm.Role == platform.RoleEngine {
 			state, err := engines.State(ctx, vm.Addr)
 			if err != nil {
@@ -50,27 +50,27 @@
 			}
 			h.versions = state.Versions
 		}
-		d.hosts = append(d.hosts, h)
+		d.targets = append(d.targets, h)
 	}
 	return d, nil
 }
 
-// Name is "direct".
+// Name returns "direct".
 func (d *Direct) Name() string { return "direct" }
 
-// Start has nothing to prepare.
+// Start does nothing.
 func (d *Direct) Start() error { return nil }
 
-// Close has nothing to release: the connections are the clients'.
+// Close does nothing, because the upstream clients own the connections.
 func (d *Direct) Close() {}
 
-// Do sends a job to an upstream.
+// Do sends a job to an upstream and waits for the result.
 func (d *Direct) Do(ctx context.Context, job Job, clock Clock) Result {
-	ctx, cancel := context.WithTimeout(ctx, job.Work.deadline()+slack)
+	ctx, cancel := context.WithTimeout(ctx, job.Work.deadline()+deadlineGrace)
 	defer cancel()
 	h, version, ok := d.choose(job)
 	if !ok {
-		return broken(Result{}, "no_upstream", clock)
+		return unanswered(Result{}, "no_upstream", clock)
 	}
 	if job.Work.chat() {
 		return d.chat(ctx, job, h, version, clock)
@@ -78,54 +78,55 @@
 	return d.call(ctx, job, h, clock)
 }
 
-// choose takes an upstream and a version by the job's draw.
-func (d *Direct) choose(job Job) (h host, version string, ok bool) {
-	var fit []host
+// choose selects an upstream and a version by the job's draw.
+func (d *Direct) choose(job Job) (h target, version string, ok bool) {
+	var candidates []target
 	if job.Work.chat() {
 		versions := job.Work.Versions
 		if len(versions) == 0 {
 			versions = []string{job.Work.Model}
 		}
 		version = versions[job.Draw%uint64(len(versions))]
-		fit = d.fitting(func(h host) bool { return slices.Contains(h.versions, version) })
+		candidates = d.matching(func(h target) bool { return slices.Contains(h.versions, version) })
 	} else {
-		fit = d.fitting(func(h host) bool { return h.vm.Service == job.Work.Service })
+		candidates = d.matching(func(h target) bool { return h.vm.Service == job.Work.Service })
 	}
-	if len(fit) == 0 {
-		return host{}, "", false
+	if len(candidates) == 0 {
+		return target{}, "", false
 	}
-	return fit[(job.Draw>>32)%uint64(len(fit))], version, true
+	return candidates[(job.Draw>>32)%uint64(len(candidates))], version, true
 }
 
-func (d *Direct) fitting(fits func(host) bool) []host {
-	var fit []host
-	for _, h := range d.hosts {
-		if fits(h) {
-			fit = append(fit, h)
+// matching returns the targets that satisfy a condition.
+func (d *Direct) matching(matches func(target) bool) []target {
+	var matched []target
+	for _, h := range d.targets {
+		if matches(h) {
+			matched = append(matched, h)
 		}
 	}
-	return fit
+	return matched
 }
 
-func (d *Direct) chat(ctx context.Context, job Job, h host, version string, clock Clock) Result {
+func (d *Direct) chat(ctx context.Context, job Job, h target, version string, clock Clock) Result {
 	res := Result{Check: Unchecked, Version: version}
 	body, err := job.body(d.run, version)
 	if err != nil {
-		return broken(res, "request", clock)
+		return unanswered(res, "request", clock)
 	}
 	stream, err := d.engines.Start(ctx, h.vm.Addr, upstream.Attempt{ID: uuid.NewString(), Version: version, PrefixHash: job.prefixHash(), Body: body})
 	if err != nil {
-		return broken(res, kindOf(err), clock)
+		return unanswered(res, errorCode(err), clock)
 	}
 	defer stream.Close()
 	var text strings.Builder
-	before := clock()
+	previous := clock()
 	for {
 		chunk, err := stream.Next()
 		if err != nil {
-			return broken(res, "stream_broke", clock)
+			return unanswered(res, "stream_broke", clock)
 		}
-		before = res.chunk(&text, chunk, before, clock)
+		previous = res.addChunk(&text, chunk, previous, clock)
 		if chunk.Done {
 			res.Outcome = request.Completed
 			res.InputTokens, res.OutputTokens = chunk.Usage.InputTokens, chunk.Usage.OutputTokens
@@ -137,32 +138,33 @@
 	}
 }
 
-// chunk notes one piece and returns its time, if it had text.
-func (res *Result) chunk(text *strings.Builder, c upstream.Chunk, before time.Duration, clock Clock) time.Duration {
+// addChunk appends the text of a chunk and returns the time of the last chunk with
+// text.
+func (res *Result) addChunk(text *strings.Builder, c upstream.Chunk, previous time.Duration, clock Clock) time.Duration {
 	if c.Text == "" {
-		return before
+		return previous
 	}
 	text.WriteString(c.Text)
-	return res.gap(before, clock())
+	return res.recordGap(previous, clock())
 }
 
-// gap notes the time of a piece with text.
-func (res *Result) gap(before, now time.Duration) time.Duration {
+// recordGap records the arrival of text as first token or gap and returns its time.
+func (res *Result) recordGap(previous, now time.Duration) time.Duration {
 	if res.First == 0 {
 		res.First = now
 	} else {
-		res.Gaps = append(res.Gaps, now-before)
+		res.Gaps = append(res.Gaps, now-previous)
 	}
 	return now
 }
 
-func (d *Direct) call(ctx context.Context, job Job, h host, clock Clock) Result {
+func (d *Direct) call(ctx context.Context, job Job, h target, clock Clock) Result {
 	res := Result{Check: Unchecked}
 	answer, err := d.services.Do(ctx, h.vm.Addr, upstream.ServiceCall{
 		Method: job.Work.Method, Path: job.path(), Key: uuid.NewString(), ContentType: "application/json",
 	})
 	if err != nil {
-		return broken(res, kindOf(err), clock)
+		return unanswered(res, errorCode(err), clock)
 	}
 	res.readCall(strings.NewReader(string(answer.Body)), job.path(), clock)
 	res.Ended = clock()
--- a/internal/load/direct_test.go
+++ b/internal/load/direct_test.go
@@ -19,7 +19,7 @@
 
 func (l vmList) List(context.Context) ([]platform.VM, error) { return l, nil }
 
-func TestDirectLaneGoesToTheUpstreams(t *testing.T) {
+func TestDirectLaneSendsToUpstreams(t *testing.T) {
 	is := is.New(t)
 	log := slog.New(slog.DiscardHandler)
 	e, err := engine.New(engine.Settings{ID: "e", Listen: "127.0.0.1:0", Versions: []string{"dues@1"}, BatchLimit: 4, TokenGap: time.Millisecond, TokensPerAnswer: 5}, log)
--- a/internal/load/figures.go
+++ b/internal/load/figures.go
@@ -6,28 +6,29 @@
 	"time"
 )
 
-// figures gathers the results of a run.
-type figures struct {
+// recorder collects the results of a run.
+type recorder struct {
 	settings Settings
-	lanes    []*laneFigures
+	lanes    []*laneRecorder
 	lag      histogram
 }
 
-type laneFigures struct {
+// laneRecorder collects the results of one lane, in total and by class.
+type laneRecorder struct {
 	name    string
-	total   *tally
-	classes map[string]*tally
+	total   *classRecorder
+	classes map[string]*classRecorder
 }
 
-func newFigures(s Settings, lanes []Lane) *figures {
-	f := &figures{settings: s, lag: newHistogram()}
+func newFigures(s Settings, lanes []Lane) *recorder {
+	f := &recorder{settings: s, lag: newHistogram()}
 	for _, l := range lanes {
-		f.lanes = append(f.lanes, &laneFigures{name: l.Name(), total: newTally("all"), classes: map[string]*tally{}})
+		f.lanes = append(f.lanes, &laneRecorder{name: l.Name(), total: newTally("all"), classes: map[string]*classRecorder{}})
 	}
 	return f
 }
 
-func (f *figures) add(r *Result) {
+func (f *recorder) add(r *Result) {
 	measured := r.Job.At >= f.settings.WarmUp
 	lane := f.lanes[r.Job.Lane]
 	class, ok := lane.classes[r.Job.Work.Class]
@@ -35,10 +36,10 @@
 		class = newTally(r.Job.Work.Class)
 		lane.classes[r.Job.Work.Class] = class
 	}
-	for _, t := range []*tally{lane.total, class} {
-		t.check(r)
-		if f.settings.measures(r.Ended) {
-			t.end(r)
+	for _, t := range []*classRecorder{lane.total, class} {
+		t.addCheck(r)
+		if f.settings.isMeasured(r.Ended) {
+			t.addCompletion(r)
 		}
 		if measured {
 			t.add(r)
@@ -49,7 +50,7 @@
 	}
 }
 
-func (f *figures) report(began time.Time, took time.Duration) *Report {
+func (f *recorder) report(began time.Time, took time.Duration) *Report {
 	s := f.settings
 	r := &Report{
 		Run: s.Run, Mix: s.Mix.Name, Arrivals: s.Arrivals, PerSecond: s.PerSecond, Seed: s.Seed,
@@ -57,7 +58,7 @@
 		Lag: f.lag.latency(false),
 	}
 	for _, lane := range f.lanes {
-		r.Lanes = append(r.Lanes, lane.line(s.Duration-s.WarmUp))
+		r.Lanes = append(r.Lanes, lane.report(s.Duration-s.WarmUp))
 	}
 	if len(r.Lanes) == 2 {
 		r.Ratios = ratios(&r.Lanes[0].Total, &r.Lanes[1].Total)
@@ -65,28 +66,28 @@
 	return r
 }
 
-func (l *laneFigures) line(measured time.Duration) Line {
-	line := Line{Name: l.name, Total: l.total.figures(true, measured), PerSecond: float64(l.total.sent) / measured.Seconds()}
+func (l *laneRecorder) report(measured time.Duration) LaneReport {
+	line := LaneReport{Name: l.name, Total: l.total.report(true, measured), PerSecond: float64(l.total.sent) / measured.Seconds()}
 	for _, t := range l.classes {
-		line.Classes = append(line.Classes, t.figures(false, measured))
+		line.Classes = append(line.Classes, t.report(false, measured))
 	}
-	slices.SortFunc(line.Classes, func(a, b Tally) int { return cmp.Compare(a.Class, b.Class) })
+	slices.SortFunc(line.Classes, func(a, b ClassReport) int { return cmp.Compare(a.Class, b.Class) })
 	return line
 }
 
-// ratios leaves out what one of the lanes did not measure.
-func ratios(a, b *Tally) []Ratio {
-	var all []Ratio
+// ratios compares two lanes. It leaves out figures that one of them did not measure.
+func ratios(a, b *ClassReport) []Ratio {
+	var list []Ratio
 	add := func(figure string, x, y Latency) {
 		if x.Count == 0 || y.Count == 0 {
 			return
 		}
-		all = append(all,
+		list = append(list,
 			Ratio{Figure: figure + " p50", First: x.P50, Second: y.P50, Ratio: float64(x.P50) / float64(y.P50)},
 			Ratio{Figure: figure + " p99", First: x.P99, Second: y.P99, Ratio: float64(x.P99) / float64(y.P99)})
 	}
 	add("whole", a.Whole, b.Whole)
 	add("first token", a.FirstToken, b.FirstToken)
 	add("between tokens", a.Gap, b.Gap)
-	return all
+	return list
 }
--- a/internal/load/lane.go
+++ b/internal/load/lane.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// Lane is a way for jobs to go.
+// Lane is a path on which jobs are sent.
 type Lane interface {
-	// Name stands in the report.
+	// Name returns the name of the lane in the report.
 	Name() string
-	// Start prepares the lane.
+	// Start prepares the lane. After an error, nothing can be sent.
 	Start() error
-	// Do sends one job and waits for what becomes of it. It fills in all of
-	// the result but Job and Started.
+	// Do sends one job and waits for its end. It fills in all fields of the result
+	// except Job and Started.
 	Do(ctx context.Context, job Job, clock Clock) Result
-	// Close releases the connections.
+	// Close releases the lane's connections.
 	Close()
 }
 
-// Clock tells the time since the beginning of the run.
+// Clock returns the time since the beginning of the run.
 type Clock func() time.Duration
 
 func startClock() Clock {
--- a/internal/load/latency.go
+++ b/internal/load/latency.go
@@ -8,12 +8,12 @@
 
 // Bounds and precision of the histograms.
 const (
-	leastMicros  = 1
-	mostMicros   = int64(10 * time.Minute / time.Microsecond)
-	significance = 3
+	minMicros         = 1
+	maxMicros         = int64(10 * time.Minute / time.Microsecond)
+	significantDigits = 3
 )
 
-// Latency is the figures of one histogram, in microseconds.
+// Latency is a summary of one histogram. Times are in microseconds.
 type Latency struct {
 	Count int64   `json:"count"`
 	Mean  float64 `json:"mean_us"`
@@ -23,13 +23,13 @@
 	P99   int64   `json:"p99_us"`
 	P999  int64   `json:"p99_9_us"`
 	Max   int64   `json:"max_us"`
-	// Curve is the whole distribution, for the plot.
+	// Curve is the whole distribution, for the plot; empty if not requested.
 	Curve []Point `json:"curve,omitempty"`
 }
 
-// Point is one step of a distribution.
+// Point is one point of a cumulative distribution.
 type Point struct {
-	// Quantile is the part of values that are at most Micros, in [0,100].
+	// Quantile is the percentage of values that are at most Micros, in [0,100].
 	Quantile float64 `json:"quantile"`
 	Micros   int64   `json:"us"`
 }
@@ -37,11 +37,11 @@
 type histogram struct{ h *hdrhistogram.Histogram }
 
 func newHistogram() histogram {
-	return histogram{hdrhistogram.New(leastMicros, mostMicros, significance)}
+	return histogram{hdrhistogram.New(minMicros, maxMicros, significantDigits)}
 }
 
 func (h histogram) add(d time.Duration) {
-	_ = h.h.RecordValue(min(max(d.Microseconds(), leastMicros), mostMicros)) // within its bounds
+	_ = h.h.RecordValue(min(max(d.Microseconds(), minMicros), maxMicros)) // never fails within the bounds
 }
 
 func (h histogram) latency(curve bool) Latency {
--- a/internal/load/mix.go
+++ b/internal/load/mix.go
@@ -11,34 +11,36 @@
 	"github.com/hickorybank/hickorybank/internal/config"
 )
 
-// Mix is the work that a run chooses from.
+// Mix is the set of kinds of work that a run draws requests from.
 type Mix struct {
 	Name string `json:"name"`
 	Work []Work `json:"work"`
-	// Prices are of versions, to reckon the cost of streamed answers.
+	// Prices are the prices of versions, to compute the cost of streamed answers.
 	Prices []Price `json:"prices,omitempty"`
 }
 
-// Price is what a version costs, in micro-units of currency per 1,000 tokens.
+// Price is the price of a version, in micro-units of currency per 1,000 tokens.
 type Price struct {
 	Version string `json:"version"`
 	Input   int64  `json:"input"`
 	Output  int64  `json:"output"`
 }
 
-// cost is what an answer's tokens come to, in micro-units of currency.
+// cost returns the cost of an answer's tokens in micro-units of currency, or 0 if the
+// version has no price.
 func (m *Mix) cost(version string, input, output int) int64 {
 	for _, p := range m.Prices {
 		if p.Version == version {
-			return (p.Input*int64(input) + p.Output*int64(output)) / tokensPerPrice
+			return (p.Input*int64(input) + p.Output*int64(output)) / tokensPerPriceUnit
 		}
 	}
 	return 0
 }
 
-const tokensPerPrice = 1000
+// tokensPerPriceUnit is the number of tokens that a price covers.
+const tokensPerPriceUnit = 1000
 
-// ParseMix reads a mix strictly.
+// ParseMix parses and validates a mix in JSON. Unknown fields are errors.
 func ParseMix(data []byte) (*Mix, error) {
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	decoder.DisallowUnknownFields()
@@ -50,19 +52,20 @@
 }
 
 func (m *Mix) validate() error {
-	var wrong []error
+	var errs []error
 	if len(m.Work) == 0 {
-		wrong = append(wrong, errors.New("work: must not be empty"))
+		errs = append(errs, errors.New("work: must not be empty"))
 	}
 	for i := range m.Work {
-		if reason := m.Work[i].fault(); reason != "" {
-			wrong = append(wrong, fmt.Errorf("work[%d]: %s", i, reason))
+		if reason := m.Work[i].invalidReason(); reason != "" {
+			errs = append(errs, fmt.Errorf("work[%d]: %s", i, reason))
 		}
 	}
-	return errors.Join(wrong...)
+	return errors.Join(errs...)
 }
 
-func (w *Work) fault() string {
+// invalidReason returns why the work is invalid, or "" if it is valid.
+func (w *Work) invalidReason() string {
 	switch {
 	case !(w.Weight > 0) || w.Weight > config.MaxWeight:
 		return "weight must be above 0"
--- a/internal/load/plot.go
+++ b/internal/load/plot.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// Measures of the plot, in pixels.
+// Dimensions of the plot in pixels.
 const (
 	plotWidth  = 900
 	plotHeight = 480
@@ -16,9 +16,9 @@
 	plotRight  = 20
 	plotTop    = 40
 	plotBottom = 60
-	// plotNines is how far to the right the plot goes: 99.99 of 100.
-	plotNines = 4.0
-	legendGap = 18
+	// plotMaxNines is the number of nines at the right end of the plot: 99.99%.
+	plotMaxNines = 4.0
+	legendGap    = 18
 )
 
 var (
@@ -32,8 +32,8 @@
 	points []Point
 }
 
-// SVG writes the distributions of latency as a plot: each line gives the time
-// that a part of the requests stayed within.
+// SVG writes a plot of the latency distributions. Each line shows the time within which
+// a share of the requests ended. The error is that of w.
 func (r *Report) SVG(w io.Writer) error {
 	var lines []series
 	for i := range r.Lanes {
@@ -59,30 +59,31 @@
 
 // plot maps values to pixels.
 type plot struct {
-	mostMicros float64
+	maxMicros float64
 }
 
 func newPlot(lines []series) plot {
-	p := plot{mostMicros: 1000}
+	p := plot{maxMicros: 1000}
 	for _, l := range lines {
 		for _, point := range l.points {
-			p.mostMicros = max(p.mostMicros, float64(point.Micros))
+			p.maxMicros = max(p.maxMicros, float64(point.Micros))
 		}
 	}
 	return p
 }
 
-// x spreads the tail: each further nine takes as much room.
+// x returns the horizontal position of a quantile. Each further nine takes the same
+// width, which stretches the tail.
 func (p plot) x(quantile float64) float64 {
-	nines := plotNines
+	nines := plotMaxNines
 	if quantile < 100 {
-		nines = min(-math.Log10(1-quantile/100), plotNines)
+		nines = min(-math.Log10(1-quantile/100), plotMaxNines)
 	}
-	return plotLeft + nines/plotNines*(plotWidth-plotLeft-plotRight)
+	return plotLeft + nines/plotMaxNines*(plotWidth-plotLeft-plotRight)
 }
 
 func (p plot) y(micros float64) float64 {
-	return plotHeight - plotBottom - micros/p.mostMicros*(plotHeight-plotTop-plotBottom)
+	return plotHeight - plotBottom - micros/p.maxMicros*(plotHeight-plotTop-plotBottom)
 }
 
 func (p plot) text(b *strings.Builder, x, y float64, anchor, text string) {
@@ -92,7 +93,7 @@
 func (p plot) axes(b *strings.Builder) {
 	const steps = 5
 	for i := range steps + 1 {
-		value := p.mostMicros * float64(i) / steps
+		value := p.maxMicros * float64(i) / steps
 		y := p.y(value)
 		fmt.Fprintf(b, `<line x1="%d" x2="%d" y1="%.1f" y2="%.1f" stroke="#ddd"/>`+"\n", plotLeft, plotWidth-plotRight, y, y)
 		p.text(b, plotLeft-6, y+4, "end", micros(int64(value)))
--- a/internal/load/prompt.go
+++ b/internal/load/prompt.go
@@ -22,7 +22,8 @@
 
 const filler = "The vessel lay alongside and the berth record was kept. "
 
-// prompt is the last message of a job: no other job of any run has the same.
+// prompt returns the last message of a job. It is unique over all jobs and runs, so
+// that the answer identifies the request.
 func (j Job) prompt(run string) string {
 	text := fmt.Sprintf("run %s request %d. ", run, j.Seq)
 	if missing := j.Work.PromptBytes - len(text); missing > 0 {
@@ -31,16 +32,17 @@
 	return text
 }
 
-// prefix is the first message, alike for all jobs of a kind.
+// prefix returns the first message, which all jobs of an organisation and class share.
 func (j Job) prefix() string {
 	return "You work for " + j.Work.Organisation + " on " + j.Work.Class + "."
 }
 
-// prefixHash names it to an engine's cache, as the router does.
+// prefixHash returns the hash by which the router names the prefix to an engine's
+// cache.
 func (j Job) prefixHash() uint64 { return xxhash.Sum64String(j.prefix()) }
 
-// body is the chat request of a job for a model or version. The first message
-// is shared by all jobs of its kind, as a prefix that engines can cache.
+// body returns the chat request of a job for a model or version. Its first message is a
+// shared prefix that engines can cache.
 func (j Job) body(run, model string) ([]byte, error) {
 	return json.Marshal(chatBody{
 		Model: model,
--- a/internal/load/read.go
+++ b/internal/load/read.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	headerVersion = "Hickorybank-Version"
-	headerCost    = "Hickorybank-Cost-Micros"
-	maxAnswer     = 16 << 20
-	streamEnd     = "[DONE]"
+	headerVersion  = "Hickorybank-Version"
+	headerCost     = "Hickorybank-Cost-Micros"
+	maxAnswerBytes = 16 << 20
+	streamEnd      = "[DONE]"
 )
 
-// chatAnswer is a chat completion, whole or one chunk of a stream, or an error.
+// chatAnswer is a chat completion, a chunk of a streamed one, or an error.
 type chatAnswer struct {
 	Choices []struct {
 		Message struct {
@@ -55,7 +55,7 @@
 	case job.Work.chat() && job.Work.Stream:
 		res.readStream(resp.Body, job.prompt(r.run), clock)
 	case job.Work.chat():
-		res.readWhole(resp.Body, job.prompt(r.run), clock)
+		res.readCompletion(resp.Body, job.prompt(r.run), clock)
 	default:
 		res.readCall(resp.Body, job.path(), clock)
 	}
@@ -63,7 +63,7 @@
 	res.Cost = r.cost(res, resp.Header.Get(headerCost))
 }
 
-// cost is what the answer says, or what its tokens come to.
+// cost returns the cost in the answer's header, or else the cost of its tokens.
 func (r *Routed) cost(res *Result, header string) int64 {
 	if cost, err := strconv.ParseInt(header, 10, 64); err == nil {
 		return cost
@@ -73,7 +73,7 @@
 
 func (res *Result) readFailure(resp *http.Response) {
 	var body chatAnswer
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	if err != nil || json.Unmarshal(data, &body) != nil || body.Error == nil {
 		res.fail(noAnswer, strconv.Itoa(resp.StatusCode))
 		return
@@ -86,8 +86,8 @@
 	res.Code = code
 }
 
-func (res *Result) readWhole(body io.Reader, prompt string, clock Clock) {
-	data, err := io.ReadAll(io.LimitReader(body, maxAnswer))
+func (res *Result) readCompletion(body io.Reader, prompt string, clock Clock) {
+	data, err := io.ReadAll(io.LimitReader(body, maxAnswerBytes))
 	res.First = clock()
 	var answer chatAnswer
 	if err != nil || json.Unmarshal(data, &answer) != nil || len(answer.Choices) != 1 {
@@ -106,14 +106,14 @@
 	}
 }
 
-// readStream reads server-sent events up to the end mark; a stream without it
-// is broken, whatever came.
+// readStream reads server-sent events up to the end mark. A stream without the mark
+// counts as broken.
 func (res *Result) readStream(body io.Reader, prompt string, clock Clock) {
 	var text strings.Builder
 	var last chatAnswer
-	before := clock()
+	previous := clock()
 	scanner := bufio.NewScanner(body)
-	scanner.Buffer(nil, maxAnswer)
+	scanner.Buffer(nil, maxAnswerBytes)
 	for scanner.Scan() {
 		data, ok := bytes.CutPrefix(scanner.Bytes(), []byte("data: "))
 		if !ok {
@@ -132,23 +132,24 @@
 			res.fail(chunk.Error.Outcome, chunk.Error.Code)
 			return
 		}
-		before = res.piece(&text, chunk, before, clock)
+		previous = res.addPiece(&text, chunk, previous, clock)
 		last = chunk
 	}
 	res.fail(noAnswer, "stream_broke")
 }
 
-// piece notes one chunk and returns its time, if it had text.
-func (res *Result) piece(text *strings.Builder, chunk chatAnswer, before time.Duration, clock Clock) time.Duration {
+// addPiece appends the text of a chunk and returns the time of the last chunk with
+// text.
+func (res *Result) addPiece(text *strings.Builder, chunk chatAnswer, previous time.Duration, clock Clock) time.Duration {
 	if len(chunk.Choices) != 1 || chunk.Choices[0].Delta.Content == "" {
-		return before
+		return previous
 	}
 	text.WriteString(chunk.Choices[0].Delta.Content)
-	return res.gap(before, clock())
+	return res.recordGap(previous, clock())
 }
 
 func (res *Result) readCall(body io.Reader, path string, clock Clock) {
-	data, err := io.ReadAll(io.LimitReader(body, maxAnswer))
+	data, err := io.ReadAll(io.LimitReader(body, maxAnswerBytes))
 	res.First = clock()
 	var answer callAnswer
 	if err != nil || json.Unmarshal(data, &answer) != nil {
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Report is what a run came to.
+// Report holds the measurements of a run.
 type Report struct {
 	Run       string    `json:"run"`
 	Mix       string    `json:"mix"`
@@ -10,34 +10,35 @@
 	PerSecond float64   `json:"per_second"`
 	Seed      uint64    `json:"seed"`
 	Began     time.Time `json:"began"`
-	// Seconds is how long the run took, the last answers included.
-	Seconds       float64 `json:"seconds"`
-	WarmUpSeconds float64 `json:"warm_up_seconds"`
-	Lanes         []Line  `json:"lanes"`
-	// Ratios are of the first lane to the second, when there are two.
+	// Seconds is the duration of the run until the last answer.
+	Seconds       float64      `json:"seconds"`
+	WarmUpSeconds float64      `json:"warm_up_seconds"`
+	Lanes         []LaneReport `json:"lanes"`
+	// Ratios compares the first lane with the second, if there are two.
 	Ratios []Ratio `json:"ratios,omitempty"`
-	// Lag is how late this program started its requests: what the figures owe
-	// to itself.
+	// Lag is the delay between the scheduled and the actual start of requests, which
+	// the load program itself adds to the latencies.
 	Lag Latency `json:"lag"`
 }
 
-// Line is the figures of one lane.
-type Line struct {
+// LaneReport holds the measurements of one lane.
+type LaneReport struct {
 	Name string `json:"name"`
-	// PerSecond is the rate of the lane's requests, after the warm-up.
-	PerSecond float64 `json:"per_second"`
-	Total     Tally   `json:"total"`
-	Classes   []Tally `json:"classes"`
+	// PerSecond is the rate of the lane's requests after the warm-up.
+	PerSecond float64       `json:"per_second"`
+	Total     ClassReport   `json:"total"`
+	Classes   []ClassReport `json:"classes"`
 }
 
-// Tally is the figures of one class, or of all.
-type Tally struct {
+// ClassReport holds the measurements of one class, or of all classes of a lane.
+type ClassReport struct {
 	Class string `json:"class"`
 	Sent  int64  `json:"sent"`
-	// DonePerSecond counts the answers that completed between the end of the
+	// DonePerSecond is the rate of answers that completed between the end of the
 	// warm-up and the end of sending, whenever they were sent.
 	DonePerSecond float64 `json:"done_per_second"`
-	// Outcomes and Codes count the ends; Checks count the completed answers.
+	// Outcomes and Codes count the requests by their end; Checks counts completed
+	// answers, those of the warm-up included.
 	Outcomes []Count `json:"outcomes"`
 	Codes    []Count `json:"codes,omitempty"`
 	Checks   []Count `json:"checks"`
@@ -47,14 +48,14 @@
 	CostMicros   int64 `json:"cost_micros"`
 	InputTokens  int64 `json:"input_tokens"`
 	OutputTokens int64 `json:"output_tokens"`
-	// FirstToken is of streams, Gap between two pieces, Whole of everything
-	// that completed. All but Gap count from the scheduled time.
+	// FirstToken covers streamed answers, Gap the time between two pieces of them,
+	// Whole all completed answers. FirstToken and Whole count from the scheduled time.
 	FirstToken Latency `json:"first_token"`
 	Gap        Latency `json:"gap"`
 	Whole      Latency `json:"whole"`
 }
 
-// Count is how often something was.
+// Count is the number of occurrences of a name.
 type Count struct {
 	Name string `json:"name"`
 	N    int64  `json:"n"`
@@ -68,8 +69,8 @@
 	Ratio  float64 `json:"ratio"`
 }
 
-// Wrong is how many answers were foreign or partial although they claimed to be
-// complete, the warm-up included.
+// Wrong returns the number of foreign or partial answers among the completed ones,
+// those of the warm-up included.
 func (r *Report) Wrong() int64 {
 	var n int64
 	for _, l := range r.Lanes {
@@ -78,7 +79,7 @@
 	return n
 }
 
-// Completed is how many requests completed.
+// Completed returns the number of requests that completed after the warm-up.
 func (r *Report) Completed() int64 {
 	var n int64
 	for _, l := range r.Lanes {
--- a/internal/load/result.go
+++ b/internal/load/result.go
@@ -6,21 +6,22 @@
 	"github.com/hickorybank/hickorybank/internal/request"
 )
 
-// noAnswer is the outcome of a request that got no answer or a broken one.
+// noAnswer is the outcome of a request without an answer, or with an unreadable one.
 const noAnswer request.Outcome = "no_answer"
 
-// Result is what became of one job. Times are since the beginning of the run;
-// 0 means that it did not happen.
+// Result is the result of one job. Times are since the beginning of the run; 0 means
+// that the event did not occur.
 type Result struct {
 	Job     Job
 	Started time.Duration
 	First   time.Duration
 	Ended   time.Duration
-	// Gaps are the times between two pieces of a stream.
+	// Gaps holds the times between consecutive pieces of a stream.
 	Gaps []time.Duration
 
 	Outcome request.Outcome
-	// Code is the failure's, or what broke.
+	// Code is the error code of the answer, or names the failure if there was no
+	// answer.
 	Code    string
 	Check   Check
 	Version string
@@ -28,8 +29,8 @@
 	Cost         int64
 	InputTokens  int
 	OutputTokens int
-	// Redials is how often another address was tried because one could not be
-	// connected to.
+	// Redials counts the tries of another address after a connection could not be
+	// opened.
 	Redials int
 }
 
--- a/internal/load/routed.go
+++ b/internal/load/routed.go
@@ -13,82 +13,83 @@
 )
 
 const (
-	maxIdle         = 4096
+	maxIdlePerHost  = 4096
 	defaultDeadline = 2 * time.Minute
-	// slack is what a caller waits beyond the deadline for the answer that it
-	// was missed.
-	slack      = 5 * time.Second
-	maxRedials = 3
-	dialLimit  = time.Second
+	// deadlineGrace is how long a client waits after the deadline for the answer that
+	// the deadline was missed.
+	deadlineGrace = 5 * time.Second
+	maxRedials    = 3
+	dialTimeout   = time.Second
 )
 
 // Routed is the lane through the entry nodes.
 type Routed struct {
-	run       string
-	http      *http.Client
-	directory *directory
-	mix       *Mix
-	duties    conc.WaitGroup
-	stop      context.CancelFunc
+	run        string
+	http       *http.Client
+	directory  *directory
+	mix        *Mix
+	background conc.WaitGroup
+	stop       context.CancelFunc
 }
 
-// NewRouted returns a lane through the entry nodes; seeds are addresses to ask
-// first. The run's name makes its prompts unlike those of other runs.
+// NewRouted returns a lane through the entry nodes. seeds are the addresses to ask
+// first. The run's name makes its prompts differ from those of other runs.
 func NewRouted(run string, seeds []string, m *Mix) *Routed {
 	transport := &http.Transport{
-		DialContext:         (&net.Dialer{Timeout: dialLimit}).DialContext,
-		MaxIdleConnsPerHost: maxIdle,
+		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
+		MaxIdleConnsPerHost: maxIdlePerHost,
 		DisableCompression:  true,
 	}
 	client := &http.Client{Transport: transport}
 	return &Routed{run: run, http: client, mix: m, directory: &directory{http: client, seeds: seeds, clock: startClock()}}
 }
 
-// Name is "routed".
+// Name returns "routed".
 func (r *Routed) Name() string { return "routed" }
 
-// Start begins to keep the addresses fresh.
+// Start fetches the addresses of the entry nodes and refreshes them until Close. It
+// fails if no entry node offers addresses.
 func (r *Routed) Start() error {
 	ctx, cancel := context.WithCancel(context.Background())
 	r.stop = cancel
 	if _, err := r.directory.pick(ctx); err != nil {
 		return err
 	}
-	r.duties.Go(func() { r.directory.keepFresh(ctx) })
+	r.background.Go(func() { r.directory.refreshLoop(ctx) })
 	return nil
 }
 
-// Close stops asking and closes the connections.
+// Close stops the refreshes and closes idle connections.
 func (r *Routed) Close() {
 	if r.stop != nil {
 		r.stop()
 	}
-	r.duties.Wait()
+	r.background.Wait()
 	r.http.CloseIdleConnections()
 }
 
-// Do sends a job as an application does: to one of the addresses that it was
-// told, and to the next one only if no connection stood.
+// Do sends a job as an application does: to one of the current addresses, and to the
+// next one only if no connection was established.
 func (r *Routed) Do(ctx context.Context, job Job, clock Clock) Result {
-	ctx, cancel := context.WithTimeout(ctx, job.Work.deadline()+slack)
+	ctx, cancel := context.WithTimeout(ctx, job.Work.deadline()+deadlineGrace)
 	defer cancel()
 	var res Result
 	for {
 		addr, err := r.directory.pick(ctx)
 		if err != nil {
-			return broken(res, "no_address", clock)
+			return unanswered(res, "no_address", clock)
 		}
 		req, err := r.request(ctx, addr, job)
 		if err != nil {
-			return broken(res, "request", clock)
+			return unanswered(res, "request", clock)
 		}
 		resp, err := r.http.Do(req)
 		if err == nil {
 			r.read(&res, job, resp, clock)
 			return res
 		}
-		if !notConnected(err) || res.Redials == maxRedials {
-			return broken(res, kindOf(err), clock)
+		if !isDialError(err) || res.Redials == maxRedials {
+			return unanswered(res, errorCode(err), clock)
 		}
 		r.directory.drop(addr)
 		res.Redials++
@@ -117,7 +118,7 @@
 	if err != nil {
 		return nil, err
 	}
-	req.GetBody = nil // or the transport would send it again by itself
+	req.GetBody = nil // otherwise the transport may resend the request
 	req.Header.Set("Authorization", "Bearer "+job.Work.Key)
 	if method != http.MethodGet {
 		key, err := uuid.NewV7()
@@ -130,7 +131,8 @@
 	return req, nil
 }
 
-// path is a service call's path; each job has its own.
+// path returns the path of a service call. A path that ends in a slash gets an ID
+// derived from the job's number.
 func (j Job) path() string {
 	path := j.Work.Path
 	if path[len(path)-1] == '/' {
@@ -139,26 +141,29 @@
 	return path
 }
 
-// notConnected says that no byte can have left.
-func notConnected(err error) bool {
+// isDialError reports whether the connection failed, so that no byte of the request was
+// sent.
+func isDialError(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-func kindOf(err error) string {
+// errorCode returns the code in the report for an error of a connection.
+func errorCode(err error) string {
 	switch {
 	case errors.Is(err, context.DeadlineExceeded):
 		return "timeout"
 	case errors.Is(err, context.Canceled):
 		return "cancelled"
-	case notConnected(err):
+	case isDialError(err):
 		return "not_connected"
 	default:
 		return "connection_broke"
 	}
 }
 
-func broken(res Result, code string, clock Clock) Result {
+// unanswered completes the result of a request that got no answer.
+func unanswered(res Result, code string, clock Clock) Result {
 	res.Outcome = noAnswer
 	res.Code = code
 	res.Check = Unchecked
--- a/internal/load/routed_test.go
+++ b/internal/load/routed_test.go
@@ -14,15 +14,14 @@
 	"github.com/hickorybank/hickorybank/internal/request"
 )
 
-// entry answers as an entry node; what it makes of a request is given by the
-// model that is asked for.
-type entry struct {
+// fakeEntry is a fake entry node. The model named in a request selects its answer.
+type fakeEntry struct {
 	addresses []string
 	ttl       int
 	keys      []string
 }
 
-func (e *entry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (e *fakeEntry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/v1/addresses" {
 		fmt.Fprintf(w, `{"addresses":["%s"],"ttl_ms":%d}`, strings.Join(e.addresses, `","`), e.ttl)
 		return
@@ -30,7 +29,7 @@
 	e.keys = append(e.keys, r.Header.Get("Idempotency-Key"))
 	body, _ := io.ReadAll(r.Body)
 	w.Header().Set("Hickorybank-Version", "dues@1")
-	answer := answerTo(string(body))
+	answer := firstPieceFor(string(body))
 	switch {
 	case strings.HasPrefix(r.URL.Path, "/v1/services/"):
 		fmt.Fprintf(w, `{"path":"%s"}`, strings.TrimPrefix(r.URL.Path, "/v1/services/billing"))
@@ -41,18 +40,18 @@
 		w.Header().Set("Hickorybank-Cost-Micros", "77")
 		fmt.Fprintf(w, `{"choices":[{"message":{"content":"%s t2 "},"finish_reason":"stop"}],"usage":{"prompt_tokens":1000,"completion_tokens":2}}`, answer)
 	default:
-		stream(w, string(body), answer)
+		writeStream(w, string(body), answer)
 	}
 }
 
-// answerTo is the first piece of a right answer.
-func answerTo(body string) string {
+// firstPieceFor returns the first piece of a correct answer.
+func firstPieceFor(body string) string {
 	_, rest, _ := strings.Cut(body, `"user","content":"`)
 	prompt, _, _ := strings.Cut(rest, `"`)
-	return "[dues@1 " + digestOf(prompt) + " a1]"
+	return "[dues@1 " + promptDigest(prompt) + " a1]"
 }
 
-func stream(w io.Writer, body, answer string) {
+func writeStream(w io.Writer, body, answer string) {
 	piece := func(text string) { fmt.Fprintf(w, "data: {\"choices\":[{\"delta\":{\"content\":\"%s\"}}]}\n\n", text) }
 	piece(answer + " ")
 	piece("t2 ")
@@ -66,9 +65,9 @@
 	fmt.Fprint(w, "data: {\"choices\":[{\"delta\":{\"content\":\"\"},\"finish_reason\":\"stop\"}],\"usage\":{\"prompt_tokens\":1000,\"completion_tokens\":2}}\n\ndata: [DONE]\n\n")
 }
 
-func startEntry(t *testing.T) (*entry, string) {
+func startEntry(t *testing.T) (*fakeEntry, string) {
 	t.Helper()
-	e := &entry{ttl: 60_000}
+	e := &fakeEntry{ttl: 60_000}
 	server := httptest.NewServer(e)
 	t.Cleanup(server.Close)
 	addr := strings.TrimPrefix(server.URL, "http://")
@@ -76,7 +75,9 @@
 	return e, addr
 }
 
-func TestRoutedLaneTellsWhatBecameOfEach(t *testing.T) {
+// Each way in which an answer ends must give the right outcome, code, check and cost.
+// Requests that must not run twice carry an idempotency key.
+func TestRoutedLaneReportsEachOutcome(t *testing.T) {
 	e, addr := startEntry(t)
 	mix := &Mix{Prices: []Price{{Version: "dues@1", Input: 5, Output: 500}}}
 	lane := NewRouted("r", []string{addr}, mix)
@@ -107,14 +108,14 @@
 		is.Equal(got.Check, c.check)
 		is.Equal(got.Cost, c.cost)
 		is.True(got.Ended > 0)
-		is.Equal(e.keys[i] == "", c.work.Method == "GET") // what may not be repeated has a key
+		is.Equal(e.keys[i] == "", c.work.Method == "GET") // requests that must not run twice have a key
 	}
 }
 
-// An entry node is gone, and the answer that names it has not run out. The
-// caller cannot connect to it and takes the next address; nothing was sent, so
-// nothing runs twice.
-func TestRoutedLaneTakesTheNextAddress(t *testing.T) {
+// An entry node is down, but still in an address list that has not expired. The lane
+// must try the next address and drop the failed one. Nothing was sent, so nothing can
+// run twice.
+func TestRoutedLaneRedialsNextAddress(t *testing.T) {
 	is := is.New(t)
 	e, addr := startEntry(t)
 	e.addresses = []string{"127.0.0.1:1", addr}
@@ -128,10 +129,11 @@
 		is.Equal(got.Outcome, request.Completed)
 		redials += got.Redials
 	}
-	is.Equal(redials, 1) // then it is left out
+	is.Equal(redials, 1) // the failed address is dropped
 }
 
-func TestRoutedLaneWithoutAnEntry(t *testing.T) {
+// Without a reachable entry node, Start fails and jobs end with no_address.
+func TestRoutedLaneFailsWithoutEntryNode(t *testing.T) {
 	is := is.New(t)
 	lane := NewRouted("r", []string{"127.0.0.1:1"}, new(Mix))
 	defer lane.Close()
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -7,14 +7,16 @@
 	"github.com/sourcegraph/conc"
 )
 
-// saturated is the code of a job that this program could not send in time.
-const saturated = "load_saturated"
+// codeSaturated is the code of a job that was not sent, because MaxInFlight requests
+// were running.
+const codeSaturated = "load_saturated"
 
-const resultBacklog = 1024
+// resultBuffer is the capacity of the channel of results.
+const resultBuffer = 1024
 
-// Run sends the load of the settings through the lanes and reports on it. A
-// context that ends stops sending; what runs is still waited for. The error is
-// of a lane that does not start; nothing was sent then.
+// Run sends the load of the settings through the lanes and returns the report. When ctx
+// ends, Run stops sending and waits for the running requests. It fails if a lane does
+// not start; then nothing was sent.
 func Run(ctx context.Context, s Settings, lanes ...Lane) (*Report, error) {
 	for _, l := range lanes {
 		if err := l.Start(); err != nil {
@@ -23,7 +25,7 @@
 	}
 	r := &runner{
 		settings: s, lanes: lanes, clock: startClock(),
-		slots: make(chan struct{}, s.MaxInFlight), results: make(chan Result, resultBacklog),
+		slots: make(chan struct{}, s.MaxInFlight), results: make(chan Result, resultBuffer),
 	}
 	figures := newFigures(s, lanes)
 	var collector conc.WaitGroup
@@ -39,7 +41,7 @@
 	return figures.report(began, r.clock()), nil
 }
 
-// runner is one run.
+// runner is the state of one run.
 type runner struct {
 	settings Settings
 	lanes    []Lane
@@ -48,7 +50,7 @@
 	results  chan Result
 }
 
-// send starts each job at its time and waits for all of them at the end.
+// send starts each job at its time and waits for all of them.
 func (r *runner) send(ctx context.Context) {
 	s := r.settings
 	schedule := NewSchedule(s.Mix, s.Arrivals, s.PerSecond, s.Duration, len(r.lanes), s.Seed)
@@ -56,21 +58,21 @@
 	defer running.Wait()
 	for {
 		job, ok := schedule.Next()
-		if !ok || !r.awaitTime(ctx, job.At) {
+		if !ok || !r.waitUntil(ctx, job.At) {
 			return
 		}
 		select {
 		case r.slots <- struct{}{}:
 			running.Go(func() { r.do(job) })
 		default:
-			r.results <- Result{Job: job, Started: r.clock(), Ended: r.clock(), Outcome: noAnswer, Code: saturated, Check: Unchecked}
+			r.results <- Result{Job: job, Started: r.clock(), Ended: r.clock(), Outcome: noAnswer, Code: codeSaturated, Check: Unchecked}
 		}
 	}
 }
 
-// awaitTime is false when the context ends first. Going late is never made up
-// for by skipping: every job starts, and its latency counts from its time.
-func (r *runner) awaitTime(ctx context.Context, at time.Duration) bool {
+// waitUntil waits for a time and reports whether ctx is still valid. After a delay, no
+// job is skipped: each starts late, and its latency counts from its scheduled time.
+func (r *runner) waitUntil(ctx context.Context, at time.Duration) bool {
 	wait := at - r.clock()
 	if wait <= 0 {
 		return ctx.Err() == nil
@@ -85,7 +87,8 @@
 	}
 }
 
-// do is not bound to the run's context: what was sent is waited for.
+// do sends one job. It ignores the run's context, because requests that were sent run
+// to their end.
 func (r *runner) do(job Job) {
 	defer func() { <-r.slots }()
 	started := r.clock()
--- a/internal/load/schedule_test.go
+++ b/internal/load/schedule_test.go
@@ -9,14 +9,14 @@
 	"pgregory.net/rapid"
 )
 
-func twoKinds() *Mix {
+func mixOfTwo() *Mix {
 	return &Mix{Name: "two", Work: []Work{
 		{Class: "often", Weight: 3, Model: "m"},
 		{Class: "seldom", Weight: 1, Service: "s", Method: "GET", Path: "/x/"},
 	}}
 }
 
-func drain(s *Schedule) []Job {
+func allJobs(s *Schedule) []Job {
 	var jobs []Job
 	for {
 		job, ok := s.Next()
@@ -30,7 +30,7 @@
 func TestScheduleKeepsRateMixAndLanes(t *testing.T) {
 	for _, arrivals := range []Arrivals{Poisson, Constant} {
 		is := is.New(t)
-		jobs := drain(NewSchedule(twoKinds(), arrivals, 1000, 20*time.Second, 2, 7))
+		jobs := allJobs(NewSchedule(mixOfTwo(), arrivals, 1000, 20*time.Second, 2, 7))
 		near := func(got int, want float64) { is.True(math.Abs(float64(got)-want) < 5*math.Sqrt(want)) }
 		near(len(jobs), 20_000)
 		often, first := 0, 0
@@ -50,9 +50,9 @@
 func TestSameSeedGivesSameJobs(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64().Draw(rt, "seed")
-		m := twoKinds()
-		a := drain(NewSchedule(m, Poisson, 100, time.Second, 2, seed))
-		b := drain(NewSchedule(m, Poisson, 100, time.Second, 2, seed))
+		m := mixOfTwo()
+		a := allJobs(NewSchedule(m, Poisson, 100, time.Second, 2, seed))
+		b := allJobs(NewSchedule(m, Poisson, 100, time.Second, 2, seed))
 		if len(a) != len(b) {
 			rt.Fatal(len(a), len(b))
 		}
@@ -77,13 +77,13 @@
 		}
 		is.True(len(classes) >= 4)
 		heavy := classes["draft"] + classes["assessment"]
-		is.True(math.Abs(heavy/sum-shareHeavyChat) < 1e-9) // a fifth is heavy
+		is.True(math.Abs(heavy/sum-shareHeavyChat) < 1e-9) // 20% are heavy
 	}
 	_, err := DeploymentMix("nowhere")
 	is.New(t).True(err != nil)
 }
 
-func TestMixFilesAreChecked(t *testing.T) {
+func TestInvalidMixIsRefused(t *testing.T) {
 	good := `{"name":"x","work":[{"organisation":"o","key":"k","class":"c","weight":1,"model":"m"}]}`
 	_, err := ParseMix([]byte(good))
 	is.New(t).NoErr(err)
@@ -100,13 +100,15 @@
 	}
 }
 
-func TestBookKeepsAnAnswerAsLongAsTold(t *testing.T) {
+// Addresses are used round robin until their TTL ends. Dropped addresses are not used
+// again.
+func TestAddressCacheExpiresAfterTTL(t *testing.T) {
 	is := is.New(t)
-	var b Book
+	var b AddressCache
 	_, ok := b.Pick(0)
-	is.True(!ok) // nothing was told yet
+	is.True(!ok) // no list was set yet
 	b.Set([]string{"a", "b"}, 10*time.Second, time.Second)
-	is.Equal(b.AskAt(), 9*time.Second)
+	is.Equal(b.RefreshAt(), 9*time.Second)
 	seen := map[string]int{}
 	for range 10 {
 		addr, ok := b.Pick(10 * time.Second)
@@ -119,13 +121,13 @@
 	is.True(ok)
 	is.Equal(addr, "b")
 	_, ok = b.Pick(11 * time.Second)
-	is.True(!ok) // it has run out
+	is.True(!ok) // the list has expired
 	b.Drop("b")
 	_, ok = b.Pick(2 * time.Second)
-	is.True(!ok) // nothing is left
+	is.True(!ok) // no address is left
 }
 
-func TestAnswersAreChecked(t *testing.T) {
+func TestCheckDetectsForeignAndPartialAnswers(t *testing.T) {
 	prompt := "Hello."
 	const digest = "2d8bd7d9bb5f85ba" // the start of the SHA-256 sum of it
 	cases := []struct {
--- a/internal/load/settings.go
+++ b/internal/load/settings.go
@@ -2,29 +2,30 @@
 
 import "time"
 
-// Settings are what a run is made of.
+// Settings configures a run.
 type Settings struct {
-	// Run names the run; its prompts are unlike those of any other.
+	// Run is a unique name of the run; it makes the prompts differ from those of other
+	// runs.
 	Run      string
 	Mix      *Mix
 	Arrivals Arrivals
-	// PerSecond is the rate of all lanes together.
+	// PerSecond is the request rate of all lanes together.
 	PerSecond float64
-	// Duration is from the first to the last start, warm-up included.
+	// Duration is the time from the beginning to the end of sending, warm-up included.
 	Duration time.Duration
-	// WarmUp is the part at the beginning that stays out of the figures;
-	// answers are checked all the same.
+	// WarmUp is the time at the beginning whose requests are not measured. Their
+	// answers are still checked.
 	WarmUp time.Duration
 	Seed   uint64
-	// MaxInFlight bounds the requests that run at a time. One beyond it is
-	// counted as not sent, never delayed in silence.
+	// MaxInFlight limits the number of running requests. A request beyond it is not
+	// delayed but counted as not sent.
 	MaxInFlight int
 }
 
-// DefaultMaxInFlight is ample for a thousand requests a second of some seconds
+// DefaultMaxInFlight suffices for 1,000 requests per second that take several seconds
 // each.
 const DefaultMaxInFlight = 8192
 
-// measures says whether a moment is after the warm-up and before the end of
+// isMeasured reports whether a time lies between the end of the warm-up and the end of
 // sending.
-func (s Settings) measures(at time.Duration) bool { return at >= s.WarmUp && at < s.Duration }
+func (s Settings) isMeasured(at time.Duration) bool { return at >= s.WarmUp && at < s.Duration }
--- a/internal/load/tally.go
+++ b/internal/load/tally.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// tally gathers the results of one class, or of all.
-type tally struct {
-	class    string
-	sent     int64
-	done     int64
-	outcomes counter
-	codes    counter
-	checks   counter
-	versions counter
-	redials  int64
+// classRecorder collects the results of one class, or of all classes of a lane.
+type classRecorder struct {
+	class     string
+	sent      int64
+	completed int64
+	outcomes  counter
+	codes     counter
+	checks    counter
+	versions  counter
+	redials   int64
 
 	cost   int64
 	input  int64
@@ -22,33 +22,33 @@
 	whole      histogram
 }
 
-func newTally(class string) *tally {
-	return &tally{
+func newTally(class string) *classRecorder {
+	return &classRecorder{
 		class: class, outcomes: newCounter(), codes: newCounter(), checks: newCounter(), versions: newCounter(),
 		firstToken: newHistogram(), gap: newHistogram(), whole: newHistogram(),
 	}
 }
 
-// check counts what a completed answer turned out to be.
-func (t *tally) check(r *Result) {
+// addCheck counts the check of a completed answer.
+func (t *classRecorder) addCheck(r *Result) {
 	if r.completed() {
 		t.checks.add(string(r.Check))
 	}
 }
 
-// end counts an answer that completed in the measured time.
+// addCompletion counts an answer that completed within the measured time.
 //
-// It guards against an overload's backlog in the figures: answers to what was
-// sent in that time go on long after it, and counting them would make a
-// system seem faster than it is, the more the longer it lets requests wait.
-func (t *tally) end(r *Result) {
+// It keeps the backlog of an overload out of the throughput. Answers to requests of the
+// measured time arrive long after it. Counting them overstates the throughput, the more
+// so the longer requests wait.
+func (t *classRecorder) addCompletion(r *Result) {
 	if r.completed() {
-		t.done++
+		t.completed++
 	}
 }
 
-// add takes a result into the figures.
-func (t *tally) add(r *Result) {
+// add records the result of a request that started after the warm-up.
+func (t *classRecorder) add(r *Result) {
 	t.sent++
 	t.outcomes.add(string(r.Outcome))
 	t.codes.add(r.Code)
@@ -71,9 +71,9 @@
 	}
 }
 
-func (t *tally) figures(curves bool, measured time.Duration) Tally {
-	return Tally{
-		Class: t.class, Sent: t.sent, DonePerSecond: float64(t.done) / measured.Seconds(), Outcomes: t.outcomes.counts(), Codes: t.codes.counts(), Checks: t.checks.counts(),
+func (t *classRecorder) report(curves bool, window time.Duration) ClassReport {
+	return ClassReport{
+		Class: t.class, Sent: t.sent, DonePerSecond: float64(t.completed) / window.Seconds(), Outcomes: t.outcomes.counts(), Codes: t.codes.counts(), Checks: t.checks.counts(),
 		Versions: t.versions.counts(), Redials: t.redials, CostMicros: t.cost, InputTokens: t.input, OutputTokens: t.output,
 		FirstToken: t.firstToken.latency(curves), Gap: t.gap.latency(curves), Whole: t.whole.latency(curves),
 	}
--- a/internal/load/text.go
+++ b/internal/load/text.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Text writes the report for people.
+// Text writes the report as plain text. The error is that of w.
 func (r *Report) Text(w io.Writer) error {
 	fmt.Fprintf(w, "mix %s, %s arrivals at %g a second in all, seed %d, %.1f s, the first %.1f s left out\n",
 		r.Mix, r.Arrivals, r.PerSecond, r.Seed, r.Seconds, r.WarmUpSeconds)
@@ -22,7 +22,7 @@
 	return r.ratioText(w)
 }
 
-func (l *Line) text(w io.Writer) error {
+func (l *LaneReport) text(w io.Writer) error {
 	fmt.Fprintf(w, "\n%s: %d requests, %.1f a second\n", l.Name, l.Total.Sent, l.PerSecond)
 	fmt.Fprintf(w, "  outcomes  %s\n", list(l.Total.Outcomes))
 	fmt.Fprintf(w, "  codes     %s\n", list(l.Total.Codes))
@@ -39,12 +39,12 @@
 	return tw.Flush()
 }
 
-func (t *Tally) rows(w io.Writer) {
-	named := []struct {
+func (t *ClassReport) rows(w io.Writer) {
+	figures := []struct {
 		name string
 		l    *Latency
 	}{{"whole", &t.Whole}, {"first token", &t.FirstToken}, {"between tokens", &t.Gap}}
-	for _, n := range named {
+	for _, n := range figures {
 		if n.l.Count == 0 {
 			continue
 		}
