--- a/internal/sim/host.go
+++ b/internal/sim/host.go
@@ -24,8 +24,8 @@
 // Cut selects the directions of a host's link that are blocked.
 type Cut struct{ In, Out bool }
 
-// Cut blocks the given directions of the host's link and unblocks the others.
-func (h *Host) Cut(c Cut) {
+// SetCut blocks the given directions of the host's link and unblocks the others.
+func (h *Host) SetCut(c Cut) {
 	h.net.mu.Lock()
 	defer h.net.mu.Unlock()
 	h.cut = c
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -78,7 +78,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		a, b, from, _ := connectedPair(t, 0, 0)
-		from.Cut(Cut{Out: true})
+		from.SetCut(Cut{Out: true})
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		_, err := from.Dial(ctx, "10.0.0.2:80")
@@ -87,7 +87,7 @@
 		is.True(ctx.Err() != nil)
 		ne, _ = err.(net.Error)
 		is.True(ne.Timeout())
-		time.AfterFunc(3*time.Second, func() { from.Cut(Cut{}) })
+		time.AfterFunc(3*time.Second, func() { from.SetCut(Cut{}) })
 		is.True(transfer(t, a, b, 1000) >= 3*time.Second)
 	})
 }
