--- a/internal/sim/host.go
+++ b/internal/sim/host.go
@@ -31,8 +31,8 @@
 	h.cut = c
 }
 
-// Lose sets the probability, 0 to 1, that a segment on the host's link is lost.
-func (h *Host) Lose(share float64) {
+// SetLoss sets the probability, 0 to 1, that a segment on the host's link is lost.
+func (h *Host) SetLoss(share float64) {
 	h.net.mu.Lock()
 	defer h.net.mu.Unlock()
 	h.loss = share
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -67,7 +67,7 @@
 func TestLossDelaysSegmentsInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b, from, _ := connectedPair(t, tenMbit, 0)
-		from.Lose(0.2)
+		from.SetLoss(0.2)
 		is.New(t).True(transfer(t, a, b, 400_000) > 500*time.Millisecond)
 	})
 }
