--- a/internal/sim/host.go
+++ b/internal/sim/host.go
@@ -38,9 +38,9 @@
 	h.loss = share
 }
 
-// Load reserves a share, 0 to 1, of the current bandwidth of both directions for
+// ReduceBandwidth reserves a share, 0 to 1, of the current bandwidth of both directions for
 // other traffic. Repeated calls multiply.
-func (h *Host) Load(part float64) {
+func (h *Host) ReduceBandwidth(part float64) {
 	h.net.mu.Lock()
 	defer h.net.mu.Unlock()
 	h.uplink.bytesPerSecond *= 1 - part
