--- a/internal/sim/host.go
+++ b/internal/sim/host.go
@@ -47,9 +47,9 @@
 	h.downlink.bytesPerSecond *= 1 - part
 }
 
-// Carried returns the number of bytes, with headers, that the host's link has
+// Traffic returns the number of bytes, with headers, that the host's link has
 // received and sent since the start.
-func (h *Host) Carried() (in, out int64) {
+func (h *Host) Traffic() (in, out int64) {
 	h.net.mu.Lock()
 	defer h.net.mu.Unlock()
 	return h.downlink.bytesSent, h.uplink.bytesSent
