--- a/internal/gateway/follow_config_test.go
+++ b/internal/gateway/follow_config_test.go
@@ -37,7 +37,7 @@
 func fetchFromNewerPeer(t *testing.T, source Source, d time.Duration) (*Node, int64) {
 	const peerAddr = "10.0.0.2:80"
 	net := sim.New(time.Millisecond, 1)
-	l, err := net.Host("10.0.0.2", 0).Listen(peerAddr)
+	l, err := net.AddHost("10.0.0.2", 0).Listen(peerAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,7 +49,7 @@
 	}
 	go server.Serve()
 	n := New(Settings{ID: "n9"}, Deps{
-		Source: source, Network: net.Host("10.0.0.1", 0),
+		Source: source, Network: net.AddHost("10.0.0.1", 0),
 		Log: slog.New(slog.DiscardHandler), Metrics: telemetry.New(telemetry.Bounds{}),
 	})
 	n.roster.Merge([]gossip.Member{{ID: "n0", Born: 1, Peer: peerAddr, Ready: true, Beat: 1}}, time.Now())
--- a/internal/sim/network.go
+++ b/internal/sim/network.go
@@ -31,9 +31,9 @@
 	n.observe = sent
 }
 
-// Host adds a host with an IP. bitsPerSecond limits each direction of its link; 0
+// AddHost adds a host with an IP. bitsPerSecond limits each direction of its link; 0
 // means unlimited.
-func (n *Network) Host(ip string, bitsPerSecond float64) *Host {
+func (n *Network) AddHost(ip string, bitsPerSecond float64) *Host {
 	h := &Host{net: n, ip: ip, listeners: map[int]*listener{}, nextPort: firstPort}
 	h.uplink.bytesPerSecond = bitsPerSecond / bitsPerByte
 	h.downlink.bytesPerSecond = bitsPerSecond / bitsPerByte
