--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -120,7 +120,7 @@
 	if err := c.writeFiles(r); err != nil {
 		return err
 	}
-	if failed := r.Wrong(); failed > 0 {
+	if failed := r.WrongAnswers(); failed > 0 {
 		return eris.Errorf("%d answers were foreign or partial", failed)
 	}
 	if r.Completed() == 0 {
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -69,9 +69,9 @@
 	Ratio  float64 `json:"ratio"`
 }
 
-// Wrong returns the number of foreign or partial answers among the completed ones,
+// WrongAnswers returns the number of foreign or partial answers among the completed ones,
 // those of the warm-up included.
-func (r *Report) Wrong() int64 {
+func (r *Report) WrongAnswers() int64 {
 	var n int64
 	for _, l := range r.Lanes {
 		n += countOf(l.Total.Checks, string(Foreign)) + countOf(l.Total.Checks, string(Partial))
--- a/internal/load/run_test.go
+++ b/internal/load/run_test.go
@@ -128,7 +128,7 @@
 		s := Settings{Run: "r", Mix: m, Arrivals: Poisson, PerSecond: 100, Duration: 3 * time.Second, WarmUp: time.Second, Seed: 1, MaxInFlight: 100}
 		report, err := Run(context.Background(), s, newSerialLane(0, 0), &mixedUpLane{newSerialLane(0, 0)})
 		is.NoErr(err)
-		is.True(report.Wrong() > 0)
+		is.True(report.WrongAnswers() > 0)
 		is.Equal(len(report.Ratios), 4) // no gaps between tokens were measured
 		var text bytes.Buffer
 		is.NoErr(report.Text(&text))
@@ -143,7 +143,7 @@
 		is.NoErr(err)
 		var again Report
 		is.NoErr(json.Unmarshal(data, &again))
-		is.Equal(again.Wrong(), report.Wrong())
+		is.Equal(again.WrongAnswers(), report.WrongAnswers())
 	})
 }
 
