--- a/internal/choice/sim/result.go
+++ b/internal/choice/sim/result.go
@@ -61,7 +61,7 @@
 func (p OrgClassResult) Met() bool { return p.Quality >= p.Target }
 
 // ClassResult holds the latency of one class from arrival to delivery. Cascaded counts
-// the answers that followed a rejected one.
+// the answers delivered after a fallback.
 type ClassResult struct {
 	Class    string
 	Latency  *hdrhistogram.Histogram // milliseconds
--- a/internal/example/topology.go
+++ b/internal/example/topology.go
@@ -90,8 +90,9 @@
 // versionsPerEngine is the number of versions loaded on each engine.
 const versionsPerEngine = 2
 
-// Loaded returns the versions that the i-th engine has loaded. Every version is loaded
-// in at least three failure domains, so the loss of one domain leaves it available.
+// Loaded returns the versions that the i-th engine has loaded. Each version is loaded
+// on several engines, in at least three failure domains, so the loss of one domain
+// leaves it available.
 func (t Topology) Loaded(i int) []string {
 	loaded := make([]string, 0, versionsPerEngine)
 	for j := range versionsPerEngine {
--- a/internal/sim/host.go
+++ b/internal/sim/host.go
@@ -38,8 +38,8 @@
 	h.loss = share
 }
 
-// ReduceBandwidth reserves a share, 0 to 1, of the current bandwidth of both directions for
-// other traffic. Repeated calls multiply.
+// ReduceBandwidth reserves a share, 0 to 1, of the current bandwidth of both directions
+// for other traffic. Repeated calls multiply.
 func (h *Host) ReduceBandwidth(part float64) {
 	h.net.mu.Lock()
 	defer h.net.mu.Unlock()
