--- a/internal/choice/sim/sim_test.go
+++ b/internal/choice/sim/sim_test.go
@@ -59,7 +59,7 @@
 // A staged version must not answer hundreds of requests while none is rated. With the
 // rating service down from the start, it gets no more than the first grants, which stay
 // below its cap, and the cap is never lifted.
-func TestExposureIsLimitedWithoutRatings(t *testing.T) {
+func TestNoExposureWithoutRatings(t *testing.T) {
 	is := is.New(t)
 	cfg := hourOf("sahel")
 	cfg.Outages = []Outage{{From: 0, To: 2 * time.Hour}}
--- a/internal/load/run_test.go
+++ b/internal/load/run_test.go
@@ -50,7 +50,7 @@
 // The system stalls for one second out of ten, so a tenth of the requests wait up to a
 // second. A load program that sends the next request only after an answer would see one
 // slow request and report a good 99th percentile.
-func TestStallCountsInLatency(t *testing.T) {
+func TestStallShowsInFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := Settings{Run: "r", Mix: mixOfTwo(), Arrivals: Constant, PerSecond: 100, Duration: 10 * time.Second, Seed: 1, MaxInFlight: 1000}
@@ -84,7 +84,7 @@
 // The system gets twice the load it can process, and works off its queue after sending
 // ends. All requests complete in the end. Counted by start time, throughput would be
 // 2,000 per second; the true value is 1,000.
-func TestBacklogDoesNotCountAsThroughput(t *testing.T) {
+func TestBacklogIsNotWorkDone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := Settings{Run: "r", Mix: mixOfTwo(), Arrivals: Constant, PerSecond: 2000, Duration: 3 * time.Second, WarmUp: time.Second, Seed: 1, MaxInFlight: 8192}
