--- a/internal/confsync/pulling.go
+++ b/internal/confsync/pulling.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// minPullBackoff and lastPullGap bound the delay before the next peer is called after
+	// minPullBackoff and maxPullBackoff bound the delay before the next peer is called after
 	// one that had nothing newer.
 	minPullBackoff = 50 * time.Millisecond
 	maxPullBackoff = 800 * time.Millisecond
--- a/internal/confsync/sim_platform_test.go
+++ b/internal/confsync/sim_platform_test.go
@@ -56,7 +56,7 @@
 	// noTable are the nodes that do not reach the table.
 	side    map[string]int
 	noTable map[string]bool
-	// slowFraction is the fraction of messages that take up to slowBy.
+	// slowFraction is the fraction of messages that take up to slowLatency.
 	slowFraction float64
 	slowLatency  time.Duration
 }
--- a/internal/confsync/waking.go
+++ b/internal/confsync/waking.go
@@ -15,7 +15,7 @@
 // each tick, so that a longer gap means that nothing ran.
 type stallDetector struct {
 	lastStep time.Duration
-	// stalledAt is the end of the last gap above stallGap.
+	// stalledAt is the end of the last gap above stallThreshold.
 	stalledAt time.Duration
 }
 
--- a/internal/ledger/bill_reader.go
+++ b/internal/ledger/bill_reader.go
@@ -35,7 +35,7 @@
 	return &billReader{store: s, limiter: newReadLimiter(settings.BillReadsPerSecond), window: settings.Window, progress: newReadCache(), closesAt: settings.closesAt}
 }
 
-// bills reads the bills of a bucket without duplicates. The error is errPageOver if that
+// bills reads the bills of a bucket without duplicates. The error is errPageTimeout if that
 // takes longer than until the given time, unless it is zero. The next call then continues
 // where this one stopped.
 func (r *billReader) bills(ctx context.Context, b key.Bucket, until time.Time) ([]bill.Bill, error) {
