--- a/internal/admin/readers.go
+++ b/internal/admin/readers.go
@@ -103,7 +103,7 @@
 	Detail    string `json:"detail,omitempty"`
 }
 
-// RolloutReader lists the roll-outs of all versions.
+// RolloutReader lists the rollouts of all versions.
 type RolloutReader interface {
 	Rollouts(ctx context.Context) ([]Rollout, error)
 }
@@ -113,7 +113,7 @@
 	Version string  `json:"version"`
 	Stage   string  `json:"stage"`
 	Share   float64 `json:"share"`
-	// Holder is the node that advances the roll-out.
+	// Holder is the node that advances the rollout.
 	Holder string    `json:"holder,omitempty"`
 	Since  time.Time `json:"since"`
 	Detail string    `json:"detail,omitempty"`
--- a/internal/admin/status.go
+++ b/internal/admin/status.go
@@ -80,7 +80,7 @@
 	return UpstreamList{Upstreams: list}, failure
 }
 
-// RolloutList is the answer with the roll-outs.
+// RolloutList is the answer with the rollouts.
 type RolloutList struct {
 	Rollouts []Rollout `json:"rollouts"`
 }
--- a/internal/capacity/role_shared.go
+++ b/internal/capacity/role_shared.go
@@ -123,10 +123,10 @@
 	}
 }
 
-// watchers is the number of nodes that watch the roll-out row; copied from package rollout.
+// watchers is the number of nodes that watch the rollout row; copied from package rollout.
 const watchers = 3
 
-// rollouts is the cost of roll-outs, which one node drives at a time.
+// rollouts is the cost of rollouts, which one node drives at a time.
 func (c *calc) rollouts() Role {
 	s := rollout.Settings{}.WithDefaults()
 	runners := float64(c.Size.Runners)
--- a/internal/cli/admin_entities.go
+++ b/internal/cli/admin_entities.go
@@ -93,7 +93,7 @@
 	} `positional-args:"true"`
 }
 
-// Execute shows the roll-outs, or sets the state and share of one version.
+// Execute shows the rollouts, or sets the state and share of one version.
 func (c *adminRolloutCommand) Execute([]string) error {
 	if c.Args.Version == "" {
 		return c.list()
--- a/internal/config/preset.go
+++ b/internal/config/preset.go
@@ -8,6 +8,6 @@
 	DeferDeferrable bool `json:"defer_deferrable"`
 	// Cascades allows a cheaper version to be tried before a more expensive one.
 	Cascades bool `json:"cascades"`
-	// AdvanceRollouts allows roll-outs to advance to their next stage.
+	// AdvanceRollouts allows rollouts to advance to their next stage.
 	AdvanceRollouts bool `json:"rollouts_move"`
 }
--- a/internal/rollout/crash_test.go
+++ b/internal/rollout/crash_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A roll-out continues correctly when its driver crashes. The driver crashes just before
+// A rollout continues correctly when its driver crashes. The driver crashes just before
 // or just after each of its actions and restarts ten seconds later. Another node
 // continues from the row and the engines' states.
 func TestDriverCrashesAtEveryStep(t *testing.T) {
--- a/internal/rollout/engines_test.go
+++ b/internal/rollout/engines_test.go
@@ -136,7 +136,7 @@
 	}
 }
 
-// A roll-out outlives its driver. Operators stage a version, widen it to serving and
+// A rollout outlives its driver. Operators stage a version, widen it to serving and
 // withdraw the old one. The node that drives stops halfway, and another one finishes. No
 // engine loses the old version before the withdrawal is in force.
 func TestAnotherDriverFinishesTheRollout(t *testing.T) {
--- a/internal/rollout/pace_test.go
+++ b/internal/rollout/pace_test.go
@@ -82,7 +82,7 @@
 	return w.now.Sub(started)
 }
 
-// Regression: roll-outs left the weight store idle. With a fixed limit of four loads at
+// Regression: rollouts left the weight store idle. With a fixed limit of four loads at
 // one time, a version that half of 10,000 engines should have took 21 hours.
 func TestLoadLimitFollowsTheStoreRate(t *testing.T) {
 	for _, c := range []struct {
--- a/internal/rollout/seeds_test.go
+++ b/internal/rollout/seeds_test.go
@@ -43,7 +43,7 @@
 	return failed, first, violation
 }
 
-// Roll-outs withstand faults in any combination. Drivers pause, crash and restart; the
+// Rollouts withstand faults in any combination. Drivers pause, crash and restart; the
 // table is down or loses answers; orders arrive late; engines and failure domains are
 // lost; loads fail. No order may take a version below its demand, load a withdrawn
 // version, or exceed the limit of loads. The engines must match the configuration once
--- a/internal/standin/engine/order_test.go
+++ b/internal/standin/engine/order_test.go
@@ -17,7 +17,7 @@
 	return upstream.Order{Fence: fence, Action: action, Version: version}
 }
 
-// A roll-out driver that was paused past its lease resumes and sends an outdated order,
+// A rollout driver that was paused past its lease resumes and sends an outdated order,
 // which would unload a version that was rolled out meanwhile. An engine that honours
 // fencing numbers must refuse the order; one that ignores them carries it out.
 func TestOrderWithOldFence(t *testing.T) {
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -63,7 +63,7 @@
 }
 
 // The metrics page must not grow without bound when callers use thousands of organisation
-// names or every roll-out adds a version. Values beyond the bound count together, and the
+// names or every rollout adds a version. Values beyond the bound count together, and the
 // sums stay complete.
 func TestLabelsBeyondBoundCountAsOther(t *testing.T) {
 	is := is.New(t)
