--- a/internal/standin/engine/faults.go
+++ b/internal/standin/engine/faults.go
@@ -33,7 +33,7 @@
 	// marker. Empty means no fault.
 	CrashMarker string `json:"crash_marker"`
 	// RestartMillis is the time from a crash to the restart, in milliseconds. The engine
-	// restarts in its initial state: without streams, cache and fencing number, and with
+	// restarts in its initial state: without streams, cache and fencing token, and with
 	// the configured versions. A change during a crash restarts the time.
 	RestartMillis int64 `json:"restart_ms"`
 	// BadVersions are versions that fail in the middle of some of their answers.
--- a/internal/standin/engine/model/control.go
+++ b/internal/standin/engine/model/control.go
@@ -7,7 +7,7 @@
 )
 
 // Control is the state of an engine that orders change: its loaded and loading versions,
-// its role, and the highest fencing number of any order. It is not safe for concurrent
+// its role, and the highest fencing token of any order. It is not safe for concurrent
 // use.
 type Control struct {
 	honourFence bool
@@ -27,15 +27,15 @@
 	// Fetched or Abandon.
 	Fetch
 	// Stale means that the order is refused, because an earlier order had a higher
-	// fencing number.
+	// fencing token.
 	Stale
 	// Invalid means that the order has an unknown action or lacks a version or role.
 	Invalid
 )
 
 // NewControl returns the control of an engine with these versions. With
-// honour it refuses orders with an old fencing number; without, it ignores
-// the number.
+// honour it refuses orders with an old fencing token; without, it ignores
+// the token.
 func NewControl(versions []string, honourFence bool) *Control {
 	return &Control{honourFence: honourFence, loaded: slices.Clone(versions)}
 }
@@ -108,8 +108,8 @@
 // Versions returns a copy of the list of loaded versions.
 func (c *Control) Versions() []string { return slices.Clone(c.loaded) }
 
-// State returns the state that the engine reports. The fencing number is 0 for an engine
-// that ignores fencing numbers.
+// State returns the state that the engine reports. The fencing token is 0 for an engine
+// that ignores fencing tokens.
 func (c *Control) State() upstream.EngineState {
 	return upstream.EngineState{
 		Fence:    c.fence,
--- a/internal/standin/engine/model/doc.go
+++ b/internal/standin/engine/model/doc.go
@@ -1,6 +1,6 @@
 // Package model simulates a model engine without I/O: continuous batching with a limit,
 // a priority queue, a bounded prefix cache, lagging load reports, delayed cache events
-// with gaps, and orders with fencing numbers. Callers pass the time as the duration
+// with gaps, and orders with fencing tokens. Callers pass the time as the duration
 // since the engine's start and get the decisions as events. The package does not sleep,
 // lock or use global random numbers, so many engines can run in virtual time.
 //
--- a/internal/standin/engine/order_test.go
+++ b/internal/standin/engine/order_test.go
@@ -19,7 +19,7 @@
 
 // A rollout driver that was paused past its lease resumes and sends an outdated order,
 // which would unload a version that was rolled out meanwhile. An engine that honours
-// fencing numbers must refuse the order; one that ignores them carries it out.
+// fencing tokens must refuse the order; one that ignores them carries it out.
 func TestOrderWithOldFence(t *testing.T) {
 	for _, honour := range []bool{true, false} {
 		is := is.New(t)
--- a/internal/standin/engine/settings.go
+++ b/internal/standin/engine/settings.go
@@ -43,7 +43,7 @@
 	// TokensPerAnswer is the number of chunks of an answer, unless the request asks for
 	// fewer; at least 1.
 	TokensPerAnswer int
-	// HonourFence makes the engine refuse orders with an old fencing number.
+	// HonourFence makes the engine refuse orders with an old fencing token.
 	HonourFence bool
 	// LoadLag is the age of a load report.
 	LoadLag time.Duration
--- a/internal/upstream/client/engines.go
+++ b/internal/upstream/client/engines.go
@@ -88,7 +88,7 @@
 }
 
 // Order implements [upstream.Engines]. The error wraps [upstream.ErrStaleFence] if the
-// engine refuses the fencing number.
+// engine refuses the fencing token.
 func (e *Engines) Order(ctx context.Context, addr string, o upstream.Order) error {
 	body, err := json.Marshal(o)
 	if err != nil {
--- a/internal/upstream/errors.go
+++ b/internal/upstream/errors.go
@@ -10,7 +10,7 @@
 	// received the attempt, has restarted since, or has deleted the stream.
 	ErrUnknownStream = errors.New("engine knows no stream of the attempt")
 	// ErrStaleFence means that the engine refused an order because it has seen a higher
-	// fencing number.
+	// fencing token.
 	ErrStaleFence = errors.New("engine has seen a higher fencing number")
 	// ErrNotCached means that the engine's cache does not hold the prefix.
 	ErrNotCached = errors.New("engine has not cached the prefix")
--- a/internal/upstream/order.go
+++ b/internal/upstream/order.go
@@ -12,7 +12,7 @@
 
 // Order is a command to an engine to load or unload a version or to change its role.
 type Order struct {
-	// Fence is the fencing number. Some engines refuse an order with a lower number than
+	// Fence is the fencing token. Some engines refuse an order with a lower token than
 	// the highest they have seen; others ignore it.
 	Fence  uint64      `json:"fence"`
 	Action OrderAction `json:"action"`
@@ -24,7 +24,7 @@
 
 // EngineState is the state that an engine reports, read back after an order.
 type EngineState struct {
-	// Fence is the highest fencing number that the engine has seen.
+	// Fence is the highest fencing token that the engine has seen.
 	Fence uint64 `json:"fence"`
 	Role  string `json:"role"`
 	// Versions are the loaded versions.
