--- a/internal/lifecycle/chat.go
+++ b/internal/lifecycle/chat.go
@@ -26,7 +26,7 @@
 	phase    phase
 	stage    int // index into settings.Versions
 	current  *attempt
-	fallback *attempt // the completed attempt of an earlier stage
+	earlier  *attempt // the completed attempt of an earlier stage
 	excluded []string
 	attempts int
 	// ambiguous counts abandoned attempts that may have run.
@@ -91,7 +91,7 @@
 	if c.phase != picking {
 		return nil
 	}
-	return c.fallBackOrFail(code, retryAfter, message)
+	return c.useEarlierOrFail(code, retryAfter, message)
 }
 
 // NotSent is the event that the check before sending failed for an attempt that Picked
@@ -103,7 +103,7 @@
 	c.mayHaveRun = c.earlierMayHaveRun()
 	c.current = nil
 	c.phase = picking
-	return c.fallBackOrFail(code, retryAfter, message)
+	return c.useEarlierOrFail(code, retryAfter, message)
 }
 
 // ChunkReceived is the event that a chunk of an answer arrived. Chunks of another attempt are
@@ -168,7 +168,7 @@
 	if ok && score >= c.settings.Threshold {
 		return []Decision{c.bill()}
 	}
-	c.fallback = c.current
+	c.earlier = c.current
 	c.current = nil
 	c.excluded = nil
 	c.stage++
--- a/internal/lifecycle/chat_failure.go
+++ b/internal/lifecycle/chat_failure.go
@@ -39,7 +39,7 @@
 }
 
 // earlierMayHaveRun reports whether an attempt before the current one may have run.
-func (c *Chat) earlierMayHaveRun() bool { return c.ambiguous > 0 || c.fallback != nil }
+func (c *Chat) earlierMayHaveRun() bool { return c.ambiguous > 0 || c.earlier != nil }
 
 // resume reads the attempt's stream again after the last accepted chunk; the engine keeps a
 // stream for a limited time. After MaxResumes resumptions the attempt is abandoned.
@@ -68,18 +68,18 @@
 	c.current = nil
 	c.phase = picking
 	if c.attempts >= c.settings.MaxAttempts {
-		return append(out, c.fallBackOrFail(request.CodeUpstreamFailed, retryDelay, "every upstream that was tried failed")...)
+		return append(out, c.useEarlierOrFail(request.CodeUpstreamFailed, retryDelay, "every upstream that was tried failed")...)
 	}
 	return append(out, Pick{Version: c.version(), Exclude: c.excluded, Retry: true})
 }
 
-// fallBackOrFail ends the request, with the answer of an earlier stage if there is one: a
+// useEarlierOrFail ends the request, with the answer of an earlier stage if there is one: a
 // complete answer below the quality threshold is better than none.
-func (c *Chat) fallBackOrFail(code request.Code, retryAfter time.Duration, message string) []Decision {
-	if c.fallback == nil {
+func (c *Chat) useEarlierOrFail(code request.Code, retryAfter time.Duration, message string) []Decision {
+	if c.earlier == nil {
 		return c.fail(code, retryAfter, message)
 	}
-	c.current = c.fallback
+	c.current = c.earlier
 	return []Decision{c.bill()}
 }
 
