--- a/internal/config/organisation.go
+++ b/internal/config/organisation.go
@@ -13,6 +13,6 @@
 	Versions []string `json:"versions"`
 	// Services names the plain services that the organisation may call.
 	Services []string `json:"services,omitempty"`
-	// Targets holds at most one quality target for each class.
+	// Targets holds at most one quality target for each class, each with a quality from 0 to 1.
 	Targets []Target `json:"targets"`
 }
